--- /dev/null
+++ b/crates/fleet/tests/formats.rs
@@ -0,0 +1,247 @@
+//! The formats on disk and on the wire, byte by byte: what the program writes equals files kept from the first version,
+//! and what these files say is still read. The files under `tests/fixtures/` never change.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use dunemount_fleet::frame::{self, Kind};
+use dunemount_fleet::lease::{Tenure, Terms};
+use dunemount_fleet::member::{Change, Membership, Pace, Peer};
+use dunemount_fleet::node::{Disk, Event, Node, Order, Settings};
+use dunemount_fleet::register::*;
+use dunemount_fleet::voter::{Step, Voter};
+use serde::{de::DeserializeOwned, Serialize};
+
+const FLEET: &str = "formats";
+const ROLE: &str = "survey/1";
+const CONFIGURATION: &str = "config/version";
+/// Number of the file that has been let in at place 2.
+const OTHER_FILE: u64 = 0x0000_0001_8000_0007;
+
+fn fixture(name: &str) -> Vec<u8> {
+    let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
+    std::fs::read(&path).unwrap_or_else(|e| panic!("{path}: {e}"))
+}
+
+fn address(index: u8) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, index + 1], 7400))
+}
+
+fn peer(index: u8, start: u64) -> Peer {
+    Peer { name: format!("gw-{index}"), start, life: 0, address: address(index) }
+}
+
+fn ballot(round: u64, by: u64) -> Ballot {
+    Ballot { round, by: NodeId(by) }
+}
+
+fn view() -> View {
+    View::default().with(Slot(2), OTHER_FILE)
+}
+
+fn owned() -> Tenure {
+    Tenure { epoch: 300, owner: Some(NodeId(0xfeed_0001)), beat: 70_000, wanted: Some(NodeId(5)) }
+}
+
+fn registers() -> BTreeMap<Key, Cell> {
+    let chosen =
+        Cell { promised: ballot(5, 9), accepted: ballot(4, 0xfeed_0001), value: Some(owned().write()) };
+    let promised = Cell { promised: ballot(200, 3), accepted: Ballot::default(), value: None };
+    BTreeMap::from([(CONFIGURATION.to_string(), promised), (ROLE.to_string(), chosen)])
+}
+
+fn ask(voter: &mut Voter, call: Call) -> Reply {
+    match voter.ask(call) {
+        Step::Reply(reply) => reply,
+        Step::Store(pending) => pending.stored(),
+    }
+}
+
+/// Voter 1, which goes by a view with a file let in at place 2, and keeps two registers.
+fn voter() -> Voter {
+    let mut voter = Voter::founding(Slot(1));
+    let role = || ROLE.to_string();
+    let requests = [
+        Request::Admit { after: Key::new() },
+        Request::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) },
+        Request::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+        Request::Prepare { key: role(), ballot: ballot(5, 9) },
+        Request::Prepare { key: CONFIGURATION.to_string(), ballot: ballot(200, 3) },
+    ];
+    for request in requests {
+        let reply = ask(&mut voter, Call { view: view(), nonce: 1, request });
+        assert!(!matches!(reply.answer, Answer::Refused(_)), "{reply:?}");
+    }
+    voter
+}
+
+/// Guards a voter's promises across versions: its file from the first one says the same, and is written the same.
+#[test]
+fn a_voters_file() {
+    let kept = fixture("voter-file-v1.bin");
+    assert_eq!(voter().file().expect("it votes"), kept);
+    let mut resumed = Voter::resume(Slot(1), &kept).expect("a whole file");
+    assert_eq!(resumed.file().expect("it votes"), kept);
+    assert_eq!(resumed, Voter::resume(Slot(1), &voter().file().expect("it votes")).expect("whole"));
+    assert!(!resumed.is_blank());
+    assert_eq!((resumed.generation(), resumed.registers()), (0, 2));
+    assert_eq!(resumed.view(), Some(&view()));
+    let all = Request::Admit { after: Key::new() };
+    let reply = ask(&mut resumed, Call { view: view(), nonce: 6, request: all });
+    let answer = Answer::Admitted { after: Key::new(), registers: registers(), more: false };
+    assert_eq!(reply, Reply { nonce: 6, slot: Slot(1), generation: 0, stamp: 5, answer });
+}
+
+/// Guards a role's epoch across versions: what its register holds is read and written the same.
+#[test]
+fn the_value_of_a_roles_register() {
+    for (name, tenure) in [("role-register-owned-v1.bin", owned()), ("role-register-free-v1.bin", free())] {
+        let kept = fixture(name);
+        assert_eq!(Tenure::read(&kept), Some(tenure.clone()), "{name}");
+        assert_eq!(tenure.write(), kept, "{name}");
+    }
+}
+
+fn free() -> Tenure {
+    Tenure { epoch: 2, owner: None, beat: 3, wanted: None }
+}
+
+fn calls() -> Vec<(&'static str, Call)> {
+    let role = || ROLE.to_string();
+    let requests = [
+        ("call-prepare", Request::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) }),
+        (
+            "call-accept",
+            Request::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+        ),
+        ("call-read", Request::Read { key: role() }),
+        ("call-admit", Request::Admit { after: CONFIGURATION.to_string() }),
+        ("call-install", Request::Install { registers: registers(), total: 2 }),
+    ];
+    requests.map(|(name, request)| (name, Call { view: view(), nonce: 0x0102_0304_0506, request })).into()
+}
+
+fn replies() -> Vec<(&'static str, Reply)> {
+    let answers = [
+        ("reply-promise", Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(owned().write()) }),
+        ("reply-promise-empty", Answer::Promise { accepted: Ballot::default(), value: None }),
+        ("reply-accepted", Answer::Accepted),
+        (
+            "reply-admitted",
+            Answer::Admitted { after: CONFIGURATION.to_string(), registers: registers(), more: true },
+        ),
+        ("reply-installed", Answer::Installed),
+        ("reply-refused-promised", Answer::Refused(Refusal::Promised(ballot(200, 3)))),
+        ("reply-refused-view", Answer::Refused(Refusal::View(view()))),
+        ("reply-refused-blank", Answer::Refused(Refusal::Blank)),
+        ("reply-refused-arrived", Answer::Refused(Refusal::Arrived(7))),
+        ("reply-refused-broken", Answer::Refused(Refusal::Broken)),
+        ("reply-refused-bounds", Answer::Refused(Refusal::Bounds)),
+    ];
+    let reply =
+        |answer| Reply { nonce: 0x0102_0304_0506, slot: Slot(2), generation: OTHER_FILE, stamp: 300, answer };
+    answers.map(|(name, answer)| (name, reply(answer))).into()
+}
+
+fn order() -> Order {
+    Order { role: ROLE.to_string(), epoch: 300, from: NodeId(0xfeed_0001), body: b"drain gw-7".to_vec() }
+}
+
+fn datagram<T: Serialize>(kind: Kind, message: &T) -> Vec<u8> {
+    let message = postcard::to_stdvec(message).expect("bytes");
+    frame::wrap(frame::tag(FLEET), kind, &message).expect("short")
+}
+
+/// The datagram of this name means this message, and this message is written as this datagram.
+fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, kind: Kind, message: &T) {
+    let kept = fixture(&format!("datagram-{name}-v1.bin"));
+    let (read, bytes) = frame::open(frame::tag(FLEET), &kept).expect("this fleet's");
+    assert_eq!(read, kind, "{name}");
+    assert_eq!(postcard::from_bytes::<T>(bytes).expect("a message"), *message, "{name}");
+    assert_eq!(datagram(kind, message), kept, "{name}");
+}
+
+/// Guards talk between versions: each message between proposers and voters, and an order, is read and written the same.
+#[test]
+fn datagrams_of_voters_and_orders() {
+    calls().iter().for_each(|(name, call)| check(name, Kind::Call, call));
+    replies().iter().for_each(|(name, reply)| check(name, Kind::Reply, reply));
+    check("order", Kind::Order, &order());
+}
+
+/// A disk that forgets.
+struct Nowhere;
+
+impl Disk for Nowhere {
+    fn store(&mut self, _: &[u8]) -> bool {
+        true
+    }
+}
+
+fn pace() -> Pace {
+    Pace {
+        probe: Duration::from_millis(500),
+        answer: Duration::from_millis(150),
+        suspicion: Duration::from_millis(1_500),
+        remembered: Duration::from_secs(60),
+    }
+}
+
+fn node(voter: Option<Voter>) -> Node {
+    let voters: Vec<Peer> = (0..3).map(|index| Peer::at(&peer(index, 0).name, address(index))).collect();
+    let settings = Settings {
+        fleet: FLEET.into(),
+        me: peer(1, 7),
+        seeds: voters.clone(),
+        voters,
+        size: 3,
+        roles: Vec::new(),
+        terms: Terms { length: Duration::from_secs(3), drift: 0.05, resend: Duration::from_millis(150) },
+        pace: pace(),
+        seed: 1,
+    };
+    Node::new(settings, voter)
+}
+
+/// Guards the same through a whole node: a kept call is answered with the kept reply, a kept order is taken.
+#[test]
+fn a_node_takes_in_kept_datagrams_and_answers_with_kept_ones() {
+    let mut node = node(Some(Voter::resume(Slot(1), &fixture("voter-file-v1.bin")).expect("whole")));
+    for name in ["read", "prepare", "accept"] {
+        let call = fixture(&format!("datagram-call-{name}-v1.bin"));
+        node.hear(Duration::ZERO, address(2), &call, &mut Nowhere).expect("this fleet's");
+        let answer = fixture(&format!("datagram-node-answers-{name}-v1.bin"));
+        assert_eq!(node.send(), Some((address(2), answer)), "{name}");
+    }
+    let kept = fixture("datagram-order-v1.bin");
+    node.hear(Duration::ZERO, address(0), &kept, &mut Nowhere).expect("this fleet's");
+    assert_eq!(node.event(), Some(Event::Order(order(), true)));
+}
+
+/// Guards membership between versions: how a process announces itself, and how one is told of a later start.
+#[test]
+fn datagrams_of_membership() {
+    let announce = fixture("datagram-membership-announce-v1.bin");
+    // A process without a voter announces itself first of all.
+    let mut announcing = node(None);
+    announcing.tick(Duration::ZERO);
+    assert_eq!(announcing.send(), Some((address(0), announce.clone())));
+    let (kind, message) = frame::open(frame::tag(FLEET), &announce).expect("this fleet's");
+    assert_eq!(kind, Kind::Member);
+    let mut seed = Membership::new(peer(0, 3), Vec::new(), 3, pace(), 2);
+    seed.hear(Duration::ZERO, message);
+    assert_eq!(seed.change(), Some(Change::Came(peer(1, 7))));
+
+    // One with that name that has started later tells it so.
+    let later = fixture("datagram-membership-later-start-v1.bin");
+    let mut namesake = Membership::new(Peer { life: 4, ..peer(1, 8) }, Vec::new(), 3, pace(), 3);
+    namesake.hear(Duration::ZERO, message);
+    let (to, told) = namesake.send().expect("it says so");
+    assert_eq!((to, frame::wrap(frame::tag(FLEET), Kind::Member, &told)), (address(1), Some(later.clone())));
+    let (_, message) = frame::open(frame::tag(FLEET), &later).expect("this fleet's");
+    let namesake: Peer = postcard::from_bytes(&message[1..]).expect("a peer");
+    assert_eq!((message[0], namesake), (1, Peer { life: 4, ..peer(1, 8) }));
+    announcing.hear(Duration::ZERO, address(1), &later, &mut Nowhere).expect("this fleet's");
+    assert_eq!(announcing.event(), Some(Event::Member(Change::Superseded)));
+}
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -307,3 +307,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/status/tests.rs
@@ -0,0 +1,74 @@
+//! What the door and the command say, kept from the first version.
+
+use super::*;
+
+fn member(index: u64) -> Member {
+    Member { name: format!("gw-{index}"), address: format!("127.0.0.{index}:7400"), start: 1_000 + index }
+}
+
+fn full() -> Status {
+    let configuration = Configuration {
+        version: Some(12),
+        digest: Some("0011223344556677".into()),
+        machine: Some("ctl-1".into()),
+        cut_off_ms: 0,
+        refused: Some(Refused { version: 13, digest: "8899aabbccddeeff".into(), why: "no hosts".into() }),
+        unstored: Some("no space left".into()),
+        older: 2,
+        conflicts: 1,
+    };
+    let role = |name: &str, epoch, owner: Option<&str>, held| Role {
+        name: name.into(),
+        epoch,
+        owner: owner.map(str::to_string),
+        held,
+    };
+    Status {
+        fleet: "sand".into(),
+        me: member(1),
+        members: vec![member(2), member(3)],
+        voters: vec![
+            Voter { name: "gw-1".into(), generation: 0, present: true },
+            Voter { name: "gw-9".into(), generation: 4_294_967_303, present: false },
+        ],
+        voting: Some(true),
+        registers: 3,
+        unstored: Some("no space left on device".into()),
+        roles: vec![
+            role("survey/1", 7, Some("gw-1"), true),
+            role("survey/2", 8, None, false),
+            role("survey/3", 0, None, false),
+        ],
+        foreign: 1,
+        senseless: 2,
+        refused: 3,
+        too_long: 4,
+        unfit: 5,
+        configuration: Some(configuration),
+    }
+}
+
+/// Without a voter's file, and without configurations from control machines.
+fn plain() -> Status {
+    Status { fleet: "sand".into(), me: member(1), voting: Some(false), ..Status::default() }
+}
+
+/// Guards `GET /ops/fleet`, which scripts and the command read: names and forms are those of the first version.
+#[test]
+fn the_doors_answer() {
+    let kept = [
+        (full(), include_str!("../../../tests/fixtures/fleet-status-v1.json")),
+        (plain(), include_str!("../../../tests/fixtures/fleet-status-plain-v1.json")),
+    ];
+    for (status, json) in kept {
+        assert_eq!(serde_json::to_string(&status).expect("JSON"), json);
+        assert_eq!(serde_json::from_str::<Status>(json).expect("a status"), status);
+    }
+}
+
+/// Guards `dunemount fleet status`, which operators read.
+#[test]
+fn the_commands_table() {
+    assert_eq!(full().to_string(), include_str!("../../../tests/fixtures/fleet-status-v1.txt"));
+    assert_eq!(plain().to_string(), include_str!("../../../tests/fixtures/fleet-status-plain-v1.txt"));
+}
