--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -502,3 +502,13 @@
     );
     assert!(open.is_empty() && slowest < SECOND * 4, "{slowest:?}");
 }
+
+/// Guards each decision, with its time and its bytes, over runs with all kinds of faults: a change that is to change no
+/// behaviour leaves these as they are.
+#[test]
+fn decisions_stay_as_they_are() {
+    let expected = include_str!("fixtures/decisions-v1.txt");
+    let decisions: String =
+        (0..12).map(|seed| format!("{seed} {}\n", play(seed, Variant::Nothing).decisions)).collect();
+    assert_eq!(decisions, expected);
+}
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -205,6 +205,8 @@
     /// Connections of gateways that a control machine was asked for, by machine and second.
     pub knocks: BTreeMap<(usize, u64), usize>,
     pub pace: Pace,
+    /// All that control machines and gateways have had done, in order, with its time.
+    pub decisions: Digest,
 }
 
 fn zone(index: usize) -> String {
@@ -268,6 +270,7 @@
             faults: Vec::new(),
             knocks: BTreeMap::new(),
             pace,
+            decisions: Digest([0; 32]),
         };
         (0..MACHINES).for_each(|index| world.start(M(index)));
         (0..zones.len()).for_each(|index| world.start(G(index)));
@@ -650,10 +653,50 @@
 
     // ---- what processes want
 
+    /// Adds what a process has had done to the digest of all decisions.
+    fn decided(&mut self, who: Process, kind: &str, number: u64, bytes: &[u8]) {
+        let (of, index) = match who {
+            M(index) => ("machine", index),
+            G(index) => ("gateway", index),
+            T(index) => ("tool", index),
+        };
+        let line = format!("{} {of} {index} {kind} {number} ", self.now.as_nanos());
+        self.decisions = Digest::of(&[&self.decisions.0, line.as_bytes(), bytes].concat());
+    }
+
+    fn control_decided(&mut self, who: Process, out: &control::Out) {
+        match out {
+            control::Out::Connect(link, machine) => {
+                self.decided(who, "connect", *link, &machine.to_be_bytes())
+            }
+            control::Out::Send(link, bytes) => self.decided(who, "send", *link, bytes),
+            control::Out::Close(link) => self.decided(who, "close", *link, &[]),
+            control::Out::Look => self.decided(who, "look", 0, &[]),
+            control::Out::Change => self.decided(who, "change", 0, &[]),
+            control::Out::Propose(value) => self.decided(who, "propose", 0, value),
+            control::Out::Withdraw => self.decided(who, "withdraw", 0, &[]),
+            control::Out::Note(text) => self.decided(who, "note", 0, text.as_bytes()),
+        }
+    }
+
+    fn gateway_decided(&mut self, who: Process, out: &follower::Out) {
+        match out {
+            follower::Out::Connect(link, machine) => {
+                self.decided(who, "connect", *link, &machine.to_be_bytes())
+            }
+            follower::Out::Send(link, bytes) => self.decided(who, "send", *link, bytes),
+            follower::Out::Close(link) => self.decided(who, "close", *link, &[]),
+            follower::Out::Take(document) => {
+                self.decided(who, "take", document.version().number, document.bytes())
+            }
+        }
+    }
+
     fn carry(&mut self, who: Process) {
         match who {
             M(index) => {
                 while let Some(out) = self.machines[index].control.as_mut().and_then(Control::next) {
+                    self.control_decided(who, &out);
                     match out {
                         control::Out::Connect(link, machine) => self.connect(who, link, machine),
                         control::Out::Send(link, bytes) => self.send(who, link, bytes),
@@ -668,6 +711,7 @@
             }
             G(index) => {
                 while let Some(out) = self.gateways[index].follower.as_mut().and_then(Follower::next) {
+                    self.gateway_decided(who, &out);
                     match out {
                         follower::Out::Connect(link, machine) => self.connect(who, link, machine),
                         follower::Out::Send(link, bytes) => self.send(who, link, bytes),
