--- /dev/null
+++ b/tests/formats.rs
@@ -0,0 +1,458 @@
+//! Formats that other programs, and other versions of this one, read: what is written is compared with whole bytes.
+//! The files under `tests/fixtures` stay as they are; a change of a format gets a file of its own beside them.
+
+mod rig;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::os::fd::{AsFd, OwnedFd};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::Ordering;
+
+use dunemount::balancer::Balancer;
+use dunemount::config::InForce;
+use dunemount::net::clock::{Clock, Reading};
+use dunemount::net::discovery::Directory;
+use dunemount::ops::call::{Call, Status};
+use dunemount::ops::figures::Figures;
+use dunemount::pg::client::{Client, Demand};
+use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
+use dunemount::pg::timed_inbox::Arrival;
+use dunemount::settings::Zones;
+use dunemount::upgrade::line::{self, Line};
+use dunemount::upgrade::message::{Message, Snapshot};
+use dunemount::{ClassId, GroupId, Micros, SessionKey};
+use rig::stage::{cancel, with_key};
+use rig::{call, get, order, read, write, Rig, Talk};
+use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
+use serde_json::json;
+
+const KEY: CancelKey = CancelKey { process: 0x0102_0304, secret: 0xf506_0708 };
+
+fn fixture(name: &str) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// Compares what the program writes with a file, byte by byte.
+fn assert_bytes(name: &str, written: &[u8]) {
+    let stored = fixture(name);
+    let (shown, wanted) = (String::from_utf8_lossy(written), String::from_utf8_lossy(&stored));
+    assert!(stored == written, "{name}: written {shown:?}, stored {wanted:?}");
+}
+
+fn temporary(test: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("dunemount-formats-{test}-{}.line", std::process::id()))
+}
+
+/// What a message is in its file, as the program reads it.
+fn message(name: &str) -> Message {
+    serde_json::from_slice(&fixture(name)).expect("a message")
+}
+
+fn assert_message(name: &str, written: &Message) {
+    assert_bytes(name, &serde_json::to_vec(written).expect("JSON"));
+}
+
+/// A state in which every field differs from its default, but for the decision module's own.
+fn state() -> Snapshot {
+    let mut zones = Zones::default();
+    zones.id("a".to_string());
+    let mut directory = Directory::new(zones);
+    let known = serde_json::from_value(rig::listing(&[([10, 0, 0, 5], 5432).into()])).expect("a listing");
+    directory.take(known, &Clock::start());
+    let configuration = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
+        "limits": {"sockets": 200, "memory_mb": 48}, "known": rig::listing(&[]), "settings": rig::settings()});
+    let taken =
+        InForce::default().take(configuration.to_string(), &mut Zones::default()).expect("a configuration");
+    Snapshot {
+        clock: 1_764_000_000_000_000,
+        reading: Some(Reading { clock: Micros(86_400_000_123), unix: 1_764_086_400_000_124 }),
+        config: "{\"name\": \"n\"}\n".to_string(),
+        discovery: "10.0.0.9:7000".parse().expect("an address"),
+        rev: Some(41),
+        directory,
+        classes: BTreeMap::from([("look".to_string(), ClassId(0)), ("store".to_string(), ClassId(3))]),
+        balancer: Balancer::new(taken.site.settings, 7).snapshot(),
+        down: BTreeSet::from(["db-1".to_string(), "db-7".to_string()]),
+        open: vec![("r-1".to_string(), Micros(86_401_000_000))],
+        clients: 17,
+        cancels: true,
+    }
+}
+
+/// Guards the state that one process hands to the next, which may be of another version.
+#[test]
+fn the_handover_state_keeps_its_form() {
+    assert_message("handover-estate-v1.json", &Message::Snapshot(Box::new(state())));
+    let Message::Snapshot(read) = message("handover-estate-v1.json") else { panic!("another message") };
+    assert_eq!(read.clock, 1_764_000_000_000_000);
+    let reading = read.reading.expect("told");
+    assert_eq!((reading.clock, reading.unix), (Micros(86_400_000_123), 1_764_086_400_000_124));
+    assert_eq!(read.config, "{\"name\": \"n\"}\n");
+    assert_eq!(read.discovery, SocketAddr::from(([10, 0, 0, 9], 7000)));
+    assert_eq!(read.rev, Some(41));
+    let host = read.directory.member("s-0").expect("known");
+    assert_eq!(read.directory.address(host), Some(SocketAddr::from(([10, 0, 0, 5], 5432))));
+    assert_eq!((read.directory.name(host), read.directory.member("s-1")), ("s-0", None));
+    assert_eq!(read.directory.zones().clone().id("b".to_string()).0, 1, "one zone is known");
+    assert_eq!(read.classes.get("store"), Some(&ClassId(3)));
+    assert_eq!(read.down.iter().map(String::as_str).collect::<Vec<_>>(), ["db-1", "db-7"]);
+    assert_eq!(read.open, [("r-1".to_string(), Micros(86_401_000_000))]);
+    assert_eq!((read.clients, read.cancels), (17, true));
+    assert_message("handover-estate-v1.json", &Message::Snapshot(read));
+}
+
+/// Guards a start behind a process of an earlier version, which tells neither its clock nor that it knows cancels.
+#[test]
+fn an_earlier_handover_state_is_read() {
+    let Message::Snapshot(read) = message("handover-estate-v0.json") else { panic!("another message") };
+    assert!(read.reading.is_none() && !read.cancels);
+    assert_eq!((read.clients, read.rev), (17, Some(41)));
+}
+
+/// Guards the other messages of the handover, each as it stands in its file.
+#[test]
+fn handover_messages_keep_their_form() {
+    assert_message("handover-ready-v1.json", &Message::Ready);
+    assert!(matches!(message("handover-ready-v1.json"), Message::Ready));
+
+    let arrivals = vec![Arrival(Micros(86_400_000_001), 2), Arrival(Micros(86_400_000_009), 1)];
+    let bytes = b"S\0\0\0\x04\xff".to_vec();
+    let sent = Message::Client {
+        greeted: true,
+        asked: false,
+        bytes: bytes.clone(),
+        key: KEY,
+        arrivals: arrivals.clone(),
+    };
+    assert_message("handover-client-v1.json", &sent);
+    let Message::Client { greeted, asked, bytes: read, key, arrivals: told } =
+        message("handover-client-v1.json")
+    else {
+        panic!("another message")
+    };
+    assert!(greeted && !asked && read == bytes && key == KEY && told == arrivals);
+
+    assert_message("handover-cancel-v1.json", &Message::Cancel(KEY));
+    assert!(matches!(message("handover-cancel-v1.json"), Message::Cancel(KEY)));
+
+    assert_message("handover-holding-v1.json", &Message::Holding { clients: 203 });
+    assert!(matches!(message("handover-holding-v1.json"), Message::Holding { clients: 203 }));
+
+    let (group, session, commit) = (GroupId(12), SessionKey(u64::MAX - 1), Micros(86_400_777_000));
+    assert_message("handover-commit-v1.json", &Message::Commit { group, session, commit });
+    assert!(
+        matches!(message("handover-commit-v1.json"), Message::Commit { group: GroupId(12), session: s, commit: c }
+        if s == session && c == commit)
+    );
+
+    for (name, down) in [("handover-bar-down-v1.json", true), ("handover-bar-up-v1.json", false)] {
+        assert_message(name, &Message::SetDown { host: "db-1".to_string(), down });
+        assert!(
+            matches!(message(name), Message::SetDown { host, down: read } if host == "db-1" && read == down)
+        );
+    }
+}
+
+/// Guards clients that a process of an earlier version passes on, without a key and without arrivals.
+#[test]
+fn an_earlier_handover_client_is_read() {
+    let Message::Client { greeted, asked, bytes, key, arrivals } = message("handover-client-v0.json") else {
+        panic!("another message")
+    };
+    assert!(greeted && asked && bytes == b"Q\0\0" && key == CancelKey::default() && arrivals.is_empty());
+}
+
+/// The next packet on a handover socket.
+fn packet(socket: &OwnedFd) -> Vec<u8> {
+    let mut bytes = vec![0; 1 << 16];
+    let (count, _) = rustix::net::recv(socket, &mut bytes, RecvFlags::empty()).expect("a packet");
+    bytes.truncate(count);
+    bytes
+}
+
+/// Guards how messages are cut into packets: 32 KiB each at the most, behind a byte that tells whether more follow.
+#[test]
+fn handover_packets_keep_their_form() {
+    let path = temporary("packets");
+    let listener = line::listen(&path).expect("a free path");
+    let socket = rustix::net::socket(AddressFamily::UNIX, SocketType::SEQPACKET, None).expect("a socket");
+    rustix::net::connect(&socket, &SocketAddrUnix::new(&path).expect("a path")).expect("accepted");
+    let mut line = Line::accept(&listener).expect("a caller");
+    line.send(&Message::Holding { clients: 203 }, None).expect("sent");
+    assert_bytes("handover-packet-v1.bin", &packet(&socket));
+
+    let text = serde_json::to_vec(&long_message()).expect("JSON");
+    line.send(&long_message(), None).expect("sent");
+    let (first, second) = (packet(&socket), packet(&socket));
+    assert!(first[0] == b'+' && first[1..] == text[..32 * 1024]);
+    assert!(second[0] == b'.' && second[1..] == text[32 * 1024..]);
+    std::fs::remove_file(path).expect("removed");
+
+    for part in [&first, &second] {
+        rustix::net::send(socket.as_fd(), part, rustix::net::SendFlags::empty()).expect("sent");
+    }
+    let (read, with) = line.receive().expect("a message").expect("whole");
+    assert!(with.is_none() && serde_json::to_vec(&read).expect("JSON") == text);
+}
+
+fn long_message() -> Message {
+    let bytes = vec![7; 20_000];
+    Message::Client { greeted: true, asked: true, bytes, key: KEY, arrivals: Vec::new() }
+}
+
+/// Guards the file of the hosts that operators have put down: it is read at the start and written anew with each order.
+#[test]
+fn hosts_put_down_by_hand_keep_their_file() {
+    let path = temporary("down");
+    let file = path.with_extension("down");
+    std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
+    let rig = Rig::beside(200, Some(path.clone()), None);
+    assert_eq!(rig::figure(rig.admin, "pool_ejected"), 2, "they are down from the start");
+    assert!(order(rig.admin, "up", "s-2"));
+    assert_bytes("hosts-down-one-v1.json", &std::fs::read(&file).expect("a file"));
+    assert!(order(rig.admin, "down", "s-2"));
+    assert_bytes("hosts-down-v1.json", &std::fs::read(&file).expect("a file"));
+    assert!(order(rig.admin, "up", "s-0") && order(rig.admin, "up", "s-2"));
+    assert_bytes("hosts-down-none-v1.json", &std::fs::read(&file).expect("a file"));
+    rig.end();
+    std::fs::remove_file(file).expect("removed");
+}
+
+/// A startup packet of this protocol version.
+fn startup(version: u32) -> Vec<u8> {
+    let mut packet = Vec::new();
+    codec::startup(&mut packet, "app", "shop");
+    packet[4..8].copy_from_slice(&version.to_be_bytes());
+    packet
+}
+
+const VERSION_3: u32 = 3 << 16;
+
+/// What a client is sent for these bytes before anything is asked of the gateway, and what it then wants.
+fn said_to(bytes: &[u8]) -> (Vec<u8>, Option<Demand>) {
+    let mut client = Client::taking(MAX_MESSAGE, KEY);
+    client.receive(bytes, Micros(5));
+    let demand = client.demand();
+    (client.out.bytes, demand)
+}
+
+/// What a greeted client is sent for these bytes, and what it then wants.
+fn said_after_greeting(bytes: &[u8]) -> (Vec<u8>, Option<Demand>) {
+    let (greeting, _) = said_to(&startup(VERSION_3));
+    let (said, demand) = said_to(&[&startup(VERSION_3), bytes].concat());
+    (said.strip_prefix(greeting.as_slice()).expect("the greeting first").to_vec(), demand)
+}
+
+fn framed(tag: u8, body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    codec::frame(&mut bytes, tag, body);
+    bytes
+}
+
+/// Guards the greeting, and what is said instead of one.
+#[test]
+fn clients_are_greeted_with_these_bytes() {
+    let (greeting, demand) = said_to(&startup(VERSION_3));
+    assert_eq!(demand, None);
+    assert_bytes("client-greeting-v1.bin", &greeting);
+    assert_bytes("client-greeting-minor-v1.bin", &said_to(&startup(VERSION_3 + 2)).0);
+    let encryption = [8u32.to_be_bytes(), 80_877_103u32.to_be_bytes()].concat();
+    assert_bytes("client-encryption-v1.bin", &said_to(&encryption).0);
+    for (name, bytes) in [
+        ("client-version-v1.bin", startup(2 << 16)),
+        ("client-startup-too-long-v1.bin", 10_001u32.to_be_bytes().to_vec()),
+        ("client-startup-bad-length-v1.bin", 3u32.to_be_bytes().to_vec()),
+    ] {
+        let (said, demand) = said_to(&bytes);
+        assert_eq!(demand, Some(Demand::Close));
+        assert_bytes(name, &said);
+    }
+    let mut bytes = Vec::new();
+    codec::cancel(&mut bytes, KEY);
+    assert_bytes("cancel-request-v1.bin", &bytes);
+    assert_eq!(said_to(&bytes), (Vec::new(), Some(Demand::Cancel(KEY))));
+}
+
+/// Guards what a client gets for messages that are no routable query.
+#[test]
+fn messages_are_rejected_with_these_bytes() {
+    for (name, bytes, wanted) in [
+        ("client-too-long-v1.bin", [b"Q".as_slice(), &i32::MAX.to_be_bytes()].concat(), Some(Demand::Close)),
+        ("client-bad-length-v1.bin", b"Q\0\0\0\x03".to_vec(), Some(Demand::Close)),
+        ("client-unknown-message-v1.bin", framed(b'?', b""), Some(Demand::Close)),
+        ("client-bad-query-v1.bin", framed(b'Q', b"SELECT 1"), Some(Demand::Close)),
+        ("client-not-utf8-v1.bin", framed(b'Q', b"\xff\0"), None),
+        ("client-empty-query-v1.bin", framed(b'Q', b" ;\0"), None),
+        ("client-function-call-v1.bin", framed(b'F', b""), None),
+        ("client-extended-v1.bin", [framed(b'P', b"x"), framed(b'B', b""), framed(b'S', b"")].concat(), None),
+        ("client-sync-v1.bin", framed(b'S', b""), None),
+        ("client-terminate-v1.bin", framed(b'X', b""), Some(Demand::Close)),
+    ] {
+        let (said, demand) = said_after_greeting(&bytes);
+        assert_eq!(demand, wanted, "{name}");
+        assert_bytes(name, &said);
+    }
+}
+
+/// Guards a refusal, with and without the wait that it tells in milliseconds, rounded up.
+#[test]
+fn refusals_keep_their_bytes() {
+    for (name, wait) in
+        [("client-refused-v1.bin", None), ("client-refused-wait-v1.bin", Some(Micros(120_001)))]
+    {
+        let mut client = Client::taking(MAX_MESSAGE, KEY);
+        client.receive(&[startup(VERSION_3), framed(b'Q', b"SELECT 1\0")].concat(), Micros(5));
+        assert_eq!(client.demand(), Some(Demand::Query("SELECT 1".to_string(), Micros(5))));
+        client.out.bytes.clear();
+        client.refuse(wait);
+        assert_bytes(name, &client.out.bytes);
+    }
+}
+
+/// The bytes of the next answer, up to ReadyForQuery or the connection's end.
+fn answer_bytes(socket: &mut TcpStream) -> Vec<u8> {
+    let (mut bytes, mut next) = (Vec::new(), [0]);
+    while !bytes.ends_with(b"Z\0\0\0\x05I") && socket.read(&mut next).is_ok_and(|count| count > 0) {
+        bytes.push(next[0]);
+    }
+    bytes
+}
+
+fn ask(client: &mut Talk, text: &str) -> Vec<u8> {
+    client.ask(text);
+    answer_bytes(&mut client.socket)
+}
+
+/// Guards every answer that a client gets of a running gateway: rows as the host sent them, and each error.
+#[test]
+fn answers_keep_their_bytes() {
+    let rig = Rig::start(200);
+    let mut client = rig.client();
+    let look = |change: &dyn Fn(String) -> String| change(read("k"));
+    for (name, text) in [
+        ("answer-read-v1.bin", read("k")),
+        ("answer-failed-v1.bin", write("never")),
+        ("answer-refused-v1.bin", look(&|text| text.replace("d=30000", "d=0"))),
+        ("answer-unknown-class-v1.bin", look(&|text| text.replace("c=look", "c=none"))),
+        ("answer-unknown-group-v1.bin", look(&|text| text.replace("cluster=1", "cluster=9"))),
+        ("answer-wrong-class-v1.bin", look(&|text| text.replace("c=look", "c=store"))),
+        ("answer-no-comment-v1.bin", "SELECT doc FROM items WHERE id = 'k'".to_string()),
+        ("answer-no-statement-v1.bin", "DELETE FROM items".to_string()),
+        ("answer-no-key-v1.bin", look(&|text| text.replace('\'', ""))),
+        ("answer-lacks-id-v1.bin", look(&|text| text.replace("id=", "no="))),
+        ("answer-lacks-class-v1.bin", look(&|text| text.replace("c=look", ""))),
+        ("answer-lacks-group-v1.bin", look(&|text| text.replace("cluster=1", ""))),
+        ("answer-lacks-deadline-v1.bin", look(&|text| text.replace("d=30000", ""))),
+        ("answer-bad-id-v1.bin", look(&|text| text.replace("id=", "id=_"))),
+        ("answer-bad-group-v1.bin", look(&|text| text.replace("cluster=1", "cluster=x"))),
+        ("answer-bad-deadline-v1.bin", look(&|text| text.replace("d=30000", "d=-1"))),
+        ("answer-bad-key-v1.bin", write("k").replace("k=77", "k=")),
+        ("answer-bad-after-v1.bin", look(&|text| text.replace("cluster=1", "cluster=1,after=x"))),
+    ] {
+        assert_bytes(name, &ask(&mut client, &text));
+    }
+    rig.end();
+}
+
+/// Guards what a client gets whose request is cancelled, and one that quotes the id of a request in flight.
+#[test]
+fn answers_to_requests_in_flight_keep_their_bytes() {
+    let rig = Rig::start(200);
+    let (mut client, key) = with_key(&rig);
+    let held = read("held");
+    client.ask(&held);
+    while !rig.heard.recv().expect("heard").contains("'held'") {}
+    assert_bytes("answer-id-in-use-v1.bin", &ask(&mut rig.client(), &held));
+    cancel(rig.address, key);
+    assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
+    rig.mood.released.store(true, Ordering::SeqCst);
+    rig.end();
+}
+
+/// Guards the last word to a client that is greeted and then sends no whole command.
+#[test]
+fn a_client_without_a_command_gets_these_bytes() {
+    let rig = Rig::start(200);
+    let mut client = rig.client();
+    client.socket.write_all(b"Q\0\0").expect("written");
+    assert_bytes("client-too-late-v1.bin", &answer_bytes(&mut client.socket));
+    rig.end();
+}
+
+/// Guards the head that each status of the admin interface is answered with.
+#[test]
+fn admin_statuses_keep_their_bytes() {
+    for (name, status) in [
+        ("admin-200-v1.txt", Status::Ok),
+        ("admin-400-v1.txt", Status::BadRequest),
+        ("admin-404-v1.txt", Status::NotFound),
+        ("admin-405-v1.txt", Status::WrongMethod),
+        ("admin-408-v1.txt", Status::TooLate),
+        ("admin-413-v1.txt", Status::TooLong),
+        ("admin-503-v1.txt", Status::Unavailable),
+    ] {
+        let mut call = Call::default();
+        call.answer(status, "body\n");
+        assert_bytes(name, &call.out.bytes);
+    }
+}
+
+fn post(admin: SocketAddr, word: &str, host: &str) -> String {
+    let (length, path) = (host.len(), format!("/ops/database-hosts/{word}"));
+    call(admin, &format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{host}"))
+}
+
+/// Guards every answer of a running gateway's admin interface.
+#[test]
+fn admin_answers_keep_their_bytes() {
+    let mut rig = Rig::start(200);
+    let admin = rig.admin;
+    let mut half = TcpStream::connect(admin).expect("accepted");
+    half.write_all(b"GET /ops/readiness HT").expect("written");
+    for (name, said) in [
+        ("admin-ready-v1.txt", get(admin, "/ops/readiness")),
+        ("admin-no-fleet-v1.txt", get(admin, "/ops/fleet")),
+        ("admin-unknown-path-v1.txt", get(admin, "/ops")),
+        ("admin-wrong-method-v1.txt", get(admin, "/ops/database-hosts/down")),
+        ("admin-malformed-v1.txt", call(admin, "no call\r\n\r\n")),
+        (
+            "admin-too-long-v1.txt",
+            call(admin, "POST /ops/database-hosts/up HTTP/1.1\r\nContent-Length: 1025\r\n\r\n"),
+        ),
+        ("admin-unknown-host-v1.txt", post(admin, "down", "s-9")),
+        ("admin-down-v1.txt", post(admin, "down", "s-1")),
+        ("admin-up-v1.txt", post(admin, "up", "s-1")),
+        ("admin-stats-v1.txt", get(admin, "/ops/stats")),
+    ] {
+        assert_bytes(name, said.as_bytes());
+    }
+    let mut said = Vec::new();
+    half.read_to_end(&mut said).expect("an answer, then the end");
+    assert_bytes("admin-too-late-v1.txt", &said);
+
+    let mut client = rig.client();
+    client.ask(&read("held"));
+    while !rig.heard.recv().expect("heard").contains("'held'") {}
+    rig.stop.write_all(&[1]).expect("told");
+    let ending =
+        std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|said| !said.contains("200 OK"));
+    assert_bytes("admin-ending-v1.txt", ending.expect("it ends").as_bytes());
+    rig.mood.released.store(true, Ordering::SeqCst);
+    rig.gateway.join().expect("it ends by itself");
+}
+
+/// Guards the text of the figures, with classes in the order of their names.
+#[test]
+fn figures_keep_their_text() {
+    let mut figures = Figures::default();
+    for (class, first) in [("store", 10), ("look", 20)] {
+        let tally = figures.class(class);
+        (tally.ok, tally.shed, tally.errors, tally.tries) = (first, first + 1, first + 2, first + 3);
+    }
+    (figures.active, figures.pool_size, figures.pool_ejected) = (31, 32, 33);
+    (figures.config_applied, figures.config_rejected) = (41, 42);
+    assert_bytes("figures-v1.txt", figures.to_string().as_bytes());
+}
