--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -184,6 +184,31 @@
     assert!(!run(&[]).status.success(), "nothing names a configuration");
 }
 
+/// Guards the whole text of `--help` of each command, which operators' pages quote.
+#[test]
+fn help_keeps_its_text() {
+    for command in [
+        &[][..],
+        &["serve"],
+        &["check"],
+        &["fleet"],
+        &["fleet", "found"],
+        &["fleet", "status"],
+        &["fleet", "control"],
+        &["fleet", "config"],
+        &["fleet", "config", "put"],
+        &["fleet", "config", "show"],
+        &["fleet", "config", "status"],
+    ] {
+        let output =
+            Command::new(env!("CARGO_BIN_EXE_dunemount")).env_clear().args(command).arg("--help").output();
+        let said = String::from_utf8(output.expect("it starts").stdout).expect("text");
+        let name = format!("{}-v1.txt", [&["help"], command].concat().join("-"));
+        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(&name);
+        assert_eq!(said, std::fs::read_to_string(path).expect(&name), "{name}");
+    }
+}
+
 /// Guards the log's second form: each line is a JSON object with its message and fields, to the last one.
 #[test]
 fn json_lines_are_objects() {
