--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -209,6 +209,69 @@
     }
 }
 
+/// Guards what is said of a start that cannot be, word for word. `FOLDER` stands for the test's own.
+#[test]
+fn starts_that_cannot_be_keep_their_words() {
+    let folder = std::env::temp_dir().join(format!("dunemount-starts-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let file = |name: &str, text: &str| {
+        let path = folder.join(name);
+        std::fs::write(&path, text).expect("written");
+        path.to_str().expect("a path").to_string()
+    };
+    let example = std::fs::read_to_string(example()).expect("the example");
+    let good = file("good.json", &example);
+    let bad = file("bad.json", "{\n");
+    let nowhere = file("nowhere.json", &example.replace("\"127.0.0.1:6543\"", "\"nowhere\""));
+    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let taken = taken.local_addr().expect("bound").to_string();
+    let busy = file("busy.json", &example.replace("127.0.0.1:6543", &taken));
+    let fleet = "[fleet]\nname = shop\nlisten = 127.0.0.1:1\n";
+    let voter = file("voter.ini", &format!("{fleet}voters = toy@127.0.0.1:1\n"));
+    let other = file("other.ini", &format!("{fleet}voters = gw@127.0.0.1:1\n"));
+    let lost = file("lost.ini", &format!("{fleet}voters = toy@127.0.0.1:1\nfile = /dev/null/voter\n"));
+    let none = folder.join("none").to_str().expect("a path").to_string();
+    let mut said = String::new();
+    for (args, variables) in [
+        (vec![], &[][..]),
+        (vec!["check"], &[]),
+        (vec!["check", "--config", &none], &[]),
+        (vec!["check", "--config", &bad], &[]),
+        (vec!["check", "--config", &nowhere], &[]),
+        (vec!["check", "--config", &good, "--settings", &none], &[]),
+        (vec!["check", "--config", &good, "--settings", &voter], &[]),
+        (vec!["serve", "--config", &none], &[]),
+        (vec!["serve", "--config", &bad], &[]),
+        (vec!["serve", "--config", &nowhere], &[]),
+        (vec!["serve", "--config", &good], &[("GW_LISTEN", "here")]),
+        (vec!["serve", "--config", &good], &[("GW_DISCOVERY", "here")]),
+        (vec!["serve", "--config", &good], &[("GW_ADMIN_ADDR", "here")]),
+        (vec!["serve", "--config", &good, "--settings", &none], &[]),
+        (vec!["serve", "--config", &good, "--settings", &voter], &[]),
+        (vec!["serve", "--config", &busy], &[]),
+        (vec!["fleet", "found"], &[]),
+        (vec!["fleet", "found", "--config", &none], &[]),
+        (vec!["fleet", "found", "--config", &bad], &[]),
+        (vec!["fleet", "found", "--config", &good], &[]),
+        (vec!["fleet", "found", "--config", &good, "--settings", &other], &[]),
+        (vec!["fleet", "found", "--config", &good, "--settings", &voter], &[]),
+        (vec!["fleet", "found", "--config", &good, "--settings", &lost], &[]),
+        (vec!["fleet", "control", "--name", "c", "--settings", &other], &[]),
+        (vec!["fleet", "config", "show"], &[]),
+        (vec!["fleet", "config", "put", &good], &[]),
+    ] {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
+        let output =
+            command.env_clear().envs(variables.iter().copied()).args(&args).output().expect("it starts");
+        assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0), "{args:?}");
+        said += &format!("{} {variables:?}\n", args.join(" "));
+        said += std::str::from_utf8(&output.stderr).expect("text");
+    }
+    said = said.replace(folder.to_str().expect("a path"), "FOLDER").replace(&taken, "TAKEN");
+    assert_eq!(said, include_str!("fixtures/start-faults-v1.txt"));
+    std::fs::remove_dir_all(folder).expect("removed");
+}
+
 /// Guards the log's second form: each line is a JSON object with its message and fields, to the last one.
 #[test]
 fn json_lines_are_objects() {
