--- a/crates/rig/src/capacity/commands.rs
+++ b/crates/loadtest/src/capacity/commands.rs
@@ -1,4 +1,4 @@
-//! `rig capacity` and `rig slope`.
+//! `loadtest capacity` and `loadtest slope`.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/rig/src/capacity/measure/members.rs
+++ b/crates/loadtest/src/capacity/measure/members.rs
@@ -153,7 +153,7 @@
         while known.is_none_or(|at| at + Duration::from_secs(1) > self.now) {
             known = known.or(self.all_know(&others).then_some(self.now));
             if known.is_none() && self.now >= from + LONGEST {
-                eprintln!("rig: {} members: not all knew {what} after {LONGEST:?}", self.members.len());
+                eprintln!("loadtest: {} members: not all knew {what} after {LONGEST:?}", self.members.len());
                 return None;
             }
             self.run(self.now + LOOK);
--- a/crates/rig/src/capacity/measure/pools.rs
+++ b/crates/loadtest/src/capacity/measure/pools.rs
@@ -242,7 +242,7 @@
         self.after(pause, Step::Arrive);
         let draw = |rng: &mut Pcg64Mcg, below: u64| Uniform::new(0, below).sample(rng);
         let kind = draw(&mut self.rng, 10);
-        // As the rig's clients ask: seven in ten bounded, two of the client's own, one write.
+        // As the loadtest's clients ask: seven in ten bounded, two of the client's own, one write.
         let class = ClassId(match kind {
             0 => 3,
             1 | 2 => 1,
--- a/crates/rig/src/capacity/page.rs
+++ b/crates/loadtest/src/capacity/page.rs
@@ -77,7 +77,7 @@
             .to_string();
         for kind in KINDS {
             let points = self.slopes.points(kind.name);
-            let by = format!("`rig slope {}`", kind.by);
+            let by = format!("`loadtest slope {}`", kind.by);
             let (Some(last), Some(fit)) = (points.last(), self.slopes.fit(kind.name)) else {
                 text += &format!(
                     "| `{}`, {} against {} | | not measured | | | | {by} |\n",
--- a/crates/rig/src/capacity/slopes.rs
+++ b/crates/loadtest/src/capacity/slopes.rs
@@ -15,7 +15,7 @@
     pub unit: &'static str,
     /// What its size counts.
     pub of: &'static str,
-    /// The measurement that gives it: `rig slope` takes this name.
+    /// The measurement that gives it: `loadtest slope` takes this name.
     pub by: &'static str,
 }
 
--- a/crates/rig/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,4 @@
-//! `rig`: a small model of what dunemount balances, on loopback, with a load generator.
+//! `loadtest`: a small model of what dunemount balances, on loopback, with a load generator.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Parser, Subcommand};
-use dunemount_rig::capacity::commands::{self, Capacity, Slope};
-use dunemount_rig::clients::{self, Plan};
-use dunemount_rig::hosts::{self, Family, Manner};
+use dunemount_loadtest::capacity::commands::{self, Capacity, Slope};
+use dunemount_loadtest::clients::{self, Plan};
+use dunemount_loadtest::hosts::{self, Family, Manner};
 use serde::Serialize;
 use serde_json::json;
 
 /// Plays stand-in hosts and clients around a gateway on this machine.
 #[derive(Debug, Parser)]
-#[command(name = "rig", version)]
+#[command(name = "loadtest", version)]
 struct Cli {
     #[command(subcommand)]
     command: Task,
@@ -78,7 +78,7 @@
     /// Length of a value, in bytes.
     #[arg(long, default_value_t = 100)]
     value: usize,
-    /// CPUs for the gateway, as `taskset -c` takes them; everything else stays off them if the rig is pinned.
+    /// CPUs for the gateway, as `taskset -c` takes them; everything else stays off them if the loadtest is pinned.
     #[arg(long)]
     gateway_cpus: Option<String>,
     /// Print JSON.
@@ -106,14 +106,14 @@
     let done = match Cli::parse().command {
         Task::Load(load) => play(&load).map(|outcome| print(&load, &[outcome])),
         Task::Cores { load, rounds } => compare(&load, rounds),
-        Task::Scale { file, out } => dunemount_rig::scale::scale(&file, &out),
+        Task::Scale { file, out } => dunemount_loadtest::scale::scale(&file, &out),
         Task::Capacity(given) => commands::capacity(&given),
         Task::Slope(given) => commands::slope(&given),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("rig: {e}");
+            eprintln!("loadtest: {e}");
             ExitCode::FAILURE
         }
     }
@@ -157,7 +157,7 @@
     }
 }
 
-/// A gateway that ends with the rig.
+/// A gateway that ends with the loadtest.
 struct Running(Child);
 
 impl Drop for Running {
@@ -168,7 +168,7 @@
 }
 
 fn play(load: &Load) -> Result<Outcome, String> {
-    let folder = std::env::temp_dir().join(format!("dunemount-rig-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("dunemount-loadtest-{}", std::process::id()));
     let said = |e: std::io::Error| e.to_string();
     std::fs::create_dir_all(&folder).map_err(said)?;
     let manner = Manner { lag_ms: load.lag_ms, value: load.value };
--- a/crates/rig/src/scale/mod.rs
+++ b/crates/loadtest/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `rig scale`: hollow gateways and real ones around one stand-in for discovery, what happens to them, what it costs
+//! `loadtest scale`: hollow gateways and real ones around one stand-in for discovery, what happens to them, what it costs
 //! each and how long it takes until the last has acted, held against budgets. `docs/operators/scale-run.md` tells how.
 
 pub mod control;
--- a/crates/rig/tests/capacity.rs
+++ b/crates/loadtest/tests/capacity.rs
@@ -3,10 +3,10 @@
 
 use std::path::{Path, PathBuf};
 
-use dunemount_rig::capacity::formulas::Formulas;
-use dunemount_rig::capacity::page::{self, Inputs, Texts};
-use dunemount_rig::capacity::size::Size;
-use dunemount_rig::capacity::slopes::{Point, Slopes};
+use dunemount_loadtest::capacity::formulas::Formulas;
+use dunemount_loadtest::capacity::page::{self, Inputs, Texts};
+use dunemount_loadtest::capacity::size::Size;
+use dunemount_loadtest::capacity::slopes::{Point, Slopes};
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
@@ -41,7 +41,7 @@
     tables.into_iter().find(|(known, _)| known == name).expect("a table").1
 }
 
-/// Guards the page against figures that nobody worked out: each table is what `rig capacity` gives.
+/// Guards the page against figures that nobody worked out: each table is what `loadtest capacity` gives.
 #[test]
 fn the_page_is_what_the_committed_inputs_give() {
     let [size, slopes, formulas, budgets] = ["size.ini", "slopes.csv", "formulas.csv", "budgets.csv"]
@@ -50,9 +50,9 @@
     let text = committed("CAPACITY.md");
     let renewed = page::renew(&text, &inputs.tables().expect("worked out")).expect("a mark for each table");
     for (at, (is, gives)) in text.lines().zip(renewed.lines()).enumerate() {
-        assert_eq!(is, gives, "docs/CAPACITY.md:{}: run `rig capacity --page docs/CAPACITY.md`", at + 1);
+        assert_eq!(is, gives, "docs/CAPACITY.md:{}: run `loadtest capacity --page docs/CAPACITY.md`", at + 1);
     }
-    assert_eq!(text, renewed, "docs/CAPACITY.md: run `rig capacity --page docs/CAPACITY.md`");
+    assert_eq!(text, renewed, "docs/CAPACITY.md: run `loadtest capacity --page docs/CAPACITY.md`");
 }
 
 /// Guards the sums: twice the gateways is twice the bytes, and what was not measured stays unknown, with all behind it.
--- a/crates/rig/tests/cold_hosts.rs
+++ b/crates/loadtest/tests/cold_hosts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use dunemount::*;
-use dunemount_rig::deployment::Dice;
+use dunemount_loadtest::deployment::Dice;
 
 const HOSTS: u64 = 4;
 const CORES: f64 = 3.0;
--- a/crates/rig/tests/deployments.rs
+++ b/crates/loadtest/tests/deployments.rs
@@ -3,8 +3,8 @@
 use dunemount::config::InForce;
 use dunemount::settings::Zones;
 use dunemount::*;
-use dunemount_rig::deployment::{Deployment, Dice};
-use dunemount_rig::world::{Counts, Trouble, World};
+use dunemount_loadtest::deployment::{Deployment, Dice};
+use dunemount_loadtest::world::{Counts, Trouble, World};
 use serde_json::{json, Value};
 
 fn settings(deployment: &Deployment) -> Settings {
--- a/crates/rig/tests/members.rs
+++ b/crates/loadtest/tests/members.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
-use dunemount_rig::capacity::measure::{members, Setup};
-use dunemount_rig::capacity::slopes::{Point, KINDS};
+use dunemount_loadtest::capacity::measure::{members, Setup};
+use dunemount_loadtest::capacity::slopes::{Point, KINDS};
 
 fn measured(rounds: u32, largest: usize) -> Vec<Point> {
     members::measure(&Setup { rounds, largest, gateway: PathBuf::new(), disk: PathBuf::new() })
--- a/crates/rig/tests/scale.rs
+++ b/crates/loadtest/tests/scale.rs
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use dunemount_rig::scale::limits::{admit, Means};
-use dunemount_rig::scale::plan::{Event, Plan};
-use dunemount_rig::scale::report::{self, quantiles, verdicts};
-use dunemount_rig::scale::run::{play, MachineRow, Outcome, Phase};
+use dunemount_loadtest::scale::limits::{admit, Means};
+use dunemount_loadtest::scale::plan::{Event, Plan};
+use dunemount_loadtest::scale::report::{self, quantiles, verdicts};
+use dunemount_loadtest::scale::run::{play, MachineRow, Outcome, Phase};
 use rustix::process::{kill_process, Pid, Signal};
 
 /// However busy the machine, what is waited for comes within this.
@@ -144,7 +144,7 @@
 
     let folder = Folder::new("refused");
     let file = folder.file("run.ini", "[run]\nhollow = 100\nmemory_mb = 1\n");
-    let output = rig(&file, &folder.0.join("out"));
+    let output = loadtest(&file, &folder.0.join("out"));
     assert!(!output.status.success());
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(said.contains("refused to begin: memory: "), "{said}");
@@ -273,8 +273,8 @@
     assert!(told[8].0 == "rack" && told[8].1 .0 == told[8].1 .1, "{told:?}");
 }
 
-fn rig(file: &Path, out: &Path) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_rig"));
+fn loadtest(file: &Path, out: &Path) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_loadtest"));
     command.arg("scale").arg(file).arg("--out").arg(out).output().expect("it runs")
 }
 
@@ -285,7 +285,7 @@
     let file =
         folder.file("run.ini", "[run]\nhollow = 3\nquiet_s = 1\n[list]\nhosts = 5\n[events]\na = list 1\n");
     let out = folder.0.join("out");
-    let output = rig(&file, &out);
+    let output = loadtest(&file, &out);
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.success() && said.is_empty(), "{said}");
     let read = |name: &str| fs::read_to_string(out.join(name)).expect(name);
@@ -362,7 +362,7 @@
     let program = program(&folder, "exec sleep 600");
     let text = format!("[run]\nhollow = 3\nreal = 2\nprogram = {}\n", program.display());
     let file = folder.file("run.ini", &text);
-    let mut command = Command::new(env!("CARGO_BIN_EXE_rig"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_loadtest"));
     command.arg("scale").arg(&file).arg("--out").arg(folder.0.join("out"));
     let mut child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
     let until = Instant::now() + LONG;
@@ -410,7 +410,7 @@
 
 /// The program, as it is built with the workspace.
 fn built() -> PathBuf {
-    let program = Path::new(env!("CARGO_BIN_EXE_rig")).with_file_name("dunemount");
+    let program = Path::new(env!("CARGO_BIN_EXE_loadtest")).with_file_name("dunemount");
     assert!(program.exists(), "{}: build the workspace first", program.display());
     program
 }
--- a/crates/post/benches/hop.rs
+++ b/crates/mailbox/benches/wakeup.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use dunemount_post::{Post, Wake};
+use dunemount_mailbox::{Mailbox, Wake};
 use polling::Poller;
 
 #[derive(Clone)]
@@ -18,11 +18,11 @@
     }
 }
 
-type Own = Arc<Post<u64, Bell>>;
+type Own = Arc<Mailbox<u64, Bell>>;
 
 fn own() -> (Own, Bell) {
     let bell = Bell(Arc::new(Poller::new().expect("a poller")));
-    (Arc::new(Post::new(1024, bell.clone())), bell)
+    (Arc::new(Mailbox::new(1024, bell.clone())), bell)
 }
 
 fn wait(bell: &Bell, post: &Own, into: &mut VecDeque<u64>) {
--- a/crates/post/src/lib.rs
+++ b/crates/mailbox/src/lib.rs
@@ -1,15 +1,15 @@
 //! Bounded queues between threads that each sleep in a poller of their own.
 //!
-//! A [`Post`] belongs to one thread, which takes everything out of it at once, and to any number of others
+//! A [`Mailbox`] belongs to one thread, which takes everything out of it at once, and to any number of others
 //! that put messages in. Nothing here ever waits: a post that is full says so, and the sender refuses.
 //!
 //! Two kinds of messages go through one queue, so that they stay in the order in which they were sent:
 //!
-//! - those that ask for something, [`Post::offer`]: no more than a fixed number of them lie in the post;
-//! - those that are owed because the receiver asked before, [`Post::deliver`]: always taken. Their number is
-//!   bounded by what was asked for, and [`Post::peak`] shows the most that ever lay there.
+//! - those that ask for something, [`Mailbox::offer`]: no more than a fixed number of them lie in the post;
+//! - those that are owed because the receiver asked before, [`Mailbox::deliver`]: always taken. Their number is
+//!   bounded by what was asked for, and [`Mailbox::peak`] shows the most that ever lay there.
 //!
-//! A receiver that is about to sleep says so with [`Post::may_sleep`]; the first message after that wakes it,
+//! A receiver that is about to sleep says so with [`Mailbox::may_sleep`]; the first message after that wakes it,
 //! later ones do not, since a wake-up is a system call.
 
 use std::collections::VecDeque;
@@ -28,14 +28,14 @@
 
 /// One thread's post.
 #[derive(Debug)]
-pub struct Post<T, W> {
-    letters: Mutex<Letters<T>>,
+pub struct Mailbox<T, W> {
+    messages: Mutex<Messages<T>>,
     most: usize,
     waker: W,
 }
 
 #[derive(Debug)]
-struct Letters<T> {
+struct Messages<T> {
     queue: VecDeque<T>,
     /// How many of them were offered since the owner last took them.
     offered: usize,
@@ -45,22 +45,22 @@
     refused: u64,
 }
 
-impl<T, W: Wake> Post<T, W> {
+impl<T, W: Wake> Mailbox<T, W> {
     /// A post in which at most so many offered messages lie.
     pub fn new(most: usize, waker: W) -> Self {
-        let letters = Letters { queue: VecDeque::new(), offered: 0, asleep: false, peak: 0, refused: 0 };
-        Post { letters: Mutex::new(letters), most, waker }
+        let messages = Messages { queue: VecDeque::new(), offered: 0, asleep: false, peak: 0, refused: 0 };
+        Mailbox { messages: Mutex::new(messages), most, waker }
     }
 
     /// Puts a message in that asks for something; gives it back, counted, where too many lie there.
     pub fn offer(&self, text: T) -> Result<(), T> {
-        let mut letters = self.open();
-        if letters.offered >= self.most {
-            letters.refused += 1;
+        let mut messages = self.open();
+        if messages.offered >= self.most {
+            messages.refused += 1;
             return Err(text);
         }
-        letters.offered += 1;
-        self.put(letters, text);
+        messages.offered += 1;
+        self.put(messages, text);
         Ok(())
     }
 
@@ -69,12 +69,12 @@
         self.put(self.open(), text);
     }
 
-    fn put(&self, mut letters: MutexGuard<'_, Letters<T>>, text: T) {
-        letters.queue.push_back(text);
-        letters.peak = letters.peak.max(letters.queue.len());
+    fn put(&self, mut messages: MutexGuard<'_, Messages<T>>, text: T) {
+        messages.queue.push_back(text);
+        messages.peak = messages.peak.max(messages.queue.len());
         // Under the lock: the owner has either seen this message or will be woken for it.
-        let wake = std::mem::take(&mut letters.asleep);
-        drop(letters);
+        let wake = std::mem::take(&mut messages.asleep);
+        drop(messages);
         if wake {
             self.waker.wake();
         }
@@ -82,28 +82,28 @@
 
     /// Moves all messages to the end of `into`, in the order in which they were put in.
     pub fn take(&self, into: &mut VecDeque<T>) {
-        let mut letters = self.open();
-        letters.asleep = false;
-        letters.offered = 0;
-        into.append(&mut letters.queue);
+        let mut messages = self.open();
+        messages.asleep = false;
+        messages.offered = 0;
+        into.append(&mut messages.queue);
     }
 
     /// Says that the owner is about to sleep. False if there is something to take first: then it must not.
     #[must_use]
     pub fn may_sleep(&self) -> bool {
-        let mut letters = self.open();
-        letters.asleep = letters.queue.is_empty();
-        letters.asleep
+        let mut messages = self.open();
+        messages.asleep = messages.queue.is_empty();
+        messages.asleep
     }
 
     /// The most messages that ever lay there, and how many were given back.
     pub fn peak(&self) -> (usize, u64) {
-        let letters = self.open();
-        (letters.peak, letters.refused)
+        let messages = self.open();
+        (messages.peak, messages.refused)
     }
 
     /// A thread that panicked with the lock leaves the queue whole: each change to it is one call.
-    fn open(&self) -> MutexGuard<'_, Letters<T>> {
-        self.letters.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn open(&self) -> MutexGuard<'_, Messages<T>> {
+        self.messages.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/crates/post/tests/orders.rs
+++ b/crates/mailbox/tests/orders.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use dunemount_post::{Post, Wake};
+use dunemount_mailbox::{Mailbox, Wake};
 use shuttle::sync::{Arc, Condvar, Mutex};
 use shuttle::{check_random, thread};
 
@@ -38,7 +38,7 @@
     check_random(
         || {
             let bell = Bell::default();
-            let post = Arc::new(Post::new(64, bell.clone()));
+            let post = Arc::new(Mailbox::new(64, bell.clone()));
             for sender in 0..2 {
                 let post = post.clone();
                 thread::spawn(move || {
@@ -73,7 +73,7 @@
 fn the_bound_holds_and_what_is_owed_goes_in() {
     check_random(
         || {
-            let post = Arc::new(Post::new(2, Bell::default()));
+            let post = Arc::new(Mailbox::new(2, Bell::default()));
             let senders: Vec<_> = (0..2)
                 .map(|sender| {
                     let post = post.clone();
@@ -86,7 +86,7 @@
             let (mut got, mut batch) = (0, VecDeque::new());
             for _ in 0..2 {
                 post.take(&mut batch);
-                assert!(batch.iter().filter(|letter| **letter < 100).count() <= 2);
+                assert!(batch.iter().filter(|message| **message < 100).count() <= 2);
                 got += batch.drain(..).count();
             }
             let offered: usize = senders.into_iter().map(|sender| sender.join().unwrap()).sum();
--- a/crates/rollout/tests/parts.rs
+++ b/crates/rollout/tests/parts.rs
@@ -74,7 +74,7 @@
 }
 
 /// A control machine, what it wants, and its shelf.
-struct Rig {
+struct Harness {
     now: Duration,
     control: Control,
     shelf: Shelf,
@@ -85,8 +85,8 @@
     connects: Vec<(Link, usize)>,
 }
 
-impl Rig {
-    fn new(count: usize, kept: Keeping) -> Rig {
+impl Harness {
+    fn new(count: usize, kept: Keeping) -> Harness {
         let settings = control::Settings {
             fleet: "test".to_string(),
             name: "ctl-0".to_string(),
@@ -98,7 +98,7 @@
             seed: 1,
         };
         let control = Control::new(settings, kept, Duration::ZERO);
-        let mut rig = Rig {
+        let mut harness = Harness {
             now: Duration::ZERO,
             control,
             shelf: Shelf::default(),
@@ -108,8 +108,8 @@
             notes: Vec::new(),
             connects: Vec::new(),
         };
-        rig.tick();
-        rig
+        harness.tick();
+        harness
     }
 
     fn tick(&mut self) {
@@ -197,7 +197,7 @@
 /// Guards who is talked to: of this form and fleet, by a name that fits, within its time, and with its own words alone.
 #[test]
 fn a_control_machine_talks_only_to_whom_it_knows() {
-    let mut rig = Rig::new(3, Keeping::default());
+    let mut harness = Harness::new(3, Keeping::default());
     let hello = |form, fleet: &str, who| Message::Hello(Hello { form, fleet: fleet.to_string(), who });
     let control = |name: &str| Who::Control { name: name.to_string() };
     for first in [
@@ -207,49 +207,49 @@
         hello(FORM, "test", control("ctl-0")),
         Message::Ask,
     ] {
-        let link = rig.control.accepted(rig.now).expect("let in");
-        rig.hear(link, &first);
-        assert_eq!(rig.closed.pop(), Some(link), "{first:?}");
-    }
-    assert_eq!(rig.notes.len(), 2, "form and fleet are said");
-    let gateway = rig.gateway("gw-1");
-    rig.hear(gateway, &put("good"));
-    assert_eq!(rig.closed.pop(), Some(gateway), "a gateway puts nothing");
-    let gateway = rig.gateway("gw-1");
-    rig.control.received(rig.now, gateway, &2_000u32.to_be_bytes(), &mut rig.shelf);
-    rig.carry();
-    assert_eq!(rig.closed.pop(), Some(gateway), "nor does it say much");
-    let first = rig.join(control("ctl-1"));
-    let second = rig.join(control("ctl-1"));
-    assert_eq!(rig.closed.pop(), Some(first), "a new connection says that the one before is lost");
-    let silent = rig.control.accepted(rig.now).expect("let in");
-    rig.connects.clear();
-    rig.wait(SECOND * 3);
-    assert!(rig.closed.contains(&silent) && rig.closed.contains(&second));
+        let link = harness.control.accepted(harness.now).expect("let in");
+        harness.hear(link, &first);
+        assert_eq!(harness.closed.pop(), Some(link), "{first:?}");
+    }
+    assert_eq!(harness.notes.len(), 2, "form and fleet are said");
+    let gateway = harness.gateway("gw-1");
+    harness.hear(gateway, &put("good"));
+    assert_eq!(harness.closed.pop(), Some(gateway), "a gateway puts nothing");
+    let gateway = harness.gateway("gw-1");
+    harness.control.received(harness.now, gateway, &2_000u32.to_be_bytes(), &mut harness.shelf);
+    harness.carry();
+    assert_eq!(harness.closed.pop(), Some(gateway), "nor does it say much");
+    let first = harness.join(control("ctl-1"));
+    let second = harness.join(control("ctl-1"));
+    assert_eq!(harness.closed.pop(), Some(first), "a new connection says that the one before is lost");
+    let silent = harness.control.accepted(harness.now).expect("let in");
+    harness.connects.clear();
+    harness.wait(SECOND * 3);
+    assert!(harness.closed.contains(&silent) && harness.closed.contains(&second));
 }
 
 /// Guards what connections may cost: so many and no more, and of the operators' tool fewer.
 #[test]
 fn connections_and_gateways_are_bounded() {
-    let mut rig = Rig::new(1, Keeping::default());
-    let tools: Vec<Link> = (0..9).map(|_| rig.join(Who::Tool)).collect();
-    assert_eq!(rig.closed, [tools[8]]);
+    let mut harness = Harness::new(1, Keeping::default());
+    let tools: Vec<Link> = (0..9).map(|_| harness.join(Who::Tool)).collect();
+    assert_eq!(harness.closed, [tools[8]]);
     let mut links = Vec::new();
     for index in 0..MOST_GATEWAYS + 10 {
-        rig.now += MILLI;
-        links.push(rig.gateway(&format!("gw-{index}")));
+        harness.now += MILLI;
+        links.push(harness.gateway(&format!("gw-{index}")));
     }
-    let status = rig.control.status(rig.now);
+    let status = harness.control.status(harness.now);
     assert_eq!(status.gateways.len(), MOST_GATEWAYS);
     assert!(status.gateways.iter().all(|seen| seen.name != "gw-0"), "the one silent for longest goes");
-    while rig.control.accepted(rig.now).is_some() {
+    while harness.control.accepted(harness.now).is_some() {
         links.push(0);
     }
     assert!(links.len() + 8 <= MOST_GATEWAYS + 64, "{}", links.len());
-    rig.control.closed(rig.now, links[5]);
-    assert!(rig.control.accepted(rig.now).is_some(), "room again");
-    rig.control.members(vec!["x".repeat(100); 2_000]);
-    let status = rig.control.status(rig.now);
+    harness.control.closed(harness.now, links[5]);
+    assert!(harness.control.accepted(harness.now).is_some(), "room again");
+    harness.control.members(vec!["x".repeat(100); 2_000]);
+    let status = harness.control.status(harness.now);
     assert!(status.members.len() == MOST_GATEWAYS && status.members[0].len() == LONGEST_NAME);
 }
 
@@ -257,66 +257,66 @@
 /// connection, and not what was refused; one that is only older is told of nothing else.
 #[test]
 fn the_newest_is_given_out_only_while_it_is_known_to_be() {
-    let mut rig = Rig::new(1, kept(1, "one"));
-    let gateway = rig.gateway("gw-1");
+    let mut harness = Harness::new(1, kept(1, "one"));
+    let gateway = harness.gateway("gw-1");
     let has = |version, refused| Message::InForce { version, refused };
-    rig.hear(gateway, &has(None, None));
-    assert_eq!(rig.heard(gateway), [], "not before the register has told");
-    assert_eq!(rig.asked(), [control::Out::Look], "which is asked first");
-    rig.holds(&ledger(&["one"]));
-    assert_eq!(rig.heard(gateway), [newest(1, "one")]);
-    rig.hear(gateway, &has(None, None));
-    assert_eq!(rig.heard(gateway), [], "once");
-    rig.wait(SECOND);
-    rig.holds(&ledger(&["one"]));
-    rig.wait(SECOND * 2 + MILLI);
-    rig.hear(gateway, &has(None, None));
-    assert_eq!(rig.heard(gateway), [newest(1, "one")], "again after a while");
+    harness.hear(gateway, &has(None, None));
+    assert_eq!(harness.heard(gateway), [], "not before the register has told");
+    assert_eq!(harness.asked(), [control::Out::Look], "which is asked first");
+    harness.holds(&ledger(&["one"]));
+    assert_eq!(harness.heard(gateway), [newest(1, "one")]);
+    harness.hear(gateway, &has(None, None));
+    assert_eq!(harness.heard(gateway), [], "once");
+    harness.wait(SECOND);
+    harness.holds(&ledger(&["one"]));
+    harness.wait(SECOND * 2 + MILLI);
+    harness.hear(gateway, &has(None, None));
+    assert_eq!(harness.heard(gateway), [newest(1, "one")], "again after a while");
     let refused = Refusal { version: version(1, "one"), why: "port in use".to_string() };
-    let other = rig.gateway("gw-2");
-    rig.hear(other, &has(None, Some(refused.clone())));
-    let ahead = rig.gateway("gw-3");
-    rig.hear(ahead, &has(Some(version(2, "two")), None));
+    let other = harness.gateway("gw-2");
+    harness.hear(other, &has(None, Some(refused.clone())));
+    let ahead = harness.gateway("gw-3");
+    harness.hear(ahead, &has(Some(version(2, "two")), None));
     assert_eq!(
-        (rig.heard(other), rig.heard(ahead)),
+        (harness.heard(other), harness.heard(ahead)),
         (vec![], vec![]),
         "neither what it refused nor what is older"
     );
-    let status = rig.control.status(rig.now);
+    let status = harness.control.status(harness.now);
     let seen: Vec<_> = status.gateways.iter().map(|seen| (seen.in_force, seen.refused.clone())).collect();
     assert_eq!(seen, [(None, None), (None, Some(refused)), (Some(version(2, "two")), None)]);
     // It sleeps, and wakes up late.
-    rig.now += SECOND * 60;
-    let late = rig.gateway("gw-4");
-    rig.hear(late, &has(None, None));
-    assert_eq!(rig.heard(late), []);
-    assert!(!rig.control.status(rig.now).fresh);
-    rig.holds(&ledger(&["one"]));
-    assert_eq!(rig.heard(late), [newest(1, "one")]);
+    harness.now += SECOND * 60;
+    let late = harness.gateway("gw-4");
+    harness.hear(late, &has(None, None));
+    assert_eq!(harness.heard(late), []);
+    assert!(!harness.control.status(harness.now).fresh);
+    harness.holds(&ledger(&["one"]));
+    assert_eq!(harness.heard(late), [newest(1, "one")]);
 }
 
 /// Guards what is not on its disk: it is not given out, and is stored once that can be done.
 #[test]
 fn what_is_not_stored_is_not_given_out() {
-    let mut rig = Rig::new(2, Keeping::default());
-    rig.connect();
-    let peer = rig.join(Who::Control { name: "ctl-1".to_string() });
-    rig.hear(peer, &Message::Keep(b"one"[..].into()));
-    assert_eq!(rig.heard(peer), [Message::Kept(Digest::of(b"one"))]);
-    rig.shelf.broken = true;
-    rig.hear(peer, &Message::Keep(b"two"[..].into()));
-    assert_eq!(rig.heard(peer), [], "not kept, not said to be");
-    rig.hear(peer, &Message::Chosen(version(1, "one")));
-    rig.holds(&ledger(&["one"]));
-    let gateway = rig.gateway("gw-1");
-    rig.hear(gateway, &Message::InForce { version: None, refused: None });
-    assert_eq!(rig.heard(gateway), []);
-    assert!(!rig.control.status(rig.now).has_document);
-    rig.shelf.broken = false;
-    rig.wait(SECOND);
-    rig.holds(&ledger(&["one"]));
-    assert_eq!(rig.heard(gateway), [newest(1, "one")]);
-    assert_eq!(rig.shelf.kept, kept(1, "one"));
+    let mut harness = Harness::new(2, Keeping::default());
+    harness.connect();
+    let peer = harness.join(Who::Control { name: "ctl-1".to_string() });
+    harness.hear(peer, &Message::Keep(b"one"[..].into()));
+    assert_eq!(harness.heard(peer), [Message::Kept(Digest::of(b"one"))]);
+    harness.shelf.broken = true;
+    harness.hear(peer, &Message::Keep(b"two"[..].into()));
+    assert_eq!(harness.heard(peer), [], "not kept, not said to be");
+    harness.hear(peer, &Message::Chosen(version(1, "one")));
+    harness.holds(&ledger(&["one"]));
+    let gateway = harness.gateway("gw-1");
+    harness.hear(gateway, &Message::InForce { version: None, refused: None });
+    assert_eq!(harness.heard(gateway), []);
+    assert!(!harness.control.status(harness.now).has_document);
+    harness.shelf.broken = false;
+    harness.wait(SECOND);
+    harness.holds(&ledger(&["one"]));
+    assert_eq!(harness.heard(gateway), [newest(1, "one")]);
+    assert_eq!(harness.shelf.kept, kept(1, "one"));
 }
 
 /// Guards a register's value that makes no sense here: nothing is accepted or given out, that is said, and it ends once the
@@ -329,49 +329,51 @@
     for (value, word) in
         [(Some(later), "later form"), (None, "gone back"), (Some(other.write()), "another digest")]
     {
-        let mut rig =
-            Rig::new(1, Keeping { versions: vec![document(1, "one"), document(2, "two")], waiting: vec![] });
-        rig.wait(MILLI);
-        let tool = rig.join(Who::Tool);
-        rig.told(Told::Holds(value.clone(), rig.now));
-        rig.told(Told::Holds(value, rig.now));
-        assert_eq!(rig.notes.len(), 1, "once: {:?}", rig.notes);
-        assert!(rig.notes[0].contains(word), "{:?}", rig.notes);
-        let gateway = rig.gateway("gw-1");
-        rig.hear(gateway, &Message::InForce { version: None, refused: None });
-        assert_eq!(rig.heard(gateway), []);
-        rig.hear(tool, &put("three"));
-        let said = rig.heard(tool);
+        let mut harness = Harness::new(
+            1,
+            Keeping { versions: vec![document(1, "one"), document(2, "two")], waiting: vec![] },
+        );
+        harness.wait(MILLI);
+        let tool = harness.join(Who::Tool);
+        harness.told(Told::Holds(value.clone(), harness.now));
+        harness.told(Told::Holds(value, harness.now));
+        assert_eq!(harness.notes.len(), 1, "once: {:?}", harness.notes);
+        assert!(harness.notes[0].contains(word), "{:?}", harness.notes);
+        let gateway = harness.gateway("gw-1");
+        harness.hear(gateway, &Message::InForce { version: None, refused: None });
+        assert_eq!(harness.heard(gateway), []);
+        harness.hear(tool, &put("three"));
+        let said = harness.heard(tool);
         assert!(
             matches!(&said[..], [Message::NotAccepted { why, uncertain: false }] if why.contains(word)),
             "{said:?}"
         );
-        assert!(!rig.control.status(rig.now).fresh);
-        rig.holds(&two);
-        assert_eq!(rig.heard(gateway), [newest(2, "two")]);
+        assert!(!harness.control.status(harness.now).fresh);
+        harness.holds(&two);
+        assert_eq!(harness.heard(gateway), [newest(2, "two")]);
     }
 }
 
 /// A machine alone that has looked, and has begun to number "two" after "one".
-fn numbering() -> (Rig, Link) {
-    let mut rig = Rig::new(1, kept(1, "one"));
-    rig.holds(&ledger(&["one"]));
-    let tool = rig.join(Who::Tool);
-    rig.asked();
-    rig.hear(tool, &put("two"));
-    assert_eq!(rig.asked(), [control::Out::Change]);
-    (rig, tool)
+fn numbering() -> (Harness, Link) {
+    let mut harness = Harness::new(1, kept(1, "one"));
+    harness.holds(&ledger(&["one"]));
+    let tool = harness.join(Who::Tool);
+    harness.asked();
+    harness.hear(tool, &put("two"));
+    assert_eq!(harness.asked(), [control::Out::Change]);
+    (harness, tool)
 }
 
 /// Proposes "two", whose fate stays open; the value that was proposed.
-fn proposed(rig: &mut Rig, value: &Ledger) -> Vec<u8> {
-    rig.told(Told::Promised(Some(value.write())));
-    let asked = rig.asked();
+fn proposed(harness: &mut Harness, value: &Ledger) -> Vec<u8> {
+    harness.told(Told::Promised(Some(value.write())));
+    let asked = harness.asked();
     let [control::Out::Propose(value)] = &asked[..] else { panic!("{asked:?}") };
-    rig.told(Told::Failed { proposed: true, no_majority: true });
-    rig.wait(SECOND);
-    rig.holds(&Ledger::read(Some(&ledger(&["one"]).write())).expect("one"));
-    assert!(rig.asked().contains(&control::Out::Change), "again");
+    harness.told(Told::Failed { proposed: true, no_majority: true });
+    harness.wait(SECOND);
+    harness.holds(&Ledger::read(Some(&ledger(&["one"]).write())).expect("one"));
+    assert!(harness.asked().contains(&control::Out::Change), "again");
     value.clone()
 }
 
@@ -379,85 +381,85 @@
 /// accepted alone, so that it is proposed as it is, and the operator hears of it once it is chosen.
 #[test]
 fn a_proposal_that_is_found_is_chosen_before_it_is_answered_for() {
-    let (mut rig, tool) = numbering();
-    let value = proposed(&mut rig, &ledger(&["one"]));
-    rig.told(Told::Promised(Some(value.clone())));
-    assert_eq!(rig.heard(tool), []);
-    assert_eq!(rig.asked(), [control::Out::Propose(value.clone())], "no second number");
-    rig.told(Told::Chosen(value));
-    assert_eq!(rig.heard(tool), [Message::Accepted(version(2, "two"))]);
-    assert_eq!(rig.shelf.kept.versions, [document(1, "one"), document(2, "two")]);
+    let (mut harness, tool) = numbering();
+    let value = proposed(&mut harness, &ledger(&["one"]));
+    harness.told(Told::Promised(Some(value.clone())));
+    assert_eq!(harness.heard(tool), []);
+    assert_eq!(harness.asked(), [control::Out::Propose(value.clone())], "no second number");
+    harness.told(Told::Chosen(value));
+    assert_eq!(harness.heard(tool), [Message::Accepted(version(2, "two"))]);
+    assert_eq!(harness.shelf.kept.versions, [document(1, "one"), document(2, "two")]);
 }
 
 /// Guards a proposal whose fate is open while others come between: it is not numbered a second time over them.
 #[test]
 fn a_proposal_that_nothing_tells_of_any_more_is_not_made_again() {
-    let (mut rig, tool) = numbering();
-    proposed(&mut rig, &ledger(&["one"]));
+    let (mut harness, tool) = numbering();
+    proposed(&mut harness, &ledger(&["one"]));
     let names: Vec<String> = (1..=10).map(|number| format!("other {number}")).collect();
     let others = ledger(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    rig.told(Told::Promised(Some(others.write())));
-    let said = rig.heard(tool);
+    harness.told(Told::Promised(Some(others.write())));
+    let said = harness.heard(tool);
     assert!(
         matches!(&said[..], [Message::NotAccepted { why, uncertain: true }] if why.contains("others")),
         "{said:?}"
     );
-    assert_eq!(rig.asked(), [control::Out::Withdraw]);
+    assert_eq!(harness.asked(), [control::Out::Withdraw]);
 }
 
 /// Guards a version that comes between the check and the number: the document is checked again, against that one.
 #[test]
 fn a_document_is_checked_against_what_it_follows() {
-    let (mut rig, tool) = numbering();
-    rig.told(Told::Promised(Some(ledger(&["one", "between"]).write())));
-    assert_eq!(rig.asked(), [control::Out::Withdraw]);
-    rig.shelf.kept = Keeping::default();
-    rig.wait(MILLI);
-    assert_eq!(rig.asked(), [control::Out::Look], "what was promised need not be chosen");
-    rig.holds(&ledger(&["one", "between"]));
-    assert_eq!(rig.shelf.checked, [Some(1), Some(1)], "alone, it cannot have the one between");
-    assert_eq!(rig.asked(), [control::Out::Change]);
-    rig.told(Told::Promised(Some(ledger(&["one", "between"]).write())));
-    let asked = rig.asked();
+    let (mut harness, tool) = numbering();
+    harness.told(Told::Promised(Some(ledger(&["one", "between"]).write())));
+    assert_eq!(harness.asked(), [control::Out::Withdraw]);
+    harness.shelf.kept = Keeping::default();
+    harness.wait(MILLI);
+    assert_eq!(harness.asked(), [control::Out::Look], "what was promised need not be chosen");
+    harness.holds(&ledger(&["one", "between"]));
+    assert_eq!(harness.shelf.checked, [Some(1), Some(1)], "alone, it cannot have the one between");
+    assert_eq!(harness.asked(), [control::Out::Change]);
+    harness.told(Told::Promised(Some(ledger(&["one", "between"]).write())));
+    let asked = harness.asked();
     let [control::Out::Propose(value)] = &asked[..] else { panic!("{asked:?}") };
     let next = Ledger::read(Some(value)).expect("a ledger");
     assert_eq!(next.newest(), Some(version(3, "two")));
-    rig.told(Told::Chosen(value.clone()));
-    assert_eq!(rig.heard(tool), [Message::Accepted(version(3, "two"))]);
+    harness.told(Told::Chosen(value.clone()));
+    assert_eq!(harness.heard(tool), [Message::Accepted(version(3, "two"))]);
 }
 
 /// Guards the same document again: the number that it has, and none new.
 #[test]
 fn the_same_document_keeps_its_number() {
-    let mut rig = Rig::new(1, kept(1, "one"));
-    rig.holds(&ledger(&["one"]));
-    let tool = rig.join(Who::Tool);
-    rig.hear(tool, &put("one"));
+    let mut harness = Harness::new(1, kept(1, "one"));
+    harness.holds(&ledger(&["one"]));
+    let tool = harness.join(Who::Tool);
+    harness.hear(tool, &put("one"));
     let value = ledger(&["one"]).write();
-    rig.told(Told::Promised(Some(value.clone())));
-    assert_eq!(rig.asked().last(), Some(&control::Out::Propose(value.clone())), "as it is");
-    rig.told(Told::Chosen(value));
-    assert_eq!(rig.heard(tool), [Message::Accepted(version(1, "one"))]);
+    harness.told(Told::Promised(Some(value.clone())));
+    assert_eq!(harness.asked().last(), Some(&control::Out::Propose(value.clone())), "as it is");
+    harness.told(Told::Chosen(value));
+    assert_eq!(harness.heard(tool), [Message::Accepted(version(1, "one"))]);
 }
 
 /// Guards the operators' wait: one document at a time, a few wait, one more is refused at once, and each is told when its
 /// time is over.
 #[test]
 fn documents_wait_in_a_bounded_line() {
-    let mut rig = Rig::new(2, Keeping::default());
-    rig.connect();
-    rig.holds(&Ledger::default());
-    let tool = rig.join(Who::Tool);
+    let mut harness = Harness::new(2, Keeping::default());
+    harness.connect();
+    harness.holds(&Ledger::default());
+    let tool = harness.join(Who::Tool);
     for index in 0..6 {
-        rig.hear(tool, &put(&format!("document {index}")));
+        harness.hear(tool, &put(&format!("document {index}")));
     }
-    let said = rig.heard(tool);
+    let said = harness.heard(tool);
     assert!(
         matches!(&said[..], [Message::NotAccepted { why, uncertain: false }] if why.contains("busy")),
         "{said:?}"
     );
-    rig.wait(SECOND * 6);
-    let said = rig.heard(tool);
+    harness.wait(SECOND * 6);
+    let said = harness.heard(tool);
     let [Message::NotAccepted { why, uncertain: false }, rest @ ..] = &said[..] else { panic!("{said:?}") };
     assert!(why.contains("no control machine of another zone"), "{why}");
     assert_eq!(rest.len(), 4);
@@ -466,42 +468,46 @@
 /// Guards the two disks: the number is asked for once a machine of another zone has the document on its disk, and not before.
 #[test]
 fn a_number_is_asked_for_once_two_disks_have_the_document() {
-    let mut rig = Rig::new(3, Keeping::default());
-    let links = rig.connects.clone();
-    rig.connect();
-    rig.holds(&Ledger::default());
-    rig.asked();
-    let tool = rig.join(Who::Tool);
-    rig.hear(tool, &put("one"));
+    let mut harness = Harness::new(3, Keeping::default());
+    let links = harness.connects.clone();
+    harness.connect();
+    harness.holds(&Ledger::default());
+    harness.asked();
+    let tool = harness.join(Who::Tool);
+    harness.hear(tool, &put("one"));
     let keep = Message::Keep(b"one"[..].into());
     for (link, _) in &links {
-        assert!(rig.heard(*link).contains(&keep));
+        assert!(harness.heard(*link).contains(&keep));
     }
-    assert_eq!(rig.shelf.kept.waiting, [(Digest::of(b"one"), Arc::from(&b"one"[..]))], "on its own first");
-    rig.hear(links[0].0, &Message::Kept(Digest::of(b"another")));
-    assert_eq!(rig.asked(), []);
-    rig.hear(links[0].0, &Message::Kept(Digest::of(b"one")));
-    assert_eq!(rig.asked(), [control::Out::Change]);
+    assert_eq!(
+        harness.shelf.kept.waiting,
+        [(Digest::of(b"one"), Arc::from(&b"one"[..]))],
+        "on its own first"
+    );
+    harness.hear(links[0].0, &Message::Kept(Digest::of(b"another")));
+    assert_eq!(harness.asked(), []);
+    harness.hear(links[0].0, &Message::Kept(Digest::of(b"one")));
+    assert_eq!(harness.asked(), [control::Out::Change]);
 }
 
 /// Guards what operators are shown: the newest, the one before, and why another one is not.
 #[test]
 fn what_is_kept_is_shown() {
     let versions = vec![document(4, "four"), document(5, "five")];
-    let mut rig = Rig::new(1, Keeping { versions, waiting: vec![] });
-    let tool = rig.join(Who::Tool);
+    let mut harness = Harness::new(1, Keeping { versions, waiting: vec![] });
+    let tool = harness.join(Who::Tool);
     for (number, bytes) in [(None, "five"), (Some(5), "five"), (Some(4), "four")] {
-        rig.hear(tool, &Message::Show(number));
-        let said = rig.heard(tool);
+        harness.hear(tool, &Message::Show(number));
+        let said = harness.heard(tool);
         assert!(
             matches!(&said[..], [Message::Given(_, shown)] if shown[..] == *bytes.as_bytes()),
             "{said:?}"
         );
     }
-    rig.hear(tool, &Message::Show(Some(3)));
-    assert!(matches!(&rig.heard(tool)[..], [Message::NotShown(_)]));
-    rig.hear(tool, &Message::Ask);
-    let said = rig.heard(tool);
+    harness.hear(tool, &Message::Show(Some(3)));
+    assert!(matches!(&harness.heard(tool)[..], [Message::NotShown(_)]));
+    harness.hear(tool, &Message::Ask);
+    let said = harness.heard(tool);
     let [Message::Status(status)] = &said[..] else { panic!("{said:?}") };
     assert_eq!((status.name.as_str(), status.zone.as_str()), ("ctl-0", "zone-0"));
     assert_eq!(
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-use dunemount_post::{Post, Wake};
+use dunemount_mailbox::{Mailbox, Wake};
 use polling::Poller;
 
 use super::requests::Final;
@@ -132,7 +132,7 @@
 
 /// The workers of one gateway and what they share.
 pub(super) struct Workers {
-    posts: Vec<Post<WorkerMessage, Bell>>,
+    posts: Vec<Mailbox<WorkerMessage, Bell>>,
     /// Clients of each worker, those on their way to it included.
     clients: Vec<AtomicUsize>,
     /// A worker has died: none goes on with a part of the families.
@@ -146,7 +146,7 @@
     /// A workers whose workers sleep in these pollers.
     pub(super) fn of(pollers: &[Arc<Poller>]) -> Workers {
         Workers {
-            posts: pollers.iter().map(|poller| Post::new(ASKS, Bell(poller.clone()))).collect(),
+            posts: pollers.iter().map(|poller| Mailbox::new(ASKS, Bell(poller.clone()))).collect(),
             clients: pollers.iter().map(|_| AtomicUsize::new(0)).collect(),
             lost: AtomicBool::new(false),
             linked: AtomicBool::new(false),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! What a version of the configuration is: the part that all gateways share, over each one's own file.
 
-mod rig;
+mod harness;
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
 fn own(name: &str) -> Value {
     json!({"name": name, "listen": "127.0.0.1:1", "admin_addr": "127.0.0.1:2", "discovery": "127.0.0.1:3",
         "seed": "1f", "limits": {"sockets": 100}, "known": {"rev": 0, "all": true, "targets": []},
-        "settings": rig::settings()})
+        "settings": harness::settings()})
 }
 
 /// The settings that all gateways share.
 fn shared_settings() -> Value {
-    let mut settings = rig::settings();
+    let mut settings = harness::settings();
     settings.as_object_mut().expect("an object").remove("Zone").expect("its own");
     settings
 }
@@ -82,7 +82,7 @@
     assert_eq!(judge(&with, Some(&settings)), Ok(()));
     assert_eq!(judge(&settings, Some(&with)), Err("discovery: missing".to_string()));
     assert_eq!(judge(&own("gw").to_string(), None), Err("name: is each gateway's own".to_string()));
-    let zoned = json!({"settings": rig::settings()}).to_string();
+    let zoned = json!({"settings": harness::settings()}).to_string();
     assert_eq!(judge(&zoned, None), Err("settings.Zone: is each gateway's own".to_string()));
     let mut shorter = read(settings.as_bytes());
     shorter["settings"]["Safety"].as_object_mut().expect("an object").remove("ColdMs");
@@ -99,7 +99,7 @@
 fn a_version_lies_over_the_own_file() {
     let mut mine = own("gw");
     mine["extra"] = json!(1);
-    let mut settings = rig::settings();
+    let mut settings = harness::settings();
     (settings["Zone"], settings["TickMs"]) = (json!("b"), json!(6.0));
     let document = json!({"settings": settings, "name": "other", "more": 2}).to_string();
     let whole = read(overlay(&mine.to_string(), document.as_bytes()).expect("both are objects").as_bytes());
@@ -129,7 +129,7 @@
         let bytes: Arc<[u8]> = document.to_string().into_bytes().into();
         Document::of(Version { number, digest: Digest::of(&bytes) }, bytes).expect("it fits")
     };
-    let mut settings = rig::settings();
+    let mut settings = harness::settings();
     settings["Permissions"]["SendCap"] = json!(9);
     let (_, taken) =
         source.take(Some(&version(1, json!({ "settings": settings }))), &mut zones).expect("usable");
--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -1,14 +1,14 @@
 //! One gateway of several workers: every rule across them. Clients are dealt out in turn, so that of two in a
 //! row at most one is at home where its family is decided.
 
-mod rig;
+mod harness;
 
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use dunemount::upgrade::line;
-use rig::{figure, get, name, order, read, write, Rig, Talk};
+use harness::{figure, get, name, order, read, write, Harness, Talk};
 
 /// The value of an answer's row.
 fn value(talk: &mut Talk) -> Vec<u8> {
@@ -27,8 +27,8 @@
 #[test]
 fn a_session_reads_its_write_at_another_worker() {
     for cores in [2, 4] {
-        let rig = Rig::with_workers(300, cores);
-        let mut clients: Vec<Talk> = (0..cores).map(|_| rig.client()).collect();
+        let harness = Harness::with_workers(300, cores);
+        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
         // Roles and positions are learned from answers.
         let mut away = 0;
         for round in 0..60 {
@@ -45,7 +45,7 @@
             clients[reader].ask(&own(&key));
             assert_eq!(value(&mut clients[reader]), [0], "round {round} with {cores} workers");
         }
-        rig.end();
+        harness.end();
     }
 }
 
@@ -54,8 +54,8 @@
 #[test]
 fn orders_hold_and_figures_add_up_on_all_workers() {
     for cores in [2, 3, 4] {
-        let rig = Rig::with_workers(300, cores);
-        let mut clients: Vec<Talk> = (0..2 * cores).map(|_| rig.client()).collect();
+        let harness = Harness::with_workers(300, cores);
+        let mut clients: Vec<Talk> = (0..2 * cores).map(|_| harness.client()).collect();
         for talk in clients.iter_mut() {
             for _ in 0..5 {
                 talk.ask(&read("k"));
@@ -63,26 +63,26 @@
             }
         }
         let asked = 10 * cores as u64;
-        assert_eq!(figure(rig.admin, "responses.look.ok"), asked);
-        assert_eq!(figure(rig.admin, "responses.look.tries"), asked);
-        assert_eq!((figure(rig.admin, "active"), figure(rig.admin, "pool_size")), (0, 3));
+        assert_eq!(figure(harness.admin, "responses.look.ok"), asked);
+        assert_eq!(figure(harness.admin, "responses.look.tries"), asked);
+        assert_eq!((figure(harness.admin, "active"), figure(harness.admin, "pool_size")), (0, 3));
         for (down, host) in ["s-0", "s-1", "s-2"].into_iter().enumerate() {
-            assert!(order(rig.admin, "down", host));
-            assert_eq!(figure(rig.admin, "pool_ejected"), down as u64 + 1);
+            assert!(order(harness.admin, "down", host));
+            assert_eq!(figure(harness.admin, "pool_ejected"), down as u64 + 1);
         }
         for talk in clients.iter_mut() {
             talk.ask(&read("k").replace("d=30000", "d=40"));
             assert_eq!(talk.code(), "53300", "all hosts are down");
         }
-        assert_eq!(figure(rig.admin, "responses.look.tries"), asked, "nothing went to a host");
-        assert!(order(rig.admin, "up", "s-1"));
+        assert_eq!(figure(harness.admin, "responses.look.tries"), asked, "nothing went to a host");
+        assert!(order(harness.admin, "up", "s-1"));
         for talk in clients.iter_mut() {
             talk.ask(&read("k"));
             assert_eq!(talk.answer().len(), 4);
         }
-        assert!(!order(rig.admin, "down", "nobody"));
-        assert!(get(rig.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
-        rig.end();
+        assert!(!order(harness.admin, "down", "nobody"));
+        assert!(get(harness.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
+        harness.end();
     }
 }
 
@@ -90,8 +90,8 @@
 /// in order, also for a client that reads late.
 #[test]
 fn long_values_pass_between_workers() {
-    let rig = Rig::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| rig.client()).collect();
+    let harness = Harness::with_workers(300, 3);
+    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
     for _ in 0..4 {
         for talk in clients.iter_mut() {
             talk.ask(&read("huge"));
@@ -101,108 +101,108 @@
             assert!(value.len() == 1024 * 1024 && value.iter().all(|byte| *byte == 7));
         }
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards clients of a value that breaks off at another worker: the end of their connection tells.
 #[test]
 fn a_torn_value_ends_its_client_at_another_worker() {
-    let rig = Rig::with_workers(300, 2);
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let harness = Harness::with_workers(300, 2);
+    let (mut first, mut second) = (harness.client(), harness.client());
     for talk in [&mut first, &mut second] {
         talk.ask(&read("torn"));
     }
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     for talk in [&mut first, &mut second] {
         assert!(talk.answer().iter().all(|frame| frame.tag != b'C' && frame.tag != b'Z'));
     }
-    let mut after = rig.client();
+    let mut after = harness.client();
     after.ask(&read("k"));
     assert_eq!(after.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards hosts against work for nobody: a client that leaves ends its attempt, also where the attempt is at
 /// another worker, and nothing stays open.
 #[test]
 fn a_client_that_leaves_ends_its_attempt_at_another_worker() {
-    let rig = Rig::with_workers(300, 2);
+    let harness = Harness::with_workers(300, 2);
     let clients: Vec<Talk> = (0..2)
         .map(|_| {
-            let mut talk = rig.client();
+            let mut talk = harness.client();
             talk.ask(&read("silent"));
             talk
         })
         .collect();
     let mut silent = 0;
     while silent < 2 {
-        silent += u32::from(rig.heard.recv().expect("heard").contains("'silent'"));
+        silent += u32::from(harness.heard.recv().expect("heard").contains("'silent'"));
     }
-    assert_eq!(figure(rig.admin, "active"), 2);
+    assert_eq!(figure(harness.admin, "active"), 2);
     drop(clients);
     let mut ended = 0;
     while ended < 2 {
-        ended += u32::from(rig.heard.recv().expect("heard") == "ended");
+        ended += u32::from(harness.heard.recv().expect("heard") == "ended");
     }
-    while figure(rig.admin, "active") > 0 {}
-    rig.end();
+    while figure(harness.admin, "active") > 0 {}
+    harness.end();
 }
 
 /// Guards the end in good order: what every worker owes is answered after the signal, and then all end.
 #[test]
 fn all_workers_answer_what_they_owe_before_the_end() {
-    let mut rig = Rig::with_workers(300, 4);
-    let mut clients: Vec<Talk> = (0..4).map(|_| rig.client()).collect();
+    let mut harness = Harness::with_workers(300, 4);
+    let mut clients: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
     for talk in clients.iter_mut() {
         talk.ask(&read("held"));
     }
     let mut held = 0;
     while held < 4 {
-        held += u32::from(rig.heard.recv().expect("heard").contains("'held'"));
+        held += u32::from(harness.heard.recv().expect("heard").contains("'held'"));
     }
-    std::io::Write::write_all(&mut rig.stop, &[1]).expect("told");
-    rig.mood.released.store(true, Ordering::SeqCst);
+    std::io::Write::write_all(&mut harness.stop, &[1]).expect("told");
+    harness.mood.released.store(true, Ordering::SeqCst);
     for talk in clients.iter_mut() {
         assert_eq!(talk.answer().len(), 4);
         assert!(talk.answer().is_empty(), "then the connection ends");
     }
-    rig.gateway.join().expect("all workers end");
+    harness.gateway.join().expect("all workers end");
 }
 
 /// Guards a name that is open: the same one on another worker's connection is told so, and only that.
 #[test]
 fn a_name_is_open_once_over_all_workers() {
-    let rig = Rig::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| rig.client()).collect();
+    let harness = Harness::with_workers(300, 3);
+    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
     let text = read("held");
     clients[0].ask(&text);
-    while !rig.heard.recv().expect("heard").contains("'held'") {}
+    while !harness.heard.recv().expect("heard").contains("'held'") {}
     for talk in &mut clients[1..] {
         talk.ask(&text);
         assert_eq!(talk.code(), "08P01");
     }
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(clients[0].answer().len(), 4);
     assert!(name() > 0);
-    rig.end();
+    harness.end();
 }
 
 /// Guards settings that change while several workers serve: a class that only the new file has is known to all
 /// of them, and those in force before go on.
 #[test]
 fn new_settings_reach_all_workers() {
-    let mut rig = Rig::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| rig.client()).collect();
-    let new = rig.text.replace("\"look\"", "\"glance\"");
-    rig.retune(&new);
-    while figure(rig.admin, "config_applied") < 1 {}
+    let mut harness = Harness::with_workers(300, 3);
+    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
+    let new = harness.text.replace("\"look\"", "\"glance\"");
+    harness.retune(&new);
+    while figure(harness.admin, "config_applied") < 1 {}
     for talk in clients.iter_mut() {
         talk.ask(&read("k").replace("c=look", "c=glance"));
         assert_eq!(talk.answer().len(), 4);
         talk.ask(&write("k"));
         assert_eq!(talk.answer().len(), 4);
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards upgrades that change the number of workers: hosts put down stay down, sessions read what they wrote at
@@ -213,7 +213,7 @@
     for (before, after) in [(1, 4), (4, 2), (3, 3)] {
         let name = format!("dunemount-cores-{before}-{after}-{}.line", std::process::id());
         let at: PathBuf = std::env::temp_dir().join(name);
-        let mut old = Rig::with_cores(300, Some(at.clone()), None, before);
+        let mut old = Harness::with_cores(300, Some(at.clone()), None, before);
         let mut clients: Vec<Talk> = (0..4).map(|_| old.client()).collect();
         for (number, talk) in clients.iter_mut().enumerate() {
             talk.ask(&own(&format!("who-fresh-{number}")));
@@ -227,7 +227,7 @@
         held.ask(&read("held"));
         while !old.heard.recv().expect("heard").contains("'held'") {}
         let inherited = line::inherit(&at, Duration::from_secs(60)).expect("handed over");
-        let new = Rig::with_cores(300, Some(at.clone()), Some(inherited), after);
+        let new = Harness::with_cores(300, Some(at.clone()), Some(inherited), after);
         assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
         for round in 0..200 {
             let talk = &mut clients[round % 4];
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,14 +1,14 @@
 //! Pairs of events that may cross, in both orders, over loopback sockets. Each order is forced by what a stand-in
 //! holds back: a byte, an accept, a greeting, an answer. `docs/design/crossings.md` names the owner of each outcome.
 
-mod rig;
+mod harness;
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
 use dunemount::pg::codec::{self, CancelKey, Inbox};
-use rig::stage::{answer, call, cancel, gateway, with_key, Host, Link};
-use rig::{figure, listens, listing, read, tell, write, Talk};
+use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
+use harness::{figure, listens, listing, read, tell, write, Talk};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
@@ -23,15 +23,15 @@
 fn a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on() {
     for cores in [1, 2] {
         let host = Host::new();
-        let rig = gateway(&[&host], cores);
-        let mut client = rig.client();
+        let harness = gateway(&[&host], cores);
+        let mut client = harness.client();
         client.ask(&read("gone"));
         let mut link = host.dialled();
         leave(client);
         // Another worker has to be told; this one sees for itself, with the greeting in the same turn.
-        while cores > 1 && figure(rig.admin, "active") > 0 {}
+        while cores > 1 && figure(harness.admin, "active") > 0 {}
         link.greet();
-        let mut other = rig.client();
+        let mut other = harness.client();
         other.ask(&read("here"));
         let mut next = link;
         let mut asked = next.asked();
@@ -42,7 +42,7 @@
         assert!(asked.as_ref().is_some_and(|text| text.contains("'here'")), "{asked:?}, {cores} cores");
         next.say(&answer("master", None));
         assert_eq!(other.answer().len(), 4);
-        rig.end();
+        harness.end();
     }
 }
 
@@ -51,8 +51,8 @@
 #[test]
 fn a_client_that_leaves_behind_unread_bytes_is_not_tried_again() {
     let host = Host::new();
-    let rig = gateway(&[&host], 1);
-    let mut client = rig.client();
+    let harness = gateway(&[&host], 1);
+    let mut client = harness.client();
     client.ask(&read("gone"));
     let mut link = host.welcomed();
     assert!(link.asked().expect("an attempt").contains("'gone'"));
@@ -63,15 +63,18 @@
     leave(client);
     // The attempt is called off at the sight of the end: the host sees its connection end before it has said a word.
     assert_eq!(link.asked(), None);
-    let mut other = rig.client();
+    let mut other = harness.client();
     other.ask(&read("here"));
     let mut next = host.welcomed();
     assert!(next.asked().expect("an attempt").contains("'here'"));
     next.say(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
     // It was the client's end, not that of its time, that ended the request: nobody is told of it.
-    assert_eq!(figure(rig.admin, "responses.look.errors") + figure(rig.admin, "responses.look.shed"), 0);
-    rig.end();
+    assert_eq!(
+        figure(harness.admin, "responses.look.errors") + figure(harness.admin, "responses.look.shed"),
+        0
+    );
+    harness.end();
 }
 
 /// Guards a cancel: the attempt ends, no other follows, the client hears 57014 once and its connection goes on. One
@@ -81,20 +84,20 @@
 fn a_cancel_ends_the_request_that_it_names_and_no_other() {
     for cores in [1, 2, 3] {
         let host = Host::new();
-        let rig = gateway(&[&host], cores);
-        let ((mut client, key), (mut other, second)) = (with_key(&rig), with_key(&rig));
+        let harness = gateway(&[&host], cores);
+        let ((mut client, key), (mut other, second)) = (with_key(&harness), with_key(&harness));
         assert_ne!(key, second);
         client.ask(&read("cancelled"));
         let mut link = host.welcomed();
         assert!(link.asked().expect("an attempt").contains("'cancelled'"));
         for wrong in [CancelKey { secret: !key.secret, ..key }, CancelKey::default(), second] {
-            cancel(rig.address, wrong);
+            cancel(harness.address, wrong);
         }
-        cancel(rig.address, key);
+        cancel(harness.address, key);
         assert_eq!(client.code(), "57014", "{cores} cores");
         assert_eq!(link.asked(), None, "the host sees the end of the attempt");
         // After the answer it names nothing any more: the next request is served.
-        cancel(rig.address, key);
+        cancel(harness.address, key);
         for talk in [&mut client, &mut other] {
             talk.ask(&read("next"));
             let mut link = host.welcomed();
@@ -102,9 +105,9 @@
             link.say(&answer("master", None));
             assert_eq!(talk.answer().len(), 4);
         }
-        assert_eq!(figure(rig.admin, "responses.look.errors"), 1);
-        assert_eq!(figure(rig.admin, "responses.look.ok"), 2);
-        rig.end();
+        assert_eq!(figure(harness.admin, "responses.look.errors"), 1);
+        assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
+        harness.end();
     }
 }
 
@@ -113,26 +116,26 @@
 #[test]
 fn a_cancel_while_the_connection_comes_up_leaves_nothing_to_write() {
     let host = Host::new();
-    let rig = gateway(&[&host], 1);
-    let (mut client, key) = with_key(&rig);
+    let harness = gateway(&[&host], 1);
+    let (mut client, key) = with_key(&harness);
     client.ask(&write("cancelled"));
     let mut link = host.dialled();
     for bytes in [
         &[0, 0, 0, 8, 4, 210, 22, 46][..],
         &[0, 0, 0, 20, 4, 210, 22, 46, 1, 1, 1, 1, 2, 2, 2, 2, 3, 3, 3, 3],
     ] {
-        let mut bad = TcpStream::connect(rig.address).expect("accepted");
+        let mut bad = TcpStream::connect(harness.address).expect("accepted");
         bad.write_all(bytes).expect("written");
         let _ = bad.read_to_end(&mut Vec::new());
     }
-    cancel(rig.address, key);
+    cancel(harness.address, key);
     assert_eq!(client.code(), "57014");
     link.greet();
     client.ask(&read("next"));
     let asked = link.asked().or_else(|| host.welcomed().asked()).expect("an attempt");
     assert!(asked.contains("'next'"), "{asked}");
     drop(link);
-    drop(rig);
+    drop(harness);
 }
 
 /// Guards the last answer before a close over unread bytes: the client hears all of it, though it has sent more than
@@ -140,11 +143,11 @@
 #[test]
 fn the_last_answer_arrives_whole_though_the_client_sent_on() {
     let host = Host::new();
-    let mut rig = gateway(&[&host], 1);
+    let mut harness = gateway(&[&host], 1);
     // A client that holds little and reads late: most of the answer is still with the gateway's system at the close.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a socket");
-    socket.connect(&rig.address.into()).expect("accepted");
+    socket.connect(&harness.address.into()).expect("accepted");
     let mut client = Talk { socket: socket.into(), inbox: Inbox::default() };
     let mut hello = Vec::new();
     codec::startup(&mut hello, "app", "shop");
@@ -153,9 +156,9 @@
     client.ask(&read("large"));
     let mut link = host.welcomed();
     link.asked().expect("an attempt");
-    rig.stop.write_all(&[1]).expect("told");
+    harness.stop.write_all(&[1]).expect("told");
     // Once the listener is closed nothing more is read of clients.
-    while listens(rig.address) {
+    while listens(harness.address) {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     for _ in 0..50 {
@@ -168,7 +171,7 @@
     codec::frame(&mut out, b'C', b"SELECT 1\0");
     codec::ready(&mut out);
     link.say(&out);
-    rig.gateway.join().expect("it ends by itself");
+    harness.gateway.join().expect("it ends by itself");
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::only_column(&answer[1].body), Some(&value[..]));
@@ -182,14 +185,14 @@
 #[test]
 fn a_client_that_keeps_sending_does_not_hold_the_end_up() {
     let host = Host::new();
-    let mut rig = gateway(&[&host], 1);
-    let mut client = rig.client();
+    let mut harness = gateway(&[&host], 1);
+    let mut client = harness.client();
     client.ask(&read("first"));
     let mut link = host.welcomed();
     link.asked().expect("an attempt");
-    rig.stop.write_all(&[1]).expect("told");
-    rig.stop.write_all(&[1]).expect("twice");
-    while listens(rig.address) {
+    harness.stop.write_all(&[1]).expect("told");
+    harness.stop.write_all(&[1]).expect("twice");
+    while listens(harness.address) {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     let mut sender = client.socket.try_clone().expect("a socket");
@@ -202,7 +205,7 @@
         while sender.write_all(&bytes).is_ok() {}
     });
     link.say(&answer("master", None));
-    rig.gateway.join().expect("it ends by itself");
+    harness.gateway.join().expect("it ends by itself");
     assert_eq!(client.answer().len(), 4);
     more.join().expect("its connection has ended");
 }
@@ -212,8 +215,8 @@
 #[test]
 fn a_session_whose_writes_answer_is_reset_reads_at_the_primary() {
     let (primary, replica) = (Host::new(), Host::new());
-    let rig = gateway(&[&primary, &replica], 1);
-    let mut client = rig.client();
+    let harness = gateway(&[&primary, &replica], 1);
+    let mut client = harness.client();
     client.ask(&write("clerk").replace("c=store", "c=once"));
     let mut link = primary.welcomed();
     link.asked().expect("the write");
@@ -225,7 +228,7 @@
     assert!(link.asked().expect("the read").contains("'clerk'"));
     link.say(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards answers that break off at each byte, by an end and by a reset: what is not whole is not served, the client
@@ -238,8 +241,8 @@
     let cuts: Vec<(usize, bool)> = (0..told).flat_map(|at| [(at, false), (at, true)]).collect();
     let break_off = |at: usize, reset: bool| {
         let (primary, replica) = (Host::new(), Host::new());
-        let rig = gateway(&[&primary, &replica], 1);
-        let mut client = rig.client();
+        let harness = gateway(&[&primary, &replica], 1);
+        let mut client = harness.client();
         client.ask(&read("broken"));
         let mut link = replica.welcomed();
         link.asked().expect("an attempt");
@@ -253,8 +256,8 @@
         link.say(&whole);
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at} {reset}");
-        assert_eq!(figure(rig.admin, "responses.look.ok"), 1);
-        rig.end();
+        assert_eq!(figure(harness.admin, "responses.look.ok"), 1);
+        harness.end();
     };
     // A gateway each, and some side by side: each takes its time to hand over at its end.
     std::thread::scope(|scope| {
@@ -280,9 +283,9 @@
     let body = |list: &Value| format!("HTTP/1.1 200 OK\r\n\r\n{list}");
     for way in ["silent", "late", "reset", "cut", "unsaid", "refused"] {
         let (primary, replica) = (Host::new(), Host::new());
-        let rig = gateway(&[&primary, &replica], 1);
+        let harness = gateway(&[&primary, &replica], 1);
         let list = draining(&[primary.address(), replica.address()], 9);
-        let (mut watch, asked) = call(&rig.discovery);
+        let (mut watch, asked) = call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         match way {
             "silent" | "late" => {}
@@ -299,7 +302,7 @@
         }
         let kept = ["silent", "late"].contains(&way).then(|| watch.try_clone().expect("a socket"));
         drop(watch);
-        let (mut next, asked) = call(&rig.discovery);
+        let (mut next, asked) = call(&harness.discovery);
         assert!(asked.starts_with("GET /catalog/members"), "{way}: {asked}");
         if let Some(mut late) = kept.filter(|_| way == "late") {
             // An answer to the call that was given up, with an older list, is nobody's.
@@ -307,9 +310,9 @@
         }
         tell(&mut next, &list);
         // The call after it goes on from there: the list has been taken in.
-        let (_watch, asked) = call(&rig.discovery);
+        let (_watch, asked) = call(&harness.discovery);
         assert!(asked.contains("index=9&wait="), "{way}: {asked}");
-        let mut client = rig.client();
+        let mut client = harness.client();
         client.ask(&read("k"));
         let mut link = primary.welcomed();
         assert!(link.asked().expect("an attempt").contains("'k'"), "{way}");
@@ -317,7 +320,7 @@
         assert_eq!(client.answer().len(), 4, "{way}");
         replica.listener.set_nonblocking(true).expect("a socket");
         assert!(replica.listener.accept().is_err(), "{way}: nothing goes to the host that drains");
-        rig.end();
+        harness.end();
     }
 }
 
@@ -335,13 +338,13 @@
     };
     for first in ["the silent one", "the next", "the silent one without news"] {
         let host = Host::new();
-        let rig = gateway(&[&host], 1);
-        let (mut oldest, asked) = call(&rig.discovery);
+        let harness = gateway(&[&host], 1);
+        let (mut oldest, asked) = call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
-        let (mut silent, asked) = call(&rig.discovery);
+        let (mut silent, asked) = call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         assert!(open(&oldest), "the silent watch stays out");
-        let (mut next, asked) = call(&rig.discovery);
+        let (mut next, asked) = call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         assert!(ended(&mut oldest), "two are out at most");
         assert!(open(&silent));
@@ -364,7 +367,7 @@
                 &mut silent
             }
         };
-        let (mut after, asked) = call(&rig.discovery);
+        let (mut after, asked) = call(&harness.discovery);
         assert!(asked.contains("index=9&wait="), "{first}: {asked}");
         assert!(ended(left), "{first}: the other is let go");
         // What the one that was let go says now is nobody's.
@@ -373,9 +376,9 @@
         );
         list["rev"] = json!(10);
         tell(&mut after, &list);
-        let (_watch, asked) = call(&rig.discovery);
+        let (_watch, asked) = call(&harness.discovery);
         assert!(asked.contains("index=10&wait="), "{first}: {asked}");
-        rig.end();
+        harness.end();
     }
 }
 
@@ -387,8 +390,8 @@
     let told = whole.len() - 6 - (5 + "part\0master\0".len());
     for (at, second) in [(1, true), (40, true), (told - 1, true), (told, false)] {
         let (primary, replica) = (Host::new(), Host::new());
-        let rig = gateway(&[&primary, &replica], 1);
-        let mut client = rig.client();
+        let harness = gateway(&[&primary, &replica], 1);
+        let mut client = harness.client();
         client.ask(&read("endless"));
         let mut link = replica.welcomed();
         link.asked().expect("an attempt");
@@ -401,7 +404,7 @@
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at}");
         assert_eq!(link.asked(), None, "its connection is of no use any more");
-        rig.end();
+        harness.end();
     }
 }
 
@@ -409,8 +412,8 @@
 #[test]
 fn a_cancel_does_not_cut_an_answer_that_flows() {
     let host = Host::new();
-    let rig = gateway(&[&host], 1);
-    let (mut client, key) = with_key(&rig);
+    let harness = gateway(&[&host], 1);
+    let (mut client, key) = with_key(&harness);
     client.ask(&read("long"));
     let mut link = host.welcomed();
     link.asked().expect("an attempt");
@@ -425,13 +428,13 @@
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("its first part");
     client.inbox.push(&first);
-    cancel(rig.address, key);
+    cancel(harness.address, key);
     link.say(rest);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::only_column(&answer[1].body), Some(&value[..]));
-    assert_eq!(figure(rig.admin, "responses.look.ok"), 1);
-    rig.end();
+    assert_eq!(figure(harness.admin, "responses.look.ok"), 1);
+    harness.end();
 }
 
 /// Guards clients against others that flood, that send a byte at a time, and that read nothing: they are served beside
@@ -439,8 +442,8 @@
 #[test]
 fn floods_and_slow_clients_keep_nobody_from_being_served() {
     let host = Host::new();
-    let rig = gateway(&[&host], 1);
-    let mut floods: Vec<Talk> = (0..4).map(|_| rig.client()).collect();
+    let harness = gateway(&[&host], 1);
+    let mut floods: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
     let mut flood = Vec::new();
     codec::query(&mut flood, &"y".repeat(64 * 1024));
     let mut held = Vec::new();
@@ -456,14 +459,14 @@
             assert!(sent < 64 * 1024 * 1024, "it is read without end");
         }
     }
-    let mut slow = rig.client();
+    let mut slow = harness.client();
     let mut bytes = Vec::new();
     codec::query(&mut bytes, &read("slow"));
     for byte in bytes {
         slow.socket.write_all(&[byte]).expect("written");
     }
     let mut link = host.welcomed();
-    for (talk, name) in [(&mut slow, "slow"), (&mut rig.client(), "quick")] {
+    for (talk, name) in [(&mut slow, "slow"), (&mut harness.client(), "quick")] {
         if name == "quick" {
             talk.ask(&read(name));
         }
@@ -471,8 +474,8 @@
         link.say(&answer("master", None));
         assert_eq!(talk.answer().len(), 4);
     }
-    assert_eq!(figure(rig.admin, "active"), 4, "the floods' own requests are still out");
+    assert_eq!(figure(harness.admin, "active"), 4, "the floods' own requests are still out");
     drop(floods);
     drop(held);
-    rig.end();
+    harness.end();
 }
--- a/tests/data_age.rs
+++ b/tests/data_age.rs
@@ -4,18 +4,18 @@
 //!
 //! `DATA_AGE_SEEDS=1..101 cargo test --release --test data_age -- --nocapture` plays others than the few that stand here.
 
-mod rig;
+mod harness;
 
 use std::net::TcpListener;
 use std::ops::Range;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+use harness::family::{ask, write, Conduct, Family, Read, STANDING};
+use harness::process::{Faults, Process, Start};
+use harness::{local, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rig::family::{ask, write, Conduct, Family, Read, STANDING};
-use rig::process::{Faults, Process, Start};
-use rig::{local, settings};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
@@ -150,12 +150,12 @@
 
     fn client(&self, kinds: &[&'static str], pause: Duration, end: Instant, seed: u64) -> Vec<Read> {
         let (mut client, mut dice) = (self.process.client(), Dice::of(seed));
-        let (mut reads, mut next, mut key) = (Vec::new(), Instant::now(), rig::name() as u64);
+        let (mut reads, mut next, mut key) = (Vec::new(), Instant::now(), harness::name() as u64);
         loop {
             let group = dice.one_of(&self.families).group;
             match dice.one_of(kinds) {
                 "store" => {
-                    key = rig::name() as u64;
+                    key = harness::name() as u64;
                     write(&mut client, key, false, group);
                 }
                 "again" => write(&mut client, key, true, group),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of real processes on loopback: roles pass on when their owner is killed or stopped, and voters come back.
 
-mod rig;
+mod harness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader};
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant};
 
-use rig::process::Faults;
+use harness::process::Faults;
 use rustix::process::{kill_process, Pid, Signal};
 
 /// However busy the machine, what is waited for comes within this.
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,7 +1,7 @@
 //! Formats that other programs, and other versions of this one, read: what is written is compared with whole bytes.
 //! The files under `tests/fixtures` stay as they are; a change of a format gets a file of its own beside them.
 
-mod rig;
+mod harness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -23,8 +23,8 @@
 use dunemount::upgrade::line::{self, Line};
 use dunemount::upgrade::message::{Message, Snapshot};
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
-use rig::stage::{cancel, with_key};
-use rig::{call, get, order, read, write, Rig, Talk};
+use harness::stage::{cancel, with_key};
+use harness::{call, get, order, read, write, Harness, Talk};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
 
@@ -60,10 +60,10 @@
     let mut zones = Zones::default();
     zones.id("a".to_string());
     let mut directory = Directory::new(zones);
-    let known = serde_json::from_value(rig::listing(&[([10, 0, 0, 5], 5432).into()])).expect("a listing");
+    let known = serde_json::from_value(harness::listing(&[([10, 0, 0, 5], 5432).into()])).expect("a listing");
     directory.take(known, &Clock::start());
     let configuration = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
-        "limits": {"sockets": 200, "memory_mb": 48}, "known": rig::listing(&[]), "settings": rig::settings()});
+        "limits": {"sockets": 200, "memory_mb": 48}, "known": harness::listing(&[]), "settings": harness::settings()});
     let taken =
         InForce::default().take(configuration.to_string(), &mut Zones::default()).expect("a configuration");
     Snapshot {
@@ -209,15 +209,15 @@
     let path = temporary("down");
     let file = path.with_extension("down");
     std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
-    let rig = Rig::beside(200, Some(path.clone()), None);
-    assert_eq!(rig::figure(rig.admin, "pool_ejected"), 2, "they are down from the start");
-    assert!(order(rig.admin, "up", "s-2"));
+    let harness = Harness::beside(200, Some(path.clone()), None);
+    assert_eq!(harness::figure(harness.admin, "pool_ejected"), 2, "they are down from the start");
+    assert!(order(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-one-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(rig.admin, "down", "s-2"));
+    assert!(order(harness.admin, "down", "s-2"));
     assert_bytes("hosts-down-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(rig.admin, "up", "s-0") && order(rig.admin, "up", "s-2"));
+    assert!(order(harness.admin, "up", "s-0") && order(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-none-v1.json", &std::fs::read(&file).expect("a file"));
-    rig.end();
+    harness.end();
     std::fs::remove_file(file).expect("removed");
 }
 
@@ -329,8 +329,8 @@
 /// Guards every answer that a client gets of a running gateway: rows as the host sent them, and each error.
 #[test]
 fn answers_keep_their_bytes() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     let look = |change: &dyn Fn(String) -> String| change(read("k"));
     for (name, text) in [
         ("answer-read-v1.bin", read("k")),
@@ -354,32 +354,32 @@
     ] {
         assert_bytes(name, &ask(&mut client, &text));
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards what a client gets whose request is cancelled, and one that quotes the id of a request in flight.
 #[test]
 fn answers_to_requests_in_flight_keep_their_bytes() {
-    let rig = Rig::start(200);
-    let (mut client, key) = with_key(&rig);
+    let harness = Harness::start(200);
+    let (mut client, key) = with_key(&harness);
     let held = read("held");
     client.ask(&held);
-    while !rig.heard.recv().expect("heard").contains("'held'") {}
-    assert_bytes("answer-id-in-use-v1.bin", &ask(&mut rig.client(), &held));
-    cancel(rig.address, key);
+    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    assert_bytes("answer-id-in-use-v1.bin", &ask(&mut harness.client(), &held));
+    cancel(harness.address, key);
     assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
-    rig.mood.released.store(true, Ordering::SeqCst);
-    rig.end();
+    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.end();
 }
 
 /// Guards the last word to a client that is greeted and then sends no whole command.
 #[test]
 fn a_client_without_a_command_gets_these_bytes() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.socket.write_all(b"Q\0\0").expect("written");
     assert_bytes("client-too-late-v1.bin", &answer_bytes(&mut client.socket));
-    rig.end();
+    harness.end();
 }
 
 /// Guards the head that each status of the admin interface is answered with.
@@ -408,8 +408,8 @@
 /// Guards every answer of a running gateway's admin interface.
 #[test]
 fn admin_answers_keep_their_bytes() {
-    let mut rig = Rig::start(200);
-    let admin = rig.admin;
+    let mut harness = Harness::start(200);
+    let admin = harness.admin;
     let mut half = TcpStream::connect(admin).expect("accepted");
     half.write_all(b"GET /ops/readiness HT").expect("written");
     for (name, said) in [
@@ -433,15 +433,15 @@
     half.read_to_end(&mut said).expect("an answer, then the end");
     assert_bytes("admin-too-late-v1.txt", &said);
 
-    let mut client = rig.client();
+    let mut client = harness.client();
     client.ask(&read("held"));
-    while !rig.heard.recv().expect("heard").contains("'held'") {}
-    rig.stop.write_all(&[1]).expect("told");
+    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    harness.stop.write_all(&[1]).expect("told");
     let ending =
         std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|said| !said.contains("200 OK"));
     assert_bytes("admin-ending-v1.txt", ending.expect("it ends").as_bytes());
-    rig.mood.released.store(true, Ordering::SeqCst);
-    rig.gateway.join().expect("it ends by itself");
+    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.gateway.join().expect("it ends by itself");
 }
 
 /// Guards the text of the figures, with classes in the order of their names.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! The gateway on loopback sockets, with toy hosts and a toy discovery in threads of the test.
 
-mod rig;
+mod harness;
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,15 +11,15 @@
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
-use rig::{figure, listing, local, read, settings, write, Rig, Talk};
+use harness::{figure, listing, local, read, settings, write, Harness, Talk};
 use serde_json::{json, Value};
 
 /// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
 /// are, and a statement that reaches the host unchanged but for the time left.
 #[test]
 fn requests_are_served_in_order_over_both_protocols() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask("");
     assert_eq!(client.answer()[0].tag, b'I');
     let texts = [(64 * 1024, read("large")), (3, write("k")), (3, read("k"))];
@@ -30,73 +30,73 @@
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
         assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(length));
-        let heard = rig.heard.recv().expect("heard");
+        let heard = harness.heard.recv().expect("heard");
         let (before, after) = text.split_once("d=30000").expect("a wait");
         assert!(heard.starts_with(before) && heard.ends_with(after), "{heard}");
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards values far beyond 64 KiB, as some groups hold them: they are no spoilt answers.
 #[test]
 fn long_values_are_served() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     for _ in 0..2 {
         client.ask(&read("huge"));
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
         assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(1024 * 1024));
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards long values on their way: the first bytes come while the rest is still awaited, neither the
 /// client's time nor a pause of the host cuts them off, and the whole arrives as it was sent.
 #[test]
 fn a_long_value_flows_and_is_not_cut_off() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask(&read("parted").replace("d=30000", "d=300"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
     assert_eq!(first[0], b'T');
     // Beyond the client's time, and beyond the pause at which a short answer counts as spoilt.
     std::thread::sleep(std::time::Duration::from_millis(800));
-    assert_eq!(figure(rig.admin, "active"), 1);
-    rig.mood.released.store(true, Ordering::SeqCst);
+    assert_eq!(figure(harness.admin, "active"), 1);
+    harness.mood.released.store(true, Ordering::SeqCst);
     client.inbox.push(&first);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(1 << 20));
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
-    assert_eq!(figure(rig.admin, "responses.look.ok"), 2);
-    rig.end();
+    assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
+    harness.end();
 }
 
 /// Guards a value that breaks halfway: the client is told by the end of its connection, gets no second
 /// answer, and the request counts as failed.
 #[test]
 fn a_long_value_that_breaks_ends_the_connection() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask(&read("torn"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     let mut rest = Vec::new();
     let _ = client.socket.read_to_end(&mut rest);
     assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than the half");
-    assert_eq!(figure(rig.admin, "responses.look.errors"), 1);
-    rig.end();
+    assert_eq!(figure(harness.admin, "responses.look.errors"), 1);
+    harness.end();
 }
 
 /// Guards what a client is told of bad requests; the connection goes on.
 #[test]
 fn bad_requests_get_an_error_and_the_connection_goes_on() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     for (text, code) in [
         ("SELECT 1".to_string(), "08P01"),
         (read("k").replace("c=look", "c=unheard"), "08P01"),
@@ -111,32 +111,32 @@
     }
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards the answer that another client is owed: the id of an open request is not taken twice.
 #[test]
 fn an_id_is_open_once() {
-    let rig = Rig::start(200);
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let harness = Harness::start(200);
+    let (mut first, mut second) = (harness.client(), harness.client());
     let text = read("held");
     first.ask(&text);
-    rig.heard.recv().expect("the attempt is out");
+    harness.heard.recv().expect("the attempt is out");
     second.ask(&text);
     assert_eq!(second.code(), "08P01");
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().len(), 4);
     second.ask(&text);
     assert_eq!(second.answer().len(), 4, "it is free again");
-    rig.end();
+    harness.end();
 }
 
 /// Guards clients against spoilt answers and against what comes behind a good one: a second copy must
 /// not be served for the next request.
 #[test]
 fn only_whole_answers_to_the_request_are_served() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask(&read("first-spoilt"));
     assert_eq!(client.answer().len(), 4);
     for _ in 0..6 {
@@ -145,56 +145,56 @@
         client.ask(&read("large"));
         assert_eq!(codec::only_column(&client.answer()[1].body).map(<[u8]>::len), Some(64 * 1024));
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards a request whose connection breaks after its last byte: a read goes to another host.
 #[test]
 fn a_read_outlives_its_connection() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask(&read("first-breaks"));
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards against work for nobody and against a leak: a client that leaves in the middle of its
 /// request takes the attempt's connection with it, and the gateway ends with nothing owed.
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    let mut client = harness.client();
     client.ask(&read("silent"));
-    rig.heard.recv().expect("the attempt is out");
+    harness.heard.recv().expect("the attempt is out");
     drop(client);
-    assert_eq!(rig.heard.recv().expect("the host sees the end"), "ended");
-    rig.end();
+    assert_eq!(harness.heard.recv().expect("the host sees the end"), "ended");
+    harness.end();
 }
 
 /// Guards the hand-over: the listener closes, what was taken before is answered, then the gateway ends.
 #[test]
 fn a_signal_lets_go_only_when_nothing_is_owed() {
-    let mut rig = Rig::start(200);
-    let (mut busy, mut idle) = (rig.client(), rig.client());
+    let mut harness = Harness::start(200);
+    let (mut busy, mut idle) = (harness.client(), harness.client());
     busy.ask(&read("held"));
-    rig.heard.recv().expect("the attempt is out");
-    rig.stop.write_all(&[1]).expect("told");
+    harness.heard.recv().expect("the attempt is out");
+    harness.stop.write_all(&[1]).expect("told");
     assert_eq!(idle.answer().len(), 0, "an idle client is closed in the end");
-    assert!(TcpStream::connect(rig.address).is_err(), "the listener is closed");
-    assert!(!rig.gateway.is_finished(), "it still owes an answer");
-    rig.mood.released.store(true, Ordering::SeqCst);
+    assert!(TcpStream::connect(harness.address).is_err(), "the listener is closed");
+    assert!(!harness.gateway.is_finished(), "it still owes an answer");
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
-    rig.gateway.join().expect("it ends by itself");
+    harness.gateway.join().expect("it ends by itself");
 }
 
 /// Guards clients that wait for a connection against those that asked once and keep theirs: of these a
 /// quarter of the descriptors stays open, and the one idle longest goes first.
 #[test]
 fn clients_that_asked_once_make_room() {
-    let rig = Rig::start(80);
+    let harness = Harness::start(80);
     let mut held: Vec<Talk> = Vec::new();
     for _ in 0..21 {
-        let mut client = rig.client();
+        let mut client = harness.client();
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4);
         held.push(client);
@@ -204,30 +204,30 @@
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4, "still open");
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards the descriptor budget: with more clients than descriptors the idle ones make room.
 #[test]
 fn idle_clients_make_room_for_new_ones() {
-    let rig = Rig::start(50);
-    let mut held: Vec<Talk> = (0..20).map(|_| rig.client()).collect();
+    let harness = Harness::start(50);
+    let mut held: Vec<Talk> = (0..20).map(|_| harness.client()).collect();
     let mut last = held.pop().expect("a client");
     last.ask(&read("k"));
     assert_eq!(last.answer().last().map(|frame| frame.tag), Some(b'Z'));
     drop((held, last));
-    rig.end();
+    harness.end();
 }
 
 /// Guards the descriptors against clients that connect and say nothing, or stop in the middle of a
 /// command: each is closed, and a client that asked in time stays.
 #[test]
 fn clients_that_owe_a_command_are_closed() {
-    let rig = Rig::start(200);
-    let mut good = rig.client();
-    let mut silent = TcpStream::connect(rig.address).expect("accepted");
-    let mut mute = rig.client();
-    let mut half = rig.client();
+    let harness = Harness::start(200);
+    let mut good = harness.client();
+    let mut silent = TcpStream::connect(harness.address).expect("accepted");
+    let mut mute = harness.client();
+    let mut half = harness.client();
     half.socket.write_all(b"Q\0\0\0").expect("written");
     good.ask(&read("k"));
     assert_eq!(good.answer().len(), 4);
@@ -240,14 +240,14 @@
     assert_eq!(said.first(), Some(&b'E'));
     good.ask(&read("k"));
     assert_eq!(good.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards against discovery that is silent, cut off or malformed: the last list goes on serving.
 #[test]
 fn broken_discovery_leaves_the_last_list() {
-    let rig = Rig::start(200);
-    let mut calls = rig.discovery.incoming().flatten();
+    let harness = Harness::start(200);
+    let mut calls = harness.discovery.incoming().flatten();
     let mut bytes = [0; 1024];
     for (round, text) in
         ["", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\"", "no HTTP at all\r\n\r\n"]
@@ -261,10 +261,10 @@
         assert_eq!(asked.starts_with("GET /catalog/members?index=4&wait="), round < 2, "{asked}");
         call.write_all(text.as_bytes()).expect("written");
     }
-    let mut client = rig.client();
+    let mut client = harness.client();
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards a new configuration under load: the watch moves to the new address at once and asks for the
@@ -272,22 +272,22 @@
 /// be used, and a signal without a change, harm nothing.
 #[test]
 fn a_new_configuration_moves_the_watch_and_keeps_the_requests() {
-    let mut rig = Rig::start(200);
+    let mut harness = Harness::start(200);
     let mut bytes = [0; 1024];
     let mut called = |from: &TcpListener| {
         let (mut call, _) = from.accept().expect("a call");
         let count = call.read(&mut bytes).expect("a request");
         (call, String::from_utf8_lossy(&bytes[..count]).into_owned())
     };
-    let (mut old, _) = called(&rig.discovery);
-    let mut busy = rig.client();
+    let (mut old, _) = called(&harness.discovery);
+    let mut busy = harness.client();
     busy.ask(&read("held"));
-    rig.heard.recv().expect("the attempt is out");
-    rig.retune("");
+    harness.heard.recv().expect("the attempt is out");
+    harness.retune("");
     let moved = local();
     for _ in 0..2 {
         let address = moved.local_addr().expect("bound").to_string();
-        rig.retune(&rig.with("/discovery", Some(json!(address))));
+        harness.retune(&harness.with("/discovery", Some(json!(address))));
         let (mut call, asked) = called(&moved);
         assert!(asked.starts_with("GET /catalog/members HTTP"), "the whole list, without a wait: {asked}");
         assert_eq!(old.read(&mut [0; 8]).unwrap_or(0), 0, "the old watch is closed");
@@ -297,9 +297,9 @@
         assert!(asked.starts_with("GET /catalog/members?index=9&wait="), "{asked}");
         old = watch;
     }
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards the reading of discovery's answers however they are cut and framed, and that a line that
@@ -369,22 +369,22 @@
 /// all the same, and the host leaves the draw.
 #[test]
 fn a_dial_that_nobody_waits_for_any_more_still_ejects() {
-    let mut rig = Rig::start(200);
-    let text = rig.with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
-    rig.retune(&text);
-    rig.mood.mute.store(true, Ordering::SeqCst);
-    let mut client = rig.client();
-    let id = rig::name();
+    let mut harness = Harness::start(200);
+    let text = harness.with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
+    harness.retune(&text);
+    harness.mood.mute.store(true, Ordering::SeqCst);
+    let mut client = harness.client();
+    let id = harness::name();
     client.ask(&format!("SELECT doc FROM items WHERE id = 'a' /* id={id},c=look,d=80,cluster=1 */"));
     assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused in time");
     for _ in 0..1_000 {
-        if figure(rig.admin, "pool_ejected") > 0 {
+        if figure(harness.admin, "pool_ejected") > 0 {
             break;
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    assert!(figure(rig.admin, "pool_ejected") > 0, "the module heard of it");
-    rig.end();
+    assert!(figure(harness.admin, "pool_ejected") > 0, "the module heard of it");
+    harness.end();
 }
 
 /// Guards a drain whose word comes while a connection to that host is coming up: the request that waits for it is
@@ -392,27 +392,27 @@
 #[test]
 fn nothing_is_written_on_a_connection_that_comes_up_after_the_word_of_a_drain() {
     for state in ["Terminating", "Gone"] {
-        let rig = Rig::start(200);
-        rig.mood.mute.store(true, Ordering::SeqCst);
-        let mut client = rig.client();
+        let harness = Harness::start(200);
+        harness.mood.mute.store(true, Ordering::SeqCst);
+        let mut client = harness.client();
         client.ask(&write("k").replace("d=30000", "d=2000"));
-        assert_eq!(rig.heard.recv().expect("a dial"), "dialled");
-        let (mut call, _) = rig.discovery.accept().expect("a call");
+        assert_eq!(harness.heard.recv().expect("a dial"), "dialled");
+        let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut list: Value =
-            serde_json::from_str::<Value>(&rig.text).expect("a configuration")["known"].take();
+            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
         list["rev"] = json!(9);
         for target in list["targets"].as_array_mut().expect("hosts") {
             target["state"] = json!(state);
         }
         list["all"] = json!(false);
-        rig::tell(&mut call, &list);
+        harness::tell(&mut call, &list);
         // The next call shows that the list was taken.
-        let (_watch, _) = rig.discovery.accept().expect("the next call");
-        rig.mood.mute.store(false, Ordering::SeqCst);
+        let (_watch, _) = harness.discovery.accept().expect("the next call");
+        harness.mood.mute.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
-        assert!(rig.heard.try_iter().all(|said| said == "dialled"), "a statement was written");
-        rig.end();
+        assert!(harness.heard.try_iter().all(|said| said == "dialled"), "a statement was written");
+        harness.end();
     }
 }
 
@@ -422,19 +422,19 @@
 fn a_request_that_is_half_written_when_a_drain_is_told_is_finished() {
     const WHOLE: usize = 128 << 10;
     for read_first in [0, 1, 4, 5, 4_096, WHOLE / 2, WHOLE] {
-        let rig = Rig::start(200);
+        let harness = Harness::start(200);
         // A primary of the test's own, which reads no further than it is told.
-        let slow = rig::local();
+        let slow = harness::local();
         let mut list: Value =
-            serde_json::from_str::<Value>(&rig.text).expect("a configuration")["known"].take();
-        let (mut call, _) = rig.discovery.accept().expect("a call");
+            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
+        let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         list["rev"] = json!(9);
         list["targets"][0]["endpoint"] = json!(slow.local_addr().expect("bound").to_string());
-        rig::tell(&mut call, &list);
-        let (mut call, _) = rig.discovery.accept().expect("the next call");
+        harness::tell(&mut call, &list);
+        let (mut call, _) = harness.discovery.accept().expect("the next call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
-        let mut client = rig.client();
+        let mut client = harness.client();
         let long = write("k").replace("\\x9f", &format!("\\x{}", "9f".repeat(WHOLE / 2)));
         assert!(long.len() > WHOLE, "the value is long");
         client.ask(&long);
@@ -455,9 +455,9 @@
         inbox.push(&begun);
         list["rev"] = json!(10);
         list["targets"][0]["state"] = json!("Terminating");
-        rig::tell(&mut call, &list);
-        let (_watch, _) = rig.discovery.accept().expect("the next call shows that the list was taken");
-        let query = rig::next_frame(&mut host, &mut inbox).expect("the whole request");
+        harness::tell(&mut call, &list);
+        let (_watch, _) = harness.discovery.accept().expect("the next call shows that the list was taken");
+        let query = harness::next_frame(&mut host, &mut inbox).expect("the whole request");
         assert!(query.body.len() > WHOLE);
         let mut answer = Vec::new();
         codec::frame(&mut answer, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
@@ -474,7 +474,7 @@
         client.answer();
         slow.set_nonblocking(true).expect("a listener");
         assert!(slow.accept().is_err(), "nothing is dialled");
-        rig.end();
+        harness.end();
     }
 }
 
@@ -482,35 +482,35 @@
 /// and not until its client's deadline, so that the host need not run what comes too late.
 #[test]
 fn a_host_is_told_by_when_a_read_is_too_late() {
-    let mut rig = Rig::start(200);
-    let text = rig.with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
-    rig.retune(&text);
-    let mut client = rig.client();
+    let mut harness = Harness::start(200);
+    let text = harness.with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
+    harness.retune(&text);
+    let mut client = harness.client();
     for (text, most) in [(read("a"), 4_100), (write("b"), 30_000)] {
         client.ask(&text);
         assert_eq!(client.answer().last().map(|frame| frame.tag), Some(b'Z'));
-        let heard = rig.heard.recv().expect("a statement");
+        let heard = harness.heard.recv().expect("a statement");
         let told = heard.split_once(",d=").and_then(|(_, rest)| rest.split(',').next()).expect("a wait");
         let told: u64 = told.parse().expect("a number");
         assert!(told <= most && told * 2 > most, "told {told}");
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards an overbooked discovery: a call that is turned away is repeated for the changes alone, however
 /// often, and never for the whole list, which costs it many times as much.
 #[test]
 fn an_overbooked_discovery_is_asked_for_changes_only() {
-    let rig = Rig::start(200);
+    let harness = Harness::start(200);
     for _ in 0..4 {
-        let (mut socket, _) = rig.discovery.accept().expect("a call");
+        let (mut socket, _) = harness.discovery.accept().expect("a call");
         let mut bytes = [0; 4096];
         let count = socket.read(&mut bytes).expect("a request");
         let call = String::from_utf8_lossy(&bytes[..count]).to_string();
         assert!(call.starts_with("GET /catalog/members?index=4&"), "{call}");
         socket.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("written");
     }
-    rig.end();
+    harness.end();
 }
 
 /// Guards a discovery of fixed capacity against a fleet that starts at once: a hundred gateways, each call
--- a/tests/rig/mod.rs
+++ b/tests/harness/mod.rs
@@ -190,7 +190,7 @@
     }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub address: SocketAddr,
     pub admin: SocketAddr,
     pub stop: UnixStream,
@@ -205,19 +205,19 @@
     pub mood: Arc<Mood>,
 }
 
-impl Rig {
-    pub fn start(limit: usize) -> Rig {
-        Rig::beside(limit, None, None)
+impl Harness {
+    pub fn start(limit: usize) -> Harness {
+        Harness::beside(limit, None, None)
     }
 
     /// A gateway that waits at this path for the one that follows, and may follow one itself.
-    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<Inheritance>) -> Rig {
-        Rig::with_cores(limit, line, inherited, 1)
+    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<Inheritance>) -> Harness {
+        Harness::with_cores(limit, line, inherited, 1)
     }
 
     /// A gateway of so many workers.
-    pub fn with_workers(limit: usize, cores: usize) -> Rig {
-        Rig::with_cores(limit, None, None, cores)
+    pub fn with_workers(limit: usize, cores: usize) -> Harness {
+        Harness::with_cores(limit, None, None, cores)
     }
 
     /// A gateway of so many workers that waits at this path, and may follow another.
@@ -226,16 +226,16 @@
         line: Option<PathBuf>,
         inherited: Option<Inheritance>,
         cores: usize,
-    ) -> Rig {
+    ) -> Harness {
         let (sender, heard) = channel();
         let mood = Arc::new(Mood::default());
         let hosts: Vec<_> = (0..3).map(|index| toy_host(index, sender.clone(), mood.clone())).collect();
-        Rig::open(limit, line, inherited, cores, listing(&hosts), heard, mood)
+        Harness::open(limit, line, inherited, cores, listing(&hosts), heard, mood)
     }
 
     /// A gateway of so many workers that knows the hosts of this list, which are the test's own.
-    pub fn with_list(limit: usize, cores: usize, known: Value) -> Rig {
-        Rig::open(limit, None, None, cores, known, channel().1, Arc::default())
+    pub fn with_list(limit: usize, cores: usize, known: Value) -> Harness {
+        Harness::open(limit, None, None, cores, known, channel().1, Arc::default())
     }
 
     fn open(
@@ -246,7 +246,7 @@
         known: Value,
         heard: Receiver<String>,
         mood: Arc<Mood>,
-    ) -> Rig {
+    ) -> Harness {
         let discovery = local();
         let (stop, end) = UnixStream::pair().expect("a pair");
         let (reload, anew) = UnixStream::pair().expect("a pair");
@@ -282,7 +282,7 @@
         let address = workers[0].address().expect("it listens");
         let admin = workers[0].admin_address().expect("it has a door");
         let gateway = std::thread::spawn(move || Gateway::run_all(workers).expect("it runs"));
-        Rig { address, admin, stop, reload, file, text, gateway, heard, discovery, mood }
+        Harness { address, admin, stop, reload, file, text, gateway, heard, discovery, mood }
     }
 
     pub fn client(&self) -> Talk {
--- a/tests/rig/stage.rs
+++ b/tests/harness/stage.rs
@@ -7,7 +7,7 @@
 use dunemount::pg::codec::{self, CancelKey, Inbox};
 use socket2::SockRef;
 
-use super::{listing, local, next_frame, Rig, Talk};
+use super::{listing, local, next_frame, Harness, Talk};
 
 /// A host whose every step the test decides.
 pub struct Host {
@@ -48,9 +48,9 @@
 }
 
 /// A gateway of so many workers with these hosts, the first of them the primary.
-pub fn gateway(hosts: &[&Host], cores: usize) -> Rig {
+pub fn gateway(hosts: &[&Host], cores: usize) -> Harness {
     let endpoints: Vec<SocketAddr> = hosts.iter().map(|host| host.address()).collect();
-    Rig::with_list(200, cores, listing(&endpoints))
+    Harness::with_list(200, cores, listing(&endpoints))
 }
 
 /// An answer in one row, with role and position.
@@ -104,8 +104,8 @@
 }
 
 /// Reads the greeting of a new client and gives its key.
-pub fn with_key(rig: &Rig) -> (Talk, CancelKey) {
-    let mut socket = TcpStream::connect(rig.address).expect("accepted");
+pub fn with_key(harness: &Harness) -> (Talk, CancelKey) {
+    let mut socket = TcpStream::connect(harness.address).expect("accepted");
     let mut hello = Vec::new();
     codec::startup(&mut hello, "app", "shop");
     socket.write_all(&hello).expect("written");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,6 +1,6 @@
 //! The operators' door: calls against random cuts, and the door of a running gateway.
 
-mod rig;
+mod harness;
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,9 +8,9 @@
 
 use dunemount::ops::call::{Call, Order, Status};
 use dunemount::ops::figures::Figures;
+use harness::{figure, get, order, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rig::{figure, get, order, read, write, Rig};
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
@@ -71,9 +71,9 @@
 /// Guards what the figures count: final answers by class, attempts written, what is open now.
 #[test]
 fn figures_follow_the_requests() {
-    let rig = Rig::start(200);
-    assert!(get(rig.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
-    let mut client = rig.client();
+    let harness = Harness::start(200);
+    assert!(get(harness.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
+    let mut client = harness.client();
     for (text, frames) in
         [(read("k"), 4), (write("k"), 4), (write("never"), 2), (read("k").replace("c=look", "c=no"), 2)]
     {
@@ -81,7 +81,7 @@
         assert_eq!(client.answer().len(), frames);
     }
     client.ask(&read("held"));
-    while !rig.heard.recv().expect("heard").contains("'held'") {}
+    while !harness.heard.recv().expect("heard").contains("'held'") {}
     for (name, value) in [
         ("responses.look.ok", 1),
         ("responses.look.tries", 2),
@@ -93,49 +93,50 @@
         ("pool_ejected", 0),
         ("config_applied", 0),
     ] {
-        assert_eq!(figure(rig.admin, name), value, "{name}");
+        assert_eq!(figure(harness.admin, name), value, "{name}");
     }
-    assert!(figure(rig.admin, "responses.store.tries") >= 2);
-    rig.mood.released.store(true, Ordering::SeqCst);
+    assert!(figure(harness.admin, "responses.store.tries") >= 2);
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
 
 /// Guards the door against callers that connect and do not finish: they never keep another waiting, and
 /// as many as come hold no more than the door's own places.
 #[test]
 fn callers_without_a_whole_call_delay_nobody() {
-    let rig = Rig::start(200);
-    let silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(rig.admin).expect("accepted")).collect();
+    let harness = Harness::start(200);
+    let silent: Vec<TcpStream> =
+        (0..40).map(|_| TcpStream::connect(harness.admin).expect("accepted")).collect();
     for mut socket in &silent {
         let _ = socket.write_all(b"GET /ops/readiness HT");
     }
     for _ in 0..20 {
-        assert!(get(rig.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
+        assert!(get(harness.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
     }
     drop(silent);
-    rig.end();
+    harness.end();
 }
 
 /// Guards the calls on hosts: ids that nobody has are turned down, two calls out need one back, and the
 /// other hosts go on serving meanwhile.
 #[test]
 fn hosts_are_put_down_and_back_up_by_name() {
-    let rig = Rig::start(200);
-    let mut client = rig.client();
-    assert!(!order(rig.admin, "down", "s-9") && !order(rig.admin, "up", ""));
+    let harness = Harness::start(200);
+    let mut client = harness.client();
+    assert!(!order(harness.admin, "down", "s-9") && !order(harness.admin, "up", ""));
     for _ in 0..2 {
-        assert!(order(rig.admin, "down", "s-0"));
-        assert_eq!(figure(rig.admin, "pool_ejected"), 1);
+        assert!(order(harness.admin, "down", "s-0"));
+        assert_eq!(figure(harness.admin, "pool_ejected"), 1);
     }
-    assert_eq!(figure(rig.admin, "pool_size"), 3);
+    assert_eq!(figure(harness.admin, "pool_size"), 3);
     for _ in 0..20 {
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4);
     }
-    assert!(order(rig.admin, "up", "s-0"));
-    assert_eq!(figure(rig.admin, "pool_ejected"), 0);
+    assert!(order(harness.admin, "up", "s-0"));
+    assert_eq!(figure(harness.admin, "pool_ejected"), 0);
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
-    rig.end();
+    harness.end();
 }
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -2,7 +2,7 @@
 //! sent, so the wait is a part of their time. One whose time is over gets one refusal in its turn and goes to no host.
 //! Hosts hold an answer back until the time of those behind is over for certain; longer waits change nothing.
 
-mod rig;
+mod harness;
 
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -10,8 +10,8 @@
 
 use dunemount::pg::codec;
 use dunemount::upgrade::line;
-use rig::stage::{answer, gateway, Host};
-use rig::{figure, get, name, read, Rig, Talk};
+use harness::stage::{answer, gateway, Host};
+use harness::{figure, get, name, read, Harness, Talk};
 
 /// How long commands that come too late may wait, and how long the answer before them is held back.
 const SHORT: &str = "d=100";
@@ -60,9 +60,9 @@
 fn a_command_whose_time_is_over_behind_another_is_refused_unsent() {
     for cores in [1, 2, 3] {
         let host = Host::new();
-        let rig = gateway(&[&host], cores);
+        let harness = gateway(&[&host], cores);
         // Dealt out in turn: each worker has one, and the family is decided by one of them.
-        let mut clients: Vec<Talk> = (0..cores).map(|_| rig.client()).collect();
+        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
         let mut link = None;
         for client in &mut clients {
             client.socket.write_all(&queue("slow")).expect("written");
@@ -81,11 +81,11 @@
         for class in CLASSES {
             let served = if class == "look" { 2 * clients } else { 0 };
             let figures = ["shed", "ok", "tries", "errors"]
-                .map(|kind| figure(rig.admin, &format!("responses.{class}.{kind}")));
+                .map(|kind| figure(harness.admin, &format!("responses.{class}.{kind}")));
             assert_eq!(figures, [clients, served, served, 0], "{class}, {cores} cores");
         }
-        assert_eq!(figure(rig.admin, "active"), 0);
-        rig.end();
+        assert_eq!(figure(harness.admin, "active"), 0);
+        harness.end();
     }
 }
 
@@ -93,8 +93,8 @@
 #[test]
 fn commands_behind_one_that_runs_out_of_time_are_refused_unsent() {
     for cores in [1, 2] {
-        let rig = Rig::with_workers(200, cores);
-        let mut clients: Vec<Talk> = (0..cores).map(|_| rig.client()).collect();
+        let harness = Harness::with_workers(200, cores);
+        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
         for client in &mut clients {
             let first = read("silent").replace("d=30000", "d=700");
             let all = [first].into_iter().chain(CLASSES.map(late)).chain([read("last")]);
@@ -106,8 +106,8 @@
             assert!(["53300", "58000"].contains(&code.as_str()), "{code}");
             refused_and_served(client);
         }
-        assert!(rig.heard.try_iter().all(|text| !text.contains("'late'")), "a late one was sent");
-        rig.end();
+        assert!(harness.heard.try_iter().all(|text| !text.contains("'late'")), "a late one was sent");
+        harness.end();
     }
 }
 
@@ -115,8 +115,8 @@
 #[test]
 fn a_command_that_came_byte_by_byte_is_refused_unsent() {
     let host = Host::new();
-    let rig = gateway(&[&host], 1);
-    let mut client = rig.client();
+    let harness = gateway(&[&host], 1);
+    let mut client = harness.client();
     for byte in queue("slow") {
         client.socket.write_all(&[byte]).expect("written");
     }
@@ -128,7 +128,7 @@
     assert!(link.asked().expect("an attempt").contains("'last'"));
     link.say(&answer("master", None));
     refused_and_served(&mut client);
-    rig.end();
+    harness.end();
 }
 
 /// Guards a client that has sent more than is held: what was read counts from then, and the rest is read once there is
@@ -137,8 +137,8 @@
 fn a_client_that_is_held_back_is_read_on_and_answered_in_order() {
     for cores in [1, 2] {
         let host = Host::new();
-        let rig = gateway(&[&host], cores);
-        let mut client = rig.client();
+        let harness = gateway(&[&host], cores);
+        let mut client = harness.client();
         let senseless = 8;
         let all = [read("slow")].into_iter().chain(CLASSES.map(late));
         let all = all.chain((0..senseless).map(|_| "x".repeat(100_000))).chain([read("last")]);
@@ -159,7 +159,7 @@
         link.say(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "the last");
         writer.join().expect("all is taken");
-        rig.end();
+        harness.end();
     }
 }
 
@@ -170,7 +170,7 @@
     for cores in [1, 2] {
         let at =
             std::env::temp_dir().join(format!("dunemount-pipelining-{cores}-{}.line", std::process::id()));
-        let old = Rig::with_cores(200, Some(at.clone()), None, cores);
+        let old = Harness::with_cores(200, Some(at.clone()), None, cores);
         let mut idle = old.client();
         let mut clients: Vec<Talk> = (0..cores).map(|_| old.client()).collect();
         for client in &mut clients {
@@ -179,7 +179,7 @@
         }
         let patience = Duration::from_secs(60);
         let inherited = line::inherit(&at, patience).expect("handed over");
-        let new = Rig::with_cores(200, Some(at), Some(inherited), cores);
+        let new = Harness::with_cores(200, Some(at), Some(inherited), cores);
         assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         // Once the idle client is served over there, the old process passes its clients on.
         while figure(new.admin, "responses.look.ok") < 1 {
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,7 +1,7 @@
 //! The built program as a process of its own, under its limit of descriptors, stopped and continued: what lies in its
 //! sockets meanwhile is there all at once when it looks.
 
-mod rig;
+mod harness;
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -10,9 +10,9 @@
 
 use dunemount::pg::codec;
 use dunemount::upgrade::line;
-use rig::process::{Process, PAUSE};
-use rig::stage::{answer, call, Host};
-use rig::{figure, listens, listing, local, read, tell, Talk};
+use harness::process::{Process, PAUSE};
+use harness::stage::{answer, call, Host};
+use harness::{figure, listens, listing, local, read, tell, Talk};
 use rustix::process::Signal;
 use serde_json::json;
 
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -1,35 +1,35 @@
 //! New settings at SIGHUP: files taken whole or not at all, and classes that change under open requests.
 
-mod rig;
+mod harness;
 
 use std::sync::atomic::Ordering;
 
 use dunemount::classes::Classes;
 use dunemount::{Class, ClassId, Consistency, Idempotency, Micros};
+use harness::{figure, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rig::{figure, read, write, Rig};
 use serde_json::{json, Value};
 
 /// Guards against half a file: whatever is missing or cannot be, nothing of it counts, the figures say
 /// so, and the classes in force go on.
 #[test]
 fn a_broken_file_changes_nothing() {
-    let mut rig = Rig::start(200);
-    let whole = rig.text.clone();
+    let mut harness = Harness::start(200);
+    let whole = harness.text.clone();
     let none: [Option<Value>; 1] = [None];
     let broken: Vec<String> = [
         String::new(),
         whole[..whole.len() / 2].to_string(),
         "[]".to_string(),
-        rig.with("/settings", None),
-        rig.with("/listen", None),
-        rig.with("/known", None),
-        rig.with("/limits/memory_mb", None),
-        rig.with("/settings/Permissions/MaxRetryAfterMs", None),
-        rig.with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
-        rig.with("/settings/Classes", Some(json!([]))),
-        rig.with("/discovery", Some(json!("nowhere"))),
+        harness.with("/settings", None),
+        harness.with("/listen", None),
+        harness.with("/known", None),
+        harness.with("/limits/memory_mb", None),
+        harness.with("/settings/Permissions/MaxRetryAfterMs", None),
+        harness.with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
+        harness.with("/settings/Classes", Some(json!([]))),
+        harness.with("/discovery", Some(json!("nowhere"))),
     ]
     .into_iter()
     .chain(
@@ -42,42 +42,42 @@
                     "/settings/Classes/0/DeadlineMs",
                     "/settings/Classes/1/AimMs",
                 ]
-                .map(|at| rig.with(at, bad.clone()))
+                .map(|at| harness.with(at, bad.clone()))
             }),
     )
     .collect();
     let count = broken.len() as u64;
     for text in broken {
         // A class that only the broken file names tells whether anything of it was taken.
-        rig.retune(&text.replace("\"look\"", "\"glance\""));
+        harness.retune(&text.replace("\"look\"", "\"glance\""));
     }
-    while figure(rig.admin, "config_rejected") < count {}
-    assert_eq!(figure(rig.admin, "config_applied"), 0);
-    let mut client = rig.client();
+    while figure(harness.admin, "config_rejected") < count {}
+    assert_eq!(figure(harness.admin, "config_applied"), 0);
+    let mut client = harness.client();
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
     client.ask(&read("k").replace("c=look", "c=glance"));
     assert_eq!(client.code(), "08P01");
-    rig.end();
+    harness.end();
 }
 
 /// Guards a new class: it is served under its own rules at once, with counts of its own, while a request
 /// of the class that it replaces is still open and gets its answer.
 #[test]
 fn new_classes_count_at_once_and_open_requests_keep_theirs() {
-    let mut rig = Rig::start(200);
-    let mut busy = rig.client();
+    let mut harness = Harness::start(200);
+    let mut busy = harness.client();
     busy.ask(&read("held"));
-    while !rig.heard.recv().expect("heard").contains("'held'") {}
-    let mut config: Value = serde_json::from_str(&rig.text).expect("json");
+    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    let mut config: Value = serde_json::from_str(&harness.text).expect("json");
     let classes = &mut config["settings"]["Classes"];
     // The first name now stands for an unsafe write, and the second is dropped for another.
     classes[0]["Name"] = json!("glance");
     classes[1] = json!({"Name": "look", "AimMs": 30000.0, "DeadlineMs": 30000.0, "Value": 1.0,
         "Effect": "non_idempotent"});
-    rig.retune(&config.to_string());
-    while figure(rig.admin, "config_applied") < 1 {}
-    let mut client = rig.client();
+    harness.retune(&config.to_string());
+    while figure(harness.admin, "config_applied") < 1 {}
+    let mut client = harness.client();
     for (text, frames) in [
         (read("k").replace("c=look", "c=glance"), 4),
         (write("k").replace("c=store", "c=look"), 4),
@@ -88,12 +88,12 @@
         client.ask(&text);
         assert_eq!(client.answer().len(), frames, "{text}");
     }
-    rig.mood.released.store(true, Ordering::SeqCst);
+    harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4, "under the rules it came with");
     for (name, value) in [("glance.ok", 1), ("look.ok", 2), ("look.tries", 3), ("store.ok", 0)] {
-        assert_eq!(figure(rig.admin, &format!("responses.{name}")), value, "{name}");
+        assert_eq!(figure(harness.admin, &format!("responses.{name}")), value, "{name}");
     }
-    rig.end();
+    harness.end();
 }
 
 fn class(rule: u8) -> Class {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! A configuration's versions from operators to gateways, through control machines that are killed, stopped and contradicted:
 //! each a process of its own.
 
-mod rig;
+mod harness;
 mod world;
 
 use std::sync::mpsc::channel;
@@ -10,7 +10,7 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use rig::{figure, read, Mood, Talk};
+use harness::{figure, read, Mood, Talk};
 use world::{document, Discovery, World, MACHINES};
 
 /// Guards the way of a version: put once, it is in force at all gateways, the tool and the doors say so, clients and their
@@ -19,8 +19,8 @@
 fn a_version_put_once_is_in_force_everywhere() {
     let (said, heard) = channel();
     let mood = Arc::new(Mood::default());
-    let host = rig::toy_host(0, said, mood.clone());
-    let world = World::with_hosts("rollout-all", 3, rig::listing(&[host]));
+    let host = harness::toy_host(0, said, mood.clone());
+    let world = World::with_hosts("rollout-all", 3, harness::listing(&[host]));
     world.until("a first watch of each gateway", |world| {
         world.discoveries.iter().all(|own| own.watches() > 0)
     });
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -65,17 +65,18 @@
 }
 
 /// A router with a clock, and what it asked for last.
-struct Rig {
+struct Harness {
     router: Router,
     now: Micros,
     next: u64,
 }
 
-impl Rig {
-    fn new(settings: Settings) -> Rig {
-        let mut rig = Rig { router: Router::new(settings, 7), now: Micros::millis(100_000), next: 0 };
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
-        rig
+impl Harness {
+    fn new(settings: Settings) -> Harness {
+        let mut harness = Harness { router: Router::new(settings, 7), now: Micros::millis(100_000), next: 0 };
+        harness
+            .list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        harness
     }
 
     fn event(&mut self, event: Event) -> Vec<Action> {
@@ -157,13 +158,13 @@
 
 #[test]
 fn bounded_reads_follow_the_position_filter() {
-    let mut rig = Rig::new(settings());
-    assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, PRIMARY, "no position is known");
-    let now = rig.now;
-    rig.probed(NEAR, now - Micros::millis(400));
-    rig.probed(FAR, now - Micros::millis(900));
+    let mut harness = Harness::new(settings());
+    assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, PRIMARY, "no position is known");
+    let now = harness.now;
+    harness.probed(NEAR, now - Micros::millis(400));
+    harness.probed(FAR, now - Micros::millis(900));
     for _ in 0..3 {
-        assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, NEAR);
+        assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, NEAR);
     }
 }
 
@@ -173,55 +174,55 @@
 #[test]
 fn one_of_many_asks_a_replica_before_a_read_goes_to_the_primary() {
     // The fleet has grown while the router ran.
-    let mut rig = Rig::new(settings());
-    rig.router.retune(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
-    rig.sweep(100);
-    let behind = |rig: &Rig| Micros(rig.now.0 - 3_000_000);
+    let mut harness = Harness::new(settings());
+    harness.router.retune(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
+    harness.sweep(100);
+    let behind = |harness: &Harness| Micros(harness.now.0 - 3_000_000);
     for member in [NEAR, FAR] {
-        let word = behind(&rig);
-        rig.probed(member, word);
+        let word = behind(&harness);
+        harness.probed(member, word);
     }
     // Both are seconds behind as far as is known: nobody is asked.
-    let (id, actions) = rig.request(BOUNDED, 1);
+    let (id, actions) = harness.request(BOUNDED, 1);
     assert_eq!((sends(&actions), asked(&actions)), (vec![(id, PRIMARY)], vec![]));
-    rig.end(id, 0, PRIMARY, Status::Ok, None);
+    harness.end(id, 0, PRIMARY, Status::Ok, None);
     for member in [NEAR, FAR] {
-        let word = Micros(rig.now.0 - 20_000);
-        rig.probed(member, word);
+        let word = Micros(harness.now.0 - 20_000);
+        harness.probed(member, word);
     }
     // Long after their last word, one is asked for two reads.
-    rig.now = rig.now + Micros::millis(5_000);
-    let (first, actions) = rig.request(BOUNDED, 1);
+    harness.now = harness.now + Micros::millis(5_000);
+    let (first, actions) = harness.request(BOUNDED, 1);
     let [member] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
     assert_eq!(sends(&actions), []);
-    let (second, actions) = rig.request(BOUNDED, 2);
+    let (second, actions) = harness.request(BOUNDED, 2);
     assert_eq!((sends(&actions), asked(&actions)), (vec![], vec![]));
-    rig.now = rig.now + Micros::millis(2);
-    let report = Report { position: Some(rig.now), role: Some(Role::Replica) };
-    let mut sent = sends(&rig.event(Event::HealthChecked { member, status: Status::Ok, report }));
+    harness.now = harness.now + Micros::millis(2);
+    let report = Report { position: Some(harness.now), role: Some(Role::Replica) };
+    let mut sent = sends(&harness.event(Event::HealthChecked { member, status: Status::Ok, report }));
     sent.sort();
     assert_eq!(sent, [(first, member), (second, member)]);
     // The word of one that is behind, or none in time, sends the next on: to the other, then to the primary.
-    rig.now = rig.now + Micros::millis(5_000);
-    let (third, actions) = rig.request(BOUNDED, 3);
+    harness.now = harness.now + Micros::millis(5_000);
+    let (third, actions) = harness.request(BOUNDED, 3);
     let [member] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
-    let report = Report { position: Some(behind(&rig)), role: Some(Role::Replica) };
-    let actions = rig.event(Event::HealthChecked { member, status: Status::Ok, report });
+    let report = Report { position: Some(behind(&harness)), role: Some(Role::Replica) };
+    let actions = harness.event(Event::HealthChecked { member, status: Status::Ok, report });
     let [other] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
     assert!(other != member && sends(&actions).is_empty());
-    assert_eq!(sends(&rig.sweep(30)), [(third, PRIMARY)]);
+    assert_eq!(sends(&harness.sweep(30)), [(third, PRIMARY)]);
     // A primary that answers faster than the mean has room to spare: nobody is asked.
-    rig.end(third, 0, PRIMARY, Status::Ok, None);
+    harness.end(third, 0, PRIMARY, Status::Ok, None);
     for member in [NEAR, FAR] {
-        let word = Micros(rig.now.0 - 20_000);
-        rig.probed(member, word);
+        let word = Micros(harness.now.0 - 20_000);
+        harness.probed(member, word);
     }
     for _ in 0..30 {
-        let (write, _) = rig.request(WRITE, 9);
-        rig.end(write, 0, PRIMARY, Status::Ok, None);
+        let (write, _) = harness.request(WRITE, 9);
+        harness.end(write, 0, PRIMARY, Status::Ok, None);
     }
-    rig.now = rig.now + Micros::millis(5_000);
-    let (fourth, actions) = rig.request(BOUNDED, 4);
+    harness.now = harness.now + Micros::millis(5_000);
+    let (fourth, actions) = harness.request(BOUNDED, 4);
     assert_eq!((sends(&actions), asked(&actions)), (vec![(fourth, PRIMARY)], vec![]));
 }
 
@@ -234,18 +235,18 @@
         let mut settings = one_of(300);
         settings.replica_checks = ReplicaChecks::None;
         settings.classes[BOUNDED.0].latency_objective = latency_objective;
-        let mut rig = Rig::new(settings);
-        rig.sweep(100);
+        let mut harness = Harness::new(settings);
+        harness.sweep(100);
         for member in [NEAR, FAR] {
-            let word = Micros(rig.now.0 - 20_000);
-            rig.probed(member, word);
+            let word = Micros(harness.now.0 - 20_000);
+            harness.probed(member, word);
         }
-        rig.now = rig.now + Micros::millis(5_000);
-        let (id, actions) = rig.request(BOUNDED, 1);
+        harness.now = harness.now + Micros::millis(5_000);
+        let (id, actions) = harness.request(BOUNDED, 1);
         assert_eq!((sends(&actions), asked(&actions).len()), (vec![], 1), "aim {latency_objective:?}");
         let (mut sent, mut others) = (vec![], 0);
         for _ in 0..latency_objective.0 / 1_000 {
-            let actions = rig.sweep(1);
+            let actions = harness.sweep(1);
             others += asked(&actions).iter().filter(|member| **member != PRIMARY).count();
             sent.extend(sends(&actions));
         }
@@ -258,17 +259,17 @@
 #[test]
 fn one_of_many_asks_a_member_that_fell_silent_before_it_sends_again() {
     for (gateways, asks) in [(3, false), (10, true)] {
-        let mut rig = Rig::new(Settings { gateways, health_check_price: 0.08, ..settings() });
-        rig.sweep(100);
-        let word = Micros(rig.now.0 - 20_000);
-        rig.probed(NEAR, word);
-        let (id, actions) = rig.request(BOUNDED, 1);
+        let mut harness = Harness::new(Settings { gateways, health_check_price: 0.08, ..settings() });
+        harness.sweep(100);
+        let word = Micros(harness.now.0 - 20_000);
+        harness.probed(NEAR, word);
+        let (id, actions) = harness.request(BOUNDED, 1);
         assert_eq!(sends(&actions), [(id, NEAR)]);
-        rig.now = rig.now + Micros::millis(100);
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, NEAR, Status::Cancelled, None);
-        rig.now = rig.now + Micros::millis(200);
-        let (id, actions) = rig.request(BOUNDED, 1);
+        harness.now = harness.now + Micros::millis(100);
+        harness.event(Event::Gone(id));
+        harness.end(id, 0, NEAR, Status::Cancelled, None);
+        harness.now = harness.now + Micros::millis(200);
+        let (id, actions) = harness.request(BOUNDED, 1);
         assert_eq!(
             (!asked(&actions).is_empty(), sends(&actions).is_empty()),
             (asks, asks),
@@ -276,9 +277,9 @@
         );
         if asks {
             // Its word, whatever it says of its position, brings it back.
-            let report = Report { position: Some(rig.now), role: Some(Role::Replica) };
+            let report = Report { position: Some(harness.now), role: Some(Role::Replica) };
             let answered = |member| Event::HealthChecked { member, status: Status::Ok, report };
-            let sent: Vec<_> = [NEAR, FAR].map(|m| sends(&rig.event(answered(m)))).concat();
+            let sent: Vec<_> = [NEAR, FAR].map(|m| sends(&harness.event(answered(m)))).concat();
             assert_eq!(sent.len(), 1);
             assert_eq!(sent[0].0, id);
         }
@@ -287,53 +288,53 @@
 
 #[test]
 fn a_position_never_goes_back() {
-    let mut rig = Rig::new(settings());
-    let now = rig.now;
-    rig.probed(NEAR, now - Micros::millis(100));
-    rig.probed(NEAR, now - Micros::millis(5000));
-    assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, NEAR);
+    let mut harness = Harness::new(settings());
+    let now = harness.now;
+    harness.probed(NEAR, now - Micros::millis(100));
+    harness.probed(NEAR, now - Micros::millis(5000));
+    assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, NEAR);
 }
 
 #[test]
 fn a_position_from_the_future_is_not_believed() {
-    let mut rig = Rig::new(settings());
-    let now = rig.now;
-    rig.probed(NEAR, now + Micros::millis(60_000));
-    rig.now = now + Micros::millis(600);
-    assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, PRIMARY);
+    let mut harness = Harness::new(settings());
+    let now = harness.now;
+    harness.probed(NEAR, now + Micros::millis(60_000));
+    harness.now = now + Micros::millis(600);
+    assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, PRIMARY);
 }
 
 #[test]
 fn a_session_reads_at_the_primary_until_a_replica_has_its_write() {
-    let mut rig = Rig::new(settings());
-    let (write, actions) = rig.request(WRITE, 5);
+    let mut harness = Harness::new(settings());
+    let (write, actions) = harness.request(WRITE, 5);
     assert_eq!(sends(&actions), [(write, PRIMARY)]);
-    assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, PRIMARY, "its write is pending");
-    assert_ne!(sends(&rig.request(SESSION, 6).1)[0].1, PRIMARY, "another session has written nothing");
-    let commit = rig.now;
-    rig.now = rig.now + Micros::millis(20);
-    rig.end(write, 0, PRIMARY, Status::Ok, Some(commit));
-    assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, PRIMARY, "no replica is known to have it");
-    rig.probed(FAR, commit);
-    assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, FAR);
+    assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, PRIMARY, "its write is pending");
+    assert_ne!(sends(&harness.request(SESSION, 6).1)[0].1, PRIMARY, "another session has written nothing");
+    let commit = harness.now;
+    harness.now = harness.now + Micros::millis(20);
+    harness.end(write, 0, PRIMARY, Status::Ok, Some(commit));
+    assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, PRIMARY, "no replica is known to have it");
+    harness.probed(FAR, commit);
+    assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, FAR);
 }
 
 /// Guards a write that is out on a connection gone silent: its host may have committed it, so the session's reads go
 /// nowhere but to a primary, also while none can be used; other sessions' reads go on.
 #[test]
 fn a_session_whose_write_is_out_reads_at_no_replica_though_the_primary_is_ejected() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     for member in [NEAR, FAR] {
-        rig.probed(member, Micros::millis(99_990));
+        harness.probed(member, Micros::millis(99_990));
     }
-    let (id, actions) = rig.request(WRITE, 7);
+    let (id, actions) = harness.request(WRITE, 7);
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
     for _ in 0..3 {
         let (status, report) = (Status::ConnectFailed, Report::default());
-        rig.event(Event::HealthChecked { member: PRIMARY, status, report });
+        harness.event(Event::HealthChecked { member: PRIMARY, status, report });
     }
-    assert_eq!(sends(&rig.request(SESSION, 7).1), []);
-    assert_ne!(sends(&rig.request(SESSION, 8).1), []);
+    assert_eq!(sends(&harness.request(SESSION, 7).1), []);
+    assert_ne!(sends(&harness.request(SESSION, 8).1), []);
 }
 
 /// Guards a clerk who was not told whether the write ran: until a replica has come past the moment at which its
@@ -343,22 +344,24 @@
     let lost = [Status::Timeout, Status::Reset, Status::Spoilt, Status::Error, Status::Cancelled, Status::Ok];
     let unrun = [Status::Full, Status::ConnectFailed, Status::Moot, Status::Miss];
     for status in lost.into_iter().chain(unrun) {
-        let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() });
+        let mut harness = Harness::new(Settings { max_attempts: 1, ..settings() });
         for member in [NEAR, FAR] {
-            rig.probed(member, Micros::millis(99_990));
+            harness.probed(member, Micros::millis(99_990));
         }
-        let (id, actions) = rig.request(UNSAFE, 7);
+        let (id, actions) = harness.request(UNSAFE, 7);
         assert_eq!(sends(&actions), [(id, PRIMARY)]);
-        rig.now = rig.now + Micros::millis(30);
-        rig.end(id, 0, PRIMARY, status, None);
-        rig.event(Event::Gone(id));
-        let to = |rig: &mut Rig, session| sends(&rig.request(SESSION, session).1).first().map(|(_, to)| *to);
-        let binds = to(&mut rig, 7) == Some(PRIMARY);
+        harness.now = harness.now + Micros::millis(30);
+        harness.end(id, 0, PRIMARY, status, None);
+        harness.event(Event::Gone(id));
+        let to = |harness: &mut Harness, session| {
+            sends(&harness.request(SESSION, session).1).first().map(|(_, to)| *to)
+        };
+        let binds = to(&mut harness, 7) == Some(PRIMARY);
         assert_eq!(binds, lost.contains(&status), "{status:?}");
-        assert_ne!(to(&mut rig, 8), Some(PRIMARY), "{status:?}: another session is held to nothing");
-        let now = rig.now;
-        rig.probed(FAR, now);
-        assert!(!binds || to(&mut rig, 7) == Some(FAR), "{status:?}: it has come past");
+        assert_ne!(to(&mut harness, 8), Some(PRIMARY), "{status:?}: another session is held to nothing");
+        let now = harness.now;
+        harness.probed(FAR, now);
+        assert!(!binds || to(&mut harness, 7) == Some(FAR), "{status:?}: it has come past");
     }
 }
 
@@ -370,25 +373,25 @@
     let mut settings = settings();
     settings.classes[BOUNDED.0].late_weight = 0.2;
     for class in [BOUNDED, SESSION, WRITE, UNSAFE] {
-        let mut rig = Rig::new(settings.clone());
-        let lagging = Micros(rig.now.0 - 5_000_000);
-        rig.probed(NEAR, lagging);
-        rig.probed(FAR, lagging);
+        let mut harness = Harness::new(settings.clone());
+        let lagging = Micros(harness.now.0 - 5_000_000);
+        harness.probed(NEAR, lagging);
+        harness.probed(FAR, lagging);
         // Filled with writes: their answers are owed longer than those of reads.
-        while !sends(&rig.request(WRITE, 100).1).is_empty() {}
-        while !sends(&rig.request(BOUNDED, 100).1).is_empty() {}
-        let held = |rig: &mut Rig| {
-            let (last, _) = rig.request(class, 100);
+        while !sends(&harness.request(WRITE, 100).1).is_empty() {}
+        while !sends(&harness.request(BOUNDED, 100).1).is_empty() {}
+        let held = |harness: &mut Harness| {
+            let (last, _) = harness.request(class, 100);
             let refused = |a: &Action| matches!(a, Action::Refuse { request, retry_after: Some(_) } if *request == last);
-            (1..200).find(|_| rig.sweep(1).iter().any(refused)).expect("refused before its aim")
+            (1..200).find(|_| harness.sweep(1).iter().any(refused)).expect("refused before its aim")
         };
-        let calm = held(&mut rig);
+        let calm = held(&mut harness);
         assert!((20..=65).contains(&calm), "{class:?} is held for {calm} ms");
         for _ in 0..100 {
-            rig.request(class, 100);
+            harness.request(class, 100);
         }
-        rig.sweep(100);
-        let crowded = held(&mut rig);
+        harness.sweep(100);
+        let crowded = held(&mut harness);
         assert!(crowded <= 20, "{class:?} is held for {crowded} ms in a crowd");
     }
 }
@@ -397,13 +400,13 @@
 #[test]
 fn a_refused_client_comes_again_about_when_the_next_answer_is_due() {
     let advice = |out: usize| {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         for _ in 0..out {
-            rig.request(WRITE, 100);
+            harness.request(WRITE, 100);
         }
-        rig.list(ListKind::Full, vec![]);
-        let (id, _) = rig.request(ANY, 1);
-        let actions = rig.sweep(70);
+        harness.list(ListKind::Full, vec![]);
+        let (id, _) = harness.request(ANY, 1);
+        let actions = harness.sweep(70);
         let told = |a: &Action| match a {
             Action::Refuse { request, retry_after } if *request == id => *retry_after,
             _ => None,
@@ -419,12 +422,12 @@
 fn held_after(gateways: u32, answers: u64, part: impl Fn(u64) -> f64) -> f64 {
     let mut settings = one_of(gateways);
     settings.classes = vec![class(Consistency::Eventual, Idempotency::Idempotent, 0.0)];
-    let mut rig = Rig::new(settings);
+    let mut harness = Harness::new(settings);
     let mut out = std::collections::VecDeque::new();
     let mut ended = 0;
     loop {
         loop {
-            let (id, actions) = rig.request(ClassId(0), 1);
+            let (id, actions) = harness.request(ClassId(0), 1);
             let Some((_, member)) = sends(&actions).first().copied() else { break };
             out.push_back((id, member));
         }
@@ -432,9 +435,9 @@
             return out.iter().filter(|(_, member)| *member != PRIMARY).count() as f64 / 2.0;
         }
         let (request, member) = out.pop_front().expect("something is out");
-        rig.now = rig.now + Micros::millis(5);
+        harness.now = harness.now + Micros::millis(5);
         ended += 1;
-        let freed = rig.event(Event::Outcome(Outcome {
+        let freed = harness.event(Event::Outcome(Outcome {
             request,
             attempt: AttemptNo(0),
             member,
@@ -465,33 +468,33 @@
 fn what_was_called_off_takes_room_until_it_is_done() {
     let mut settings = one_of(1);
     settings.classes = vec![class(Consistency::Eventual, Idempotency::Idempotent, 0.0)];
-    let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, Micros(0))]);
-    let fill = |rig: &mut Rig| {
+    let mut harness = Harness::new(settings);
+    harness.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, Micros(0))]);
+    let fill = |harness: &mut Harness| {
         let mut out = Vec::new();
         loop {
-            let (id, actions) = rig.request(ClassId(0), 1);
+            let (id, actions) = harness.request(ClassId(0), 1);
             if sends(&actions).is_empty() {
                 return out;
             }
             out.push(id);
         }
     };
-    let out = fill(&mut rig);
+    let out = fill(&mut harness);
     let room = out.len();
     for id in out {
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, NEAR, Status::Cancelled, None);
+        harness.event(Event::Gone(id));
+        harness.end(id, 0, NEAR, Status::Cancelled, None);
     }
-    let at_once = fill(&mut rig);
+    let at_once = fill(&mut harness);
     assert!(at_once.len() * 2 < room, "{} at once where {room} were called off", at_once.len());
     for id in at_once {
-        rig.end(id, 0, NEAR, Status::Ok, None);
+        harness.end(id, 0, NEAR, Status::Ok, None);
     }
     for _ in 0..40 {
-        rig.sweep(50);
+        harness.sweep(50);
     }
-    assert!(fill(&mut rig).len() >= 4);
+    assert!(fill(&mut harness).len() >= 4);
 }
 
 /// Guards the limits against a few requests that cost many times the usual work: the others are in time.
@@ -506,21 +509,21 @@
 /// session was forgotten because all members of its time had passed it.
 #[test]
 fn a_member_that_joins_late_has_to_reach_forgotten_commits() {
-    let mut rig = Rig::new(settings());
-    let (id, _) = rig.request(WRITE, 5);
-    let commit = rig.now;
-    rig.end(id, 0, PRIMARY, Status::Ok, Some(commit));
-    rig.sweep(100);
-    rig.probed(NEAR, commit);
-    rig.probed(FAR, commit);
-    rig.sweep(300);
+    let mut harness = Harness::new(settings());
+    let (id, _) = harness.request(WRITE, 5);
+    let commit = harness.now;
+    harness.end(id, 0, PRIMARY, Status::Ok, Some(commit));
+    harness.sweep(100);
+    harness.probed(NEAR, commit);
+    harness.probed(FAR, commit);
+    harness.sweep(300);
     let late = MemberId(13);
     let draining = [NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0)));
-    rig.list(ListKind::Changes, [&[entry(late, Listed::Ready, Micros(0))], &draining[..]].concat());
-    rig.probed(late, Micros(commit.0 - 1));
-    assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, PRIMARY);
-    rig.probed(late, commit);
-    assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, late);
+    harness.list(ListKind::Changes, [&[entry(late, Listed::Ready, Micros(0))], &draining[..]].concat());
+    harness.probed(late, Micros(commit.0 - 1));
+    assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, PRIMARY);
+    harness.probed(late, commit);
+    assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, late);
 }
 
 /// Guards hosts and prices against handshakes that a large fleet needs not: where one costs something, reads
@@ -528,18 +531,18 @@
 #[test]
 fn a_price_for_handshakes_keeps_reads_where_a_connection_is_open() {
     let moved = |handshake_price| {
-        let mut rig = Rig::new(Settings { handshake_price, ..settings() });
+        let mut harness = Harness::new(Settings { handshake_price, ..settings() });
         let mut moved = 0;
         for _ in 0..100 {
             // Long enough apart that both are idle, and no longer than a connection stays open.
-            rig.now = rig.now + Micros::millis(16_000);
-            let (id, actions) = rig.request(ANY, 1);
+            harness.now = harness.now + Micros::millis(16_000);
+            let (id, actions) = harness.request(ANY, 1);
             let first = sends(&actions)[0].1;
-            rig.end(id, 0, first, Status::Ok, None);
-            rig.now = rig.now + Micros::millis(500);
-            let (id, actions) = rig.request(ANY, 1);
+            harness.end(id, 0, first, Status::Ok, None);
+            harness.now = harness.now + Micros::millis(500);
+            let (id, actions) = harness.request(ANY, 1);
             let second = sends(&actions)[0].1;
-            rig.end(id, 0, second, Status::Ok, None);
+            harness.end(id, 0, second, Status::Ok, None);
             moved += u32::from(second != first);
         }
         moved
@@ -550,10 +553,10 @@
 
 #[test]
 fn any_reads_leave_the_primary_out_and_spread_by_load() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     let mut count = BTreeMap::new();
     for _ in 0..10 {
-        *count.entry(sends(&rig.request(ANY, 1).1)[0].1).or_insert(0) += 1;
+        *count.entry(sends(&harness.request(ANY, 1).1)[0].1).or_insert(0) += 1;
     }
     assert_eq!(count.get(&PRIMARY), None);
     assert!(count[&NEAR] >= 3 && count[&FAR] >= 3, "{count:?}");
@@ -563,20 +566,20 @@
 #[test]
 fn a_member_that_fails_at_once_does_not_look_idle() {
     for status in [Status::Full, Status::Error] {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         let mut count = BTreeMap::new();
         for _ in 0..60 {
-            let (mut id, mut actions) = rig.request(ANY, 1);
+            let (mut id, mut actions) = harness.request(ANY, 1);
             let mut no = 0;
             while let Some((request, member)) = sends(&actions).pop() {
                 assert_eq!(request, id);
                 *count.entry(member).or_insert(0) += 1;
                 let status = if member == NEAR { status } else { Status::Ok };
-                actions = rig.end(id, no, member, status, None);
+                actions = harness.end(id, no, member, status, None);
                 no += 1;
                 id = request;
             }
-            rig.sweep(10);
+            harness.sweep(10);
         }
         assert!(count[&NEAR] * 3 < count[&FAR], "{status:?}: {count:?}");
     }
@@ -585,42 +588,42 @@
 /// Requests sent oldest first were all given up just after their send.
 #[test]
 fn a_backlog_is_served_newest_first_and_the_oldest_refused_early() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     let mut waiting = Vec::new();
     let mut running = Vec::new();
     while waiting.len() < 3 {
-        let (id, actions) = rig.request(ANY, 1);
+        let (id, actions) = harness.request(ANY, 1);
         match sends(&actions).first() {
             Some((_, member)) => running.push((id, *member)),
             None => waiting.push(id),
         }
     }
-    rig.now = rig.now + Micros::millis(5);
+    harness.now = harness.now + Micros::millis(5);
     let mut sent = Vec::new();
     for (id, member) in running.drain(..3) {
-        sent.extend(sends(&rig.end(id, 0, member, Status::Ok, None)).into_iter().map(|(id, _)| id));
+        sent.extend(sends(&harness.end(id, 0, member, Status::Ok, None)).into_iter().map(|(id, _)| id));
     }
     assert_eq!(sent.first(), waiting.last());
     for _ in 0..4 {
-        waiting.push(rig.request(ANY, 1).0);
+        waiting.push(harness.request(ANY, 1).0);
     }
-    let refused = finals(&rig.sweep(90));
+    let refused = finals(&harness.sweep(90));
     assert!(!refused.is_empty() && refused.iter().all(|(_, harmless)| *harmless), "{refused:?}");
 }
 
 #[test]
 fn writes_come_before_reads_at_the_primary() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     let mut running = Vec::new();
     loop {
-        let (id, actions) = rig.request(WRITE, 100);
+        let (id, actions) = harness.request(WRITE, 100);
         if sends(&actions).is_empty() {
             break;
         }
         running.push(id);
     }
-    let (read, _) = rig.request(BOUNDED, 1);
-    let freed = rig.end(running[0], 0, PRIMARY, Status::Ok, None);
+    let (read, _) = harness.request(BOUNDED, 1);
+    let freed = harness.end(running[0], 0, PRIMARY, Status::Ok, None);
     assert!(sends(&freed).iter().all(|(id, _)| *id != read), "a write was waiting: {freed:?}");
     assert_eq!(sends(&freed).len(), 1);
 }
@@ -628,24 +631,24 @@
 #[test]
 fn an_unsafe_write_that_may_have_run_is_failed_at_once() {
     for status in [Status::Error, Status::Reset, Status::Timeout, Status::Cancelled] {
-        let mut rig = Rig::new(settings());
-        let (id, _) = rig.request(UNSAFE, 1);
-        let actions = rig.end(id, 0, PRIMARY, status, None);
+        let mut harness = Harness::new(settings());
+        let (id, _) = harness.request(UNSAFE, 1);
+        let actions = harness.end(id, 0, PRIMARY, status, None);
         assert_eq!((sends(&actions), finals(&actions)), (vec![], vec![(id, false)]), "{status:?}");
     }
 }
 
 #[test]
 fn an_unsafe_write_that_never_ran_is_tried_again() {
-    let mut rig = Rig::new(settings());
-    let (id, _) = rig.request(UNSAFE, 1);
-    let mut actions = rig.end(id, 0, PRIMARY, Status::Full, None);
+    let mut harness = Harness::new(settings());
+    let (id, _) = harness.request(UNSAFE, 1);
+    let mut actions = harness.end(id, 0, PRIMARY, Status::Full, None);
     for _ in 0..100 {
         assert_eq!(finals(&actions), []);
         if !sends(&actions).is_empty() {
             break;
         }
-        actions = rig.sweep(10);
+        actions = harness.sweep(10);
     }
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
 }
@@ -653,61 +656,61 @@
 #[test]
 fn a_keyed_write_follows_the_primary_within_its_window_only() {
     for (wait, again) in [(300, true), (1000, false)] {
-        let mut rig = Rig::new(settings());
-        let (id, _) = rig.request(WRITE, 1);
-        let actions = rig.end(id, 0, PRIMARY, Status::Reset, None);
+        let mut harness = Harness::new(settings());
+        let (id, _) = harness.request(WRITE, 1);
+        let actions = harness.end(id, 0, PRIMARY, Status::Reset, None);
         assert_eq!((sends(&actions), finals(&actions)), (vec![(id, PRIMARY)], vec![]));
-        let actions = rig.end(id, 1, PRIMARY, Status::Reset, None);
+        let actions = harness.end(id, 1, PRIMARY, Status::Reset, None);
         let scout = sends(&actions)[0].1;
         assert_ne!(scout, PRIMARY, "it broke twice");
-        rig.end(id, 2, scout, Status::Miss, None);
-        rig.now = rig.now + Micros::millis(wait);
-        let report = Report { position: Some(rig.now), role: Some(Role::Primary) };
-        let actions = rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
+        harness.end(id, 2, scout, Status::Miss, None);
+        harness.now = harness.now + Micros::millis(wait);
+        let report = Report { position: Some(harness.now), role: Some(Role::Primary) };
+        let actions = harness.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
         assert_eq!(sends(&actions) == [(id, NEAR)], again, "after {wait} ms: {actions:?}");
     }
 }
 
 #[test]
 fn reads_out_at_a_member_that_went_down_are_rescued() {
-    let mut rig = Rig::new(settings());
-    let (first, actions) = rig.request(ANY, 1);
+    let mut harness = Harness::new(settings());
+    let (first, actions) = harness.request(ANY, 1);
     let member = sends(&actions)[0].1;
     let other = if member == NEAR { FAR } else { NEAR };
-    rig.event(Event::HealthChecked { member, status: Status::ConnectFailed, report: Report::default() });
-    assert_eq!(sends(&rig.sweep(2)), [(first, other)]);
+    harness.event(Event::HealthChecked { member, status: Status::ConnectFailed, report: Report::default() });
+    assert_eq!(sends(&harness.sweep(2)), [(first, other)]);
 }
 
 #[test]
 fn nothing_goes_to_a_member_that_drains_or_is_gone() {
     for listed in [Listed::Draining, Listed::Gone] {
-        let mut rig = Rig::new(settings());
-        rig.list(ListKind::Changes, vec![entry(NEAR, listed, Micros(0))]);
+        let mut harness = Harness::new(settings());
+        harness.list(ListKind::Changes, vec![entry(NEAR, listed, Micros(0))]);
         for _ in 0..6 {
-            assert!(sends(&rig.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR));
+            assert!(sends(&harness.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR));
         }
     }
-    let mut rig = Rig::new(settings());
-    rig.list(
+    let mut harness = Harness::new(settings());
+    harness.list(
         ListKind::Full,
         vec![entry(PRIMARY, Listed::Ready, Micros(0)), entry(FAR, Listed::Ready, Micros(0))],
     );
-    assert!((0..6).all(|_| sends(&rig.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR)));
+    assert!((0..6).all(|_| sends(&harness.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR)));
 }
 
 /// All drivers together may send a cold member its multiple; one alone keeps to its part of a core.
 #[test]
 fn a_cold_member_gets_a_bounded_trickle_even_when_it_rejects() {
-    let mut rig = Rig::new(settings());
-    let now = rig.now;
-    rig.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, now)]);
+    let mut harness = Harness::new(settings());
+    let now = harness.now;
+    harness.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, now)]);
     let mut sent = 0;
     for _ in 0..2000 {
-        let mut actions = rig.request(ANY, 1).1;
-        actions.extend(rig.sweep(1));
+        let mut actions = harness.request(ANY, 1).1;
+        actions.extend(harness.sweep(1));
         for (id, member) in sends(&actions) {
             sent += 1;
-            rig.end(id, 0, member, Status::Full, None);
+            harness.end(id, 0, member, Status::Full, None);
         }
     }
     // Two seconds at up to 0.36 of a core, in requests of 40 ms (a fifth of the aim), for one of two drivers.
@@ -716,25 +719,29 @@
 
 #[test]
 fn strange_events_are_ignored() {
-    let mut rig = Rig::new(settings());
-    let (id, actions) = rig.request(ANY, 1);
+    let mut harness = Harness::new(settings());
+    let (id, actions) = harness.request(ANY, 1);
     let member = sends(&actions)[0].1;
-    rig.end(id, 0, member, Status::Ok, None);
-    assert_eq!(rig.end(id, 0, member, Status::Ok, None), []);
-    assert_eq!(rig.event(Event::Gone(id)), []);
-    assert_eq!(rig.event(Event::Timer(TimerId(99))), []);
-    assert_eq!(rig.event(Event::Peer { from: PeerId(1), text: "hi".into() }), []);
-    assert_eq!(rig.event(Event::Started { request: id }), []);
-    rig.event(Event::HealthChecked { member: MemberId(999), status: Status::Ok, report: Report::default() });
+    harness.end(id, 0, member, Status::Ok, None);
+    assert_eq!(harness.end(id, 0, member, Status::Ok, None), []);
+    assert_eq!(harness.event(Event::Gone(id)), []);
+    assert_eq!(harness.event(Event::Timer(TimerId(99))), []);
+    assert_eq!(harness.event(Event::Peer { from: PeerId(1), text: "hi".into() }), []);
+    assert_eq!(harness.event(Event::Started { request: id }), []);
+    harness.event(Event::HealthChecked {
+        member: MemberId(999),
+        status: Status::Ok,
+        report: Report::default(),
+    });
 }
 
 #[test]
 fn a_fleet_without_members_refuses_in_time() {
-    let mut rig = Rig::new(settings());
-    rig.list(ListKind::Full, vec![]);
-    let (id, actions) = rig.request(ANY, 1);
+    let mut harness = Harness::new(settings());
+    harness.list(ListKind::Full, vec![]);
+    let (id, actions) = harness.request(ANY, 1);
     assert_eq!(sends(&actions), []);
-    assert_eq!(finals(&rig.sweep(199)), [(id, true)]);
+    assert_eq!(finals(&harness.sweep(199)), [(id, true)]);
 }
 
 // ---- One of many drivers ----
@@ -746,18 +753,18 @@
 /// Hundreds of drivers that each asked every member every second cost more than all they served.
 #[test]
 fn probes_are_paid_for_by_requests() {
-    let mut rig = Rig::new(Settings { health_check_price: 0.02, ..settings() });
+    let mut harness = Harness::new(Settings { health_check_price: 0.02, ..settings() });
     let mut asked = 0;
     for step in 0..2000 {
-        let (id, mut actions) = if step % 40 == 0 { rig.request(ANY, 1) } else { (RequestId(0), vec![]) };
+        let (id, mut actions) = if step % 40 == 0 { harness.request(ANY, 1) } else { (RequestId(0), vec![]) };
         for (_, member) in sends(&actions) {
-            rig.end(id, 0, member, Status::Ok, None);
+            harness.end(id, 0, member, Status::Ok, None);
         }
-        actions.extend(rig.sweep(10));
+        actions.extend(harness.sweep(10));
         for action in &actions {
             if let Action::HealthCheck { member } = action {
                 asked += 1;
-                rig.probed(*member, Micros(0));
+                harness.probed(*member, Micros(0));
             }
         }
     }
@@ -768,10 +775,10 @@
 /// Every idle driver woke at every second tick, and a day of hundreds was cut off for its CPU.
 #[test]
 fn an_idle_driver_sleeps() {
-    let mut rig = Rig::new(one_of(500));
+    let mut harness = Harness::new(one_of(500));
     let mut timers = 0;
     for _ in 0..1000 {
-        let actions = rig.sweep(1);
+        let actions = harness.sweep(1);
         timers += actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
     }
     assert!((1..=10).contains(&timers), "{timers} timers in a second");
@@ -782,19 +789,19 @@
 fn all_drivers_together_spare_a_cold_member() {
     let (gateways, mut sent) = (200, 0);
     for seed in 0..gateways {
-        let mut rig = Rig::new(one_of(gateways));
-        rig.router = Router::new(one_of(gateways), u64::from(seed));
-        let now = rig.now;
+        let mut harness = Harness::new(one_of(gateways));
+        harness.router = Router::new(one_of(gateways), u64::from(seed));
+        let now = harness.now;
         let started =
             [PRIMARY, NEAR].map(|m| entry(m, Listed::Ready, if m == NEAR { now } else { Micros(0) }));
-        rig.list(ListKind::Full, started.to_vec());
+        harness.list(ListKind::Full, started.to_vec());
         for step in 0..20 {
             let due = step == seed % 20;
-            let mut actions = if due { rig.request(ANY, 1).1 } else { vec![] };
-            actions.extend(rig.sweep(100));
+            let mut actions = if due { harness.request(ANY, 1).1 } else { vec![] };
+            actions.extend(harness.sweep(100));
             for (id, member) in sends(&actions) {
                 sent += usize::from(member == NEAR);
-                rig.end(id, 0, member, Status::Ok, None);
+                harness.end(id, 0, member, Status::Ok, None);
             }
         }
     }
@@ -808,10 +815,11 @@
 fn fresh_drivers_spread_over_the_replicas() {
     let mut first = BTreeMap::new();
     for seed in 0..60 {
-        let mut rig = Rig::new(one_of(60));
-        rig.router = Router::new(one_of(60), seed);
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
-        *first.entry(sends(&rig.request(BOUNDED, 1).1)[0].1).or_insert(0) += 1;
+        let mut harness = Harness::new(one_of(60));
+        harness.router = Router::new(one_of(60), seed);
+        harness
+            .list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        *first.entry(sends(&harness.request(BOUNDED, 1).1)[0].1).or_insert(0) += 1;
     }
     assert!(first[&NEAR] > 15 && first[&FAR] > 15, "{first:?}");
 }
@@ -819,34 +827,34 @@
 /// A replica that turned a read away is not asked again for data as fresh, and what it served counts.
 #[test]
 fn a_read_turned_away_tells_how_far_behind_a_replica_is() {
-    let mut rig = Rig::new(one_of(2));
-    let (id, mut actions) = rig.request(BOUNDED, 1);
+    let mut harness = Harness::new(one_of(2));
+    let (id, mut actions) = harness.request(BOUNDED, 1);
     for no in 0..2 {
         let replica = sends(&actions)[0].1;
         assert_ne!(replica, PRIMARY);
-        actions = rig.end(id, no, replica, Status::Miss, None);
+        actions = harness.end(id, no, replica, Status::Miss, None);
     }
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
-    assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, PRIMARY, "both have said that they are behind");
-    assert_ne!(sends(&rig.request(ANY, 1).1)[0].1, PRIMARY);
+    assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, PRIMARY, "both have said that they are behind");
+    assert_ne!(sends(&harness.request(ANY, 1).1)[0].1, PRIMARY);
 }
 
 /// Floors of many drivers added up to five requests a core: a late answer must make each wait.
 #[test]
 fn one_of_many_pauses_after_a_late_answer_where_one_of_few_goes_on() {
     for (gateways, free) in [(2, true), (500, false)] {
-        let mut rig = Rig::new(one_of(gateways));
+        let mut harness = Harness::new(one_of(gateways));
         for member in [NEAR, FAR] {
             let mut settings = one_of(gateways);
             settings.classes[ANY.0].latency_objective = Micros::millis(5);
             let gone = [PRIMARY, member].map(|m| entry(m, Listed::Ready, Micros(0)));
-            rig = Rig::new(settings);
-            rig.list(ListKind::Full, gone.to_vec());
-            let (id, actions) = rig.request(ANY, 1);
+            harness = Harness::new(settings);
+            harness.list(ListKind::Full, gone.to_vec());
+            let (id, actions) = harness.request(ANY, 1);
             let tried = sends(&actions)[0].1;
-            rig.end(id, 0, tried, Status::Ok, None);
+            harness.end(id, 0, tried, Status::Ok, None);
         }
-        let next = sends(&rig.request(ANY, 1).1);
+        let next = sends(&harness.request(ANY, 1).1);
         assert_eq!(next.first().is_some_and(|(_, m)| *m != PRIMARY), free, "{gateways} gateways: {next:?}");
     }
 }
@@ -858,20 +866,20 @@
     let mut settings = one_of(300);
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
-    let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
-    let (late, actions) = rig.request(BOUNDED, 1);
+    let mut harness = Harness::new(settings);
+    harness.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
+    let (late, actions) = harness.request(BOUNDED, 1);
     assert_eq!(sends(&actions), [(late, PRIMARY)]);
-    rig.now = rig.now + Micros::millis(190);
-    rig.event(Event::Gone(late));
-    rig.end(late, 0, PRIMARY, Status::Cancelled, None);
+    harness.now = harness.now + Micros::millis(190);
+    harness.event(Event::Gone(late));
+    harness.end(late, 0, PRIMARY, Status::Cancelled, None);
     // What it may still be at work on is over, the pause is not.
-    rig.sweep(300);
-    assert_eq!(sends(&rig.request(BOUNDED, 1).1), []);
-    let (current, actions) = rig.request(fresh, 1);
+    harness.sweep(300);
+    assert_eq!(sends(&harness.request(BOUNDED, 1).1), []);
+    let (current, actions) = harness.request(fresh, 1);
     assert_eq!(sends(&actions), [(current, PRIMARY)]);
     // While one is out there the limit counts as ever.
-    assert_eq!(sends(&rig.request(fresh, 1).1), []);
+    assert_eq!(sends(&harness.request(fresh, 1).1), []);
 }
 
 /// Guards replicas that fall behind: each write is applied by all of them, so the primary takes fewer while they
@@ -881,13 +889,13 @@
     let taken = |behind: &[MemberId]| {
         let mut settings = settings();
         settings.gateways = 1;
-        let mut rig = Rig::new(settings);
+        let mut harness = Harness::new(settings);
         for member in [NEAR, FAR] {
             let lag = if behind.contains(&member) { 20_000 } else { 10 };
-            let position = rig.now - Micros::millis(lag);
-            rig.probed(member, position);
+            let position = harness.now - Micros::millis(lag);
+            harness.probed(member, position);
         }
-        (0..100).take_while(|session| !sends(&rig.request(WRITE, *session).1).is_empty()).count()
+        (0..100).take_while(|session| !sends(&harness.request(WRITE, *session).1).is_empty()).count()
     };
     let (none, one, both) = (taken(&[]), taken(&[FAR]), taken(&[NEAR, FAR]));
     assert!(none > one && one > both && both * 2 > none, "{none}, {one}, {both} writes");
@@ -900,15 +908,15 @@
     let mut settings = settings();
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
-    let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
-    let count = |rig: &mut Rig, class| {
-        let sent = |rig: &mut Rig| !sends(&rig.request(class, 1).1).is_empty();
-        (0..100).take_while(|_| sent(rig)).count()
+    let mut harness = Harness::new(settings);
+    harness.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
+    let count = |harness: &mut Harness, class| {
+        let sent = |harness: &mut Harness| !sends(&harness.request(class, 1).1).is_empty();
+        (0..100).take_while(|_| sent(harness)).count()
     };
-    let (others, current) = (count(&mut rig, BOUNDED), count(&mut rig, fresh));
+    let (others, current) = (count(&mut harness, BOUNDED), count(&mut harness, fresh));
     assert!((1..=others).contains(&current), "{current} beside {others}");
-    assert_eq!(count(&mut rig, SESSION), 0);
+    assert_eq!(count(&mut harness, SESSION), 0);
 }
 
 // ---- Members, connections and lists that mislead ----
@@ -917,20 +925,20 @@
 /// nothing against what the members themselves have said since.
 #[test]
 fn a_list_that_names_the_old_primary_changes_nothing() {
-    let mut rig = Rig::new(settings());
-    let (id, _) = rig.request(ANY, 1);
-    let lead = Report { position: Some(rig.now), role: Some(Role::Primary) };
-    rig.event(Event::Gone(id));
-    rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
+    let mut harness = Harness::new(settings());
+    let (id, _) = harness.request(ANY, 1);
+    let lead = Report { position: Some(harness.now), role: Some(Role::Primary) };
+    harness.event(Event::Gone(id));
+    harness.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
     for second in 1..=4 {
-        rig.sweep(1_000);
+        harness.sweep(1_000);
         let old = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-        rig.list(if second % 2 == 0 { ListKind::Full } else { ListKind::Changes }, old.to_vec());
-        let (id, actions) = rig.request(WRITE, 7);
+        harness.list(if second % 2 == 0 { ListKind::Full } else { ListKind::Changes }, old.to_vec());
+        let (id, actions) = harness.request(WRITE, 7);
         assert_eq!(sends(&actions), [(id, NEAR)], "{second} s after the take-over");
-        rig.end(id, 0, NEAR, Status::Miss, None);
-        let lead = Report { position: Some(rig.now), role: Some(Role::Primary) };
-        rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
+        harness.end(id, 0, NEAR, Status::Miss, None);
+        let lead = Report { position: Some(harness.now), role: Some(Role::Primary) };
+        harness.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
     }
 }
 
@@ -939,15 +947,15 @@
 #[test]
 fn one_slow_member_loses_its_part_and_all_slow_ones_keep_theirs() {
     let part_of_near = |slow: &[MemberId]| {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         let mut counts = BTreeMap::new();
         for round in 0..600u64 {
-            rig.sweep(10);
-            let (request, actions) = rig.request(ANY, 1);
+            harness.sweep(10);
+            let (request, actions) = harness.request(ANY, 1);
             let Some((_, member)) = sends(&actions).first().copied() else { continue };
             let latency = Micros::millis(if slow.contains(&member) { 100 } else { 10 });
             *counts.entry(member).or_insert(0) += u32::from(round >= 100);
-            rig.event(Event::Outcome(Outcome {
+            harness.event(Event::Outcome(Outcome {
                 request,
                 attempt: AttemptNo(0),
                 member,
@@ -971,37 +979,37 @@
 #[test]
 fn two_broken_connections_eject_and_one_does_not() {
     for (breaks, back) in [(1, true), (2, false)] {
-        let mut rig = Rig::new(Settings { health_checks: false, ..settings() });
+        let mut harness = Harness::new(Settings { health_checks: false, ..settings() });
         let mut broken = 0;
         while broken < breaks {
-            let (id, actions) = rig.request(ANY, 1);
+            let (id, actions) = harness.request(ANY, 1);
             let (mut no, mut target) = (0, sends(&actions)[0].1);
             if target == NEAR {
                 broken += 1;
-                let actions = rig.end(id, no, NEAR, Status::Reset, None);
+                let actions = harness.end(id, no, NEAR, Status::Reset, None);
                 (no, target) = (1, sends(&actions)[0].1);
             }
-            rig.end(id, no, target, Status::Ok, None);
+            harness.end(id, no, target, Status::Ok, None);
             if target == NEAR {
                 broken = 0;
             }
         }
         let mut chosen = false;
         for _ in 0..30 {
-            let (id, actions) = rig.request(ANY, 1);
+            let (id, actions) = harness.request(ANY, 1);
             let target = sends(&actions)[0].1;
             chosen |= target == NEAR;
-            rig.end(id, 0, target, Status::Ok, None);
-            rig.sweep(20);
+            harness.end(id, 0, target, Status::Ok, None);
+            harness.sweep(20);
         }
         assert_eq!(chosen, back, "after {breaks} broken connections");
-        rig.sweep(1000);
+        harness.sweep(1000);
         let mut again = false;
         for _ in 0..30 {
-            let (id, actions) = rig.request(ANY, 1);
+            let (id, actions) = harness.request(ANY, 1);
             let target = sends(&actions)[0].1;
             again |= target == NEAR;
-            rig.end(id, 0, target, Status::Ok, None);
+            harness.end(id, 0, target, Status::Ok, None);
         }
         assert!(again, "an ejected member is tried again");
     }
@@ -1011,43 +1019,47 @@
 /// and eject nobody, and the read they were for goes on to another member.
 #[test]
 fn spoilt_answers_eject_nobody() {
-    let mut rig = Rig::new(Settings { health_checks: false, ..settings() });
+    let mut harness = Harness::new(Settings { health_checks: false, ..settings() });
     for _ in 0..3 {
-        let (id, first) = rig.request(ANY, 1);
+        let (id, first) = harness.request(ANY, 1);
         let mut to = sends(&first)[0].1;
         for no in 0..2 {
-            rig.now = rig.now + Micros::millis(20);
-            let next = rig.end(id, no, to, Status::Spoilt, None);
+            harness.now = harness.now + Micros::millis(20);
+            let next = harness.end(id, no, to, Status::Spoilt, None);
             let [(again, other)] = sends(&next)[..] else { panic!("not sent on: {next:?}") };
             assert!(again == id && other != to);
             to = other;
         }
-        rig.end(id, 2, to, Status::Ok, None);
+        harness.end(id, 2, to, Status::Ok, None);
     }
 }
 
 /// Requests that every member answers with an error went round all of them.
 #[test]
 fn a_read_that_errors_at_two_members_is_given_up() {
-    let mut rig = Rig::new(settings());
-    let (id, actions) = rig.request(ANY, 1);
+    let mut harness = Harness::new(settings());
+    let (id, actions) = harness.request(ANY, 1);
     let first = sends(&actions)[0].1;
-    let actions = rig.end(id, 0, first, Status::Error, None);
+    let actions = harness.end(id, 0, first, Status::Error, None);
     let second = sends(&actions)[0].1;
     assert_ne!(first, second);
-    let actions = rig.end(id, 1, second, Status::Error, None);
+    let actions = harness.end(id, 1, second, Status::Error, None);
     assert_eq!((sends(&actions), finals(&actions)), (vec![], vec![(id, true)]));
 }
 
 #[test]
 fn a_group_never_ejects_itself_whole() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     for member in [PRIMARY, NEAR, FAR] {
         for _ in 0..2 {
-            rig.event(Event::HealthChecked { member, status: Status::Timeout, report: Report::default() });
+            harness.event(Event::HealthChecked {
+                member,
+                status: Status::Timeout,
+                report: Report::default(),
+            });
         }
     }
-    assert_eq!(sends(&rig.request(ANY, 1).1).len(), 1);
+    assert_eq!(sends(&harness.request(ANY, 1).1).len(), 1);
 }
 
 /// A list called every live member gone, and the router believed it where only draining binds.
@@ -1055,22 +1067,22 @@
 fn where_only_draining_binds_live_members_called_gone_stay_in_use() {
     for removed_may_serve in [false, true] {
         for drained in [false, true] {
-            let mut rig = Rig::new(Settings { removed_may_serve, ..settings() });
+            let mut harness = Harness::new(Settings { removed_may_serve, ..settings() });
             if drained {
                 let drains = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0)));
-                rig.list(ListKind::Changes, drains.to_vec());
+                harness.list(ListKind::Changes, drains.to_vec());
             }
-            rig.list(ListKind::Full, vec![]);
-            rig.sweep(300);
-            let (id, actions) = rig.request(ANY, 1);
+            harness.list(ListKind::Full, vec![]);
+            harness.sweep(300);
+            let (id, actions) = harness.request(ANY, 1);
             assert_eq!(!sends(&actions).is_empty(), removed_may_serve && !drained);
             assert!(finals(&actions).is_empty());
             if let Some((_, member)) = sends(&actions).pop() {
-                rig.end(id, 0, member, Status::Ok, None);
+                harness.end(id, 0, member, Status::Ok, None);
             }
             let back = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-            rig.list(ListKind::Full, back.to_vec());
-            let (id, actions) = rig.request(ANY, 1);
+            harness.list(ListKind::Full, back.to_vec());
+            let (id, actions) = harness.request(ANY, 1);
             assert!(sends(&actions).iter().any(|(sent, _)| *sent == id), "the true list counts again");
         }
     }
@@ -1080,19 +1092,19 @@
 #[test]
 fn idle_connections_that_lose_requests_are_closed_before_a_send() {
     for (gap, closes) in [(2000, true), (20, false)] {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         let only = [PRIMARY, NEAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-        rig.list(ListKind::Full, only.to_vec());
-        let (id, actions) = rig.request(ANY, 1);
-        rig.end(id, 0, sends(&actions)[0].1, Status::Ok, None);
+        harness.list(ListKind::Full, only.to_vec());
+        let (id, actions) = harness.request(ANY, 1);
+        harness.end(id, 0, sends(&actions)[0].1, Status::Ok, None);
         let mut closed = 0;
         for _ in 0..8 {
-            rig.sweep(gap);
-            let (id, actions) = rig.request(ANY, 1);
+            harness.sweep(gap);
+            let (id, actions) = harness.request(ANY, 1);
             closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
             if let Some((_, member)) = sends(&actions).pop() {
-                rig.end(id, 0, member, Status::Cancelled, None);
-                rig.event(Event::Gone(id));
+                harness.end(id, 0, member, Status::Cancelled, None);
+                harness.event(Event::Gone(id));
             }
         }
         assert_eq!(closed > 0, closes, "{gap} ms between sends: {closed} closed");
@@ -1126,7 +1138,7 @@
         state ^= state << 17;
         state % n
     };
-    let mut rig = Rig::new(Settings { removed_may_serve, ..settings() });
+    let mut harness = Harness::new(Settings { removed_may_serve, ..settings() });
     // Members whose last state that binds is a drain.
     let mut drained = BTreeMap::new();
     let mut all: BTreeMap<RequestId, Track> = BTreeMap::new();
@@ -1138,9 +1150,9 @@
         let actions = match random(10) {
             0..=2 => {
                 let class = ClassId(random(5) as usize);
-                let (id, actions) = rig.request(class, random(6));
-                let deadline = rig.now + Micros::millis(2000);
-                let (first, out) = (rig.now, Vec::new());
+                let (id, actions) = harness.request(class, random(6));
+                let deadline = harness.now + Micros::millis(2000);
+                let (first, out) = (harness.now, Vec::new());
                 all.insert(id, Track { class, deadline, sent: 0, first, out, unproven: false, done: false });
                 actions
             }
@@ -1164,12 +1176,12 @@
                 track.unproven |= !proved;
                 track.done |= status == Status::Ok;
                 let answered = matches!(status, Status::Ok | Status::Full | Status::Miss | Status::Error);
-                let position = answered.then(|| rig.now - Micros::millis(random(1000)));
+                let position = answered.then(|| harness.now - Micros::millis(random(1000)));
                 if let Some(position) = position {
                     let best = known.entry(member).or_default();
                     *best = (*best).max(position);
                 }
-                rig.end(id, no, member, status, position)
+                harness.end(id, no, member, status, position)
             }
             6 => {
                 let member = [NEAR, FAR][random(2) as usize];
@@ -1179,13 +1191,13 @@
                 if state != Listed::Gone {
                     drained.insert(member, state == Listed::Draining);
                 }
-                rig.list(ListKind::Changes, vec![entry(member, state, Micros(0))])
+                harness.list(ListKind::Changes, vec![entry(member, state, Micros(0))])
             }
             7 => {
                 let member = [PRIMARY, NEAR, FAR][random(3) as usize];
-                rig.event(Event::HealthChecked { member, status: Status::Ok, report: Report::default() })
+                harness.event(Event::HealthChecked { member, status: Status::Ok, report: Report::default() })
             }
-            _ => rig.sweep(2 + random(3)),
+            _ => harness.sweep(2 + random(3)),
         };
         for action in &actions {
             match action {
@@ -1201,18 +1213,18 @@
                     let may_run = track.unproven || !track.out.is_empty();
                     match track.class {
                         UNSAFE => assert!(!may_run, "seed {seed} step {step}: unsafe repeated"),
-                        WRITE if may_run => assert!(rig.now < track.first + Micros::millis(900)),
+                        WRITE if may_run => assert!(harness.now < track.first + Micros::millis(900)),
                         BOUNDED if *member != PRIMARY => {
                             let position = known.get(member).copied().unwrap_or_default();
                             assert!(
-                                position >= rig.now - Micros::millis(500),
+                                position >= harness.now - Micros::millis(500),
                                 "seed {seed} step {step}: stale"
                             );
                         }
                         _ => {}
                     }
                     if !may_run {
-                        track.first = rig.now;
+                        track.first = harness.now;
                     }
                     track.out.push((track.sent, *member));
                     track.sent += 1;
@@ -1230,7 +1242,7 @@
                 _ => {}
             }
         }
-        let owed = |t: &&Track| !t.done && rig.now >= t.deadline + Micros::millis(20);
+        let owed = |t: &&Track| !t.done && harness.now >= t.deadline + Micros::millis(20);
         assert_eq!(all.values().filter(owed).count(), 0, "seed {seed} step {step}: an answer is overdue");
     }
     let again = all.values().filter(|t| t.sent > 1).count();
@@ -1240,8 +1252,8 @@
 #[test]
 fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::new(settings());
-        (0..50).flat_map(|i| rig.request(ClassId(i % 5), i as u64).1).collect::<Vec<_>>()
+        let mut harness = Harness::new(settings());
+        (0..50).flat_map(|i| harness.request(ClassId(i % 5), i as u64).1).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
@@ -1250,11 +1262,11 @@
 /// nor so late that its client hears of it after the aim.
 #[test]
 fn a_read_is_given_up_one_tick_before_its_aim() {
-    let mut rig = Rig::new(settings());
-    let (id, actions) = rig.request(BOUNDED, 1);
+    let mut harness = Harness::new(settings());
+    let (id, actions) = harness.request(BOUNDED, 1);
     assert_eq!(sends(&actions).len(), 1);
-    assert!(finals(&rig.sweep(198)).is_empty());
-    assert_eq!(finals(&rig.sweep(1)), [(id, true)]);
+    assert!(finals(&harness.sweep(198)).is_empty());
+    assert_eq!(finals(&harness.sweep(1)), [(id, true)]);
 }
 
 /// Guards a large fleet whose hosts have gone: each driver tries a member that is out so much more seldom the
@@ -1262,21 +1274,21 @@
 #[test]
 fn many_try_a_member_that_is_out_more_seldom_and_a_new_start_brings_it_back() {
     let out = |gateways, started: bool| {
-        let mut rig = Rig::new(Settings { gateways, health_checks: false, ..settings() });
-        rig.sweep(100);
+        let mut harness = Harness::new(Settings { gateways, health_checks: false, ..settings() });
+        harness.sweep(100);
         let broken =
             Event::HealthChecked { member: NEAR, status: Status::ConnectFailed, report: Report::default() };
-        rig.event(broken);
-        let since = rig.now;
-        assert!(rig.router.avoids(NEAR));
+        harness.event(broken);
+        let since = harness.now;
+        assert!(harness.router.avoids(NEAR));
         if started {
-            let new = entry(NEAR, Listed::Ready, rig.now);
-            rig.list(ListKind::Changes, vec![new]);
+            let new = entry(NEAR, Listed::Ready, harness.now);
+            harness.list(ListKind::Changes, vec![new]);
         }
-        while rig.router.avoids(NEAR) {
-            rig.sweep(100);
+        while harness.router.avoids(NEAR) {
+            harness.sweep(100);
         }
-        rig.now - since
+        harness.now - since
     };
     assert!(out(3, false) <= Micros::millis(1_200));
     assert!(out(100, false) >= Micros::millis(4_500) && out(100, false) <= Micros::millis(6_000));
@@ -1290,28 +1302,28 @@
     for gateways in [0, 1, 3, 100, 300, 1_000, 3_000] {
         for price in [0.0, 0.08, 40.0] {
             let prices = Settings { health_check_price: price, handshake_price: price, ..settings() };
-            let mut rig = Rig::new(Settings { gateways, cross_zone_price: price, ..prices });
+            let mut harness = Harness::new(Settings { gateways, cross_zone_price: price, ..prices });
             // Past the routine probes that were saved up.
             for _ in 0..3 {
-                rig.sweep(1_000);
+                harness.sweep(1_000);
                 for member in [PRIMARY, NEAR, FAR] {
-                    let word = Micros(rig.now.0 - 20_000);
-                    rig.probed(member, word);
+                    let word = Micros(harness.now.0 - 20_000);
+                    harness.probed(member, word);
                 }
             }
-            rig.now = rig.now + Micros::millis(3_000);
-            let (id, mut actions) = rig.request(BOUNDED, 1);
+            harness.now = harness.now + Micros::millis(3_000);
+            let (id, mut actions) = harness.request(BOUNDED, 1);
             let asked = sends(&actions).is_empty();
             assert_eq!(asked, gateways > 4 && price < 0.25, "{gateways} gateways, price {price}");
             if asked {
                 // Nobody answers.
-                actions = (0..30).flat_map(|_| rig.sweep(2)).collect();
+                actions = (0..30).flat_map(|_| harness.sweep(2)).collect();
             }
             let sent = sends(&actions);
             assert_eq!(sent.len(), 1, "{gateways} gateways, price {price}");
             assert_eq!(sent[0].0, id);
-            rig.end(id, 0, sent[0].1, Status::Ok, Some(rig.now));
-            assert_eq!(finals(&rig.sweep(3_000)), []);
+            harness.end(id, 0, sent[0].1, Status::Ok, Some(harness.now));
+            assert_eq!(finals(&harness.sweep(3_000)), []);
         }
     }
 }
@@ -1325,19 +1337,20 @@
         // Twice the aim is taken for twice the work, until answers tell.
         (settings.classes[ANY.0].latency_objective, settings.classes[ANY.0].priority_weight) =
             (Micros::millis(400), 1.5);
-        let mut rig = Rig::new(settings);
-        rig.list(
+        let mut harness = Harness::new(settings);
+        harness.list(
             ListKind::Full,
             [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0))).to_vec(),
         );
         let mut ids = BTreeMap::new();
         for class in [SESSION, ANY] {
-            let (id, actions) = rig.request(class, 1);
+            let (id, actions) = harness.request(class, 1);
             assert!(sends(&actions).is_empty(), "nobody may be sent to");
             ids.insert(id, class);
         }
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
-        let sent: Vec<ClassId> = sends(&rig.sweep(10)).iter().map(|(id, _)| ids[id]).collect();
+        harness
+            .list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        let sent: Vec<ClassId> = sends(&harness.sweep(10)).iter().map(|(id, _)| ids[id]).collect();
         assert_eq!(sent.first(), Some(&first), "{weight_basis:?}: {sent:?}");
     }
 }
@@ -1346,22 +1359,22 @@
 /// says nothing of the other one's, nor does its role.
 #[test]
 fn a_member_that_moves_to_another_family_tells_its_position_anew() {
-    let mut rig = Rig::new(settings());
-    let now = rig.now;
-    rig.probed(NEAR, now);
-    rig.end(RequestId(0), 0, NEAR, Status::Ok, None);
+    let mut harness = Harness::new(settings());
+    let now = harness.now;
+    harness.probed(NEAR, now);
+    harness.end(RequestId(0), 0, NEAR, Status::Ok, None);
     let other = GroupId(2);
     let moved = [(NEAR, false), (MemberId(20), true)].map(|(member, primary)| Entry {
         group: other,
         primary,
         ..entry(member, Listed::Ready, Micros(0))
     });
-    rig.list(ListKind::Changes, moved.to_vec());
-    let request = |rig: &mut Rig, id| {
+    harness.list(ListKind::Changes, moved.to_vec());
+    let request = |harness: &mut Harness, id| {
         let time_left = Micros::millis(2000);
         let (session, committed, tenant, repeat) = (None, None, None, false);
         let (id, class) = (RequestId(id), BOUNDED);
-        rig.event(Event::Request(Request {
+        harness.event(Event::Request(Request {
             id,
             class,
             group: other,
@@ -1372,10 +1385,10 @@
             time_left,
         }))
     };
-    assert_eq!(sends(&request(&mut rig, 900)), [(RequestId(900), MemberId(20))]);
+    assert_eq!(sends(&request(&mut harness, 900)), [(RequestId(900), MemberId(20))]);
     let report = Report { position: Some(now), role: Some(Role::Replica) };
-    rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
-    assert_eq!(sends(&request(&mut rig, 901)), [(RequestId(901), NEAR)]);
+    harness.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
+    assert_eq!(sends(&request(&mut harness, 901)), [(RequestId(901), NEAR)]);
 }
 
 /// Guards reads from one that was the primary: an answer that it gave before it was deposed may be heard after the one that
@@ -1383,11 +1396,11 @@
 #[test]
 fn an_older_word_on_the_role_heard_later_makes_nobody_primary() {
     for (behind, equal) in [(50, false), (0, true)] {
-        let mut rig = Rig::new(settings());
-        let (late, actions) = rig.request(WRITE, 1);
+        let mut harness = Harness::new(settings());
+        let (late, actions) = harness.request(WRITE, 1);
         assert_eq!(sends(&actions), [(late, PRIMARY)]);
-        let stood = rig.now;
-        rig.now = rig.now + Micros::millis(20);
+        let stood = harness.now;
+        harness.now = harness.now + Micros::millis(20);
         let outcome = |request, member, status, role, position| {
             Event::Outcome(Outcome {
                 request,
@@ -1401,13 +1414,13 @@
                 report: Report::default(),
             })
         };
-        let (second, _) = rig.request(WRITE, 2);
-        rig.event(outcome(second, PRIMARY, Status::Miss, Role::Replica, stood));
-        rig.now = rig.now + Micros::millis(20);
-        rig.event(outcome(late, PRIMARY, Status::Full, Role::Primary, stood - Micros::millis(behind)));
+        let (second, _) = harness.request(WRITE, 2);
+        harness.event(outcome(second, PRIMARY, Status::Miss, Role::Replica, stood));
+        harness.now = harness.now + Micros::millis(20);
+        harness.event(outcome(late, PRIMARY, Status::Full, Role::Primary, stood - Micros::millis(behind)));
         // By then its position as a replica covers no bounded read.
-        rig.now = rig.now + Micros::millis(600);
-        let (_, actions) = rig.request(BOUNDED, 3);
+        harness.now = harness.now + Micros::millis(600);
+        let (_, actions) = harness.request(BOUNDED, 3);
         let sent: Vec<MemberId> = sends(&actions).iter().map(|(_, member)| *member).collect();
         assert!(!sent.contains(&PRIMARY), "equal {equal}: {sent:?}");
     }
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -1,14 +1,14 @@
 //! Shortages of the machine that a process runs on: calls of the system fail for a while, and pass. They are no verdict on
 //! any host, lose no request, and end no process.
 
-mod rig;
+mod harness;
 
 use std::net::TcpListener;
 use std::time::Duration;
 
-use rig::process::{Faults, Process, Start, PAUSE};
-use rig::stage::{answer, Host};
-use rig::{figure, listens, listing, local, read, Talk};
+use harness::process::{Faults, Process, Start, PAUSE};
+use harness::stage::{answer, Host};
+use harness::{figure, listens, listing, local, read, Talk};
 use rustix::process::Signal;
 
 /// Time for which calls fail: a while in the life of a process.
@@ -123,7 +123,7 @@
         for _ in 0..6 {
             client.ask(&format!(
                 "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=40,cluster=1 */",
-                rig::name()
+                harness::name()
             ));
             assert_eq!(client.code(), "53300", "{call} {error}");
         }
