--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,7 +4,7 @@
 //!
 //! `SOAK_SEEDS=1..51 cargo test --release --test soak -- --nocapture` plays others than the few that stand here.
 
-mod rig;
+mod harness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -15,11 +15,11 @@
 use std::time::{Duration, Instant};
 
 use dunemount::pg::codec::{self, Inbox};
+use harness::process::{Faults, Start};
+use harness::stage::{answer, Host, Link};
+use harness::{listing, local, next_frame, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rig::process::{Faults, Start};
-use rig::stage::{answer, Host, Link};
-use rig::{listing, local, next_frame, settings};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -150,7 +150,7 @@
     while let Some(statement) = link.asked() {
         let at = Instant::now();
         if !statement.contains("/*") {
-            let probe = rig::stage::answer_with(b"x1=0", "replica", None);
+            let probe = harness::stage::answer_with(b"x1=0", "replica", None);
             if link.socket.write_all(&probe).is_err() {
                 return;
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! Upgrades: two gateways at one address, the line between them, and starts without a peer.
 
-mod rig;
+mod harness;
 
 use std::io::Write;
 use std::os::fd::OwnedFd;
@@ -14,8 +14,8 @@
 use dunemount::upgrade::line::{self, Line};
 use dunemount::upgrade::message::Message;
 use dunemount::{GroupId, Micros, SessionKey};
-use rig::stage::{cancel, with_key};
-use rig::{figure, get, order, read, write, Rig};
+use harness::stage::{cancel, with_key};
+use harness::{figure, get, order, read, write, Harness};
 
 /// However busy the machine, a peer in the same process answers within this.
 const LONG: Duration = Duration::from_secs(60);
@@ -25,8 +25,8 @@
     std::env::temp_dir().join(format!("dunemount-{test}-{}.line", std::process::id()))
 }
 
-fn follow(path: &Path) -> Rig {
-    Rig::beside(200, Some(path.to_path_buf()), Some(line::inherit(path, LONG).expect("handed over")))
+fn follow(path: &Path) -> Harness {
+    Harness::beside(200, Some(path.to_path_buf()), Some(line::inherit(path, LONG).expect("handed over")))
 }
 
 /// Guards clients through an upgrade: one that was idle goes on at the next process on the same
@@ -35,7 +35,7 @@
 #[test]
 fn clients_go_over_to_the_next_process() {
     let at = path("clients");
-    let mut old = Rig::beside(200, Some(at.clone()), None);
+    let mut old = Harness::beside(200, Some(at.clone()), None);
     let (mut idle, mut half, mut busy) = (old.client(), old.client(), old.client());
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
@@ -68,7 +68,7 @@
 #[test]
 fn a_cancel_finds_its_request_on_both_sides_of_an_upgrade() {
     let at = path("cancels");
-    let old = Rig::beside(200, Some(at.clone()), None);
+    let old = Harness::beside(200, Some(at.clone()), None);
     let (mut client, key) = with_key(&old);
     client.ask(&read("held"));
     while !old.heard.recv().expect("heard").contains("'held'") {}
@@ -94,7 +94,7 @@
 #[test]
 fn a_next_process_that_dies_at_any_message_costs_nobody() {
     let at = path("dying");
-    let old = Rig::beside(200, Some(at.clone()), None);
+    let old = Harness::beside(200, Some(at.clone()), None);
     let mut client = old.client();
     for message in 0..3 {
         let stand_in = match message {
@@ -134,7 +134,7 @@
 #[test]
 fn bans_hold_at_both_processes() {
     let at = path("bans");
-    let old = Rig::beside(200, Some(at.clone()), None);
+    let old = Harness::beside(200, Some(at.clone()), None);
     assert!(order(old.admin, "down", "s-1"));
     let new = follow(&at);
     assert_eq!(figure(new.admin, "pool_ejected"), 1);
@@ -145,11 +145,11 @@
     assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
     new.end();
     // Nobody is left to take over from, and what is still down stays down.
-    let alone = Rig::beside(200, Some(at.clone()), None);
+    let alone = Harness::beside(200, Some(at.clone()), None);
     assert_eq!(figure(alone.admin, "pool_ejected"), 1);
     assert!(order(alone.admin, "up", "s-2"));
     alone.end();
-    let after = Rig::beside(200, Some(at.clone()), None);
+    let after = Harness::beside(200, Some(at.clone()), None);
     assert_eq!(figure(after.admin, "pool_ejected"), 0);
     after.end();
     std::fs::remove_file(at.with_extension("down")).expect("removed");
@@ -160,7 +160,7 @@
 #[test]
 fn a_process_that_follows_may_fail_and_another_come() {
     let at = path("row");
-    let first = Rig::beside(200, Some(at.clone()), None);
+    let first = Harness::beside(200, Some(at.clone()), None);
     let failed = line::inherit(&at, LONG).expect("handed over");
     drop(failed);
     let second = follow(&at);
@@ -171,7 +171,7 @@
     assert_eq!(client.answer().len(), 4);
     let third = loop {
         match line::inherit(&at, LONG) {
-            Ok(inherited) => break Rig::beside(200, Some(at.clone()), Some(inherited)),
+            Ok(inherited) => break Harness::beside(200, Some(at.clone()), Some(inherited)),
             Err(_) => std::thread::yield_now(),
         }
     };
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,16 +1,16 @@
 //! Gateways whose wall clock is off or is stepped, as processes of their own. The hosts' clocks, which read one time, are
 //! right.
 
-mod rig;
+mod harness;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use rig::process::{Faults, Process, Start, PAUSE};
-use rig::stage::{Host, Link};
-use rig::{listing, local, name, settings};
+use harness::process::{Faults, Process, Start, PAUSE};
+use harness::stage::{Host, Link};
+use harness::{listing, local, name, settings};
 use serde_json::{json, Value};
 
 /// How old the data of a bounded read may be.
@@ -52,10 +52,10 @@
             let role = if index == 0 { "master" } else { "replica" };
             if asked.starts_with("SHOW") {
                 let report = format!("x0={:.3},x1={}", (now - lag) as f64 / 1000.0, u8::from(index == 0));
-                link.say(&rig::stage::answer_with(report.as_bytes(), role, Some(now - lag)));
+                link.say(&harness::stage::answer_with(report.as_bytes(), role, Some(now - lag)));
             } else {
                 served[index].fetch_add(1, Ordering::SeqCst);
-                link.say(&rig::stage::answer(role, Some(now - lag)));
+                link.say(&harness::stage::answer(role, Some(now - lag)));
             }
         }
     }
@@ -75,7 +75,7 @@
 }
 
 /// One bounded read, served.
-fn ask(client: &mut rig::Talk) {
+fn ask(client: &mut harness::Talk) {
     client.ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */", name()));
     assert_eq!(client.answer().len(), 4, "served");
 }
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -1,7 +1,7 @@
 //! Every byte that a gateway sends to database hosts and to discovery, against files that were written by the version
 //! before the code's names were changed. The files never change.
 
-mod rig;
+mod harness;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 use dunemount::pg::host::Host;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
-use rig::{listing, local, Rig};
+use harness::{listing, local, Harness};
 use serde_json::{json, Value};
 
 /// A database host that hands the test each message as it came, and an empty one at a connection's end.
@@ -75,10 +75,10 @@
 }
 
 /// A gateway that knows one recording host, and what that host receives.
-fn start_gateway() -> (Rig, Receiver<Vec<u8>>) {
+fn start_gateway() -> (Harness, Receiver<Vec<u8>>) {
     let (sender, received) = channel();
     let host = recording_host(sender);
-    (Rig::with_list(200, 1, listing(&[host])), received)
+    (Harness::with_list(200, 1, listing(&[host])), received)
 }
 
 const READ: &str = "SELECT doc FROM items WHERE id = '7f3a9c21e0b4d655' \
@@ -149,9 +149,9 @@
 /// read and then only the end of the connection, and health checks.
 #[test]
 fn a_running_gateway_sends_these_bytes_to_hosts() {
-    let (mut rig, received) = start_gateway();
+    let (mut harness, received) = start_gateway();
     let next = || received.recv().expect("a message");
-    let mut client = rig.client();
+    let mut client = harness.client();
     client.ask(WRITE);
     assert_eq!(client.answer().len(), 4);
     assert_eq!(next(), include_bytes!("fixtures/host-startup-v1.bin"));
@@ -166,13 +166,13 @@
     drop(client);
     assert_eq!(next(), b"");
 
-    let (_first_call, _socket) = read_request(&rig.discovery);
-    rig.retune(&rig.with("/settings/Permissions/Probing", Some(json!(true))));
+    let (_first_call, _socket) = read_request(&harness.discovery);
+    harness.retune(&harness.with("/settings/Permissions/Probing", Some(json!(true))));
     assert_eq!(next(), include_bytes!("fixtures/host-startup-v1.bin"));
     let health_check = next();
     assert_eq!(query_text(&health_check), "SHOW gauges");
     assert_eq!(health_check, include_bytes!("fixtures/host-health-check-v1.bin"));
-    rig.end();
+    harness.end();
 }
 
 /// Guards a CancelRequest, as the protocol has it.
@@ -235,20 +235,20 @@
 /// version that an answer brought, and a poll after its configuration was read anew.
 #[test]
 fn a_running_gateway_sends_these_requests_to_discovery() {
-    let (mut rig, _received) = start_gateway();
-    let address = rig.discovery.local_addr().expect("bound").to_string();
+    let (mut harness, _received) = start_gateway();
+    let address = harness.discovery.local_addr().expect("bound").to_string();
     let expect = |(head, socket): (Vec<u8>, TcpStream), fixture: &str| {
         assert_eq!(String::from_utf8(head).expect("text"), fixture.replace(DISCOVERY, &address));
         socket
     };
     let watch = include_str!("fixtures/discovery-watch-v1.http");
-    let mut call = expect(read_request(&rig.discovery), &watch.replace("index=41", "index=4"));
+    let mut call = expect(read_request(&harness.discovery), &watch.replace("index=41", "index=4"));
     let listing: Value = json!({"rev": 41, "all": false, "targets": []});
-    rig::tell(&mut call, &listing);
-    let _watching = expect(read_request(&rig.discovery), watch);
-    let text = rig.text.clone();
-    rig.retune(&text);
+    harness::tell(&mut call, &listing);
+    let _watching = expect(read_request(&harness.discovery), watch);
+    let text = harness.text.clone();
+    harness.retune(&text);
     let poll = include_str!("fixtures/discovery-poll-v1.http");
-    expect(read_request(&rig.discovery), poll);
-    rig.end();
+    expect(read_request(&harness.discovery), poll);
+    harness.end();
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -12,8 +12,8 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
-use crate::rig;
-use crate::rig::process::Faults;
+use crate::harness;
+use crate::harness::process::Faults;
 
 /// However busy the machine, what is waited for comes within this.
 const LONG: Duration = Duration::from_secs(90);
@@ -32,7 +32,7 @@
 
 impl Discovery {
     pub fn start() -> Discovery {
-        let listener = rig::local();
+        let listener = harness::local();
         let address = listener.local_addr().expect("bound");
         let discovery = Discovery { address, whole: Arc::default(), watches: Arc::default() };
         let (whole, watches) = (discovery.whole.clone(), discovery.watches.clone());
@@ -104,7 +104,7 @@
 
 /// What a test's versions differ in.
 pub fn document(mark: usize) -> Value {
-    let mut settings = rig::settings();
+    let mut settings = harness::settings();
     settings["Permissions"]["MaxRetryAfterMs"] = json!(1000 + mark);
     settings.as_object_mut().expect("an object").remove("Zone").expect("each gateway's own");
     json!({ "settings": settings })
@@ -113,7 +113,7 @@
 impl World {
     /// Control machines and so many gateways; gateway `n` is in the zone of control machine `n`, around the ring.
     pub fn of(test: &str, gateways: usize) -> World {
-        World::with_hosts(test, gateways, rig::listing(&[]))
+        World::with_hosts(test, gateways, harness::listing(&[]))
     }
 
     /// The gateways know these hosts.
@@ -154,7 +154,7 @@
             let (clients, admin) = (stream_at(MACHINES + 2 * index), stream_at(MACHINES + 2 * index + 1));
             let config = json!({"name": format!("gw-{index}"), "listen": clients.to_string(),
                 "admin_addr": admin.to_string(), "discovery": discovery.address.to_string(), "seed": "1f",
-                "limits": {"sockets": 200, "memory_mb": 48}, "known": known, "settings": rig::settings()});
+                "limits": {"sockets": 200, "memory_mb": 48}, "known": known, "settings": harness::settings()});
             std::fs::write(folder.join(format!("{}.json", MACHINES + index)), config.to_string())
                 .expect("written");
             doors.push(Doors { clients, admin });
