--- a/crates/loadtest/src/scale/control.rs
+++ b/crates/loadtest/src/scale/control.rs
@@ -14,12 +14,12 @@
 use dunemount_rollout::wire::{frame, Hello, Inbox, Message, Status, Who, FORM};
 use serde_json::Value;
 
-use super::hollow::Word;
+use super::simulated::Report;
 
-/// How long a control machine may take to answer the tool.
+/// How long a control server may take to answer the tool.
 const ANSWER: Duration = Duration::from_secs(20);
 
-/// A control machine.
+/// A control server.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// As the settings name it.
@@ -35,8 +35,8 @@
     }
 }
 
-/// Says one thing to a control machine and hears the answer.
-fn ask(fleet: &str, at: SocketAddr, message: &Message) -> Result<Message, String> {
+/// Sends one request to a control server and waits for the answer.
+fn call(fleet: &str, at: SocketAddr, message: &Message) -> Result<Message, String> {
     let said = |e: io::Error| format!("{at}: {e}");
     let mut socket = TcpStream::connect_timeout(&at, ANSWER).map_err(said)?;
     socket.set_read_timeout(Some(ANSWER)).map_err(said)?;
@@ -57,19 +57,19 @@
     }
 }
 
-/// What a control machine knows.
+/// What a control server knows.
 ///
 /// # Errors
 /// It does not answer.
 pub fn status(fleet: &str, at: SocketAddr) -> Result<Status, String> {
-    match ask(fleet, at, &Message::Ask)? {
+    match call(fleet, at, &Message::Ask)? {
         Message::Status(status) => Ok(status),
         other => Err(format!("{at}: answers {other:?}")),
     }
 }
 
-fn put(fleet: &str, at: SocketAddr, document: Vec<u8>) -> Result<u64, String> {
-    match ask(fleet, at, &Message::Put(document.into()))? {
+fn propose(fleet: &str, at: SocketAddr, document: Vec<u8>) -> Result<u64, String> {
+    match call(fleet, at, &Message::Put(document.into()))? {
         Message::Accepted(version) => Ok(version.number),
         Message::NotAccepted { why, .. } => Err(why),
         other => Err(format!("{at}: answers {other:?}")),
@@ -89,33 +89,33 @@
     Ok(bytes)
 }
 
-/// Versions that are to be put, one after the other.
-pub struct Puts {
+/// Versions that are to be proposed, one after the other.
+pub struct Proposals {
     /// The fleet.
     pub fleet: &'static str,
-    /// The control machines; each takes one after the other.
+    /// The control servers; each takes one after the other.
     pub machines: Vec<SocketAddr>,
     /// What versions are of.
     pub configuration: String,
     /// Length of a document.
     pub length: usize,
-    /// Number of the first one among all that this run puts.
+    /// Number of the first one among all that this run proposes.
     pub first: u64,
     /// How many.
     pub count: usize,
-    /// Time from one put's beginning to the next one's.
+    /// Time from the start of one proposal to the start of the next.
     pub pause: Duration,
-    /// No more are to be put.
+    /// No more are to be proposed.
     pub over: Arc<AtomicBool>,
 }
 
-impl Puts {
-    /// Puts them from a thread of its own, which says when each has been accepted, or why not.
+impl Proposals {
+    /// Proposes them from a thread of its own, which reports when each has been accepted, or why not.
     ///
     /// # Errors
     /// The system gives no thread.
-    pub fn begin(self, words: Sender<Word>) -> io::Result<()> {
-        let thread = std::thread::Builder::new().name("puts".into());
+    pub fn begin(self, reports: Sender<Report>) -> io::Result<()> {
+        let thread = std::thread::Builder::new().name("proposals".into());
         thread.spawn(move || {
             let start = Instant::now();
             for (place, at) in self.machines.iter().cycle().take(self.count).enumerate() {
@@ -127,8 +127,11 @@
                 let own = self.first + place as u64;
                 let document = document(&self.configuration, own, self.length);
                 let began = Instant::now();
-                let number = document.and_then(|document| put(self.fleet, *at, document));
-                if words.send(Word::Put(Put { own, began, took: began.elapsed(), number })).is_err() {
+                let number = document.and_then(|document| propose(self.fleet, *at, document));
+                if reports
+                    .send(Report::VersionProposed(Proposal { own, began, took: began.elapsed(), number }))
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -137,12 +140,12 @@
     }
 }
 
-/// A version that was put.
+/// A version that was proposed.
 #[derive(Clone, Debug)]
-pub struct Put {
-    /// Its number among all that this run puts.
+pub struct Proposal {
+    /// Its number among all that this run proposes.
     pub own: u64,
-    /// When its put began.
+    /// When its proposal began.
     pub began: Instant,
     /// How long until the answer.
     pub took: Duration,
@@ -155,99 +158,99 @@
 pub struct InForce {
     /// Its number; none if it was not accepted.
     pub number: Option<u64>,
-    /// From its put's beginning to the answer.
+    /// From the start of its proposal to the answer.
     pub put: Duration,
-    /// From its put's beginning until a gateway had it or a newer one, for each that has, in order.
+    /// From the start of its proposal until a gateway had it or a newer one, for each that has, in order.
     pub acted: Vec<(usize, Duration)>,
 }
 
 /// What gateways have in force, and since when.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct VersionTracker {
     /// The newest number of each.
     pub newest: BTreeMap<usize, u64>,
     /// Each number of each gateway since the event began.
     taken: BTreeMap<usize, Vec<(u64, Instant)>>,
-    puts: Vec<Put>,
-    /// The first put of the event.
+    proposals: Vec<Proposal>,
+    /// The first proposal of the event.
     first: u64,
     /// How often a gateway went back to an older version.
     pub fallen: u64,
 }
 
-impl Progress {
-    /// An event begins, with this put.
+impl VersionTracker {
+    /// An event begins, with this proposal.
     pub fn begin(&mut self, first: u64) {
         self.first = first;
         self.taken.clear();
-        self.puts.clear();
+        self.proposals.clear();
     }
 
     /// A gateway has a version in force.
-    pub fn took(&mut self, gateway: usize, number: u64, at: Instant) {
+    pub fn in_force(&mut self, gateway: usize, number: u64, at: Instant) {
         let before = self.newest.insert(gateway, number);
         self.fallen += u64::from(before.is_some_and(|before| before > number));
         self.taken.entry(gateway).or_default().push((number, at));
     }
 
     /// A version was accepted, or not.
-    pub fn put(&mut self, put: Put) {
+    pub fn proposed(&mut self, proposal: Proposal) {
         // One of an event that is over counts no more.
-        if put.own >= self.first {
-            self.puts.push(put);
+        if proposal.own >= self.first {
+            self.proposals.push(proposal);
         }
     }
 
-    /// The newest number that was accepted, once all of so many puts have been answered.
-    fn answered(&self, puts: usize) -> Option<u64> {
-        let newest = self.puts.iter().filter_map(|put| put.number.as_ref().ok()).max();
-        (self.puts.len() >= puts).then(|| newest.copied().unwrap_or(0))
+    /// The newest number that was accepted, once all of so many proposals have been answered.
+    fn answered(&self, proposals: usize) -> Option<u64> {
+        let newest = self.proposals.iter().filter_map(|proposal| proposal.number.as_ref().ok()).max();
+        (self.proposals.len() >= proposals).then(|| newest.copied().unwrap_or(0))
     }
 
-    /// Whether so many puts have been answered, and these gateways have the newest in force.
-    pub fn is_done(&self, puts: usize, waited: &BTreeSet<usize>) -> bool {
-        self.answered(puts).is_some_and(|number| {
+    /// Whether so many proposals have been answered, and these gateways have the newest in force.
+    pub fn is_done(&self, proposals: usize, waited: &BTreeSet<usize>) -> bool {
+        self.answered(proposals).is_some_and(|number| {
             waited.iter().all(|gateway| self.newest.get(gateway).is_some_and(|newest| *newest >= number))
         })
     }
 
     /// Why versions were not accepted.
-    pub fn refusals(&self) -> impl Iterator<Item = &str> {
-        self.puts.iter().filter_map(|put| put.number.as_ref().err()).map(String::as_str)
+    pub fn rejections(&self) -> impl Iterator<Item = &str> {
+        self.proposals.iter().filter_map(|proposal| proposal.number.as_ref().err()).map(String::as_str)
     }
 
     /// Each version's times at these gateways.
     pub fn versions(&self, waited: &BTreeSet<usize>) -> Vec<InForce> {
-        let versions = self.puts.iter().map(|put| {
-            let number = put.number.as_ref().ok().copied();
+        let versions = self.proposals.iter().map(|proposal| {
+            let number = proposal.number.as_ref().ok().copied();
             let first = |gateway: &usize| {
                 let taken = self.taken.get(gateway)?.iter().find(|(taken, _)| Some(*taken) >= number)?;
-                Some((*gateway, taken.1.saturating_duration_since(put.began)))
+                Some((*gateway, taken.1.saturating_duration_since(proposal.began)))
             };
             let mut acted: Vec<(usize, Duration)> = match number {
                 Some(_) => waited.iter().filter_map(first).collect(),
                 None => Vec::new(),
             };
             acted.sort_by_key(|(_, time)| *time);
-            InForce { number, put: put.took, acted }
+            InForce { number, put: proposal.took, acted }
         });
         versions.collect()
     }
 }
 
-/// Which control machine each gateway hears, and since when.
+/// Which control server each gateway follows, and since when.
 #[derive(Debug, Default)]
-pub struct Heard {
-    hears: BTreeMap<usize, (Option<usize>, Instant)>,
+pub struct Followed {
+    followed: BTreeMap<usize, (Option<usize>, Instant)>,
     /// Connections that came up, by machine.
     arrivals: Vec<(usize, Instant)>,
 }
 
-impl Heard {
-    /// A gateway hears this one now, or none.
-    pub fn note(&mut self, gateway: usize, machine: Option<usize>, at: Instant) {
-        self.hears.insert(gateway, (machine, at));
-        self.arrivals.extend(machine.map(|machine| (machine, at)));
+impl Followed {
+    /// A gateway follows this one now, or none.
+    pub fn record(&mut self, gateway: usize, server: Option<usize>, at: Instant) {
+        self.followed.insert(gateway, (server, at));
+        self.arrivals.extend(server.map(|server| (server, at)));
     }
 
     /// Forgets who came when: an event begins.
@@ -255,18 +258,18 @@
         self.arrivals.clear();
     }
 
-    /// Since when a gateway hears one of these; nothing if it does not.
+    /// Since when a gateway follows one of these; nothing if it does not.
     pub fn since(&self, gateway: usize, wanted: impl Fn(usize) -> bool) -> Option<Instant> {
-        let (machine, at) = self.hears.get(&gateway)?;
+        let (machine, at) = self.followed.get(&gateway)?;
         machine.filter(|machine| wanted(*machine)).map(|_| *at)
     }
 
-    /// How many gateways hear a machine.
-    pub fn hearing(&self, machine: usize) -> usize {
-        self.hears.values().filter(|(heard, _)| *heard == Some(machine)).count()
+    /// How many gateways follow a control server.
+    pub fn followers(&self, machine: usize) -> usize {
+        self.followed.values().filter(|(heard, _)| *heard == Some(machine)).count()
     }
 
-    /// Most gateways that began to hear a machine within one second.
+    /// Most gateways that began to follow a control server within one second.
     pub fn most_in_a_second(&self, machine: usize) -> usize {
         let mut times: Vec<Instant> =
             self.arrivals.iter().filter(|(at, _)| *at == machine).map(|(_, at)| *at).collect();
@@ -278,7 +281,7 @@
     }
 }
 
-/// What all gateways of a run are told of the control machines.
+/// What all gateways of a run are told of the control servers.
 #[derive(Clone, Debug, Default)]
 pub struct Machines(pub Arc<Vec<Place>>);
 
--- a/crates/loadtest/src/scale/count.rs
+++ b/crates/loadtest/src/scale/count.rs
@@ -46,15 +46,15 @@
     pub lists: Flow,
     /// Other answers of discovery, and their bytes: of a wait that was over without news, and of calls that failed.
     pub idle: Flow,
-    /// Bytes sent to control machines.
+    /// Bytes sent to control servers.
     pub control_sent: u64,
-    /// Bytes received from control machines.
+    /// Bytes received from control servers.
     pub control_received: u64,
     /// Processor time of the fleet's part.
     pub fleet_cpu: Duration,
     /// Processor time of the list's part: the watch, the directory, the balancer.
     pub list_cpu: Duration,
-    /// Processor time of the part that follows the control machines, versions taken in it.
+    /// Processor time of the part that follows the control servers, versions taken in it.
     pub control_cpu: Duration,
     /// Others taken for gone.
     pub losses: u64,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Bytes sent and received, of datagrams, of discovery and of control machines.
+    /// Bytes sent and received, of datagrams, of discovery and of control servers.
     pub fn bytes(&self) -> u64 {
         let datagrams = self.sent.iter().chain(&self.received).map(|flow| flow.bytes).sum::<u64>();
         let control = self.control_sent + self.control_received;
--- a/crates/loadtest/src/scale/limits.rs
+++ b/crates/loadtest/src/scale/limits.rs
@@ -21,10 +21,10 @@
 const MEMBER: u64 = 1_024;
 const HOST: u64 = 1_024;
 const BALANCED: u64 = 2_048;
-/// A hollow gateway without them, and a process of the program, in bytes.
-const HOLLOW: u64 = 256 * 1024;
+/// A simulated gateway without them, and a process of the program, in bytes.
+const SIMULATED: u64 = 256 * 1024;
 const PROCESS: u64 = 32 * 1024 * 1024;
-/// A gateway's connections to control machines with what they read into.
+/// A gateway's connections to control servers with what they read into.
 const FOLLOWER: u64 = 128 * 1024;
 /// The rest of the run.
 const REST: u64 = 64 * 1024 * 1024;
@@ -44,15 +44,15 @@
 
     /// What a run needs.
     pub fn needed(plan: &Plan) -> Means {
-        let (hollow, real, control) = (plan.hollow as u64, plan.real as u64, plan.control as u64);
+        let (simulated, real, control) = (plan.simulated as u64, plan.real as u64, plan.control as u64);
         // The connection in use, the next one that is tried, and the own zone's.
         let (connections, follower) = if control > 0 { (3, FOLLOWER) } else { (0, 0) };
         let host = HOST + if plan.router { BALANCED } else { 0 };
-        let each = HOLLOW + follower + plan.gateways() as u64 * MEMBER + plan.hosts * host;
+        let each = SIMULATED + follower + plan.gateways() as u64 * MEMBER + plan.hosts * host;
         Means {
             // Datagrams, the call and its other end; while ports are chosen two a process.
-            descriptors: (3 + connections) * hollow + 3 * (real + control) + 64,
-            memory: (hollow * each + (real + control) * PROCESS + REST) / (1024 * 1024),
+            descriptors: (3 + connections) * simulated + 3 * (real + control) + 64,
+            memory: (simulated * each + (real + control) * PROCESS + REST) / (1024 * 1024),
             processes: plan.threads as u64 + plan.voters as u64 + 2 + THREADS * (real + control),
         }
     }
--- a/crates/loadtest/src/scale/mod.rs
+++ b/crates/loadtest/src/scale/mod.rs
@@ -1,16 +1,16 @@
-//! `loadtest scale`: hollow gateways and real ones around one stand-in for discovery, what happens to them, what it costs
+//! `loadtest scale`: simulated gateways and real ones around one stand-in for discovery, what happens to them, what it costs
 //! each and how long it takes until the last has acted, held against budgets. `docs/operators/scale-run.md` tells how.
 
 pub mod control;
+pub mod convergence;
 pub mod count;
 pub mod discovery;
-pub mod goal;
-pub mod hollow;
 pub mod limits;
 pub mod plan;
 pub mod real;
 pub mod report;
 pub mod run;
+pub mod simulated;
 
 use std::io::{stderr, IsTerminal, Write};
 use std::path::Path;
--- a/crates/loadtest/src/scale/plan.rs
+++ b/crates/loadtest/src/scale/plan.rs
@@ -9,7 +9,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Most gateways, hollow and real: a member of the fleet knows no more than 1,024.
+/// Most gateways, simulated and real: a member of the fleet knows no more than 1,024.
 pub const MOST_GATEWAYS: usize = 1_000;
 /// Most processes that a run starts.
 pub const MOST_PROCESSES: usize = 200;
@@ -26,18 +26,18 @@
     /// For all draws.
     pub seed: u64,
     /// Gateways without client sockets, in the run's own process.
-    pub hollow: usize,
+    pub simulated: usize,
     /// Gateways as processes of the program.
     pub real: usize,
     /// Control machines as processes of the program, one a zone from the first on; they vote in the gateways' place.
     pub control: usize,
     /// Length of a version's document, filled up with blanks.
     pub document_bytes: usize,
-    /// How long what may take between a hollow gateway and the control machines; processes have the program's own.
+    /// How long what may take between a simulated gateway and the control servers; processes have the program's own.
     pub pace: Pace,
     /// The program.
     pub program: PathBuf,
-    /// Threads that the hollow gateways share; voters have one each beside them.
+    /// Threads that the simulated gateways share; voters have one each beside them.
     pub threads: usize,
     /// The whole run ends after this.
     pub longest: Duration,
@@ -49,7 +49,7 @@
     pub settle: Duration,
     /// Most memory, in MiB, at most [`MOST_MEMORY`].
     pub memory: u64,
-    /// Voters: the first of the control machines, or of the gateways where there are none.
+    /// Voters: the first of the control servers, or of the gateways where there are none.
     pub voters: usize,
     /// Length of a lease, in milliseconds.
     pub lease_ms: u64,
@@ -61,7 +61,7 @@
     pub hosts: u64,
     /// Hosts of a group.
     pub group_size: u64,
-    /// Whether each hollow gateway's balancer takes the list in, too.
+    /// Whether each simulated gateway's balancer takes the list in, too.
     pub router: bool,
     /// Whether discovery answers a change with the whole list.
     pub whole: bool,
@@ -82,7 +82,7 @@
     List(u64),
     /// The primary of a group is another of its hosts.
     Primary,
-    /// Each gateway reads its configuration anew: hollow ones are handed the text, real ones get SIGHUP.
+    /// Each gateway reads its configuration anew: simulated ones are handed the text, real ones get SIGHUP.
     Configuration,
     /// A gateway that is no voter ends without a word.
     Death,
@@ -102,9 +102,9 @@
     Version(usize, Duration),
     /// The same with one version, while a gateway that is waited for does nothing for so long.
     Behind(Duration),
-    /// A control machine is killed, and comes back after so long.
+    /// A control server is killed, and comes back after so long.
     Control(Duration),
-    /// A control machine does nothing for so long and then goes on.
+    /// A control server does nothing for so long and then goes on.
     Silent(Duration),
 }
 
@@ -172,9 +172,9 @@
     }
 
     /// One drawn evenly of those that need no number that a run must choose.
-    fn draw(dice: &mut Pcg64Mcg) -> Event {
+    fn draw(rng: &mut Pcg64Mcg) -> Event {
         let kinds = [Event::List(1), Event::Primary, Event::Configuration, Event::Death, Event::Rack(3)];
-        kinds[dice.next_u32() as usize % kinds.len()]
+        kinds[rng.next_u32() as usize % kinds.len()]
     }
 }
 
@@ -196,7 +196,7 @@
 pub struct Budget {
     /// Its key in the file.
     pub key: String,
-    /// `gateway`, `voter`, `control` for a control machine, or an event's word.
+    /// `gateway`, `voter`, `control` for a control server, or an event's word.
     pub of: String,
     /// What is limited.
     pub measure: Measure,
@@ -261,7 +261,7 @@
         let file = Ini::load_from_str_noescape(text).map_err(|e| e.to_string())?;
         let mut plan = Plan {
             seed: 1,
-            hollow: 30,
+            simulated: 30,
             real: 0,
             control: 0,
             document_bytes: 4_096,
@@ -294,8 +294,8 @@
                 set.map_err(|what| format!("[{section}] {key}: {what}"))?;
             }
         }
-        let mut dice = Pcg64Mcg::seed_from_u64(plan.seed);
-        plan.events.extend((0..drawn).map(|_| Event::draw(&mut dice)));
+        let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+        plan.events.extend((0..drawn).map(|_| Event::draw(&mut rng)));
         plan.fits()?;
         Ok(plan)
     }
@@ -305,7 +305,7 @@
         let seconds = |most| number(value, 1, most).map(Duration::from_secs);
         match (section, key) {
             ("run", "seed") => self.seed = number(value, 0, u64::MAX)?,
-            ("run", "hollow") => self.hollow = number(value, 0, most)? as usize,
+            ("run", "hollow") => self.simulated = number(value, 0, most)? as usize,
             ("run", "real") => self.real = number(value, 0, most)? as usize,
             ("run", "control") => self.control = number(value, 0, 64)? as usize,
             ("run", "document_bytes") => {
@@ -383,9 +383,9 @@
         Ok(())
     }
 
-    /// All gateways; the hollow ones come first.
+    /// All gateways; the simulated ones come first.
     pub fn gateways(&self) -> usize {
-        self.hollow + self.real
+        self.simulated + self.real
     }
 
     /// Voters among the gateways, the first of them.
--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! Gateways and control machines as processes of the program, each with its own settings and `TMPDIR`, watched by their
+//! Gateways and control servers as processes of the program, each with its own settings and `TMPDIR`, watched by their
 //! logs and, the gateways, at their doors.
 
 use std::fs;
@@ -14,9 +14,9 @@
 use dunemount::fleet::status::Status;
 use rustix::process::{kill_process, Pid, Signal};
 
+use super::convergence::{ConvergenceTarget, ConvergenceTracker};
 use super::count;
-use super::goal::{Goal, Progress};
-use super::hollow::Word;
+use super::simulated::Report;
 
 /// What a process is started with.
 #[derive(Clone, Debug)]
@@ -32,19 +32,19 @@
     /// Its own folder, with `settings.ini` and, for a gateway, `config.json`.
     pub folder: PathBuf,
     /// Its door.
-    pub door: SocketAddr,
-    /// The number in a gateway's name, and in a control machine's.
+    pub admin: SocketAddr,
+    /// The number in a gateway's name, and in a control server's.
     pub numbers: [fn(&str) -> Option<usize>; 2],
 }
 
 /// What is known of a process.
 struct Watched {
-    progress: Progress,
+    progress: ConvergenceTracker,
     /// The newest version that it has had in force, by its log and by its door.
     version: u64,
     /// The last one by its log alone, whose lines come in order.
     logged: u64,
-    /// The control machine that it hears.
+    /// The control server that it hears.
     heard: Option<usize>,
 }
 
@@ -57,9 +57,9 @@
         newer || fallen
     }
 
-    fn hears(&mut self, gateway: usize, machine: Option<usize>, at: Instant, words: &Sender<Word>) {
+    fn hears(&mut self, gateway: usize, machine: Option<usize>, at: Instant, reports: &Sender<Report>) {
         if std::mem::replace(&mut self.heard, machine) != machine {
-            let _ = words.send(Word::Hears { gateway, machine, at });
+            let _ = reports.send(Report::ControlServerChanged { gateway, server: machine, at });
         }
     }
 }
@@ -69,7 +69,7 @@
     child: Child,
     spec: Spec,
     watched: Arc<Mutex<Watched>>,
-    words: Sender<Word>,
+    reports: Sender<Report>,
     /// Its end is wanted.
     to_end: Arc<AtomicBool>,
     is_up: Arc<AtomicBool>,
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// The program cannot be started.
-    pub fn start(spec: Spec, progress: Progress, words: Sender<Word>) -> io::Result<Process> {
+    pub fn start(spec: Spec, progress: ConvergenceTracker, reports: Sender<Report>) -> io::Result<Process> {
         let mut command = Command::new(&spec.program);
         command.args(&spec.arguments).arg("--settings").arg(spec.folder.join("settings.ini"));
         for variable in
@@ -105,7 +105,7 @@
         let process = Process {
             child,
             watched: Arc::new(Mutex::new(Watched { progress, version: 0, logged: 0, heard: None })),
-            words,
+            reports,
             to_end: Arc::default(),
             is_up: Arc::default(),
             spec,
@@ -117,7 +117,7 @@
             errors: process.spec.folder.join("stderr"),
             numbers: process.spec.numbers,
             watched: process.watched.clone(),
-            words: process.words.clone(),
+            reports: process.reports.clone(),
             is_up: process.is_up.clone(),
             to_end: process.to_end.clone(),
         };
@@ -151,8 +151,8 @@
     }
 
     /// It goes after this from now on.
-    pub fn pursue(&self, goal: Arc<Goal>) {
-        locked(&self.watched).progress.pursue(goal);
+    pub fn set_target(&self, target: Arc<ConvergenceTarget>) {
+        locked(&self.watched).progress.set_target(target);
     }
 
     /// Others that it has taken for gone, by its log.
@@ -162,8 +162,8 @@
     }
 
     /// Asks at its door whom it knows, and how it stands with versions: its log leaves out lines where many come in a second.
-    pub fn ask(&self, gateways: usize) {
-        let Ok(status) = Status::ask(self.spec.door) else { return };
+    pub fn poll_status(&self, gateways: usize) {
+        let Ok(status) = Status::ask(self.spec.admin) else { return };
         let at = Instant::now();
         self.is_up.store(true, Ordering::Relaxed);
         let mut starts = vec![0; gateways];
@@ -178,19 +178,19 @@
         if let Some(configuration) = &status.configuration {
             let number = configuration.version.filter(|number| watched.took(*number, false));
             if let Some(number) = number {
-                let _ = self.words.send(Word::Took { gateway, number, at });
+                let _ = self.reports.send(Report::VersionInForce { gateway, number, at });
             }
             let machine = configuration.machine.as_deref().filter(|_| configuration.cut_off_ms == 0);
-            watched.hears(gateway, machine.and_then(self.spec.numbers[1]), at, &self.words);
+            watched.hears(gateway, machine.and_then(self.spec.numbers[1]), at, &self.reports);
         }
         let progress = &mut watched.progress;
-        progress.adopt(starts);
-        if let Some(goal) = progress.reached() {
-            let _ = self.words.send(Word::Acted { gateway, goal, at });
+        progress.adopt_status(starts);
+        if let Some(target) = progress.take_reached() {
+            let _ = self.reports.send(Report::TargetReached { gateway, target, at });
         }
     }
 
-    /// Processor time of the fleet's thread, of the one that follows the control machines, and of all threads.
+    /// Processor time of the fleet's thread, of the one that follows the control servers, and of all threads.
     pub fn sample(&self) -> ([Duration; 2], Duration) {
         count::process_cpu(self.child.id(), ["fleet", "rollout"])
     }
@@ -217,7 +217,7 @@
     errors: PathBuf,
     numbers: [fn(&str) -> Option<usize>; 2],
     watched: Arc<Mutex<Watched>>,
-    words: Sender<Word>,
+    reports: Sender<Report>,
     is_up: Arc<AtomicBool>,
     to_end: Arc<AtomicBool>,
 }
@@ -236,7 +236,7 @@
         if !self.to_end.load(Ordering::Relaxed) {
             let said = fs::read_to_string(&self.errors).unwrap_or_default();
             let why = said.lines().last().map_or(String::new(), |line| format!(": {line}"));
-            let _ = self.words.send(Word::Failed(format!("{} has ended by itself{why}", self.who)));
+            let _ = self.reports.send(Report::Failed(format!("{} has ended by itself{why}", self.who)));
         }
     }
 
@@ -246,28 +246,28 @@
         if line.contains("config: version in force") {
             let number = value(line, "version").and_then(|text| text.parse().ok());
             if let Some(number) = number.filter(|number| watched.took(*number, true)) {
-                let _ = self.words.send(Word::Took { gateway: self.gateway, number, at });
+                let _ = self.reports.send(Report::VersionInForce { gateway: self.gateway, number, at });
             }
         } else if line.contains("config: hears a control machine") {
             let machine = value(line, "machine").and_then(self.numbers[1]);
-            watched.hears(self.gateway, machine, at, &self.words);
+            watched.hears(self.gateway, machine, at, &self.reports);
         }
         let progress = &mut watched.progress;
         let other = || value(line, "member").and_then(self.numbers[0]);
         if line.contains("fleet: member came") {
-            other().into_iter().for_each(|other| progress.came(other, unix_ms()));
+            other().into_iter().for_each(|other| progress.member_joined(other, unix_ms()));
         } else if line.contains("fleet: member went") {
-            other().into_iter().for_each(|other| progress.went(other, None));
+            other().into_iter().for_each(|other| progress.member_left(other, None));
         } else if line.contains("configuration read anew") {
-            progress.configured();
+            progress.configuration_read();
         } else if line.contains(" list, ") {
             let version = value(line, "rev").and_then(|text| text.parse().ok());
-            version.into_iter().for_each(|version| progress.listed(version));
+            version.into_iter().for_each(|version| progress.list_received(version));
         } else if line.contains(" listening, ") {
             self.is_up.store(true, Ordering::Relaxed);
         }
-        if let Some(goal) = progress.reached() {
-            let _ = self.words.send(Word::Acted { gateway: self.gateway, goal, at });
+        if let Some(target) = progress.take_reached() {
+            let _ = self.reports.send(Report::TargetReached { gateway: self.gateway, target, at });
         }
     }
 }
--- a/crates/loadtest/src/scale/report.rs
+++ b/crates/loadtest/src/scale/report.rs
@@ -11,7 +11,7 @@
 use super::control::InForce;
 use super::count::Counts;
 use super::plan::{Budget, Measure, Plan};
-use super::run::{MachineRow, Outcome, Phase, Row};
+use super::run::{ControlServerRow, Outcome, Phase, Row};
 
 /// Above this part of the machine's cores at work its times are the machine's.
 pub const BUSY: f64 = 2.0 / 3.0;
@@ -66,7 +66,7 @@
     (sum, length)
 }
 
-/// Part of a core that a control machine's process took over the phases that it was there in.
+/// Part of a core that a control server's process took over the phases that it was there in.
 fn core_of(phases: &[&Phase], machine: usize) -> f64 {
     let (mut cpu, mut length) = (Duration::ZERO, Duration::ZERO);
     for phase in phases {
@@ -114,7 +114,7 @@
         let busy: f64 = phases.iter().map(|phase| phase.busy * phase.length.as_secs_f64()).sum::<f64>()
             / length.max(1e-9);
         if budget.of == "control" {
-            let figure = |row: &MachineRow| match budget.measure {
+            let figure = |row: &ControlServerRow| match budget.measure {
                 Measure::Memory => row.memory as f64 * 1024.0 / 1e6,
                 _ => core_of(&phases, row.machine),
             };
@@ -122,7 +122,7 @@
             let found = spread(rows.map(figure).collect()).map(|(_, _, most)| most);
             return verdict(budget, name, found, true, String::new(), busy);
         }
-        // Bytes of a process are not counted, and memory is one figure for all hollow ones.
+        // Bytes of a process are not counted, and memory is one figure for all simulated ones.
         let gateways = phases.iter().flat_map(|phase| &phase.rows);
         let counted = |row: &&Row| {
             (budget.of != "voter" || row.voter) && (budget.measure != Measure::Bytes || !row.real)
@@ -169,7 +169,7 @@
 pub fn text(plan: &Plan, outcome: &Outcome) -> String {
     let mut text = format!(
         "{} hollow and {} real gateways, {} control machines, {} voters, {} hosts, {} roles, seed {}; most memory {} MiB\n",
-        plan.hollow,
+        plan.simulated,
         plan.real,
         plan.control,
         plan.voters,
@@ -271,16 +271,16 @@
     text
 }
 
-/// The control machines' table, and what the gateways said to them; nothing without control machines.
+/// The control servers' table, and what the gateways said to them; nothing without control servers.
 fn control_text(outcome: &Outcome) -> String {
     let mut text = String::new();
     for phase in outcome.phases.iter().filter(|phase| !phase.machines.is_empty()) {
         let length = phase.length.as_secs_f64();
-        let machines = |figure: &dyn Fn(&MachineRow) -> f64, decimals: usize| {
+        let machines = |figure: &dyn Fn(&ControlServerRow) -> f64, decimals: usize| {
             let found = spread(phase.machines.iter().map(figure).collect()).unwrap_or_default();
             format!("{:.decimals$} / {:.decimals$} / {:.decimals$}", found.0, found.1, found.2)
         };
-        let hollow = |figure: &dyn Fn(&Row) -> u64| {
+        let simulated = |figure: &dyn Fn(&Row) -> u64| {
             let rows = phase.rows.iter().filter(|row| !row.real);
             let found = spread(rows.map(|row| figure(row) as f64 / length).collect()).unwrap_or_default();
             format!("{:.0} / {:.0} / {:.0}", found.0, found.1, found.2)
@@ -293,8 +293,8 @@
             machines(&|row| row.cpu.as_secs_f64() / length * 100.0, 2),
             machines(&|row| row.memory as f64 * 1024.0 / 1e6, 1),
             machines(&|row| row.gateways as f64, 0),
-            hollow(&|row| row.counts.control_sent),
-            hollow(&|row| row.counts.control_received),
+            simulated(&|row| row.counts.control_sent),
+            simulated(&|row| row.counts.control_received),
             phase.arrivals.map_or("-".to_string(), |most| most.to_string()),
         );
     }
@@ -337,8 +337,8 @@
          gateways that went back to an older version: {}\n",
         outcome.fallen
     );
-    if let Some(why) = outcome.refusals.first() {
-        let _ = writeln!(told, "not accepted: {}, the first: {why}", outcome.refusals.len());
+    if let Some(why) = outcome.rejections.first() {
+        let _ = writeln!(told, "not accepted: {}, the first: {why}", outcome.rejections.len());
     }
     told
 }
@@ -547,7 +547,7 @@
     let last = last.fold(1.0, f64::max);
     let area = SVGBackend::new(path, (960, 540)).into_drawing_area();
     area.fill(&WHITE)?;
-    let title = format!("{} hollow and {} real gateways, {} hosts", plan.hollow, plan.real, plan.hosts);
+    let title = format!("{} hollow and {} real gateways, {} hosts", plan.simulated, plan.real, plan.hosts);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
         .margin(10)
--- /dev/null
+++ b/crates/loadtest/src/scale/run/files.rs
@@ -0,0 +1,85 @@
+//! The files that a run writes for its gateways and control servers: configurations, settings, and their folder.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::{fs, io};
+
+use dunemount::options::FleetOptions;
+use serde_json::{json, Value};
+
+use super::super::plan::Plan;
+use super::names::{gateway_name, zone_name};
+use super::FLEET;
+
+/// A temporary folder that is removed with its run.
+pub(super) struct Folder(PathBuf);
+
+impl Folder {
+    /// Creates it, named after this process.
+    pub(super) fn new() -> io::Result<Folder> {
+        static NEXT: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("dunemount-scale-{}-{number}", std::process::id()));
+        fs::create_dir_all(&path)?;
+        Ok(Folder(path))
+    }
+
+    /// A path in it.
+    pub(super) fn join(&self, name: impl AsRef<Path>) -> PathBuf {
+        self.0.join(name)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The example's configuration with this admin address, this discovery and these known hosts.
+pub(super) fn configuration(
+    gateway: usize,
+    plan: &Plan,
+    admin: &str,
+    discovery: SocketAddr,
+    known: Value,
+) -> Result<String, String> {
+    let example: Value = serde_json::from_str(include_str!("../../../../../examples/config.json"))
+        .map_err(|e| format!("the example: {e}"))?;
+    let mut config = example;
+    config["name"] = gateway_name(gateway).into();
+    config["listen"] = "127.0.0.1:0".into();
+    config["admin_addr"] = admin.into();
+    config["discovery"] = discovery.to_string().into();
+    config["limits"] = json!({"cores": 1.0, "memory_mb": 256, "sockets": 256});
+    config["known"] = known;
+    config["settings"]["Balancers"] = plan.gateways().into();
+    config["settings"]["Zone"] = zone_name(plan.zone(gateway)).into();
+    Ok(config.to_string())
+}
+
+/// The program, so that it is found from any folder.
+pub(super) fn program(path: &Path) -> Result<PathBuf, String> {
+    fs::canonicalize(path).map_err(|e| format!("[run] program: {}: {e}", path.display()))
+}
+
+/// `[fleet]` as a process of the program reads it.
+pub(super) fn fleet_settings(fleet: &FleetOptions) -> String {
+    let voters: Vec<String> =
+        fleet.voters.iter().map(|place| format!("{}@{}", place.name, place.address)).collect();
+    let mut text = format!(
+        "[fleet]\nname = {FLEET}\nvoters = {}\nsize = {}\nlease_ms = {}\nprobe_ms = {}\n",
+        voters.join(", "),
+        fleet.size,
+        fleet.lease_ms,
+        fleet.probe_ms
+    );
+    if let Some(listen) = fleet.listen {
+        text += &format!("listen = {listen}\n");
+    }
+    if let Some(file) = &fleet.file {
+        text += &format!("file = {}\n", file.display());
+    }
+    text
+}
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -35,9 +35,9 @@
 use slog::{o, Discard, Logger};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::control::{Machines, Put};
+use super::control::{Machines, Proposal};
+use super::convergence::{ConvergenceTarget, ConvergenceTracker};
 use super::count::{thread_cpu, Counts};
-use super::goal::{Goal, Progress};
 
 /// Most gateways of a thread that go on with their list, or take a version, before all nodes are looked at again: either
 /// takes milliseconds, and a node that waits behind hundreds of them would be taken for gone by the others.
@@ -45,9 +45,9 @@
 /// Longest sleep of a thread.
 const LOOK: Duration = Duration::from_millis(200);
 
-/// What all hollow gateways of a run share.
+/// What all simulated gateways of a run share.
 pub struct Common {
-    /// Number of gateways, hollow and real.
+    /// Number of gateways, simulated and real.
     pub gateways: usize,
     /// Which region hears at an address.
     pub regions: BTreeMap<SocketAddr, usize>,
@@ -61,15 +61,15 @@
     pub router: bool,
     /// The fleet's roles.
     pub roles: Vec<String>,
-    /// The control machines.
+    /// The control servers.
     pub machines: Machines,
-    /// How long what may take between a hollow gateway and the control machines.
+    /// How long what may take between a simulated gateway and the control servers.
     pub pace: follower::Pace,
     /// The number in a name.
     pub number: fn(&str) -> Option<usize>,
 }
 
-/// What a hollow gateway is started with.
+/// What a simulated gateway is started with.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Its number.
@@ -90,36 +90,36 @@
     pub seed: u64,
 }
 
-/// What a thread is told.
-pub enum Order {
+/// What a thread of simulated gateways is to do.
+pub enum Command {
     /// Starts a gateway, under this number of its start.
     Start(Box<Identity>, u64),
     /// Ends one without a word.
     Kill(usize),
     /// One does nothing, or goes on.
     Freeze(usize, bool),
-    /// All go after this.
-    Pursue(Arc<Goal>),
+    /// All are to converge on this.
+    SetTarget(Arc<ConvergenceTarget>),
     /// All read their configuration anew.
     Configure,
     /// Hands in all counts.
     Count(Sender<Vec<(usize, Counts)>>),
 }
 
-/// What a gateway or a thread says by itself.
+/// What a gateway, a thread or a process reports.
 #[derive(Debug)]
-pub enum Word {
-    /// A gateway has reached a goal.
-    Acted {
+pub enum Report {
+    /// A gateway has reached a target.
+    TargetReached {
         /// Which.
         gateway: usize,
-        /// The goal.
-        goal: usize,
+        /// The target.
+        target: usize,
         /// When.
         at: Instant,
     },
     /// A gateway has a version in force.
-    Took {
+    VersionInForce {
         /// Which.
         gateway: usize,
         /// The version's number.
@@ -127,24 +127,24 @@
         /// When.
         at: Instant,
     },
-    /// A gateway hears a fresh control machine, another one than before, or none any more.
-    Hears {
+    /// A gateway follows a fresh control server, another one than before, or none any more.
+    ControlServerChanged {
         /// Which.
         gateway: usize,
-        /// The control machine's place.
-        machine: Option<usize>,
+        /// The control server's index.
+        server: Option<usize>,
         /// When.
         at: Instant,
     },
-    /// A version that was put has been answered.
-    Put(Put),
+    /// A version that was proposed has been answered.
+    VersionProposed(Proposal),
     /// The run cannot go on.
     Failed(String),
 }
 
 /// A thread with its gateways.
 pub struct Shard {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     poller: Arc<Poller>,
     end: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -155,14 +155,14 @@
     ///
     /// # Errors
     /// What the system does not give.
-    pub fn start(common: Arc<Common>, words: Sender<Word>) -> io::Result<Shard> {
-        let (orders, told) = channel();
+    pub fn start(common: Arc<Common>, reports: Sender<Report>) -> io::Result<Shard> {
+        let (commands, told) = channel();
         let poller = Arc::new(Poller::new()?);
         let end = Arc::new(AtomicBool::new(false));
         let work = Work {
             common,
             told,
-            words: words.clone(),
+            reports: reports.clone(),
             poller: poller.clone(),
             gateways: BTreeMap::new(),
             next: 0,
@@ -170,20 +170,23 @@
             began: Instant::now(),
         };
         let ended = end.clone();
-        let thread = std::thread::Builder::new().name("hollow".into()).spawn(move || {
-            match catch_unwind(AssertUnwindSafe(|| work.run(&ended))) {
-                Ok(Ok(())) => {}
-                Ok(Err(what)) => drop(words.send(Word::Failed(what))),
-                Err(_) => drop(words.send(Word::Failed("a thread of hollow gateways panicked".into()))),
-            }
-        })?;
-        Ok(Shard { orders, poller, end, thread: Some(thread) })
+        let thread =
+            std::thread::Builder::new().name("simulated".into()).spawn(move || {
+                match catch_unwind(AssertUnwindSafe(|| work.run(&ended))) {
+                    Ok(Ok(())) => {}
+                    Ok(Err(what)) => drop(reports.send(Report::Failed(what))),
+                    Err(_) => {
+                        drop(reports.send(Report::Failed("a thread of simulated gateways panicked".into())))
+                    }
+                }
+            })?;
+        Ok(Shard { commands, poller, end, thread: Some(thread) })
     }
 
-    /// Tells it something.
-    pub fn tell(&self, order: Order) {
+    /// Sends it a command.
+    pub fn send(&self, order: Command) {
         // One that has failed has said so itself.
-        let _ = self.orders.send(order);
+        let _ = self.commands.send(order);
         let _ = self.poller.notify();
     }
 }
@@ -247,14 +250,14 @@
     silent: Option<Call>,
     /// When the next call goes out, if none is.
     next: Micros,
-    dice: Pcg64Mcg,
+    rng: Pcg64Mcg,
     directory: Directory,
     in_force: InForce,
     settings: Settings,
     balancer: Option<Balancer>,
 }
 
-/// The part of a gateway that follows the control machines.
+/// The part of a gateway that follows the control servers.
 struct Following {
     carrier: links::Carrier,
     /// Where the version in force is kept.
@@ -262,7 +265,7 @@
     in_force: Option<Document>,
     /// To be taken; the follower hands out one at a time.
     offered: Option<Document>,
-    /// The fresh control machine that was heard last.
+    /// The fresh control server that was heard last.
     heard: Option<usize>,
 }
 
@@ -272,15 +275,15 @@
     socket: UdpSocket,
     listing: Listing,
     following: Option<Following>,
-    progress: Progress,
+    progress: ConvergenceTracker,
     counts: Counts,
     frozen: bool,
 }
 
 struct Work {
     common: Arc<Common>,
-    told: Receiver<Order>,
-    words: Sender<Word>,
+    told: Receiver<Command>,
+    reports: Sender<Report>,
     poller: Arc<Poller>,
     /// By number; one that was killed leaves its counts.
     gateways: BTreeMap<usize, Result<Box<Gateway>, Counts>>,
@@ -290,9 +293,9 @@
     began: Instant,
 }
 
-/// Keys of a gateway's sockets: one for datagrams, two for calls, three for control machines.
+/// Keys of a gateway's sockets: one for datagrams, two for calls, three for control servers.
 const KEYS: usize = 6;
-/// The first of those for control machines.
+/// The first of those for control servers.
 const CONTROL: usize = 3;
 
 fn datagrams(index: usize) -> usize {
@@ -326,7 +329,7 @@
                     _ => ready.control.push(*event),
                 }
             }
-            let Work { gateways, common, words, poller, clock, began, next, .. } = &mut self;
+            let Work { gateways, common, reports, poller, clock, began, next, .. } = &mut self;
             // Behind the last one that had its turn with a list or a version: from the first one each time, the last would
             // wait for as long as there is more to do than time.
             let order: Vec<usize> =
@@ -344,19 +347,20 @@
                 }
                 let following = gateway.following.as_ref();
                 if following.is_some_and(|it| !control.is_empty() || it.carrier.due() <= now) {
-                    gateway.follow(index, now, &control, words);
+                    gateway.follow(index, now, &control, reports);
                 }
                 // Who is left out is found ready, or due, in the next pass.
                 if lists < LISTS && gateway.is_offered() {
                     (lists, *next) = (lists + 1, index + 1);
-                    gateway.take_offered(index, began, common, words);
+                    gateway.take_offered(index, began, common, reports);
                 }
                 if lists < LISTS && (answered || gateway.listing.due() <= clock.read()) {
                     (lists, *next) = (lists + 1, index + 1);
                     gateway.watch(index, clock, common, poller);
                 }
-                if let Some(goal) = gateway.progress.reached() {
-                    let _ = words.send(Word::Acted { gateway: index, goal, at: Instant::now() });
+                if let Some(target) = gateway.progress.take_reached() {
+                    let _ =
+                        reports.send(Report::TargetReached { gateway: index, target, at: Instant::now() });
                 }
             }
         }
@@ -379,9 +383,9 @@
         due.min().unwrap_or(Duration::MAX)
     }
 
-    fn follow(&mut self, order: Order) -> Result<(), String> {
+    fn follow(&mut self, order: Command) -> Result<(), String> {
         match order {
-            Order::Start(identity, start) => {
+            Command::Start(identity, start) => {
                 let (index, name) = (identity.index, identity.name.clone());
                 let counts = match self.gateways.remove(&index) {
                     Some(Ok(mut gateway)) => self.kill(&mut gateway),
@@ -391,29 +395,29 @@
                 let gateway = self.open(*identity, start, counts).map_err(|e| format!("{name}: {e}"))?;
                 self.gateways.insert(index, Ok(Box::new(gateway)));
             }
-            Order::Kill(index) => {
+            Command::Kill(index) => {
                 if let Some(Ok(mut gateway)) = self.gateways.remove(&index) {
                     let counts = self.kill(&mut gateway);
                     self.gateways.insert(index, Err(counts));
                 }
             }
-            Order::Freeze(index, frozen) => {
+            Command::Freeze(index, frozen) => {
                 if let Some(Ok(gateway)) = self.gateways.get_mut(&index) {
                     let frozen = gateway.freeze(frozen, index, &self.poller);
                     frozen.map_err(|e| format!("cannot wait for sockets: {e}"))?;
                 }
             }
-            Order::Pursue(goal) => {
+            Command::SetTarget(target) => {
                 for gateway in self.gateways.values_mut().flatten() {
-                    gateway.progress.pursue(goal.clone());
+                    gateway.progress.set_target(target.clone());
                 }
             }
-            Order::Configure => {
+            Command::Configure => {
                 for gateway in self.gateways.values_mut().flatten() {
                     gateway.configure(&self.common.configuration)?;
                 }
             }
-            Order::Count(back) => {
+            Command::Count(back) => {
                 let count = |(index, gateway): (&usize, &Result<Box<Gateway>, Counts>)| match gateway {
                     Ok(gateway) => (*index, gateway.counted()),
                     Err(counts) => (*index, *counts),
@@ -436,7 +440,7 @@
         let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
-        let mut progress = Progress::new(index, region, self.common.gateways);
+        let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
         (progress.losses, progress.mistaken) = (counts.losses, counts.mistaken);
         let mut listing = Listing::new(&self.common, seed)?;
         let fleet = fleet.name.unwrap_or_default();
@@ -485,7 +489,7 @@
             call: None,
             silent: None,
             next: Micros(0),
-            dice: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             directory: Directory::new(zones),
             in_force,
             balancer: common.router.then(|| Balancer::new(settings.clone(), seed)),
@@ -589,7 +593,7 @@
 
     /// When the next call goes out is the watch's to say.
     fn call_again(&mut self, how: Failed, spent: Micros, now: Micros) {
-        let draw = f64::from(self.dice.next_u32()) / (f64::from(u32::MAX) + 1.0);
+        let draw = f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let Settings { gateways, drain_grace, .. } = self.settings;
         self.next = now + self.watch.failed(how, gateways, drain_grace, spent, draw);
     }
@@ -597,7 +601,7 @@
 
 impl Gateway {
     fn counted(&self) -> Counts {
-        let Progress { losses, mistaken, .. } = self.progress;
+        let ConvergenceTracker { losses, mistaken, .. } = self.progress;
         let Counts { control_sent, control_received, .. } = self.counts;
         let (sent, received) =
             self.following.as_ref().map_or((0, 0), |it| (it.carrier.sent(), it.carrier.received()));
@@ -632,12 +636,12 @@
             match event {
                 Told::Member(Change::Came(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
-                        self.progress.came(other, peer.start);
+                        self.progress.member_joined(other, peer.start);
                     }
                 }
                 Told::Member(Change::Went(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
-                        self.progress.went(other, Some(peer.start));
+                        self.progress.member_left(other, Some(peer.start));
                     }
                 }
                 _ => {}
@@ -646,15 +650,19 @@
         self.counts.fleet_cpu += thread_cpu() - before;
     }
 
-    /// Goes on with the control machines.
-    fn follow(&mut self, index: usize, now: Duration, ready: &[Event], words: &Sender<Word>) {
+    /// Goes on with the control servers.
+    fn follow(&mut self, index: usize, now: Duration, ready: &[Event], reports: &Sender<Report>) {
         let Some(Following { carrier, offered, heard, .. }) = &mut self.following else { return };
         let before = thread_cpu();
         *offered = carrier.turn(now, ready).pop().or(offered.take());
         let standing = carrier.follower.standing(now);
         let hears = standing.machine.filter(|_| standing.cut_off.is_zero());
         if std::mem::replace(heard, hears) != hears {
-            let _ = words.send(Word::Hears { gateway: index, machine: hears, at: Instant::now() });
+            let _ = reports.send(Report::ControlServerChanged {
+                gateway: index,
+                server: hears,
+                at: Instant::now(),
+            });
         }
         self.counts.control_cpu += thread_cpu() - before;
     }
@@ -664,8 +672,8 @@
         self.following.as_ref().is_some_and(|following| following.offered.is_some())
     }
 
-    /// Takes the version that the control machine has brought.
-    fn take_offered(&mut self, index: usize, began: &Instant, common: &Common, words: &Sender<Word>) {
+    /// Takes the version that the control server has brought.
+    fn take_offered(&mut self, index: usize, began: &Instant, common: &Common, reports: &Sender<Report>) {
         let Some(Following { carrier, kept, in_force, offered, .. }) = &mut self.following else { return };
         let Some(document) = offered.take() else { return };
         let before = thread_cpu();
@@ -673,7 +681,11 @@
         let version = document.version();
         if taken.is_ok() {
             *in_force = Some(document);
-            let _ = words.send(Word::Took { gateway: index, number: version.number, at: Instant::now() });
+            let _ = reports.send(Report::VersionInForce {
+                gateway: index,
+                number: version.number,
+                at: Instant::now(),
+            });
         }
         carrier.taken(began.elapsed(), version, taken);
         self.counts.control_cpu += thread_cpu() - before;
@@ -742,7 +754,7 @@
                     }
                     let news = known != Some(version);
                     (if news { &mut self.counts.lists } else { &mut self.counts.idle }).add(heard);
-                    self.progress.listed(version);
+                    self.progress.list_received(version);
                     [true, false].into_iter().for_each(|late| drop(listing.end_call(late, poller)));
                     listing.next = now;
                     return;
@@ -764,7 +776,7 @@
             None => Ok(text.to_string()),
         };
         text.and_then(|text| self.listing.take(text)).map_err(|fault| fault.of("configuration"))?;
-        self.progress.configured();
+        self.progress.configuration_read();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
     }
--- a/crates/loadtest/tests/scale.rs
+++ b/crates/loadtest/tests/scale.rs
@@ -10,7 +10,7 @@
 use dunemount_loadtest::scale::limits::{admit, Means};
 use dunemount_loadtest::scale::plan::{Event, Plan};
 use dunemount_loadtest::scale::report::{self, quantiles, verdicts};
-use dunemount_loadtest::scale::run::{play, MachineRow, Outcome, Phase};
+use dunemount_loadtest::scale::run::{play, ControlServerRow, Outcome, Phase};
 use rustix::process::{kill_process, Pid, Signal};
 
 /// However busy the machine, what is waited for comes within this.
@@ -132,7 +132,7 @@
     }
     let allowed = Plan { memory: 512, ..plan.clone() };
     assert!(admit(&allowed, plenty).expect_err("more than allowed").contains("[run] memory_mb"));
-    let processes = Plan { hollow: 0, real: 201, ..plan };
+    let processes = Plan { simulated: 0, real: 201, ..plan };
     assert_eq!(admit(&processes, plenty), Err("processes: 201 asked for, 200 at most".to_string()));
     // Control machines are processes like others, and each gateway has connections to them.
     let control = Plan { real: 195, control: 6, ..processes };
@@ -425,7 +425,7 @@
         [budgets]\nversion.last_s = 60\ncontrol.mb = 1\ncontrol.core = 1\n";
     let plan = Plan { program: built(), ..plan(text) };
     let outcome = played(&plan);
-    assert_eq!(outcome.refusals, Vec::<String>::new());
+    assert_eq!(outcome.rejections, Vec::<String>::new());
     let told: Vec<(&str, (usize, usize))> = outcome
         .phases
         .iter()
@@ -466,7 +466,7 @@
         assert!(row.counts.bytes() >= bytes + row.counts.control_sent);
     }
     // What is in force is told at once, a digest and little more, and again each second.
-    for gateway in 0..plan.hollow {
+    for gateway in 0..plan.simulated {
         let rows = outcome.phases.iter().flat_map(|phase| &phase.rows).filter(|row| row.gateway == gateway);
         let sent: u64 = rows.map(|row| row.counts.control_sent).sum();
         let length: f64 = outcome.phases.iter().map(|phase| phase.length.as_secs_f64()).sum();
@@ -480,7 +480,7 @@
         assert!(heard.len() == least.len() && enough && heard.iter().sum::<usize>() <= 12, "{heard:?}");
     };
     assert_heard(quiet, &[4, 3, 3]);
-    let spent = |row: &MachineRow| row.cpu > Duration::ZERO && row.memory > 0;
+    let spent = |row: &ControlServerRow| row.cpu > Duration::ZERO && row.memory > 0;
     assert!(quiet.machines.iter().all(spent), "{:?}", quiet.machines);
     // The next one of the ring has both zones.
     assert_heard(killed, &[7, 3]);
@@ -509,7 +509,7 @@
         [events]\na = version\nb = behind 1.5\n[budgets]\nversion.last_s = 60\nbehind.last_s = 1\nsilent.last_s = 1\n";
     let plan = Plan { program: built(), ..plan(text) };
     let outcome = played(&plan);
-    assert_eq!(outcome.refusals, Vec::<String>::new());
+    assert_eq!(outcome.rejections, Vec::<String>::new());
     assert_eq!(acted(phase(&outcome, "version")), (4, 4));
     assert_eq!(acted(phase(&outcome, "behind")), (4, 4));
     assert_eq!(outcome.in_force, (0..4).map(|gateway| (gateway, 2)).collect());
