--- a/src/api.rs
+++ b/src/api.rs
@@ -244,7 +244,7 @@
 }
 
 /// What the list says of a member's state.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listed {
     /// It takes work.
     #[default]
@@ -256,7 +256,7 @@
 }
 
 /// A line of a member list.
-#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default)]
 pub struct Entry {
     /// The member.
     pub member: MemberId,
@@ -307,7 +307,7 @@
 }
 
 /// A member's part in its group.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Takes writes.
     Primary,
@@ -317,7 +317,7 @@
 }
 
 /// How an attempt or a probe ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Ok,
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -28,6 +28,8 @@
 mod queue;
 mod sessions;
 mod snapshot;
+mod snapshot_conversion;
+mod snapshot_format;
 mod state;
 mod upkeep;
 
--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -5,8 +5,7 @@
 //! primary was at its present between two moments, see [`super::progress`]: each bounds the offset between
 //! the two clocks, and all of them hold.
 
-use serde::{Deserialize, Serialize};
-
+use super::snapshot_format::{DoubtRecord, LogClockRecord, OffsetRecord};
 use crate::api::Micros;
 
 /// Most that two clocks run apart, as a part of the time that goes by: twice the fastest slew of a clock that
@@ -25,7 +24,7 @@
 const CONVINCING_TIME: Micros = Micros::millis(3_000);
 
 /// Bounds of an offset, in microseconds: the log's time less the router's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offset {
     /// When they were exact: they drift apart from there.
     at: Micros,
@@ -130,7 +129,7 @@
 }
 
 /// Proofs that agree with each other and do not fit what is known.
-#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug)]
 struct Doubt {
     offset: Offset,
     proofs: u32,
@@ -138,7 +137,7 @@
 }
 
 /// What is proved of a log's time.
-#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default)]
 pub struct LogClock {
     known: Option<Offset>,
     /// What the latest proofs say that do not fit.
@@ -209,5 +208,41 @@
     }
 }
 
+impl From<Offset> for OffsetRecord {
+    fn from(Offset { at, least, most }: Offset) -> OffsetRecord {
+        OffsetRecord { at, least, most }
+    }
+}
+
+impl From<OffsetRecord> for Offset {
+    fn from(OffsetRecord { at, least, most }: OffsetRecord) -> Offset {
+        Offset { at, least, most }
+    }
+}
+
+impl From<Doubt> for DoubtRecord {
+    fn from(Doubt { offset, proofs, since }: Doubt) -> DoubtRecord {
+        DoubtRecord { offset: offset.into(), proofs, since }
+    }
+}
+
+impl From<DoubtRecord> for Doubt {
+    fn from(DoubtRecord { offset, proofs, since }: DoubtRecord) -> Doubt {
+        Doubt { offset: offset.into(), proofs, since }
+    }
+}
+
+impl From<LogClock> for LogClockRecord {
+    fn from(LogClock { known, doubt }: LogClock) -> LogClockRecord {
+        LogClockRecord { known: known.map(Into::into), doubt: doubt.map(Into::into) }
+    }
+}
+
+impl From<LogClockRecord> for LogClock {
+    fn from(LogClockRecord { known, doubt }: LogClockRecord) -> LogClock {
+        LogClock { known: known.map(Into::into), doubt: doubt.map(Into::into) }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/balance/sessions.rs
+++ b/src/balance/sessions.rs
@@ -1,32 +1,21 @@
 //! Sessions by their commits, so that they are forgotten in that order and in bounded steps. Nothing is
 //! decided here: the router says what every live member has passed.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeSet, HashMap};
 
 use rustc_hash::FxHashMap;
-use serde::{Deserialize, Serialize};
 
 use crate::api::*;
 
 /// What is known of a session in one family. Its commits in another say nothing here.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Session {
-    /// The family that it wrote to.
-    group: GroupId,
+#[derive(Debug)]
+struct Session {
     /// Attempts of its writes that are out: each may have committed unheard.
-    #[serde(skip)]
     pending: u32,
     /// Its latest commit.
     commit: Micros,
 }
 
-impl Session {
-    /// The family that it wrote to.
-    pub fn group(&self) -> GroupId {
-        self.group
-    }
-}
-
 /// All sessions that have written and are not forgotten.
 #[derive(Debug, Default)]
 pub struct Sessions {
@@ -53,7 +42,7 @@
 
     fn change(&mut self, group: GroupId, key: SessionKey, change: impl FnOnce(&mut Session)) {
         let session = self.known.entry((group, key));
-        let session = session.or_insert(Session { group, pending: 0, commit: Micros(0) });
+        let session = session.or_insert(Session { pending: 0, commit: Micros(0) });
         let settled = self.settled.entry(group).or_default();
         if session.pending == 0 {
             settled.remove(&(session.commit, key));
@@ -105,22 +94,16 @@
         }
     }
 
-    /// All sessions, for the process that follows: each once, and those that wrote to more families.
-    pub fn all(&self) -> (BTreeMap<SessionKey, Session>, Vec<(SessionKey, Session)>) {
-        let (mut first, mut more) = (BTreeMap::new(), Vec::new());
-        for ((_, key), session) in &self.known {
-            if let Some(other) = first.insert(*key, session.clone()) {
-                more.push((*key, other));
-            }
-        }
-        (first, more)
+    /// All sessions with the latest commit of each in a group, in no order.
+    pub fn commits(&self) -> impl Iterator<Item = (SessionKey, GroupId, Micros)> + '_ {
+        self.known.iter().map(|((group, key), session)| (*key, *group, session.commit))
     }
 
-    /// Takes over the sessions of the process before; what they awaited there is answered there.
-    pub fn inherit(&mut self, all: impl IntoIterator<Item = (SessionKey, Session)>) {
+    /// Takes over the commits that another process knew; what it awaited is answered there.
+    pub fn restore(&mut self, commits: impl IntoIterator<Item = (SessionKey, GroupId, Micros)>) {
         *self = Sessions::default();
-        for (key, session) in all {
-            self.committed(session.group, key, session.commit);
+        for (key, group, commit) in commits {
+            self.committed(group, key, commit);
         }
     }
 }
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -1,49 +1,36 @@
 //! What a router knows, as one value that the process which follows it can take in. Nothing is decided
 //! here: what is out, held or waiting stays behind, all else goes over as it stands.
 
-use serde::{Deserialize, Serialize};
-
+use super::snapshot_format::SessionRecord;
+pub use super::snapshot_format::Snapshot;
 use super::*;
 
-/// All that a router knows of members, groups and sessions.
-#[derive(Clone, Default, Serialize, Deserialize)]
-pub struct Snapshot {
-    members: BTreeMap<MemberId, Member>,
-    groups: BTreeMap<GroupId, Group>,
-    sessions: BTreeMap<SessionKey, sessions::Session>,
-    /// Those that wrote to more than one family; a process of an earlier version knows none.
-    #[serde(default)]
-    roaming: Vec<(SessionKey, sessions::Session)>,
-    #[serde(rename = "barred")]
-    administratively_down: BTreeSet<MemberId>,
-    #[serde(default)]
-    common_clock: LogClock,
-    span: f64,
-    /// Mean latency of each class, by its place in the settings.
-    pub means: Vec<f64>,
-}
-
 impl Snapshot {
     /// Adds what another worker of the same gateway knows; their families differ.
     pub fn join(&mut self, other: Snapshot) {
         self.members.extend(other.members);
         self.groups.extend(other.groups);
         for (key, session) in other.sessions.into_iter().chain(other.roaming) {
-            if let Some(before) = self.sessions.insert(key, session) {
-                self.roaming.push((key, before));
-            }
+            self.add_session(key, session);
         }
         self.administratively_down.extend(other.administratively_down);
-        self.common_clock = self.common_clock.known().map_or(other.common_clock, |_| self.common_clock);
+        self.common_clock = self.common_clock.known.map_or(other.common_clock, |_| self.common_clock);
         self.span = self.span.max(other.span);
     }
 
+    /// Adds what a session wrote in a group; one that wrote to more than one is kept beside the others.
+    fn add_session(&mut self, key: SessionKey, session: SessionRecord) {
+        if let Some(before) = self.sessions.insert(key, session) {
+            self.roaming.push((key, before));
+        }
+    }
+
     /// What concerns some families.
     pub fn part(mut self, own: impl Fn(GroupId) -> bool) -> Snapshot {
         self.members.retain(|_, member| own(member.entry.group));
         self.groups.retain(|group, _| own(*group));
-        self.sessions.retain(|_, session| own(session.group()));
-        self.roaming.retain(|(_, session)| own(session.group()));
+        self.sessions.retain(|_, session| own(session.group));
+        self.roaming.retain(|(_, session)| own(session.group));
         self
     }
 
@@ -56,31 +43,34 @@
 impl Router {
     /// What this router knows.
     pub fn snapshot(&self) -> Snapshot {
-        let (sessions, roaming) = self.sessions.all();
-        Snapshot {
-            members: self.members.iter().map(|(id, member)| (*id, member.clone())).collect(),
-            groups: self.groups.iter().map(|(id, group)| (*id, group.clone())).collect(),
-            sessions,
-            roaming,
+        let mut snapshot = Snapshot {
+            members: self.members.iter().map(|(id, member)| (*id, member.into())).collect(),
+            groups: self.groups.iter().map(|(id, group)| (*id, group.into())).collect(),
             administratively_down: self.administratively_down.clone(),
-            common_clock: self.common_clock,
+            common_clock: self.common_clock.into(),
             span: self.span,
             means: self.means.clone(),
+            ..Snapshot::default()
+        };
+        for (key, group, commit) in self.sessions.commits() {
+            snapshot.add_session(key, SessionRecord { group, commit });
         }
+        snapshot
     }
 
     /// Takes over what another router knew; `means` are those of this router's classes, where known. This
     /// router's clock may differ from the other's by `error` either way.
     pub fn inherit(&mut self, snapshot: Snapshot, means: &[Option<f64>], error: Micros) {
-        self.members = snapshot.members.into_iter().collect();
-        self.groups = snapshot.groups.into_iter().collect();
+        self.members = snapshot.members.into_iter().map(|(id, member)| (id, member.into())).collect();
+        self.groups = snapshot.groups.into_iter().map(|(id, group)| (id, group.into())).collect();
         for group in self.groups.values_mut() {
             group.log_time = group.log_time.after_error(error);
         }
-        self.common_clock = snapshot.common_clock.after_error(error);
+        self.common_clock = LogClock::from(snapshot.common_clock).after_error(error);
         let groups = self.groups.values().filter_map(|group| self.agreed(group.log_time.known()?));
         self.usual_offset = groups.reduce(Offset::hull);
-        self.sessions.inherit(snapshot.sessions.into_iter().chain(snapshot.roaming));
+        let sessions = snapshot.sessions.into_iter().chain(snapshot.roaming);
+        self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
         self.administratively_down = snapshot.administratively_down;
         self.span = snapshot.span;
         for (mean, known) in self.means.iter_mut().zip(means) {
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -1,7 +1,5 @@
 //! What the router keeps of members, families, open requests and attempts. Nothing is decided here.
 
-use serde::{Deserialize, Serialize};
-
 use super::book::Spot;
 use super::log_clock::{LogClock, ROUNDING};
 use super::progress::Progress;
@@ -18,32 +16,26 @@
 pub type Drawn = Vec<(MemberId, f64)>;
 
 /// A member as this router knows it.
-#[derive(Clone, Default, Serialize, Deserialize)]
+#[derive(Default)]
 pub struct Member {
     pub entry: Entry,
     /// Cold since then; zero when long ago.
     pub born: Micros,
     /// That is what the list tells; else it was seen to come back.
-    #[serde(default)]
     pub born_by_list: bool,
     pub position: Option<Micros>,
     pub position_at: Micros,
-    #[serde(default)]
     pub position_from: Source,
     /// How far it is thought to be behind: from its last position, and from reads that it turned away.
     pub lag: Micros,
     pub role: Role,
     pub role_at: Micros,
     /// The position that it told along with its role, if it told one.
-    #[serde(default)]
     pub role_position: Option<Micros>,
     /// What it last told as the primary.
-    #[serde(skip)]
     pub progress: Progress,
-    #[serde(skip)]
     pub inflight: u32,
     /// Cost of the attempts in flight, in usual requests.
-    #[serde(skip)]
     pub load: f64,
     /// Cost of what failed at once, held against the member for as long as work would have taken.
     pub ghost: f64,
@@ -57,7 +49,6 @@
     /// Weight in the draw, before zone and load.
     pub weight: f64,
     /// Out by the operators' hand, whatever the list says.
-    #[serde(rename = "barred")]
     pub administratively_down: bool,
     /// The list calling it gone binds nobody: it has not drained since its start.
     pub unbound: bool,
@@ -71,7 +62,6 @@
     /// Out of the draw since then.
     pub ejected: Option<Micros>,
     pub probed_at: Micros,
-    #[serde(skip)]
     pub probing: bool,
     /// Last send or answer: since then its connections are idle.
     pub used_at: Micros,
@@ -124,29 +114,23 @@
 }
 
 /// A family: its members and what counts for all of them.
-#[derive(Clone, Default, Serialize, Deserialize)]
+#[derive(Default)]
 pub struct Group {
     pub members: Vec<MemberId>,
     /// Cost served of late, over `Router::span`.
     pub served: f64,
     /// Members listed as ready.
     pub live: f64,
-    /// What is proved of the log's time. What earlier versions hand over as `log_clock` rests on single
-    /// answers and is not read.
-    #[serde(default)]
+    /// What is proved of the log's time.
     pub log_time: LogClock,
     /// The answer that last proved something of it.
-    #[serde(skip)]
     pub dating: Option<Dating>,
     /// The latest commit whose session was forgotten: a member that joins later may not have it yet.
     pub floor: Micros,
     /// The latest claim to be the primary that nothing newer disproved.
-    #[serde(skip)]
     pub leader: Option<MemberId>,
-    #[serde(skip)]
     pub surveyed: Micros,
     /// Running share of requests that were given up before anybody was sent them.
-    #[serde(skip)]
     pub crowd: f64,
 }
 
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -4,7 +4,7 @@
 use crate::{GroupId, MemberId, Micros, RequestId, Role, Status};
 
 /// Where a belief about a member's position comes from.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Source {
     /// Nobody has told it.
     #[default]
