--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -1,4 +1,4 @@
-//! The serialised form of a router's state in a hot restart, The names are read and written by other versions
+//! The serialised form of a router's state in a hot restart. The names are read and written by other versions
 //! of the gateway: they stay as they are, whatever the types in memory are called.
 
 use std::collections::{BTreeMap, BTreeSet};
