--- a/benches/scene/mod.rs
+++ b/benches/scene/mod.rs
@@ -101,13 +101,13 @@
     /// A site whose sessions have all written; their commits lie ahead of every replica.
     pub fn new(size: Size) -> Scene {
         let mut balancer = Balancer::new(settings(), 7);
-        let entry = |family: u64, place: u64| Entry {
+        let entry = |family: u64, place: u64| Endpoint {
             member: MemberId(family * size.members + place + 1),
             group: GroupId(family),
             zone: ZoneId(place as usize % 3),
             weight: 1.0,
             primary: place == 0,
-            ..Entry::default()
+            ..Endpoint::default()
         };
         let all = (0..size.families).flat_map(|f| (0..size.members).map(move |m| entry(f, m)));
         balancer.members(START, true, all.collect());
--- a/crates/rig/src/capacity/measure/pools.rs
+++ b/crates/rig/src/capacity/measure/pools.rs
@@ -6,7 +6,7 @@
 use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
 use dunemount::net::pool::Pool;
 use dunemount::settings::Site;
-use dunemount::{ClassId, Entry, GroupId, Listed, MemberId, Micros, Role, SessionKey, ZoneId};
+use dunemount::{ClassId, Endpoint, EndpointState, GroupId, MemberId, Micros, Role, SessionKey, ZoneId};
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp, Uniform};
 use rand_pcg::Pcg64Mcg;
@@ -57,7 +57,7 @@
     now: Micros,
     balancer: Balancer,
     pool: Pool<u64>,
-    hosts: Vec<Entry>,
+    hosts: Vec<Endpoint>,
     lags: BTreeMap<MemberId, Micros>,
     steps: BTreeMap<(Micros, u64), Step>,
     serial: u64,
@@ -77,17 +77,17 @@
         let said = |e: rand_distr::ExpError| e.to_string();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let lag = Uniform::new(0.0, LAG_US);
-        let entry = |index: usize| Entry {
+        let entry = |index: usize| Endpoint {
             member: MemberId(index as u64 + 1),
             group: GroupId((index / FAMILY) as u64),
             zone: ZoneId(index % 6),
-            listed: Listed::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
             started: Micros(0),
             primary: index % FAMILY == 0,
         };
-        let hosts: Vec<Entry> = (0..hosts).filter(|index| index % FAMILY <= replicas).map(entry).collect();
-        let behind = |host: &Entry, rng: &mut Pcg64Mcg| match host.primary {
+        let hosts: Vec<Endpoint> = (0..hosts).filter(|index| index % FAMILY <= replicas).map(entry).collect();
+        let behind = |host: &Endpoint, rng: &mut Pcg64Mcg| match host.primary {
             true => Micros(0),
             false => Micros(lag.sample(rng) as u64),
         };
@@ -263,10 +263,10 @@
     }
 
     /// Lists a zone's hosts as gone, or as there again and cold.
-    fn list_zone(&mut self, listed: Listed) {
-        let started = if listed == Listed::Ready { self.now } else { Micros(0) };
+    fn list_zone(&mut self, state: EndpointState) {
+        let started = if state == EndpointState::Ready { self.now } else { Micros(0) };
         let of_zone = self.hosts.iter().filter(|host| host.zone == ZoneId(0));
-        let entries: Vec<Entry> = of_zone.map(|host| Entry { listed, started, ..*host }).collect();
+        let entries: Vec<Endpoint> = of_zone.map(|host| Endpoint { state, started, ..*host }).collect();
         self.balancer.members(self.now, false, entries);
     }
 }
@@ -292,10 +292,10 @@
             figures.add("pool_connections", hosts, world.pool.len() as f64);
             figures.add("pool_handshakes_s", hosts, world.counts.handshakes as f64 / seconds);
             figures.add("pool_probes_s", hosts, world.counts.health_checks as f64 / seconds);
-            world.list_zone(Listed::Gone);
+            world.list_zone(EndpointState::Removed);
             world.run(AWAY);
             world.counts = Counts::default();
-            world.list_zone(Listed::Ready);
+            world.list_zone(EndpointState::Ready);
             world.run(BACK);
             figures.add("pool_return_handshakes", hosts, world.counts.returning as f64);
         }
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -34,7 +34,7 @@
 }
 
 struct Host {
-    entry: Entry,
+    entry: Endpoint,
     leads: bool,
     /// It has led, so that a router may take it for the primary until told otherwise.
     led: bool,
@@ -98,7 +98,7 @@
     Arrive,
     Reach(RequestId, AttemptNo, MemberId),
     /// An attempt ends; the host had begun it, or it was the clock, the router or a word of refusal.
-    End(RequestId, AttemptNo, MemberId, Status, Begun),
+    End(RequestId, AttemptNo, MemberId, AttemptStatus, Begun),
     Timer(usize, TimerId),
     Probed(usize, MemberId),
     Owed(RequestId),
@@ -162,11 +162,11 @@
         for place in 0..truth.families * truth.members {
             let member = MemberId(1000 + place);
             let leads = place % truth.members == 0;
-            let entry = Entry {
+            let entry = Endpoint {
                 member,
                 group: GroupId(place / truth.members),
                 zone: ZoneId((place % truth.zones) as usize),
-                listed: Listed::Ready,
+                state: EndpointState::Ready,
                 weight: truth.cores,
                 started: Micros(0),
                 primary: leads,
@@ -215,7 +215,7 @@
             broken: Vec::new(),
         };
         for node in 0..nodes {
-            world.tell(node, ListKind::Full);
+            world.tell(node, EndpointUpdate::Full);
         }
         world.at(Micros(0), Step::Arrive);
         world
@@ -260,20 +260,20 @@
     }
 
     /// Tells a router the list as it stands.
-    fn tell(&mut self, node: usize, kind: ListKind) {
-        let entries: Vec<Entry> = self.hosts.values().map(|host| host.entry).collect();
-        for entry in &entries {
-            let binds = match entry.listed {
-                Listed::Ready => false,
-                Listed::Draining => true,
-                Listed::Gone => {
+    fn tell(&mut self, node: usize, update: EndpointUpdate) {
+        let endpoints: Vec<Endpoint> = self.hosts.values().map(|host| host.entry).collect();
+        for entry in &endpoints {
+            let binds = match entry.state {
+                EndpointState::Ready => false,
+                EndpointState::Draining => true,
+                EndpointState::Removed => {
                     !self.settings.removed_may_serve
                         || self.nodes[node].bound.get(&entry.member) == Some(&true)
                 }
             };
             self.nodes[node].bound.insert(entry.member, binds);
         }
-        self.handle(node, Event::Members { kind, entries });
+        self.handle(node, Event::Endpoints { update, endpoints });
     }
 
     fn tell_all(&mut self) {
@@ -290,7 +290,7 @@
             Step::Timer(node, timer) => self.handle(node, Event::Timer(timer)),
             Step::Probed(node, member) => self.probed(node, member),
             Step::Owed(id) => self.owed(id),
-            Step::List(node) => self.tell(node, ListKind::Changes),
+            Step::List(node) => self.tell(node, EndpointUpdate::Incremental),
             Step::Trouble(trouble) => self.trouble(trouble),
             Step::Calm(trouble, member) => self.calm(trouble, member),
         }
@@ -347,7 +347,7 @@
         let (node, done) = (life.node, life.done);
         if !done {
             self.breach(format!("{id:?}: no final answer"));
-            self.handle(node, Event::Gone(id));
+            self.handle(node, Event::ClientLeft(id));
         }
         self.lives.remove(&id);
     }
@@ -360,10 +360,10 @@
                     self.breach(format!("{request:?}: called off where that is not allowed"));
                 }
                 let to = self.to(request, attempt);
-                self.at(WAY, Step::End(request, attempt, to, Status::Cancelled, Begun(false)));
+                self.at(WAY, Step::End(request, attempt, to, AttemptStatus::Cancelled, Begun(false)));
             }
-            Action::Refuse { .. } | Action::Fail { .. } if self.loses => {}
-            Action::Refuse { request, .. } => self.final_answer(request, true),
+            Action::Reject { .. } | Action::Fail { .. } if self.loses => {}
+            Action::Reject { request, .. } => self.final_answer(request, true),
             Action::Fail { request } => self.final_answer(request, false),
             Action::HealthCheck { member } => {
                 if !self.settings.health_checks {
@@ -373,10 +373,10 @@
             }
             Action::SetTimer { timer, at } => self.at(at - self.now, Step::Timer(node, timer)),
             Action::Watch => self.at(WAY, Step::List(node)),
-            Action::TellPeers { .. } if !self.settings.peers => {
+            Action::Gossip { .. } if !self.settings.peers => {
                 self.breach("told peers where that is not allowed".into());
             }
-            Action::TellPeers { .. } | Action::CloseIdle { .. } | Action::Notice(_) => {}
+            Action::Gossip { .. } | Action::CloseIdle { .. } | Action::Notice(_) => {}
         }
     }
 
@@ -460,7 +460,7 @@
         }
         self.sends.insert((id, no), now);
         self.at(WAY, Step::Reach(id, no, to));
-        self.at(wait, Step::End(id, no, to, Status::Timeout, Begun(false)));
+        self.at(wait, Step::End(id, no, to, AttemptStatus::Timeout, Begun(false)));
     }
 
     /// A host gets a request.
@@ -487,17 +487,17 @@
             return;
         }
         if turned_away {
-            return self.at(WAY, Step::End(id, no, to, Status::Miss, Begun(false)));
+            return self.at(WAY, Step::End(id, no, to, AttemptStatus::Unsuitable, Begun(false)));
         }
         if f64::from(host.running) >= cores * 20.0 {
-            return self.at(WAY, Step::End(id, no, to, Status::Full, Begun(false)));
+            return self.at(WAY, Step::End(id, no, to, AttemptStatus::Rejected, Begun(false)));
         }
         host.running += 1;
         host.received.push((now, work.as_f64()));
         let crowd = (f64::from(host.running) / cores).max(1.0);
         let takes = work.scale(crowd * host.slow / warmth);
         self.budget(to);
-        let status = if self.dice.chance(0.002) { Status::Error } else { Status::Ok };
+        let status = if self.dice.chance(0.002) { AttemptStatus::Error } else { AttemptStatus::Ok };
         self.at(takes, Step::End(id, no, to, status, Begun(true)));
     }
 
@@ -522,7 +522,7 @@
     }
 
     /// An attempt ends for its router, by its host or by the clock, whichever comes first.
-    fn end(&mut self, id: RequestId, no: AttemptNo, from: MemberId, status: Status, begun: Begun) {
+    fn end(&mut self, id: RequestId, no: AttemptNo, from: MemberId, status: AttemptStatus, begun: Begun) {
         let Begun(ran) = begun;
         let Some(host) = self.hosts.get_mut(&from) else { return };
         if ran {
@@ -534,7 +534,10 @@
         }
         let Some(sent) = self.sends.remove(&(id, no)) else { return };
         let latency = self.now - sent;
-        let answered = matches!(status, Status::Ok | Status::Miss | Status::Full | Status::Error);
+        let answered = matches!(
+            status,
+            AttemptStatus::Ok | AttemptStatus::Unsuitable | AttemptStatus::Rejected | AttemptStatus::Error
+        );
         let write = |req: &Request| self.settings.classes[req.class.0].consistency == Consistency::Write;
         let mut position = answered.then_some(stands);
         let mut finished = true;
@@ -542,12 +545,18 @@
         if let Some(life) = self.lives.get_mut(&id) {
             node = life.node;
             life.out.retain(|out| *out != no);
-            let proved = matches!(status, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss);
+            let proved = matches!(
+                status,
+                AttemptStatus::Rejected
+                    | AttemptStatus::ConnectFailed
+                    | AttemptStatus::NotSent
+                    | AttemptStatus::Unsuitable
+            );
             life.unproven |= !proved;
             if !life.unproven && life.out.is_empty() {
                 life.ran = None;
             }
-            if status == Status::Ok && !life.done {
+            if status == AttemptStatus::Ok && !life.done {
                 life.done = true;
                 let latency_objective = self.settings.classes[life.req.class.0].latency_objective;
                 self.counts.served += 1;
@@ -563,7 +572,7 @@
         if answered {
             self.nodes[node].demoted.insert(from, !leads);
         }
-        let report = Report { position: position.filter(|_| answered), role };
+        let report = HealthReport { position: position.filter(|_| answered), role };
         let outcome = Outcome {
             request: id,
             attempt: no,
@@ -582,9 +591,12 @@
         let Some(host) = self.hosts.get(&member) else { return };
         let position = host.position(self.now);
         let role = Some(if host.leads { Role::Primary } else { Role::Replica });
-        let report = Report { position: Some(position), role };
-        let (status, report) =
-            if host.silent { (Status::Timeout, Report::default()) } else { (Status::Ok, report) };
+        let report = HealthReport { position: Some(position), role };
+        let (status, report) = if host.silent {
+            (AttemptStatus::Timeout, HealthReport::default())
+        } else {
+            (AttemptStatus::Ok, report)
+        };
         self.handle(node, Event::HealthChecked { member, status, report });
     }
 
@@ -608,11 +620,11 @@
                 self.hosts.entry(member).and_modify(|host| host.silent = true);
             }
             Trouble::Drain => {
-                self.hosts.entry(member).and_modify(|host| host.entry.listed = Listed::Draining);
+                self.hosts.entry(member).and_modify(|host| host.entry.state = EndpointState::Draining);
                 self.tell_all();
             }
             Trouble::Removal => {
-                self.hosts.entry(member).and_modify(|host| host.entry.listed = Listed::Gone);
+                self.hosts.entry(member).and_modify(|host| host.entry.state = EndpointState::Removed);
                 self.tell_all();
             }
             Trouble::Restart => {
@@ -645,7 +657,7 @@
                 self.hosts.entry(member).and_modify(|host| host.silent = false);
             }
             Trouble::Drain => {
-                self.hosts.entry(member).and_modify(|host| host.entry.listed = Listed::Gone);
+                self.hosts.entry(member).and_modify(|host| host.entry.state = EndpointState::Removed);
                 self.tell_all();
             }
             Trouble::Takeover(_) => {
--- a/crates/rig/tests/cold_hosts.rs
+++ b/crates/rig/tests/cold_hosts.rs
@@ -123,8 +123,12 @@
                 }
                 Action::SetTimer { at, .. } => self.at(at.max(now + Micros(1)), Step::Timer(index)),
                 Action::HealthCheck { member } => {
-                    let report = Report { position: Some(now), role: None };
-                    self.handle(now, index, Event::HealthChecked { member, status: Status::Ok, report });
+                    let report = HealthReport { position: Some(now), role: None };
+                    self.handle(
+                        now,
+                        index,
+                        Event::HealthChecked { member, status: AttemptStatus::Ok, report },
+                    );
                 }
                 _ => {}
             }
@@ -133,17 +137,17 @@
 
     /// The list as a router hears it, the host's start in it or not.
     fn list(&mut self, now: Micros, index: usize, started: bool) {
-        let entry = |member: u64| Entry {
+        let entry = |member: u64| Endpoint {
             member: MemberId(member),
             group: GroupId(1),
             zone: ZoneId(0),
-            listed: Listed::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
             started: if started && MemberId(member) == COLD { BORN } else { Micros(0) },
             primary: member == 1,
         };
-        let entries = (1..=HOSTS).map(entry).collect();
-        self.handle(now, index, Event::Members { kind: ListKind::Full, entries });
+        let endpoints = (1..=HOSTS).map(entry).collect();
+        self.handle(now, index, Event::Endpoints { update: EndpointUpdate::Full, endpoints });
     }
 }
 
@@ -219,7 +223,7 @@
             Step::Answer(index, request, attempt, member, latency) => {
                 world.busy.entry(member).and_modify(|busy| *busy -= 1);
                 let (role, position) = (None, None);
-                let (status, finished, report) = (Status::Ok, true, Report::default());
+                let (status, finished, report) = (AttemptStatus::Ok, true, HealthReport::default());
                 let outcome =
                     Outcome { request, attempt, member, status, latency, finished, role, position, report };
                 world.handle(now, index, Event::Outcome(outcome));
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,8 @@
-//! Types that pass between a driver and the router: settings, ids, events and actions.
+//! The interface between the router and its caller: settings, ids, events and actions.
 //!
 //! All times and durations are whole microseconds. Log positions are times of the databases' clock: a
 //! member at position `p` has applied every commit made up to `p`. [`crate::Router::new`] takes them for
-//! points on the driver's clock, [`crate::Router::with_own_clock`] learns how the two clocks stand.
+//! points on the caller's clock, [`crate::Router::with_own_clock`] learns the offset between the two clocks.
 
 use std::ops::{Add, Sub};
 
@@ -10,7 +10,7 @@
 
 use crate::notice::Notice;
 
-/// A point on the driver's clock, or a length of time, in microseconds.
+/// A point on the caller's clock, or a length of time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
@@ -20,12 +20,12 @@
         Micros(ms * 1000)
     }
 
-    /// The figure as a float, for estimates.
+    /// The number of microseconds as a float, for estimates.
     pub fn as_f64(self) -> f64 {
         self.0 as f64
     }
 
-    /// This length of time times a factor; never negative.
+    /// This length of time multiplied by a factor; never negative.
     pub fn scale(self, factor: f64) -> Self {
         Micros((self.0 as f64 * factor).max(0.0) as u64)
     }
@@ -55,7 +55,7 @@
 }
 
 id! {
-    /// A database member; the number means nothing.
+    /// A database member; the number has no meaning of its own.
     MemberId(u64);
     /// A group of members that hold the same data.
     GroupId(u64);
@@ -63,9 +63,9 @@
     RequestId(u64);
     /// A client session.
     SessionKey(u64);
-    /// Place of a class in [`Settings::classes`].
+    /// Index of a class in [`Settings::classes`].
     ClassId(usize);
-    /// Place of a tenant in [`Settings::tenants`].
+    /// Index of a tenant in [`Settings::tenants`].
     TenantId(usize);
     /// A zone, for comparison only.
     ZoneId(usize);
@@ -73,14 +73,14 @@
     AttemptNo(u32);
     /// A timer that the router asked for.
     TimerId(u64);
-    /// Another driver of the same deployment.
+    /// Another gateway of the same deployment.
     PeerId(u64);
 }
 
 /// How recent the data behind an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write: only the primary takes it.
     Write,
     /// Every commit before the request's arrival.
     Strong,
@@ -92,76 +92,76 @@
     Eventual,
 }
 
-/// Which members drop the repeats of a keyed request.
+/// Which members drop duplicates of a request that bears an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All of them.
     All,
-    /// Those in the zone of the member that was tried first.
+    /// Those in the zone of the first attempt's member.
     Zone,
-    /// Those in the group of the member that was tried first.
+    /// Those in the group of the first attempt's member.
     Group,
 }
 
-/// What a repeat of a request may do.
+/// What executing a request twice does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat is harmless.
+    /// The same as executing it once.
     Idempotent,
-    /// A repeat is dropped within the scope, for the window from the first send on.
+    /// A duplicate is dropped within the scope, for the window that begins with the first send.
     IdempotencyKey {
-        /// Who drops it.
+        /// Which members drop it.
         scope: DeduplicationScope,
         /// For how long.
         window: Micros,
     },
-    /// A repeat would take effect twice.
+    /// It takes effect twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time has its full worth.
+    /// An answer within this time counts with the full weight.
     pub latency_objective: Micros,
-    /// The longest that a client waits, over all its tries.
+    /// The longest that a client waits, over all attempts.
     pub deadline: Micros,
-    /// Worth of a request.
+    /// Weight of a request against those of other classes.
     pub priority_weight: f64,
-    /// Share of the worth that an answer after the aim still has.
+    /// Part of the weight that an answer after the latency objective still has.
     pub late_weight: f64,
-    /// What a repeat may do.
+    /// Whether a request may be repeated.
     pub idempotency: Idempotency,
     /// How recent the data must be.
     pub consistency: Consistency,
 }
 
-/// A customer with a share of the service.
+/// A customer with a quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all drivers.
+    /// Requests a second within the quota, over all gateways.
     pub quota_per_s: f64,
 }
 
-/// What a member does with a read that it lags too far for.
+/// What a member does with a read that it lags too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaChecks {
     /// It answers from what it has.
     None,
-    /// It turns the read away untouched, at once or after waiting a little.
+    /// It rejects the read unexecuted, at once or after a short wait.
     Reject,
 }
 
-/// Who tells what a session has written.
+/// Who keeps the position of a session's last commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokens {
-    /// The request says how long ago the last commit was.
+    /// The client: each request says how long ago the last commit was.
     Carried,
-    /// The router remembers the commits whose answers it saw.
+    /// The router, from the answers to the session's writes.
     Remembered,
 }
 
-/// What the worth of a class counts for.
+/// What a class's weight applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightBasis {
     /// Each request, whatever it costs.
@@ -171,69 +171,69 @@
     Work,
 }
 
-/// Everything a router is told at its start.
+/// A router's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its usual worth.
+    /// Weight of a request beyond its tenant's quota, as a part of its usual weight.
     pub over_quota_weight: f64,
-    /// What a class's worth is the worth of.
+    /// What a class's weight applies to.
     pub weight_basis: WeightBasis,
     /// The router's own zone.
     pub zone: ZoneId,
-    /// Number of drivers in the deployment, this one included.
+    /// Number of gateways in the deployment, this one included.
     pub gateways: u32,
     /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// Member lists come only after [`Action::Watch`].
+    /// Endpoint lists come only after [`Action::Watch`].
     pub watch_required: bool,
-    /// What members do with reads that they lag too far for.
+    /// What members do with reads that they lag too far behind for.
     pub replica_checks: ReplicaChecks,
-    /// Who tells what a session has written.
+    /// Who keeps the position of a session's last commit.
     pub session_tokens: SessionTokens,
-    /// Probes are permitted.
+    /// Health checks are permitted.
     pub health_checks: bool,
     /// Cancels are permitted.
     pub cancels: bool,
-    /// Messages to other drivers are permitted.
+    /// Messages to other gateways are permitted.
     pub peers: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Refused clients are told when to come back.
+    /// Rejected clients are told when to come back.
     pub retry_after: bool,
-    /// Clients mark a request that repeats another of theirs.
+    /// Clients mark a request that repeats an earlier one of theirs.
     pub clients_mark_retries: bool,
-    /// The longest advice that clients honour.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
     /// Most attempts of one request.
     pub max_attempts: u32,
-    /// Price of a probe, in parts of the service, for each request.
+    /// Price of a health check, as a part of the service, for each request.
     pub health_check_price: f64,
     /// Price of an attempt that crosses zones, likewise.
     pub cross_zone_price: f64,
     /// Price of a connection that is opened, likewise.
     pub handshake_price: f64,
-    /// Sends to a member must end this long after word that it drains or is gone.
+    /// Sends to a member must end this long after it is listed as draining or removed.
     pub drain_grace: Micros,
-    /// Only word that a member drains binds; one that is called gone without it may be sent to.
+    /// A member that is removed from the list without having drained may still be sent to.
     pub removed_may_serve: bool,
     /// Connections are closed after this time without use.
     pub connection_idle_timeout: Micros,
-    /// A member starts at this share of its capacity or more.
+    /// Least part of its capacity that a member has as its slow start begins.
     pub slow_start_initial: f64,
-    /// And is warm after this time at the latest.
+    /// Slow start ends after this time at the latest.
     pub slow_start_window: Micros,
     /// Sent more than this multiple of its present capacity...
     pub overload_multiple: f64,
-    /// ...for this long, a cold member falls over.
+    /// ...for this long, a member in slow start breaks down.
     pub overload_window: Micros,
 }
 
 impl Settings {
-    /// What a unit of work is worth that goes into a request of this class, of which one takes so much.
+    /// The weight of a unit of work for a request of this class that takes so many units.
     pub fn weight_per_work(&self, class: ClassId, work: f64) -> f64 {
         let priority_weight = self.classes[class.0].priority_weight;
         match self.weight_basis {
@@ -243,21 +243,21 @@
     }
 }
 
-/// What the list says of a member's state.
+/// A member's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
-    /// It takes work.
+pub enum EndpointState {
+    /// It takes requests.
     #[default]
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// It finishes the requests that it has and takes no new ones.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
-/// A line of a member list.
+/// A member as the endpoint list names it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
+pub struct Endpoint {
     /// The member.
     pub member: MemberId,
     /// Its group.
@@ -265,8 +265,8 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its state.
-    pub listed: Listed,
-    /// Its size against that of others.
+    pub state: EndpointState,
+    /// Its capacity relative to that of others.
     pub weight: f64,
     /// Its latest start; zero if long ago.
     pub started: Micros,
@@ -274,14 +274,14 @@
     pub primary: bool,
 }
 
-/// What a member list holds.
+/// What an update of the endpoint list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    /// Changed entries only.
-    Changes,
-    /// All members; who is missing has been removed.
+pub enum EndpointUpdate {
+    /// Changed endpoints only.
+    Incremental,
+    /// All endpoints; a member that is missing has been removed.
     Full,
-    /// The list could not be had.
+    /// Nothing: the list could not be fetched.
     Failed,
 }
 
@@ -296,7 +296,7 @@
     pub group: GroupId,
     /// Its session, if it has one.
     pub session: Option<SessionKey>,
-    /// Position of the session's last commit, if one is carried.
+    /// Position of the session's last commit, if the request carries one.
     pub committed: Option<Micros>,
     /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
@@ -306,7 +306,7 @@
     pub time_left: Micros,
 }
 
-/// A member's part in its group.
+/// A member's role in its group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Takes writes.
@@ -316,43 +316,45 @@
     Replica,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// Served.
     Ok,
-    /// The member failed; an effect may have occurred.
+    /// The member failed; the request may have taken effect.
     Error,
-    /// Turned away unseen: no room, or draining.
-    Full,
-    /// No answer in time; it may have run.
+    /// Rejected unexecuted: no capacity, or draining.
+    Rejected,
+    /// No answer in time; it may have been executed.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection; it was never executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// What came back is no answer; it may have run.
-    Spoilt,
-    /// Called off; it may have run.
+    /// The answer could not be understood; it may have been executed.
+    Malformed,
+    /// Cancelled; it may have been executed.
     Cancelled,
-    /// Taken back for a cause of the driver's own, which says nothing of the member; it may have run.
+    /// Withdrawn for a reason of the caller's own, which says nothing about the member; it may have been
+    /// executed.
     Withdrawn,
     /// Never sent.
-    Moot,
-    /// Turned away untouched: wrong role, or too far behind.
-    Miss,
+    NotSent,
+    /// Rejected unexecuted: the member has the wrong role or is too far behind.
+    Unsuitable,
 }
 
-impl Status {
+impl AttemptStatus {
     /// Whether it proves that the attempt had no effect.
-    pub fn proves_unrun(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
+    pub fn proves_not_executed(self) -> bool {
+        use AttemptStatus::{ConnectFailed, NotSent, Rejected, Unsuitable};
+        matches!(self, Rejected | ConnectFailed | NotSent | Unsuitable)
     }
 }
 
-/// What a member said of itself some time ago.
+/// What a member reported about itself some time ago.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct HealthReport {
     /// Its log position then.
     pub position: Option<Micros>,
     /// Its role then.
@@ -366,62 +368,62 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// The member tried.
+    /// The member that it was sent to.
     pub member: MemberId,
     /// How it ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// Time since it was sent.
     pub latency: Micros,
-    /// The request has finished, by this or earlier.
+    /// The request has finished, by this attempt or earlier.
     pub finished: bool,
     /// The member's role as it answered.
     pub role: Option<Role>,
-    /// Its position, or for a served write the time of the commit.
+    /// The member's position, or for a served write the time of the commit.
     pub position: Option<Micros>,
-    /// The member's report, if one came along.
-    pub report: Report,
+    /// The member's health report, if one came with the answer.
+    pub report: HealthReport,
 }
 
-/// What a driver tells the router.
+/// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A member list, or a change to it.
-    Members {
+    /// The endpoint list, or a change to it.
+    Endpoints {
         /// What it holds.
-        kind: ListKind,
-        /// Its lines.
-        entries: Vec<Entry>,
+        update: EndpointUpdate,
+        /// Its endpoints.
+        endpoints: Vec<Endpoint>,
     },
     /// A request has arrived.
     Request(Request),
-    /// A streamed answer has started: the request now belongs to the client.
+    /// An answer has begun to stream to the client: the request has its final answer.
     Started {
         /// The request.
         request: RequestId,
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left; nothing is owed any more.
-    Gone(RequestId),
+    /// The client has left: no answer is owed any more.
+    ClientLeft(RequestId),
     /// A timer is due.
     Timer(TimerId),
-    /// Operators put a member down, or back up.
-    SetDown {
+    /// Operators took a member out of service, or put it back.
+    SetAdministrativelyDown {
         /// The member.
         member: MemberId,
-        /// Down, or up.
+        /// Out of service, or back.
         down: bool,
     },
-    /// A probe has ended.
+    /// A health check has ended.
     HealthChecked {
-        /// The member probed.
+        /// The member.
         member: MemberId,
         /// How it ended.
-        status: Status,
-        /// What the member said.
-        report: Report,
+        status: AttemptStatus,
+        /// What the member reported.
+        report: HealthReport,
     },
-    /// Another driver's message.
+    /// Another gateway's message.
     Peer {
         /// Its sender.
         from: PeerId,
@@ -430,7 +432,7 @@
     },
 }
 
-/// What the router asks of a driver.
+/// An output of the router, for its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -449,24 +451,24 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: refused, and a further try is harmless.
-    Refuse {
+    /// Final answer: rejected, and the client may safely retry.
+    Reject {
         /// The request.
         request: RequestId,
-        /// When to come back, if there is advice.
+        /// When to come back, if the client is to be told.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, with no word on its effect.
+    /// Final answer: failed, and the request may or may not have taken effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Check a member's health and log position.
+    /// Check a member's health.
     HealthCheck {
         /// The member.
         member: MemberId,
     },
-    /// Close the connections to a member that carry nothing, so that the next send opens a new one.
+    /// Close the idle connections to a member, so that the next send opens a new one.
     CloseIdle {
         /// The member.
         member: MemberId,
@@ -478,10 +480,10 @@
         /// When.
         at: Micros,
     },
-    /// Ask for member lists from here on.
+    /// Ask for endpoint lists from here on.
     Watch,
-    /// Send a message to every other driver.
-    TellPeers {
+    /// Send a message to every other gateway.
+    Gossip {
         /// Its text, at most 256 bytes.
         text: String,
     },
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -130,12 +130,14 @@
             self.sweep(now, actions);
         }
         match event {
-            Event::Members { kind, entries } => self.members_listed(now, kind, entries, actions),
+            Event::Endpoints { update: kind, endpoints: entries } => {
+                self.members_listed(now, kind, entries, actions)
+            }
             Event::Request(req) => self.arrive(now, req, actions),
             Event::Started { request } => self.started(now, request, actions),
             Event::Outcome(outcome) => self.outcome(now, outcome, actions),
-            Event::Gone(id) => self.close(id),
-            Event::SetDown { member, down } => {
+            Event::ClientLeft(id) => self.close(id),
+            Event::SetAdministrativelyDown { member, down } => {
                 self.set_administratively_down(now, member, down, actions);
             }
             Event::Timer(SWEEP) if now >= self.wake => self.sweep(now, actions),
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -93,8 +93,14 @@
     pub(super) fn outcome(&mut self, now: Micros, o: Outcome, actions: &mut Actions) {
         let Some(attempt) = self.attempts.remove(&(o.request, o.attempt)) else { return };
         self.judge(now, &o, &attempt);
-        let answered =
-            matches!(o.status, Status::Ok | Status::Miss | Status::Full | Status::Error | Status::Spoilt);
+        let answered = matches!(
+            o.status,
+            AttemptStatus::Ok
+                | AttemptStatus::Unsuitable
+                | AttemptStatus::Rejected
+                | AttemptStatus::Error
+                | AttemptStatus::Malformed
+        );
         if answered {
             self.heard(now, o.member);
             self.members.entry(o.member).and_modify(|m| m.breaks = 0);
@@ -111,24 +117,24 @@
         let write = self.settings.classes[attempt.class.0].consistency == Consistency::Write;
         if let Some(key) = attempt.session.filter(|_| write) {
             // What was lost on the way may have been a commit: its session reads on from this moment.
-            let told = o.position.filter(|_| o.status == Status::Ok);
+            let told = o.position.filter(|_| o.status == AttemptStatus::Ok);
             let lost = self.log_now(now + self.hold(), attempt.group).unwrap_or(Micros(u64::MAX));
-            let commit = if o.status.proves_unrun() { Micros(0) } else { told.unwrap_or(lost) };
+            let commit = if o.status.proves_not_executed() { Micros(0) } else { told.unwrap_or(lost) };
             self.committed(attempt.group, key, commit);
             self.sessions.end(attempt.group, key);
         }
         let latest = self.log_now(now, attempt.group);
         let Some(member) = self.members.get_mut(&o.member) else { return };
-        let group = member.entry.group;
-        if o.status == Status::Ok {
+        let group = member.endpoint.group;
+        if o.status == AttemptStatus::Ok {
             self.groups.entry(group).or_default().served += attempt.cost;
         }
         let checked = attempt.needed > Micros(0) && self.settings.replica_checks == ReplicaChecks::Reject;
         if let Some(latest) = latest.filter(|_| checked) {
             // Where members check, what they serve and what they turn away tells how far they are.
-            if o.status == Status::Miss {
+            if o.status == AttemptStatus::Unsuitable {
                 member.lag = member.lag.max(latest - attempt.needed);
-            } else if o.status == Status::Ok {
+            } else if o.status == AttemptStatus::Ok {
                 member.position = member.position.max(Some(attempt.needed));
                 member.lag = member.lag.min(latest - attempt.needed);
             }
@@ -148,15 +154,16 @@
         let latency_objective = self.settings.classes[attempt.class.0].latency_objective.as_f64();
         let latency = o.latency.as_f64();
         let Some(member) = self.members.get_mut(&o.member) else { return };
-        member.used_at = if o.status == Status::ConnectFailed { Micros(0) } else { now };
+        member.used_at = if o.status == AttemptStatus::ConnectFailed { Micros(0) } else { now };
         if !attempt.flows {
             member.release(attempt.cost);
         }
         // Answers that stay out on idle connections only: something drops those unseen. Shorter idle
         // times are trusted then, not so where none can be made, and the member is not blamed.
-        let silent = matches!(o.status, Status::Timeout | Status::Cancelled | Status::Reset);
+        let silent =
+            matches!(o.status, AttemptStatus::Timeout | AttemptStatus::Cancelled | AttemptStatus::Reset);
         let idle = attempt.idle.filter(|_| silent);
-        if o.status == Status::ConnectFailed {
+        if o.status == AttemptStatus::ConnectFailed {
             self.idle_trust = self.settings.connection_idle_timeout;
         } else if silent || attempt.idle.is_some() {
             self.idle_losses = if idle.is_some() { self.idle_losses + 1 } else { 0 };
@@ -165,16 +172,16 @@
         self.idle_trust = dropped.map_or(self.idle_trust, |time| self.idle_trust.min(time.scale(0.5)));
         let used = match o.status {
             _ if dropped.is_some() => None,
-            Status::Ok => {
+            AttemptStatus::Ok => {
                 member.stretch += (latency / *mean - member.stretch) * MEMBER_GAIN;
                 *mean += (latency - *mean) * MEAN_GAIN;
                 Some(latency / latency_objective)
             }
-            Status::Timeout | Status::Cancelled => {
+            AttemptStatus::Timeout | AttemptStatus::Cancelled => {
                 *mean += (latency - *mean).max(0.0) * MEAN_GAIN;
                 Some((latency / latency_objective).max(1.0))
             }
-            Status::Full => Some(MISSED),
+            AttemptStatus::Rejected => Some(MISSED),
             _ => None,
         };
         // It may be cut off, which shows in nothing else.
@@ -191,21 +198,24 @@
             member.paused_until = now + o.latency.scale(1.0 / member.limit - 1.0);
         }
         match o.status {
-            Status::Ok => member.fail -= member.fail * MEMBER_GAIN,
+            AttemptStatus::Ok => member.fail -= member.fail * MEMBER_GAIN,
             // It has done the work and sent something: neither down nor idle.
-            Status::Spoilt => member.fail += (1.0 - member.fail) * MEMBER_GAIN,
+            AttemptStatus::Malformed => member.fail += (1.0 - member.fail) * MEMBER_GAIN,
             // What it has begun may go on there, for about as long as a request takes.
-            Status::Timeout | Status::Cancelled => member.ghost += attempt.cost,
+            AttemptStatus::Timeout | AttemptStatus::Cancelled => member.ghost += attempt.cost,
             // A member that fails or turns away at once must not look lightly loaded and draw all
             // traffic; one that failed by chance is spared for no longer than a request takes.
-            Status::Error | Status::Full | Status::ConnectFailed | Status::Reset => {
+            AttemptStatus::Error
+            | AttemptStatus::Rejected
+            | AttemptStatus::ConnectFailed
+            | AttemptStatus::Reset => {
                 member.fail += (1.0 - member.fail) * MEMBER_GAIN;
                 member.ghost += attempt.cost;
             }
             _ => {}
         }
-        if matches!(o.status, Status::ConnectFailed | Status::Reset) {
-            member.break_off(now, o.status == Status::Reset);
+        if matches!(o.status, AttemptStatus::ConnectFailed | AttemptStatus::Reset) {
+            member.break_off(now, o.status == AttemptStatus::Reset);
         }
     }
 
@@ -213,11 +223,11 @@
     pub(super) fn after_failure(&mut self, now: Micros, o: &Outcome, actions: &mut Actions) {
         let Some(open) = self.open.get_mut(&o.request) else { return };
         open.out.retain(|(attempt, _)| *attempt != o.attempt);
-        open.unproven |= !o.status.proves_unrun();
+        open.unproven |= !o.status.proves_not_executed();
         open.ran = open.ran.filter(|_| !open.unrun());
         open.avoid.push(o.member);
         // Errors that follow a read from member to member are its own.
-        open.errors += u32::from(o.status == Status::Error);
+        open.errors += u32::from(o.status == AttemptStatus::Error);
         if open.out.is_empty() {
             let open = &self.open[&o.request];
             if !self.may_send(now, open) || now + self.settings.tick >= open.deadline {
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -156,7 +156,7 @@
         let far = 1.0 + ZONE_PULL * self.settings.cross_zone_price;
         let new = LINK_PULL * (1.0 + HANDSHAKE_PULL * self.settings.handshake_price);
         let weight = |member: &Member| {
-            let distance = if member.entry.zone == self.settings.zone { 1.0 } else { far };
+            let distance = if member.endpoint.zone == self.settings.zone { 1.0 } else { far };
             let linked = now - member.used_at < self.settings.connection_idle_timeout;
             let distance = if linked { distance } else { distance * new };
             let busy = 1.0 + (member.load + member.ghost) / member.weight;
--- a/src/balance/dating.rs
+++ b/src/balance/dating.rs
@@ -20,7 +20,7 @@
     /// What the position in an answer is.
     pub(super) fn told(&self, outcome: &Outcome, attempt: &Attempt) -> Told {
         let class = &self.settings.classes[attempt.class.0];
-        if outcome.status != Status::Ok || class.consistency != Consistency::Write {
+        if outcome.status != AttemptStatus::Ok || class.consistency != Consistency::Write {
             return Told::Position;
         }
         // A repeat may be dropped and told the commit of the first run, whoever repeats: this router, or the
@@ -34,9 +34,9 @@
     }
 
     /// Takes in what a primary reports of itself: it proves nothing alone, but may show that its log goes on.
-    pub(super) fn hear_report(&mut self, now: Micros, member: MemberId, report: Report) {
+    pub(super) fn hear_report(&mut self, now: Micros, member: MemberId, report: HealthReport) {
         if let (Some(Role::Primary), Some(position)) = (report.role, report.position) {
-            let (told, status) = (Told::Report, Status::Ok);
+            let (told, status) = (Told::Report, AttemptStatus::Ok);
             self.hear_primary(now, Dating { member, status, position, told, sent: now, heard: now });
         }
     }
@@ -103,7 +103,7 @@
             return;
         }
         let Some(member) = self.members.get_mut(&answer.member) else { return };
-        let (id, proof) = (member.entry.group, member.progress.hear(&answer));
+        let (id, proof) = (member.endpoint.group, member.progress.hear(&answer));
         let (common, usual) = (&mut self.common_clock, self.usual_offset);
         let Some(group) = self.groups.get_mut(&id) else { return };
         let change = proof.map_or(Change::None, |proof| {
@@ -140,7 +140,7 @@
                 member.lag = offset.latest(now) - position;
             }
             if change == Change::Learned && member.born_by_list {
-                member.born = offset.local(now, member.entry.started).min(now);
+                member.born = offset.local(now, member.endpoint.started).min(now);
             }
         }
     }
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -29,7 +29,7 @@
             let wait = Micros((self.means[open.req.class.0] / ahead) as u64);
             let wait = wait.min(self.settings.max_retry_after);
             let useful = self.settings.retry_after && now + wait < open.deadline;
-            actions.push(Action::Refuse { request: id, retry_after: useful.then_some(wait) });
+            actions.push(Action::Reject { request: id, retry_after: useful.then_some(wait) });
         } else {
             actions.push(Action::Fail { request: id });
         }
--- a/src/balance/health.rs
+++ b/src/balance/health.rs
@@ -144,11 +144,11 @@
             member.fail *= forget;
             member.lag = member.lag.scale(forget);
             let sound = (1.0 - member.fail).powi(4);
-            let size = if member.entry.weight > 0.0 { member.entry.weight } else { 1.0 };
+            let size = if member.endpoint.weight > 0.0 { member.endpoint.weight } else { 1.0 };
             member.weight = (size * warmth * sound / member.stretch.max(0.2)).max(TRICKLE);
             let listed = member.listed();
             // Members gone for good are forgotten, or years of replacements would add up.
-            let held = member.inflight > 0 || member.entry.listed == Listed::Ready;
+            let held = member.inflight > 0 || member.endpoint.state == EndpointState::Ready;
             if !(held || listed && member.breaks <= EJECT_AFTER + EJECT_DOUBLINGS) {
                 members.swap_remove(id);
                 gone += f64::from(u8::from(listed));
@@ -192,21 +192,21 @@
         &mut self,
         now: Micros,
         id: MemberId,
-        status: Status,
-        report: Report,
+        status: AttemptStatus,
+        report: HealthReport,
         actions: &mut Actions,
     ) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.probing = false;
-        let group = member.entry.group;
+        let group = member.endpoint.group;
         match status {
-            Status::Ok => {
+            AttemptStatus::Ok => {
                 self.heard(now, id);
                 self.hear_report(now, id, report);
                 self.learn_report(now, id, report);
                 self.place_waiting(now, group, actions);
             }
-            Status::ConnectFailed | Status::Reset | Status::Timeout => {
+            AttemptStatus::ConnectFailed | AttemptStatus::Reset | AttemptStatus::Timeout => {
                 member.breaks = member.breaks.max(1);
                 member.break_off(now, false);
                 self.wake_by(now, actions);
--- a/src/balance/log_clock/tests.rs
+++ b/src/balance/log_clock/tests.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::*;
-use crate::api::{MemberId, Status};
+use crate::api::{AttemptStatus, MemberId};
 use crate::balance::chance::unit;
 use crate::balance::progress::Progress;
 use crate::notice::{Dating, Told};
@@ -96,7 +96,7 @@
             false => (stood / 1_000.0).floor() * 1_000.0,
         };
         let (sent, at) = (self.now(), self.now + (latency - held).max(0.0));
-        let status = Status::Ok;
+        let status = AttemptStatus::Ok;
         let dating = Dating {
             member: MemberId(1),
             status,
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -24,7 +24,8 @@
     }
 
     pub(super) fn listed(&self) -> bool {
-        let listed = self.entry.listed == Listed::Ready || self.entry.listed == Listed::Gone && self.unbound;
+        let listed = self.endpoint.state == EndpointState::Ready
+            || self.endpoint.state == EndpointState::Removed && self.unbound;
         listed && !self.administratively_down
     }
 
@@ -51,41 +52,44 @@
     pub(super) fn members_listed(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<Entry>,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
         actions: &mut Actions,
     ) {
-        match kind {
-            ListKind::Failed if self.settings.watch_required => actions.push(Action::Watch),
-            ListKind::Failed | ListKind::Changes => {}
-            ListKind::Full => {
-                let named: HashSet<MemberId> = entries.iter().map(|e| e.member).collect();
-                for member in self.members.values_mut().filter(|m| !named.contains(&m.entry.member)) {
-                    member.entry.listed = Listed::Gone;
+        match update {
+            EndpointUpdate::Failed if self.settings.watch_required => actions.push(Action::Watch),
+            EndpointUpdate::Failed | EndpointUpdate::Incremental => {}
+            EndpointUpdate::Full => {
+                let named: HashSet<MemberId> = endpoints.iter().map(|e| e.member).collect();
+                for member in self.members.values_mut().filter(|m| !named.contains(&m.endpoint.member)) {
+                    member.endpoint.state = EndpointState::Removed;
                 }
             }
         }
         let start = LIMIT_START * self.limit_share.sqrt();
-        let mut changed: BTreeSet<GroupId> = entries.iter().map(|entry| entry.group).collect();
-        for entry in entries {
-            let role = if entry.primary { Role::Primary } else { Role::Replica };
-            let (offset, new) = (self.offset(entry.group), !self.members.contains_key(&entry.member));
-            let member =
-                self.members.entry(entry.member).or_insert_with(|| Member::new(entry, role, start, TRICKLE));
-            if member.entry.group != entry.group {
-                let before = self.groups.entry(member.entry.group).or_default();
-                before.members.retain(|id| *id != entry.member);
+        let mut changed: BTreeSet<GroupId> = endpoints.iter().map(|endpoint| endpoint.group).collect();
+        for endpoint in endpoints {
+            let role = if endpoint.primary { Role::Primary } else { Role::Replica };
+            let (offset, new) = (self.offset(endpoint.group), !self.members.contains_key(&endpoint.member));
+            let member = self
+                .members
+                .entry(endpoint.member)
+                .or_insert_with(|| Member::new(endpoint, role, start, TRICKLE));
+            if member.endpoint.group != endpoint.group {
+                let before = self.groups.entry(member.endpoint.group).or_default();
+                before.members.retain(|id| *id != endpoint.member);
                 member.leave_family(role);
-                changed.insert(member.entry.group);
+                changed.insert(member.endpoint.group);
             }
-            let group = self.groups.entry(entry.group).or_default();
-            if let Err(place) = group.members.binary_search(&entry.member) {
-                group.members.insert(place, entry.member);
+            let group = self.groups.entry(endpoint.group).or_default();
+            if let Err(place) = group.members.binary_search(&endpoint.member) {
+                group.members.insert(place, endpoint.member);
             }
-            member.administratively_down = self.administratively_down.contains(&entry.member);
-            let told = new || entry.started != member.entry.started;
-            let started = offset.map_or(entry.started, |offset| offset.local(now, entry.started).min(now));
-            let started = if entry.started == Micros(0) { entry.started } else { started };
+            member.administratively_down = self.administratively_down.contains(&endpoint.member);
+            let told = new || endpoint.started != member.endpoint.started;
+            let started =
+                offset.map_or(endpoint.started, |offset| offset.local(now, endpoint.started).min(now));
+            let started = if endpoint.started == Micros(0) { endpoint.started } else { started };
             if told && started > member.born {
                 // What was known of its health is void.
                 member.fail = 0.0;
@@ -96,11 +100,12 @@
                     member.limit = start;
                 }
             }
-            member.entry = entry;
+            member.endpoint = endpoint;
             // Where only draining binds the list may miss live members; one that drained keeps its bond.
             let only_draining = self.settings.removed_may_serve;
-            let drains = entry.listed == Listed::Draining;
-            member.unbound = only_draining && !drains && (member.unbound || entry.listed == Listed::Ready);
+            let drains = endpoint.state == EndpointState::Draining;
+            member.unbound =
+                only_draining && !drains && (member.unbound || endpoint.state == EndpointState::Ready);
         }
         for group in changed {
             self.recount(group);
@@ -123,14 +128,14 @@
         member.administratively_down = down;
         if !down {
             let limit = LIMIT_START * self.limit_share.sqrt();
-            let new = Member::new(member.entry, Role::Replica, limit, TRICKLE);
+            let new = Member::new(member.endpoint, Role::Replica, limit, TRICKLE);
             let old = std::mem::replace(member, new);
             (member.position, member.position_at, member.lag) = (old.position, old.position_at, old.lag);
             (member.inflight, member.load, member.probing) = (old.inflight, old.load, old.probing);
             (member.role_at, member.unbound) = (old.role_at, old.unbound);
             member.restart(now, &mut self.rng);
         }
-        let group = member.entry.group;
+        let group = member.endpoint.group;
         self.recount(group);
         self.wake_by(now, actions);
     }
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -17,7 +17,7 @@
         position: Option<Micros>,
         source: Source,
     ) {
-        let Some(group) = self.members.get(&id).map(|member| member.entry.group) else { return };
+        let Some(group) = self.members.get(&id).map(|member| member.endpoint.group) else { return };
         let (offset, latest) = (self.offset(group), self.log_now(now, group));
         // What cannot be is spoilt, and so may the rest of it be.
         if position.is_some_and(|at| !self.one_clock && offset.is_some_and(|offset| !offset.allows(now, at)))
@@ -43,8 +43,8 @@
     }
 
     /// Takes in a member's report of itself. Its position dates the rest of it.
-    pub(super) fn learn_report(&mut self, now: Micros, id: MemberId, report: Report) {
-        let Some(group) = self.members.get(&id).map(|member| member.entry.group) else { return };
+    pub(super) fn learn_report(&mut self, now: Micros, id: MemberId, report: HealthReport) {
+        let Some(group) = self.members.get(&id).map(|member| member.endpoint.group) else { return };
         let local = |position| self.offset(group).map(|offset| offset.local_earliest(now, position));
         let at = report.position.and_then(local).unwrap_or_default();
         self.learn(now, id, report.role, at, report.position, Source::Report);
--- a/src/balance/snapshot_conversion.rs
+++ b/src/balance/snapshot_conversion.rs
@@ -6,17 +6,17 @@
 use crate::api::*;
 use crate::notice::Source;
 
-impl From<Entry> for EndpointRecord {
-    fn from(entry: Entry) -> EndpointRecord {
-        let Entry { member, group, zone, listed, weight, started, primary } = entry;
-        EndpointRecord { member, group, zone, listed: listed.into(), weight, started, primary }
+impl From<Endpoint> for EndpointRecord {
+    fn from(endpoint: Endpoint) -> EndpointRecord {
+        let Endpoint { member, group, zone, state, weight, started, primary } = endpoint;
+        EndpointRecord { member, group, zone, listed: state.into(), weight, started, primary }
     }
 }
 
-impl From<EndpointRecord> for Entry {
-    fn from(record: EndpointRecord) -> Entry {
+impl From<EndpointRecord> for Endpoint {
+    fn from(record: EndpointRecord) -> Endpoint {
         let EndpointRecord { member, group, zone, listed, weight, started, primary } = record;
-        Entry { member, group, zone, listed: listed.into(), weight, started, primary }
+        Endpoint { member, group, zone, state: listed.into(), weight, started, primary }
     }
 }
 
@@ -41,11 +41,11 @@
     };
 }
 
-convert!(Listed, EndpointStateRecord: Ready = Ready, Draining = Draining, Gone = Gone);
+convert!(EndpointState, EndpointStateRecord: Ready = Ready, Draining = Draining, Removed = Gone);
 convert!(Role, RoleRecord: Primary = Primary, Replica = Replica);
-convert!(Status, StatusRecord:
-    Ok = Ok, Error = Error, Full = Full, Timeout = Timeout, ConnectFailed = ConnectFailed, Reset = Reset,
-    Spoilt = Spoilt, Cancelled = Cancelled, Withdrawn = Withdrawn, Moot = Moot, Miss = Miss);
+convert!(AttemptStatus, StatusRecord:
+    Ok = Ok, Error = Error, Rejected = Full, Timeout = Timeout, ConnectFailed = ConnectFailed, Reset = Reset,
+    Malformed = Spoilt, Cancelled = Cancelled, Withdrawn = Withdrawn, NotSent = Moot, Unsuitable = Miss);
 
 impl From<Source> for PositionSourceRecord {
     fn from(source: Source) -> PositionSourceRecord {
@@ -70,7 +70,7 @@
 impl From<&Member> for MemberRecord {
     fn from(member: &Member) -> MemberRecord {
         MemberRecord {
-            entry: member.entry.into(),
+            entry: member.endpoint.into(),
             born: member.born,
             born_by_list: member.born_by_list,
             position: member.position,
@@ -104,7 +104,7 @@
 impl From<MemberRecord> for Member {
     fn from(record: MemberRecord) -> Member {
         Member {
-            entry: record.entry.into(),
+            endpoint: record.entry.into(),
             born: record.born,
             born_by_list: record.born_by_list,
             position: record.position,
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -18,7 +18,7 @@
 /// A member as this router knows it.
 #[derive(Default)]
 pub struct Member {
-    pub entry: Entry,
+    pub endpoint: Endpoint,
     /// Cold since then; zero when long ago.
     pub born: Micros,
     /// That is what the list tells; else it was seen to come back.
@@ -71,9 +71,9 @@
 
 impl Member {
     /// A member never heard of, with this limit and at least this weight.
-    pub fn new(entry: Entry, role: Role, limit: f64, least: f64) -> Member {
-        let weight = entry.weight.max(least);
-        Member { entry, role, limit, weight, stretch: 1.0, ..Member::default() }
+    pub fn new(endpoint: Endpoint, role: Role, limit: f64, least: f64) -> Member {
+        let weight = endpoint.weight.max(least);
+        Member { endpoint, role, limit, weight, stretch: 1.0, ..Member::default() }
     }
 
     /// Whether a word on the role, said at this time and with this position, is later than the last one.
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -99,20 +99,20 @@
 
 impl Ended {
     /// The module's word for it. The one place where the reach of an attempt decides its outcome.
-    fn status(self) -> Status {
+    fn status(self) -> AttemptStatus {
         match self {
-            Ended::Answer { said: Said::Served, .. } => Status::Ok,
-            Ended::Answer { said: Said::Miss, .. } => Status::Miss,
-            Ended::Answer { said: Said::TurnedAway, .. } => Status::Full,
-            Ended::Answer { said: Said::Error, .. } => Status::Error,
+            Ended::Answer { said: Said::Served, .. } => AttemptStatus::Ok,
+            Ended::Answer { said: Said::Miss, .. } => AttemptStatus::Unsuitable,
+            Ended::Answer { said: Said::TurnedAway, .. } => AttemptStatus::Rejected,
+            Ended::Answer { said: Said::Error, .. } => AttemptStatus::Error,
             Ended::Broken(broken) if broken.may_have_run() => match broken.cause {
-                Cause::TimedOut => Status::Timeout,
-                Cause::WrittenTooLate => Status::Withdrawn,
-                Cause::Spoilt => Status::Spoilt,
-                Cause::Lost | Cause::NotTried => Status::Reset,
+                Cause::TimedOut => AttemptStatus::Timeout,
+                Cause::WrittenTooLate => AttemptStatus::Withdrawn,
+                Cause::Spoilt => AttemptStatus::Malformed,
+                Cause::Lost | Cause::NotTried => AttemptStatus::Reset,
             },
-            Ended::Broken(Broken { cause: Cause::Lost | Cause::Spoilt, .. }) => Status::ConnectFailed,
-            Ended::Broken(_) => Status::Moot,
+            Ended::Broken(Broken { cause: Cause::Lost | Cause::Spoilt, .. }) => AttemptStatus::ConnectFailed,
+            Ended::Broken(_) => AttemptStatus::NotSent,
         }
     }
 }
@@ -207,19 +207,19 @@
     }
 
     /// Takes in a member list or a change to it.
-    pub fn members(&mut self, now: Micros, full: bool, entries: Vec<Entry>) {
-        self.groups.extend(entries.iter().map(|entry| entry.group));
+    pub fn members(&mut self, now: Micros, full: bool, endpoints: Vec<Endpoint>) {
+        self.groups.extend(endpoints.iter().map(|entry| entry.group));
         if full {
             self.pool.clear();
         }
-        for entry in &entries {
-            match entry.listed {
-                Listed::Ready | Listed::Draining => self.pool.insert(entry.member),
-                Listed::Gone => self.pool.remove(&entry.member),
+        for entry in &endpoints {
+            match entry.state {
+                EndpointState::Ready | EndpointState::Draining => self.pool.insert(entry.member),
+                EndpointState::Removed => self.pool.remove(&entry.member),
             };
         }
-        let kind = if full { ListKind::Full } else { ListKind::Changes };
-        self.drive(now, Event::Members { kind, entries });
+        let update = if full { EndpointUpdate::Full } else { EndpointUpdate::Incremental };
+        self.drive(now, Event::Endpoints { update, endpoints });
     }
 
     /// What is known, for the process that follows.
@@ -248,7 +248,7 @@
 
     /// Leaves a member out at the operators' word, whatever the list says, or puts it back.
     pub fn set_administratively_down(&mut self, now: Micros, member: MemberId, down: bool) {
-        self.drive(now, Event::SetDown { member, down });
+        self.drive(now, Event::SetAdministrativelyDown { member, down });
     }
 
     /// Whether the list names a member.
@@ -356,7 +356,7 @@
     pub fn gone(&mut self, now: Micros, ticket: Ticket) {
         self.due.retain(|due| !matches!(due, Due::Verdict(t, _) | Due::Cancel(t) if *t == ticket));
         if self.tracks.contains_key(&ticket) {
-            self.drive(now, Event::Gone(RequestId(ticket.0)));
+            self.drive(now, Event::ClientLeft(RequestId(ticket.0)));
             self.abandon(now, ticket);
         }
     }
@@ -364,8 +364,8 @@
     /// Books the end of a probe and what the member said of itself.
     pub fn probed(&mut self, now: Micros, member: MemberId, ended: Ended) {
         let report = match ended {
-            Ended::Answer { role, position, .. } => Report { position, role },
-            Ended::Broken(_) => Report::default(),
+            Ended::Answer { role, position, .. } => HealthReport { position, role },
+            Ended::Broken(_) => HealthReport::default(),
         };
         self.drive(now, Event::HealthChecked { member, status: ended.status(), report });
     }
@@ -412,7 +412,7 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        status: Status,
+        status: AttemptStatus,
         finished: bool,
         role: Option<Role>,
         position: Option<Micros>,
@@ -429,14 +429,14 @@
                 finished,
                 role,
                 position,
-                report: Report::default(),
+                report: HealthReport::default(),
             }),
         );
     }
 
     /// Forgets a finished request; what it still had out counts as called off.
     fn abandon(&mut self, now: Micros, ticket: Ticket) {
-        self.book(now, ticket, Status::Cancelled, true, None, None);
+        self.book(now, ticket, AttemptStatus::Cancelled, true, None, None);
         self.tracks.remove(&ticket);
     }
 
@@ -455,7 +455,7 @@
                     let timeout = timeout.map_or(left, |t| t.min(left));
                     self.due.push_back(Due::Verdict(ticket, Verdict::Send { member, timeout }));
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.conclude(now, Ticket(request.0), Verdict::Refuse { come_back: retry_after });
                 }
                 Action::Fail { request } => self.conclude(now, Ticket(request.0), Verdict::Fail),
@@ -463,7 +463,7 @@
                     let ticket = Ticket(request.0);
                     if self.tracks.get(&ticket).is_some_and(|track| track.flight.is_some()) {
                         self.due.push_back(Due::Cancel(ticket));
-                        self.book(now, ticket, Status::Cancelled, true, None, None);
+                        self.book(now, ticket, AttemptStatus::Cancelled, true, None, None);
                     }
                 }
                 Action::HealthCheck { member } => self.due.push_back(Due::Probe(member)),
@@ -473,7 +473,7 @@
                 }
                 Action::Notice(notice) => self.due.push_back(Due::Notice(notice)),
                 // The list is always watched, and there is no way to talk to other gateways.
-                Action::Watch | Action::TellPeers { .. } => {}
+                Action::Watch | Action::Gossip { .. } => {}
             }
         }
     }
--- a/src/bin/dunemount-benchlink.rs
+++ b/src/bin/dunemount-benchlink.rs
@@ -150,18 +150,18 @@
     NotStored,
 }
 
-impl From<Disposition> for Status {
-    fn from(word: Disposition) -> Status {
+impl From<Disposition> for AttemptStatus {
+    fn from(word: Disposition) -> AttemptStatus {
         match word {
-            Disposition::Served => Status::Ok,
-            Disposition::ServerError => Status::Error,
-            Disposition::TurnedAway => Status::Full,
-            Disposition::NoAnswer => Status::Timeout,
-            Disposition::NoConnection => Status::ConnectFailed,
-            Disposition::ConnectionLost => Status::Reset,
-            Disposition::CalledOff => Status::Cancelled,
-            Disposition::NotSent => Status::Moot,
-            Disposition::NotStored => Status::Miss,
+            Disposition::Served => AttemptStatus::Ok,
+            Disposition::ServerError => AttemptStatus::Error,
+            Disposition::TurnedAway => AttemptStatus::Rejected,
+            Disposition::NoAnswer => AttemptStatus::Timeout,
+            Disposition::NoConnection => AttemptStatus::ConnectFailed,
+            Disposition::ConnectionLost => AttemptStatus::Reset,
+            Disposition::CalledOff => AttemptStatus::Cancelled,
+            Disposition::NotSent => AttemptStatus::NotSent,
+            Disposition::NotStored => AttemptStatus::Unsuitable,
         }
     }
 }
@@ -224,7 +224,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<Entry>>,
+    lists: BTreeMap<u64, Vec<Endpoint>>,
     zones: Zones,
 }
 
@@ -261,29 +261,29 @@
                 return Ok(None);
             }
             WireEvent::Manifest { table, nodes_list } => {
-                let entries = nodes_list.into_iter().map(|node| self.entry(node)).collect();
-                self.lists.insert(table, entries);
+                let endpoints = nodes_list.into_iter().map(|node| self.endpoint(node)).collect();
+                self.lists.insert(table, endpoints);
                 return Ok(None);
             }
             WireEvent::Update { who, kind, table } => {
-                let kind = match kind {
-                    UpdateKind::Delta => ListKind::Changes,
-                    UpdateKind::Full | UpdateKind::Cached => ListKind::Full,
-                    UpdateKind::Failed => ListKind::Failed,
+                let update = match kind {
+                    UpdateKind::Delta => EndpointUpdate::Incremental,
+                    UpdateKind::Full | UpdateKind::Cached => EndpointUpdate::Full,
+                    UpdateKind::Failed => EndpointUpdate::Failed,
                 };
-                let entries = match kind {
-                    ListKind::Failed => Vec::new(),
-                    ListKind::Changes | ListKind::Full => {
+                let endpoints = match update {
+                    EndpointUpdate::Failed => Vec::new(),
+                    EndpointUpdate::Incremental | EndpointUpdate::Full => {
                         let list = self.lists.get(&table);
                         list.cloned().ok_or_else(|| format!("Table: no list has number {table}"))?
                     }
                 };
-                (who, Event::Members { kind, entries })
+                (who, Event::Endpoints { update, endpoints })
             }
             WireEvent::Req(req) => (req.who, Event::Request(self.request(now, req)?)),
             WireEvent::Established { who, id } => (who, Event::Started { request: request_id(&id)? }),
             WireEvent::Outcome(outcome) => (outcome.who, Event::Outcome(self.outcome(outcome)?)),
-            WireEvent::Gone { who, id } => (who, Event::Gone(request_id(&id)?)),
+            WireEvent::Gone { who, id } => (who, Event::ClientLeft(request_id(&id)?)),
             WireEvent::Elapsed { who, nonce } => (who, Event::Timer(TimerId(nonce))),
             WireEvent::Pong { who, member, disposition, telemetry } => {
                 let report = report(telemetry, self.instance(who)?.site.counted_from);
@@ -295,15 +295,15 @@
         }))
     }
 
-    fn entry(&mut self, node: Node) -> Entry {
-        Entry {
+    fn endpoint(&mut self, node: Node) -> Endpoint {
+        Endpoint {
             member: MemberId(node.member),
             group: GroupId(node.shard),
             zone: self.zones.id(node.rack_zone),
-            listed: match node.health {
-                Health::Ready => Listed::Ready,
-                Health::Terminating => Listed::Draining,
-                Health::Gone => Listed::Gone,
+            state: match node.health {
+                Health::Ready => EndpointState::Ready,
+                Health::Terminating => EndpointState::Draining,
+                Health::Gone => EndpointState::Removed,
             },
             weight: node.heft.unwrap_or(1.0),
             started: node.launched_ms.unwrap_or_default().into(),
@@ -359,9 +359,9 @@
     u64::from_str_radix(text, 16).map(RequestId).map_err(|e| format!("Id: {text:?} is no request id: {e}"))
 }
 
-fn report(telemetry: Option<Telemetry>, counted_from: Micros) -> Report {
-    let Some(telemetry) = telemetry else { return Report::default() };
-    Report {
+fn report(telemetry: Option<Telemetry>, counted_from: Micros) -> HealthReport {
+    let Some(telemetry) = telemetry else { return HealthReport::default() };
+    HealthReport {
         position: telemetry.x0.map(|s| counted_from + Micros((s * 1e6).floor().max(0.0) as u64)),
         role: telemetry.x1.map(|x| if x == 1.0 { Role::Primary } else { Role::Replica }),
     }
@@ -379,7 +379,7 @@
         Action::Cancel { request, attempt } => {
             WireAction::Withdraw { who, id: hex(request), copy: attempt.0 }
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             WireAction::Busy { who, id: hex(request), wait_ms: retry_after.map(Ms::from) }
         }
         Action::Fail { request } => WireAction::FinishError { who, id: hex(request) },
@@ -387,7 +387,7 @@
         Action::CloseIdle { member } => WireAction::CloseIdle { who, member: member.0 },
         Action::SetTimer { timer, at } => WireAction::SetAlarm { who, nonce: timer.0, time_ms: at.into() },
         Action::Watch => WireAction::Watch { who, enable: true },
-        Action::TellPeers { text } => WireAction::BroadcastTo { who, recipient: "all", raw: text },
+        Action::Gossip { text } => WireAction::BroadcastTo { who, recipient: "all", raw: text },
         Action::Notice(notice) => WireAction::NoteDown { who, body_text: format!("{notice:?}") },
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -49,18 +49,18 @@
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let entry = |id, primary| Entry {
+//! let entry = |id, primary| Endpoint {
 //!     member: MemberId(id),
 //!     group: GroupId(1),
 //!     zone: ZoneId(0),
-//!     listed: Listed::Ready,
+//!     state: EndpointState::Ready,
 //!     weight: 1.0,
 //!     started: Micros(0),
 //!     primary,
 //! };
 //! let now = Micros::millis(60_000);
-//! let entries = vec![entry(10, true), entry(11, false)];
-//! router.handle(now, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+//! let endpoints = vec![entry(10, true), entry(11, false)];
+//! router.handle(now, Event::Endpoints { update: EndpointUpdate::Full, endpoints }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -10,7 +10,7 @@
 use super::clock::Clock;
 use crate::http::{self, BadBody, Extent};
 use crate::settings::Zones;
-use crate::{Entry, GroupId, Listed, MemberId, Micros};
+use crate::{Endpoint, EndpointState, GroupId, MemberId, Micros};
 
 /// How long a watch asks discovery to wait for news.
 pub const WAIT: Micros = Micros::millis(2_000);
@@ -157,21 +157,21 @@
     }
 
     /// Takes a listing in. Lines that cannot be read are counted and passed over.
-    pub fn take(&mut self, listing: Listing, clock: &Clock) -> (Vec<Entry>, usize) {
+    pub fn take(&mut self, listing: Listing, clock: &Clock) -> (Vec<Endpoint>, usize) {
         let lines = listing.targets.len();
         let mut entries = Vec::with_capacity(lines);
         for target in listing.targets {
             let Ok(target) = serde_json::from_value::<Target>(target) else { continue };
             let member = self.number(&target.uid);
             self.hosts.insert(member, (target.endpoint, target.uid));
-            entries.push(Entry {
+            entries.push(Endpoint {
                 member,
                 group: GroupId(target.pod_group),
                 zone: self.zones.id(target.az),
-                listed: match target.state {
-                    State::Ready => Listed::Ready,
-                    State::Terminating => Listed::Draining,
-                    State::Gone => Listed::Gone,
+                state: match target.state {
+                    State::Ready => EndpointState::Ready,
+                    State::Terminating => EndpointState::Draining,
+                    State::Gone => EndpointState::Removed,
                 },
                 weight: target.capacity_hint.unwrap_or(1.0),
                 started: if target.boot_ms > 0.0 { clock.at_unix_ms(target.boot_ms) } else { Micros(0) },
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -22,7 +22,7 @@
 use crate::pg::codec::Outbox;
 use crate::settings::Site;
 use crate::shortage::is_shortage;
-use crate::{Listed, Micros, Settings};
+use crate::{EndpointState, Micros, Settings};
 
 /// How long a configuration that cannot be read at this moment is tried again, and the time between two tries: it counts
 /// as told 4 s after the signal.
@@ -265,7 +265,7 @@
         entries.retain_mut(|entry| {
             let own = workers.home(entry.group) == me;
             if !own {
-                entry.listed = Listed::Gone;
+                entry.state = EndpointState::Removed;
             }
             own || balancer.lists(entry.member)
         });
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -1,7 +1,7 @@
 //! What the decision module tells operators: changes of what it knows with the evidence for them, what the choice of a
 //! replica rested on, and why a request was given up.
 
-use crate::{GroupId, MemberId, Micros, RequestId, Role, Status};
+use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId, Role};
 
 /// Where a belief about a member's position comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     #[default]
     Nobody,
     /// An answer to a request, which ended the attempt in this way.
-    Answer(Status),
+    Answer(AttemptStatus),
     /// What the member reported when it was probed.
     Report,
 }
@@ -34,7 +34,7 @@
     /// Who answered.
     pub member: MemberId,
     /// How the attempt or the probe ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// The position that it told.
     pub position: Micros,
     /// What that position is.
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -59,12 +59,12 @@
         overload_window: Micros::millis(2000),
     };
     let mut balancer = Balancer::new(settings, 7);
-    let entry = |id: u64| Entry {
+    let entry = |id: u64| Endpoint {
         member: MemberId(id),
         group: GroupId(1),
         weight: 1.0,
         primary: id == 1,
-        ..Entry::default()
+        ..Endpoint::default()
     };
     balancer.members(START, true, (1..=3).map(entry).collect());
     balancer
@@ -305,13 +305,13 @@
 #[test]
 fn a_member_put_down_gets_nothing_until_it_is_back_up() {
     let (mut balancer, out) = (balancer(true), MemberId(2));
-    let entry = |id: u64, listed| Entry {
+    let entry = |id: u64, state| Endpoint {
         member: MemberId(id),
         group: GroupId(1),
         weight: 1.0,
         primary: id == 1,
-        listed,
-        ..Entry::default()
+        state,
+        ..Endpoint::default()
     };
     let mut now = START;
     // Counts what each member is sent in so many milliseconds of reads, all answered at once.
@@ -348,10 +348,10 @@
     assert_eq!(balancer.pool(), (3, 1));
     let (at, sent) = serve(&mut balancer, 1_000);
     assert!(!sent.contains_key(&out));
-    balancer.members(at, true, vec![entry(1, Listed::Ready), entry(3, Listed::Ready)]);
+    balancer.members(at, true, vec![entry(1, EndpointState::Ready), entry(3, EndpointState::Ready)]);
     assert_eq!(balancer.pool(), (2, 0));
     let (at, _) = serve(&mut balancer, 1_000);
-    balancer.members(at, false, vec![entry(2, Listed::Ready)]);
+    balancer.members(at, false, vec![entry(2, EndpointState::Ready)]);
     let (at, sent) = serve(&mut balancer, 1_000);
     assert!(!sent.contains_key(&out), "it is back in the list and still down");
     balancer.set_administratively_down(at, out, false);
@@ -433,13 +433,13 @@
             let mut balancer = balancer(true);
             let log_at = |now: Micros| Micros(now.0.checked_add_signed(off).expect("a time"));
             let (mut now, log) = (start, log_at(start));
-            let entry = |id: u64| Entry {
+            let entry = |id: u64| Endpoint {
                 member: MemberId(id),
                 group: GroupId(1),
                 weight: 1.0,
                 primary: id == 1,
                 started: if id == 2 { log - age } else { Micros(0) },
-                ..Entry::default()
+                ..Endpoint::default()
             };
             balancer.members(now, true, (1..=3).map(entry).collect());
             // One to start from, and as many proofs as are asked for where the time of day is off by much.
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -59,9 +59,9 @@
     }
 }
 
-fn entry(member: MemberId, listed: Listed, started: Micros) -> Entry {
+fn entry(member: MemberId, state: EndpointState, started: Micros) -> Endpoint {
     let primary = member == PRIMARY;
-    Entry { member, group: GROUP, zone: ZoneId(0), listed, weight: 1.0, started, primary }
+    Endpoint { member, group: GROUP, zone: ZoneId(0), state, weight: 1.0, started, primary }
 }
 
 /// A router with a clock, and what it asked for last.
@@ -74,7 +74,10 @@
 impl Rig {
     fn new(settings: Settings) -> Rig {
         let mut rig = Rig { router: Router::new(settings, 7), now: Micros::millis(100_000), next: 0 };
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        rig.list(
+            EndpointUpdate::Full,
+            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+        );
         rig
     }
 
@@ -84,8 +87,8 @@
         actions
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+    fn list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::Endpoints { update, endpoints })
     }
 
     fn sweep(&mut self, ms: u64) -> Vec<Action> {
@@ -108,28 +111,31 @@
         id: RequestId,
         no: u32,
         member: MemberId,
-        status: Status,
+        status: AttemptStatus,
         position: Option<Micros>,
     ) -> Vec<Action> {
         let role = Some(if member == PRIMARY { Role::Primary } else { Role::Replica });
-        let answered = matches!(status, Status::Ok | Status::Error | Status::Full | Status::Miss);
+        let answered = matches!(
+            status,
+            AttemptStatus::Ok | AttemptStatus::Error | AttemptStatus::Rejected | AttemptStatus::Unsuitable
+        );
         self.event(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(no),
             member,
             status,
             latency: Micros::millis(20),
-            finished: status == Status::Ok,
+            finished: status == AttemptStatus::Ok,
             role: role.filter(|_| answered),
             position,
-            report: Report::default(),
+            report: HealthReport::default(),
         }))
     }
 
     fn probed(&mut self, member: MemberId, position: Micros) {
         let role = Some(if member == PRIMARY { Role::Primary } else { Role::Replica });
-        let report = Report { position: Some(position), role };
-        self.event(Event::HealthChecked { member, status: Status::Ok, report });
+        let report = HealthReport { position: Some(position), role };
+        self.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report });
     }
 }
 
@@ -148,7 +154,7 @@
 
 fn finals(actions: &[Action]) -> Vec<(RequestId, bool)> {
     let end = |a: &Action| match a {
-        Action::Refuse { request, .. } => Some((*request, true)),
+        Action::Reject { request, .. } => Some((*request, true)),
         Action::Fail { request } => Some((*request, false)),
         _ => None,
     };
@@ -184,7 +190,7 @@
     // Both are seconds behind as far as is known: nobody is asked.
     let (id, actions) = rig.request(BOUNDED, 1);
     assert_eq!((sends(&actions), asked(&actions)), (vec![(id, PRIMARY)], vec![]));
-    rig.end(id, 0, PRIMARY, Status::Ok, None);
+    rig.end(id, 0, PRIMARY, AttemptStatus::Ok, None);
     for member in [NEAR, FAR] {
         let word = Micros(rig.now.0 - 20_000);
         rig.probed(member, word);
@@ -197,28 +203,28 @@
     let (second, actions) = rig.request(BOUNDED, 2);
     assert_eq!((sends(&actions), asked(&actions)), (vec![], vec![]));
     rig.now = rig.now + Micros::millis(2);
-    let report = Report { position: Some(rig.now), role: Some(Role::Replica) };
-    let mut sent = sends(&rig.event(Event::HealthChecked { member, status: Status::Ok, report }));
+    let report = HealthReport { position: Some(rig.now), role: Some(Role::Replica) };
+    let mut sent = sends(&rig.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report }));
     sent.sort();
     assert_eq!(sent, [(first, member), (second, member)]);
     // The word of one that is behind, or none in time, sends the next on: to the other, then to the primary.
     rig.now = rig.now + Micros::millis(5_000);
     let (third, actions) = rig.request(BOUNDED, 3);
     let [member] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
-    let report = Report { position: Some(behind(&rig)), role: Some(Role::Replica) };
-    let actions = rig.event(Event::HealthChecked { member, status: Status::Ok, report });
+    let report = HealthReport { position: Some(behind(&rig)), role: Some(Role::Replica) };
+    let actions = rig.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report });
     let [other] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
     assert!(other != member && sends(&actions).is_empty());
     assert_eq!(sends(&rig.sweep(30)), [(third, PRIMARY)]);
     // A primary that answers faster than the mean has room to spare: nobody is asked.
-    rig.end(third, 0, PRIMARY, Status::Ok, None);
+    rig.end(third, 0, PRIMARY, AttemptStatus::Ok, None);
     for member in [NEAR, FAR] {
         let word = Micros(rig.now.0 - 20_000);
         rig.probed(member, word);
     }
     for _ in 0..30 {
         let (write, _) = rig.request(WRITE, 9);
-        rig.end(write, 0, PRIMARY, Status::Ok, None);
+        rig.end(write, 0, PRIMARY, AttemptStatus::Ok, None);
     }
     rig.now = rig.now + Micros::millis(5_000);
     let (fourth, actions) = rig.request(BOUNDED, 4);
@@ -265,8 +271,8 @@
         let (id, actions) = rig.request(BOUNDED, 1);
         assert_eq!(sends(&actions), [(id, NEAR)]);
         rig.now = rig.now + Micros::millis(100);
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, NEAR, Status::Cancelled, None);
+        rig.event(Event::ClientLeft(id));
+        rig.end(id, 0, NEAR, AttemptStatus::Cancelled, None);
         rig.now = rig.now + Micros::millis(200);
         let (id, actions) = rig.request(BOUNDED, 1);
         assert_eq!(
@@ -276,8 +282,8 @@
         );
         if asks {
             // Its word, whatever it says of its position, brings it back.
-            let report = Report { position: Some(rig.now), role: Some(Role::Replica) };
-            let answered = |member| Event::HealthChecked { member, status: Status::Ok, report };
+            let report = HealthReport { position: Some(rig.now), role: Some(Role::Replica) };
+            let answered = |member| Event::HealthChecked { member, status: AttemptStatus::Ok, report };
             let sent: Vec<_> = [NEAR, FAR].map(|m| sends(&rig.event(answered(m)))).concat();
             assert_eq!(sent.len(), 1);
             assert_eq!(sent[0].0, id);
@@ -312,7 +318,7 @@
     assert_ne!(sends(&rig.request(SESSION, 6).1)[0].1, PRIMARY, "another session has written nothing");
     let commit = rig.now;
     rig.now = rig.now + Micros::millis(20);
-    rig.end(write, 0, PRIMARY, Status::Ok, Some(commit));
+    rig.end(write, 0, PRIMARY, AttemptStatus::Ok, Some(commit));
     assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, PRIMARY, "no replica is known to have it");
     rig.probed(FAR, commit);
     assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, FAR);
@@ -329,7 +335,7 @@
     let (id, actions) = rig.request(WRITE, 7);
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
     for _ in 0..3 {
-        let (status, report) = (Status::ConnectFailed, Report::default());
+        let (status, report) = (AttemptStatus::ConnectFailed, HealthReport::default());
         rig.event(Event::HealthChecked { member: PRIMARY, status, report });
     }
     assert_eq!(sends(&rig.request(SESSION, 7).1), []);
@@ -340,8 +346,20 @@
 /// answer was lost, or came without a position, the session reads at the primary. What never ran binds nobody.
 #[test]
 fn a_session_whose_writes_answer_was_lost_reads_on_from_that_moment() {
-    let lost = [Status::Timeout, Status::Reset, Status::Spoilt, Status::Error, Status::Cancelled, Status::Ok];
-    let unrun = [Status::Full, Status::ConnectFailed, Status::Moot, Status::Miss];
+    let lost = [
+        AttemptStatus::Timeout,
+        AttemptStatus::Reset,
+        AttemptStatus::Malformed,
+        AttemptStatus::Error,
+        AttemptStatus::Cancelled,
+        AttemptStatus::Ok,
+    ];
+    let unrun = [
+        AttemptStatus::Rejected,
+        AttemptStatus::ConnectFailed,
+        AttemptStatus::NotSent,
+        AttemptStatus::Unsuitable,
+    ];
     for status in lost.into_iter().chain(unrun) {
         let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() });
         for member in [NEAR, FAR] {
@@ -351,7 +369,7 @@
         assert_eq!(sends(&actions), [(id, PRIMARY)]);
         rig.now = rig.now + Micros::millis(30);
         rig.end(id, 0, PRIMARY, status, None);
-        rig.event(Event::Gone(id));
+        rig.event(Event::ClientLeft(id));
         let to = |rig: &mut Rig, session| sends(&rig.request(SESSION, session).1).first().map(|(_, to)| *to);
         let binds = to(&mut rig, 7) == Some(PRIMARY);
         assert_eq!(binds, lost.contains(&status), "{status:?}");
@@ -379,7 +397,7 @@
         while !sends(&rig.request(BOUNDED, 100).1).is_empty() {}
         let held = |rig: &mut Rig| {
             let (last, _) = rig.request(class, 100);
-            let refused = |a: &Action| matches!(a, Action::Refuse { request, retry_after: Some(_) } if *request == last);
+            let refused = |a: &Action| matches!(a, Action::Reject { request, retry_after: Some(_) } if *request == last);
             (1..200).find(|_| rig.sweep(1).iter().any(refused)).expect("refused before its aim")
         };
         let calm = held(&mut rig);
@@ -401,11 +419,11 @@
         for _ in 0..out {
             rig.request(WRITE, 100);
         }
-        rig.list(ListKind::Full, vec![]);
+        rig.list(EndpointUpdate::Full, vec![]);
         let (id, _) = rig.request(ANY, 1);
         let actions = rig.sweep(70);
         let told = |a: &Action| match a {
-            Action::Refuse { request, retry_after } if *request == id => *retry_after,
+            Action::Reject { request, retry_after } if *request == id => *retry_after,
             _ => None,
         };
         actions.iter().find_map(told).expect("refused with advice")
@@ -438,12 +456,12 @@
             request,
             attempt: AttemptNo(0),
             member,
-            status: Status::Ok,
+            status: AttemptStatus::Ok,
             latency: Micros::millis(200).scale(part(ended)),
             finished: true,
             role: Some(Role::Replica),
             position: None,
-            report: Report::default(),
+            report: HealthReport::default(),
         }));
         out.extend(sends(&freed));
     }
@@ -466,7 +484,7 @@
     let mut settings = one_of(1);
     settings.classes = vec![class(Consistency::Eventual, Idempotency::Idempotent, 0.0)];
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, Micros(0))]);
+    rig.list(EndpointUpdate::Full, vec![entry(NEAR, EndpointState::Ready, Micros(0))]);
     let fill = |rig: &mut Rig| {
         let mut out = Vec::new();
         loop {
@@ -480,13 +498,13 @@
     let out = fill(&mut rig);
     let room = out.len();
     for id in out {
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, NEAR, Status::Cancelled, None);
+        rig.event(Event::ClientLeft(id));
+        rig.end(id, 0, NEAR, AttemptStatus::Cancelled, None);
     }
     let at_once = fill(&mut rig);
     assert!(at_once.len() * 2 < room, "{} at once where {room} were called off", at_once.len());
     for id in at_once {
-        rig.end(id, 0, NEAR, Status::Ok, None);
+        rig.end(id, 0, NEAR, AttemptStatus::Ok, None);
     }
     for _ in 0..40 {
         rig.sweep(50);
@@ -509,14 +527,17 @@
     let mut rig = Rig::new(settings());
     let (id, _) = rig.request(WRITE, 5);
     let commit = rig.now;
-    rig.end(id, 0, PRIMARY, Status::Ok, Some(commit));
+    rig.end(id, 0, PRIMARY, AttemptStatus::Ok, Some(commit));
     rig.sweep(100);
     rig.probed(NEAR, commit);
     rig.probed(FAR, commit);
     rig.sweep(300);
     let late = MemberId(13);
-    let draining = [NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0)));
-    rig.list(ListKind::Changes, [&[entry(late, Listed::Ready, Micros(0))], &draining[..]].concat());
+    let draining = [NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0)));
+    rig.list(
+        EndpointUpdate::Incremental,
+        [&[entry(late, EndpointState::Ready, Micros(0))], &draining[..]].concat(),
+    );
     rig.probed(late, Micros(commit.0 - 1));
     assert_eq!(sends(&rig.request(SESSION, 5).1)[0].1, PRIMARY);
     rig.probed(late, commit);
@@ -535,11 +556,11 @@
             rig.now = rig.now + Micros::millis(16_000);
             let (id, actions) = rig.request(ANY, 1);
             let first = sends(&actions)[0].1;
-            rig.end(id, 0, first, Status::Ok, None);
+            rig.end(id, 0, first, AttemptStatus::Ok, None);
             rig.now = rig.now + Micros::millis(500);
             let (id, actions) = rig.request(ANY, 1);
             let second = sends(&actions)[0].1;
-            rig.end(id, 0, second, Status::Ok, None);
+            rig.end(id, 0, second, AttemptStatus::Ok, None);
             moved += u32::from(second != first);
         }
         moved
@@ -562,7 +583,7 @@
 /// Two members that turned reads away at once drew most of the traffic of an incident.
 #[test]
 fn a_member_that_fails_at_once_does_not_look_idle() {
-    for status in [Status::Full, Status::Error] {
+    for status in [AttemptStatus::Rejected, AttemptStatus::Error] {
         let mut rig = Rig::new(settings());
         let mut count = BTreeMap::new();
         for _ in 0..60 {
@@ -571,7 +592,7 @@
             while let Some((request, member)) = sends(&actions).pop() {
                 assert_eq!(request, id);
                 *count.entry(member).or_insert(0) += 1;
-                let status = if member == NEAR { status } else { Status::Ok };
+                let status = if member == NEAR { status } else { AttemptStatus::Ok };
                 actions = rig.end(id, no, member, status, None);
                 no += 1;
                 id = request;
@@ -598,7 +619,7 @@
     rig.now = rig.now + Micros::millis(5);
     let mut sent = Vec::new();
     for (id, member) in running.drain(..3) {
-        sent.extend(sends(&rig.end(id, 0, member, Status::Ok, None)).into_iter().map(|(id, _)| id));
+        sent.extend(sends(&rig.end(id, 0, member, AttemptStatus::Ok, None)).into_iter().map(|(id, _)| id));
     }
     assert_eq!(sent.first(), waiting.last());
     for _ in 0..4 {
@@ -620,14 +641,16 @@
         running.push(id);
     }
     let (read, _) = rig.request(BOUNDED, 1);
-    let freed = rig.end(running[0], 0, PRIMARY, Status::Ok, None);
+    let freed = rig.end(running[0], 0, PRIMARY, AttemptStatus::Ok, None);
     assert!(sends(&freed).iter().all(|(id, _)| *id != read), "a write was waiting: {freed:?}");
     assert_eq!(sends(&freed).len(), 1);
 }
 
 #[test]
 fn an_unsafe_write_that_may_have_run_is_failed_at_once() {
-    for status in [Status::Error, Status::Reset, Status::Timeout, Status::Cancelled] {
+    for status in
+        [AttemptStatus::Error, AttemptStatus::Reset, AttemptStatus::Timeout, AttemptStatus::Cancelled]
+    {
         let mut rig = Rig::new(settings());
         let (id, _) = rig.request(UNSAFE, 1);
         let actions = rig.end(id, 0, PRIMARY, status, None);
@@ -639,7 +662,7 @@
 fn an_unsafe_write_that_never_ran_is_tried_again() {
     let mut rig = Rig::new(settings());
     let (id, _) = rig.request(UNSAFE, 1);
-    let mut actions = rig.end(id, 0, PRIMARY, Status::Full, None);
+    let mut actions = rig.end(id, 0, PRIMARY, AttemptStatus::Rejected, None);
     for _ in 0..100 {
         assert_eq!(finals(&actions), []);
         if !sends(&actions).is_empty() {
@@ -655,15 +678,15 @@
     for (wait, again) in [(300, true), (1000, false)] {
         let mut rig = Rig::new(settings());
         let (id, _) = rig.request(WRITE, 1);
-        let actions = rig.end(id, 0, PRIMARY, Status::Reset, None);
+        let actions = rig.end(id, 0, PRIMARY, AttemptStatus::Reset, None);
         assert_eq!((sends(&actions), finals(&actions)), (vec![(id, PRIMARY)], vec![]));
-        let actions = rig.end(id, 1, PRIMARY, Status::Reset, None);
+        let actions = rig.end(id, 1, PRIMARY, AttemptStatus::Reset, None);
         let scout = sends(&actions)[0].1;
         assert_ne!(scout, PRIMARY, "it broke twice");
-        rig.end(id, 2, scout, Status::Miss, None);
+        rig.end(id, 2, scout, AttemptStatus::Unsuitable, None);
         rig.now = rig.now + Micros::millis(wait);
-        let report = Report { position: Some(rig.now), role: Some(Role::Primary) };
-        let actions = rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
+        let report = HealthReport { position: Some(rig.now), role: Some(Role::Primary) };
+        let actions = rig.event(Event::HealthChecked { member: NEAR, status: AttemptStatus::Ok, report });
         assert_eq!(sends(&actions) == [(id, NEAR)], again, "after {wait} ms: {actions:?}");
     }
 }
@@ -674,23 +697,27 @@
     let (first, actions) = rig.request(ANY, 1);
     let member = sends(&actions)[0].1;
     let other = if member == NEAR { FAR } else { NEAR };
-    rig.event(Event::HealthChecked { member, status: Status::ConnectFailed, report: Report::default() });
+    rig.event(Event::HealthChecked {
+        member,
+        status: AttemptStatus::ConnectFailed,
+        report: HealthReport::default(),
+    });
     assert_eq!(sends(&rig.sweep(2)), [(first, other)]);
 }
 
 #[test]
 fn nothing_goes_to_a_member_that_drains_or_is_gone() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut rig = Rig::new(settings());
-        rig.list(ListKind::Changes, vec![entry(NEAR, listed, Micros(0))]);
+        rig.list(EndpointUpdate::Incremental, vec![entry(NEAR, listed, Micros(0))]);
         for _ in 0..6 {
             assert!(sends(&rig.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR));
         }
     }
     let mut rig = Rig::new(settings());
     rig.list(
-        ListKind::Full,
-        vec![entry(PRIMARY, Listed::Ready, Micros(0)), entry(FAR, Listed::Ready, Micros(0))],
+        EndpointUpdate::Full,
+        vec![entry(PRIMARY, EndpointState::Ready, Micros(0)), entry(FAR, EndpointState::Ready, Micros(0))],
     );
     assert!((0..6).all(|_| sends(&rig.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR)));
 }
@@ -700,14 +727,14 @@
 fn a_cold_member_gets_a_bounded_trickle_even_when_it_rejects() {
     let mut rig = Rig::new(settings());
     let now = rig.now;
-    rig.list(ListKind::Full, vec![entry(NEAR, Listed::Ready, now)]);
+    rig.list(EndpointUpdate::Full, vec![entry(NEAR, EndpointState::Ready, now)]);
     let mut sent = 0;
     for _ in 0..2000 {
         let mut actions = rig.request(ANY, 1).1;
         actions.extend(rig.sweep(1));
         for (id, member) in sends(&actions) {
             sent += 1;
-            rig.end(id, 0, member, Status::Full, None);
+            rig.end(id, 0, member, AttemptStatus::Rejected, None);
         }
     }
     // Two seconds at up to 0.36 of a core, in requests of 40 ms (a fifth of the aim), for one of two drivers.
@@ -719,19 +746,23 @@
     let mut rig = Rig::new(settings());
     let (id, actions) = rig.request(ANY, 1);
     let member = sends(&actions)[0].1;
-    rig.end(id, 0, member, Status::Ok, None);
-    assert_eq!(rig.end(id, 0, member, Status::Ok, None), []);
-    assert_eq!(rig.event(Event::Gone(id)), []);
+    rig.end(id, 0, member, AttemptStatus::Ok, None);
+    assert_eq!(rig.end(id, 0, member, AttemptStatus::Ok, None), []);
+    assert_eq!(rig.event(Event::ClientLeft(id)), []);
     assert_eq!(rig.event(Event::Timer(TimerId(99))), []);
     assert_eq!(rig.event(Event::Peer { from: PeerId(1), text: "hi".into() }), []);
     assert_eq!(rig.event(Event::Started { request: id }), []);
-    rig.event(Event::HealthChecked { member: MemberId(999), status: Status::Ok, report: Report::default() });
+    rig.event(Event::HealthChecked {
+        member: MemberId(999),
+        status: AttemptStatus::Ok,
+        report: HealthReport::default(),
+    });
 }
 
 #[test]
 fn a_fleet_without_members_refuses_in_time() {
     let mut rig = Rig::new(settings());
-    rig.list(ListKind::Full, vec![]);
+    rig.list(EndpointUpdate::Full, vec![]);
     let (id, actions) = rig.request(ANY, 1);
     assert_eq!(sends(&actions), []);
     assert_eq!(finals(&rig.sweep(199)), [(id, true)]);
@@ -751,7 +782,7 @@
     for step in 0..2000 {
         let (id, mut actions) = if step % 40 == 0 { rig.request(ANY, 1) } else { (RequestId(0), vec![]) };
         for (_, member) in sends(&actions) {
-            rig.end(id, 0, member, Status::Ok, None);
+            rig.end(id, 0, member, AttemptStatus::Ok, None);
         }
         actions.extend(rig.sweep(10));
         for action in &actions {
@@ -786,15 +817,15 @@
         rig.router = Router::new(one_of(gateways), u64::from(seed));
         let now = rig.now;
         let started =
-            [PRIMARY, NEAR].map(|m| entry(m, Listed::Ready, if m == NEAR { now } else { Micros(0) }));
-        rig.list(ListKind::Full, started.to_vec());
+            [PRIMARY, NEAR].map(|m| entry(m, EndpointState::Ready, if m == NEAR { now } else { Micros(0) }));
+        rig.list(EndpointUpdate::Full, started.to_vec());
         for step in 0..20 {
             let due = step == seed % 20;
             let mut actions = if due { rig.request(ANY, 1).1 } else { vec![] };
             actions.extend(rig.sweep(100));
             for (id, member) in sends(&actions) {
                 sent += usize::from(member == NEAR);
-                rig.end(id, 0, member, Status::Ok, None);
+                rig.end(id, 0, member, AttemptStatus::Ok, None);
             }
         }
     }
@@ -810,7 +841,10 @@
     for seed in 0..60 {
         let mut rig = Rig::new(one_of(60));
         rig.router = Router::new(one_of(60), seed);
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        rig.list(
+            EndpointUpdate::Full,
+            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+        );
         *first.entry(sends(&rig.request(BOUNDED, 1).1)[0].1).or_insert(0) += 1;
     }
     assert!(first[&NEAR] > 15 && first[&FAR] > 15, "{first:?}");
@@ -824,7 +858,7 @@
     for no in 0..2 {
         let replica = sends(&actions)[0].1;
         assert_ne!(replica, PRIMARY);
-        actions = rig.end(id, no, replica, Status::Miss, None);
+        actions = rig.end(id, no, replica, AttemptStatus::Unsuitable, None);
     }
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
     assert_eq!(sends(&rig.request(BOUNDED, 1).1)[0].1, PRIMARY, "both have said that they are behind");
@@ -839,12 +873,12 @@
         for member in [NEAR, FAR] {
             let mut settings = one_of(gateways);
             settings.classes[ANY.0].latency_objective = Micros::millis(5);
-            let gone = [PRIMARY, member].map(|m| entry(m, Listed::Ready, Micros(0)));
+            let gone = [PRIMARY, member].map(|m| entry(m, EndpointState::Ready, Micros(0)));
             rig = Rig::new(settings);
-            rig.list(ListKind::Full, gone.to_vec());
+            rig.list(EndpointUpdate::Full, gone.to_vec());
             let (id, actions) = rig.request(ANY, 1);
             let tried = sends(&actions)[0].1;
-            rig.end(id, 0, tried, Status::Ok, None);
+            rig.end(id, 0, tried, AttemptStatus::Ok, None);
         }
         let next = sends(&rig.request(ANY, 1).1);
         assert_eq!(next.first().is_some_and(|(_, m)| *m != PRIMARY), free, "{gateways} gateways: {next:?}");
@@ -859,12 +893,12 @@
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
+    rig.list(EndpointUpdate::Full, vec![entry(PRIMARY, EndpointState::Ready, Micros(0))]);
     let (late, actions) = rig.request(BOUNDED, 1);
     assert_eq!(sends(&actions), [(late, PRIMARY)]);
     rig.now = rig.now + Micros::millis(190);
-    rig.event(Event::Gone(late));
-    rig.end(late, 0, PRIMARY, Status::Cancelled, None);
+    rig.event(Event::ClientLeft(late));
+    rig.end(late, 0, PRIMARY, AttemptStatus::Cancelled, None);
     // What it may still be at work on is over, the pause is not.
     rig.sweep(300);
     assert_eq!(sends(&rig.request(BOUNDED, 1).1), []);
@@ -901,7 +935,7 @@
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
     let mut rig = Rig::new(settings);
-    rig.list(ListKind::Full, vec![entry(PRIMARY, Listed::Ready, Micros(0))]);
+    rig.list(EndpointUpdate::Full, vec![entry(PRIMARY, EndpointState::Ready, Micros(0))]);
     let count = |rig: &mut Rig, class| {
         let sent = |rig: &mut Rig| !sends(&rig.request(class, 1).1).is_empty();
         (0..100).take_while(|_| sent(rig)).count()
@@ -919,18 +953,21 @@
 fn a_list_that_names_the_old_primary_changes_nothing() {
     let mut rig = Rig::new(settings());
     let (id, _) = rig.request(ANY, 1);
-    let lead = Report { position: Some(rig.now), role: Some(Role::Primary) };
-    rig.event(Event::Gone(id));
-    rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
+    let lead = HealthReport { position: Some(rig.now), role: Some(Role::Primary) };
+    rig.event(Event::ClientLeft(id));
+    rig.event(Event::HealthChecked { member: NEAR, status: AttemptStatus::Ok, report: lead });
     for second in 1..=4 {
         rig.sweep(1_000);
-        let old = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-        rig.list(if second % 2 == 0 { ListKind::Full } else { ListKind::Changes }, old.to_vec());
+        let old = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+        rig.list(
+            if second % 2 == 0 { EndpointUpdate::Full } else { EndpointUpdate::Incremental },
+            old.to_vec(),
+        );
         let (id, actions) = rig.request(WRITE, 7);
         assert_eq!(sends(&actions), [(id, NEAR)], "{second} s after the take-over");
-        rig.end(id, 0, NEAR, Status::Miss, None);
-        let lead = Report { position: Some(rig.now), role: Some(Role::Primary) };
-        rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report: lead });
+        rig.end(id, 0, NEAR, AttemptStatus::Unsuitable, None);
+        let lead = HealthReport { position: Some(rig.now), role: Some(Role::Primary) };
+        rig.event(Event::HealthChecked { member: NEAR, status: AttemptStatus::Ok, report: lead });
     }
 }
 
@@ -951,12 +988,12 @@
                 request,
                 attempt: AttemptNo(0),
                 member,
-                status: Status::Ok,
+                status: AttemptStatus::Ok,
                 latency,
                 finished: true,
                 role: Some(Role::Replica),
                 position: None,
-                report: Report::default(),
+                report: HealthReport::default(),
             }));
         }
         let total: u32 = counts.values().sum();
@@ -978,10 +1015,10 @@
             let (mut no, mut target) = (0, sends(&actions)[0].1);
             if target == NEAR {
                 broken += 1;
-                let actions = rig.end(id, no, NEAR, Status::Reset, None);
+                let actions = rig.end(id, no, NEAR, AttemptStatus::Reset, None);
                 (no, target) = (1, sends(&actions)[0].1);
             }
-            rig.end(id, no, target, Status::Ok, None);
+            rig.end(id, no, target, AttemptStatus::Ok, None);
             if target == NEAR {
                 broken = 0;
             }
@@ -991,7 +1028,7 @@
             let (id, actions) = rig.request(ANY, 1);
             let target = sends(&actions)[0].1;
             chosen |= target == NEAR;
-            rig.end(id, 0, target, Status::Ok, None);
+            rig.end(id, 0, target, AttemptStatus::Ok, None);
             rig.sweep(20);
         }
         assert_eq!(chosen, back, "after {breaks} broken connections");
@@ -1001,7 +1038,7 @@
             let (id, actions) = rig.request(ANY, 1);
             let target = sends(&actions)[0].1;
             again |= target == NEAR;
-            rig.end(id, 0, target, Status::Ok, None);
+            rig.end(id, 0, target, AttemptStatus::Ok, None);
         }
         assert!(again, "an ejected member is tried again");
     }
@@ -1017,12 +1054,12 @@
         let mut to = sends(&first)[0].1;
         for no in 0..2 {
             rig.now = rig.now + Micros::millis(20);
-            let next = rig.end(id, no, to, Status::Spoilt, None);
+            let next = rig.end(id, no, to, AttemptStatus::Malformed, None);
             let [(again, other)] = sends(&next)[..] else { panic!("not sent on: {next:?}") };
             assert!(again == id && other != to);
             to = other;
         }
-        rig.end(id, 2, to, Status::Ok, None);
+        rig.end(id, 2, to, AttemptStatus::Ok, None);
     }
 }
 
@@ -1032,10 +1069,10 @@
     let mut rig = Rig::new(settings());
     let (id, actions) = rig.request(ANY, 1);
     let first = sends(&actions)[0].1;
-    let actions = rig.end(id, 0, first, Status::Error, None);
+    let actions = rig.end(id, 0, first, AttemptStatus::Error, None);
     let second = sends(&actions)[0].1;
     assert_ne!(first, second);
-    let actions = rig.end(id, 1, second, Status::Error, None);
+    let actions = rig.end(id, 1, second, AttemptStatus::Error, None);
     assert_eq!((sends(&actions), finals(&actions)), (vec![], vec![(id, true)]));
 }
 
@@ -1044,7 +1081,11 @@
     let mut rig = Rig::new(settings());
     for member in [PRIMARY, NEAR, FAR] {
         for _ in 0..2 {
-            rig.event(Event::HealthChecked { member, status: Status::Timeout, report: Report::default() });
+            rig.event(Event::HealthChecked {
+                member,
+                status: AttemptStatus::Timeout,
+                report: HealthReport::default(),
+            });
         }
     }
     assert_eq!(sends(&rig.request(ANY, 1).1).len(), 1);
@@ -1057,19 +1098,19 @@
         for drained in [false, true] {
             let mut rig = Rig::new(Settings { removed_may_serve, ..settings() });
             if drained {
-                let drains = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0)));
-                rig.list(ListKind::Changes, drains.to_vec());
+                let drains = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0)));
+                rig.list(EndpointUpdate::Incremental, drains.to_vec());
             }
-            rig.list(ListKind::Full, vec![]);
+            rig.list(EndpointUpdate::Full, vec![]);
             rig.sweep(300);
             let (id, actions) = rig.request(ANY, 1);
             assert_eq!(!sends(&actions).is_empty(), removed_may_serve && !drained);
             assert!(finals(&actions).is_empty());
             if let Some((_, member)) = sends(&actions).pop() {
-                rig.end(id, 0, member, Status::Ok, None);
+                rig.end(id, 0, member, AttemptStatus::Ok, None);
             }
-            let back = [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-            rig.list(ListKind::Full, back.to_vec());
+            let back = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+            rig.list(EndpointUpdate::Full, back.to_vec());
             let (id, actions) = rig.request(ANY, 1);
             assert!(sends(&actions).iter().any(|(sent, _)| *sent == id), "the true list counts again");
         }
@@ -1081,18 +1122,18 @@
 fn idle_connections_that_lose_requests_are_closed_before_a_send() {
     for (gap, closes) in [(2000, true), (20, false)] {
         let mut rig = Rig::new(settings());
-        let only = [PRIMARY, NEAR].map(|m| entry(m, Listed::Ready, Micros(0)));
-        rig.list(ListKind::Full, only.to_vec());
+        let only = [PRIMARY, NEAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+        rig.list(EndpointUpdate::Full, only.to_vec());
         let (id, actions) = rig.request(ANY, 1);
-        rig.end(id, 0, sends(&actions)[0].1, Status::Ok, None);
+        rig.end(id, 0, sends(&actions)[0].1, AttemptStatus::Ok, None);
         let mut closed = 0;
         for _ in 0..8 {
             rig.sweep(gap);
             let (id, actions) = rig.request(ANY, 1);
             closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
             if let Some((_, member)) = sends(&actions).pop() {
-                rig.end(id, 0, member, Status::Cancelled, None);
-                rig.event(Event::Gone(id));
+                rig.end(id, 0, member, AttemptStatus::Cancelled, None);
+                rig.event(Event::ClientLeft(id));
             }
         }
         assert_eq!(closed > 0, closes, "{gap} ms between sends: {closed} closed");
@@ -1130,7 +1171,11 @@
     // Members whose last state that binds is a drain.
     let mut drained = BTreeMap::new();
     let mut all: BTreeMap<RequestId, Track> = BTreeMap::new();
-    let mut listed = BTreeMap::from([(PRIMARY, Listed::Ready), (NEAR, Listed::Ready), (FAR, Listed::Ready)]);
+    let mut listed = BTreeMap::from([
+        (PRIMARY, EndpointState::Ready),
+        (NEAR, EndpointState::Ready),
+        (FAR, EndpointState::Ready),
+    ]);
     let mut known: BTreeMap<MemberId, Micros> = BTreeMap::new();
     for step in 0..3000 {
         let out: Vec<(RequestId, u32, MemberId)> =
@@ -1147,23 +1192,34 @@
             3..=5 if !out.is_empty() => {
                 let (id, no, member) = out[random(out.len() as u64) as usize];
                 let status = [
-                    Status::Ok,
-                    Status::Ok,
-                    Status::Ok,
-                    Status::Error,
-                    Status::Full,
-                    Status::Timeout,
-                    Status::ConnectFailed,
-                    Status::Reset,
-                    Status::Miss,
+                    AttemptStatus::Ok,
+                    AttemptStatus::Ok,
+                    AttemptStatus::Ok,
+                    AttemptStatus::Error,
+                    AttemptStatus::Rejected,
+                    AttemptStatus::Timeout,
+                    AttemptStatus::ConnectFailed,
+                    AttemptStatus::Reset,
+                    AttemptStatus::Unsuitable,
                 ][random(9) as usize];
                 let track = all.get_mut(&id).expect("tracked");
                 track.out.retain(|(n, _)| *n != no);
-                let proved =
-                    matches!(status, Status::Full | Status::ConnectFailed | Status::Miss | Status::Moot);
+                let proved = matches!(
+                    status,
+                    AttemptStatus::Rejected
+                        | AttemptStatus::ConnectFailed
+                        | AttemptStatus::Unsuitable
+                        | AttemptStatus::NotSent
+                );
                 track.unproven |= !proved;
-                track.done |= status == Status::Ok;
-                let answered = matches!(status, Status::Ok | Status::Full | Status::Miss | Status::Error);
+                track.done |= status == AttemptStatus::Ok;
+                let answered = matches!(
+                    status,
+                    AttemptStatus::Ok
+                        | AttemptStatus::Rejected
+                        | AttemptStatus::Unsuitable
+                        | AttemptStatus::Error
+                );
                 let position = answered.then(|| rig.now - Micros::millis(random(1000)));
                 if let Some(position) = position {
                     let best = known.entry(member).or_default();
@@ -1173,17 +1229,27 @@
             }
             6 => {
                 let member = [NEAR, FAR][random(2) as usize];
-                let states = [Listed::Ready, Listed::Ready, Listed::Ready, Listed::Draining, Listed::Gone];
+                let states = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ];
                 let state = states[random(5) as usize];
                 listed.insert(member, state);
-                if state != Listed::Gone {
-                    drained.insert(member, state == Listed::Draining);
+                if state != EndpointState::Removed {
+                    drained.insert(member, state == EndpointState::Draining);
                 }
-                rig.list(ListKind::Changes, vec![entry(member, state, Micros(0))])
+                rig.list(EndpointUpdate::Incremental, vec![entry(member, state, Micros(0))])
             }
             7 => {
                 let member = [PRIMARY, NEAR, FAR][random(3) as usize];
-                rig.event(Event::HealthChecked { member, status: Status::Ok, report: Report::default() })
+                rig.event(Event::HealthChecked {
+                    member,
+                    status: AttemptStatus::Ok,
+                    report: HealthReport::default(),
+                })
             }
             _ => rig.sweep(2 + random(3)),
         };
@@ -1193,9 +1259,9 @@
                     let track = all.get_mut(request).expect("a known request");
                     assert!(!track.done, "seed {seed} step {step}: sent after its end");
                     let binds = match listed[member] {
-                        Listed::Ready => false,
-                        Listed::Draining => true,
-                        Listed::Gone => !removed_may_serve || drained.get(member) == Some(&true),
+                        EndpointState::Ready => false,
+                        EndpointState::Draining => true,
+                        EndpointState::Removed => !removed_may_serve || drained.get(member) == Some(&true),
                     };
                     assert!(!binds, "seed {seed} step {step}: sent to {:?}", listed[member]);
                     let may_run = track.unproven || !track.out.is_empty();
@@ -1218,12 +1284,12 @@
                     track.sent += 1;
                     assert!(track.sent <= 4, "seed {seed} step {step}: over the attempt cap");
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let track = all.get_mut(request).expect("a known request");
                     assert!(!track.done, "seed {seed} step {step}: two final answers");
                     track.done = true;
                     let may_run = track.unproven || !track.out.is_empty();
-                    if matches!(action, Action::Refuse { .. }) && [WRITE, UNSAFE].contains(&track.class) {
+                    if matches!(action, Action::Reject { .. }) && [WRITE, UNSAFE].contains(&track.class) {
                         assert!(!may_run, "seed {seed} step {step}: refused though it may have run");
                     }
                 }
@@ -1264,14 +1330,17 @@
     let out = |gateways, started: bool| {
         let mut rig = Rig::new(Settings { gateways, health_checks: false, ..settings() });
         rig.sweep(100);
-        let broken =
-            Event::HealthChecked { member: NEAR, status: Status::ConnectFailed, report: Report::default() };
+        let broken = Event::HealthChecked {
+            member: NEAR,
+            status: AttemptStatus::ConnectFailed,
+            report: HealthReport::default(),
+        };
         rig.event(broken);
         let since = rig.now;
         assert!(rig.router.avoids(NEAR));
         if started {
-            let new = entry(NEAR, Listed::Ready, rig.now);
-            rig.list(ListKind::Changes, vec![new]);
+            let new = entry(NEAR, EndpointState::Ready, rig.now);
+            rig.list(EndpointUpdate::Incremental, vec![new]);
         }
         while rig.router.avoids(NEAR) {
             rig.sweep(100);
@@ -1310,7 +1379,7 @@
             let sent = sends(&actions);
             assert_eq!(sent.len(), 1, "{gateways} gateways, price {price}");
             assert_eq!(sent[0].0, id);
-            rig.end(id, 0, sent[0].1, Status::Ok, Some(rig.now));
+            rig.end(id, 0, sent[0].1, AttemptStatus::Ok, Some(rig.now));
             assert_eq!(finals(&rig.sweep(3_000)), []);
         }
     }
@@ -1327,8 +1396,8 @@
             (Micros::millis(400), 1.5);
         let mut rig = Rig::new(settings);
         rig.list(
-            ListKind::Full,
-            [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Draining, Micros(0))).to_vec(),
+            EndpointUpdate::Full,
+            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0))).to_vec(),
         );
         let mut ids = BTreeMap::new();
         for class in [SESSION, ANY] {
@@ -1336,7 +1405,10 @@
             assert!(sends(&actions).is_empty(), "nobody may be sent to");
             ids.insert(id, class);
         }
-        rig.list(ListKind::Full, [PRIMARY, NEAR, FAR].map(|m| entry(m, Listed::Ready, Micros(0))).to_vec());
+        rig.list(
+            EndpointUpdate::Full,
+            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+        );
         let sent: Vec<ClassId> = sends(&rig.sweep(10)).iter().map(|(id, _)| ids[id]).collect();
         assert_eq!(sent.first(), Some(&first), "{weight_basis:?}: {sent:?}");
     }
@@ -1349,14 +1421,14 @@
     let mut rig = Rig::new(settings());
     let now = rig.now;
     rig.probed(NEAR, now);
-    rig.end(RequestId(0), 0, NEAR, Status::Ok, None);
+    rig.end(RequestId(0), 0, NEAR, AttemptStatus::Ok, None);
     let other = GroupId(2);
-    let moved = [(NEAR, false), (MemberId(20), true)].map(|(member, primary)| Entry {
+    let moved = [(NEAR, false), (MemberId(20), true)].map(|(member, primary)| Endpoint {
         group: other,
         primary,
-        ..entry(member, Listed::Ready, Micros(0))
+        ..entry(member, EndpointState::Ready, Micros(0))
     });
-    rig.list(ListKind::Changes, moved.to_vec());
+    rig.list(EndpointUpdate::Incremental, moved.to_vec());
     let request = |rig: &mut Rig, id| {
         let time_left = Micros::millis(2000);
         let (session, committed, tenant, repeat) = (None, None, None, false);
@@ -1373,8 +1445,8 @@
         }))
     };
     assert_eq!(sends(&request(&mut rig, 900)), [(RequestId(900), MemberId(20))]);
-    let report = Report { position: Some(now), role: Some(Role::Replica) };
-    rig.event(Event::HealthChecked { member: NEAR, status: Status::Ok, report });
+    let report = HealthReport { position: Some(now), role: Some(Role::Replica) };
+    rig.event(Event::HealthChecked { member: NEAR, status: AttemptStatus::Ok, report });
     assert_eq!(sends(&request(&mut rig, 901)), [(RequestId(901), NEAR)]);
 }
 
@@ -1398,13 +1470,19 @@
                 finished: false,
                 role: Some(role),
                 position: Some(position),
-                report: Report::default(),
+                report: HealthReport::default(),
             })
         };
         let (second, _) = rig.request(WRITE, 2);
-        rig.event(outcome(second, PRIMARY, Status::Miss, Role::Replica, stood));
+        rig.event(outcome(second, PRIMARY, AttemptStatus::Unsuitable, Role::Replica, stood));
         rig.now = rig.now + Micros::millis(20);
-        rig.event(outcome(late, PRIMARY, Status::Full, Role::Primary, stood - Micros::millis(behind)));
+        rig.event(outcome(
+            late,
+            PRIMARY,
+            AttemptStatus::Rejected,
+            Role::Primary,
+            stood - Micros::millis(behind),
+        ));
         // By then its position as a replica covers no bounded read.
         rig.now = rig.now + Micros::millis(600);
         let (_, actions) = rig.request(BOUNDED, 3);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -69,15 +69,15 @@
 impl Site {
     fn new(families: u64, members: u64) -> Site {
         let mut site = Site { router: Router::new(settings(), 7), now: START, next: 0 };
-        let entries = (0..families * members).map(|place| Entry {
+        let endpoints = (0..families * members).map(|place| Endpoint {
             member: MemberId(place + 1),
             group: GroupId(place / members),
             weight: 1.0,
             primary: place % members == 0,
-            ..Entry::default()
+            ..Endpoint::default()
         });
-        let entries = entries.collect();
-        site.event(Event::Members { kind: ListKind::Full, entries });
+        let endpoints = endpoints.collect();
+        site.event(Event::Endpoints { update: EndpointUpdate::Full, endpoints });
         site
     }
 
@@ -124,19 +124,19 @@
             request: id,
             attempt: AttemptNo(0),
             member: sent,
-            status: Status::Ok,
+            status: AttemptStatus::Ok,
             latency: Micros::millis(1),
             finished: true,
             role: None,
             position,
-            report: Report::default(),
+            report: HealthReport::default(),
         }));
         Some(sent)
     }
 
     fn tell(&mut self, member: u64, position: Micros) {
-        let report = Report { position: Some(position), role: None };
-        self.event(Event::HealthChecked { member: MemberId(member), status: Status::Ok, report });
+        let report = HealthReport { position: Some(position), role: None };
+        self.event(Event::HealthChecked { member: MemberId(member), status: AttemptStatus::Ok, report });
     }
 
     fn sessions(&self) -> usize {
@@ -193,8 +193,8 @@
     assert!(left.windows(2).all(|two| two[0] - two[1] <= 2 * 512), "{left:?}");
     assert!(left.len() > 3, "{left:?}");
     // A member from an older copy: forgotten commits hold it back as a whole.
-    let late = Entry { member: MemberId(4), group: GroupId(0), weight: 1.0, ..Entry::default() };
-    site.event(Event::Members { kind: ListKind::Changes, entries: vec![late] });
+    let late = Endpoint { member: MemberId(4), group: GroupId(0), weight: 1.0, ..Endpoint::default() };
+    site.event(Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![late] });
     site.tell(4, commit + Micros(4_998));
     for _ in 0..200 {
         assert_ne!(site.ask(OWN, 0, 7, None), Some(MemberId(4)));
--- a/tests/state_formats.rs
+++ b/tests/state_formats.rs
@@ -121,13 +121,13 @@
     }
 }
 
-fn entry(member: u64) -> Entry {
-    Entry {
+fn entry(member: u64) -> Endpoint {
+    Endpoint {
         member: MemberId(member),
         group: group_of(member),
         weight: 1.0,
         primary: member == PRIMARY || member == SECOND_PRIMARY,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -205,16 +205,16 @@
         now = now + LATENCY;
     }
     balancer.set_administratively_down(END, MemberId(DOWN), true);
-    let left: Vec<Entry> = all.into_iter().filter(|id| *id != REMOVED).map(listed_at_the_end).collect();
+    let left: Vec<Endpoint> = all.into_iter().filter(|id| *id != REMOVED).map(listed_at_the_end).collect();
     balancer.members(END, true, left);
     balancer.probed(END, MemberId(EJECTED), LOST);
     reset_at(&mut balancer, END, BROKEN);
     balancer
 }
 
-fn listed_at_the_end(member: u64) -> Entry {
+fn listed_at_the_end(member: u64) -> Endpoint {
     let started = if member == WARMING_UP { RESTART } else { Micros(0) };
-    Entry { started, ..entry(member) }
+    Endpoint { started, ..entry(member) }
 }
 
 /// The connection of a read that is out at a member breaks.
