--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -1,107 +1,125 @@
-//! The datagrams of a fleet: what stands before and behind every message, so that another fleet's, another version's
-//! and spoilt ones are dropped unread. Byte by byte in `docs/formats/fleet.md`.
+//! The frame around every datagram: magic bytes, format version, message kind, fleet tag and a checksum, so that datagrams
+//! of another fleet or another version, and damaged ones, are dropped unread. `docs/formats/fleet.md` gives it byte by byte.
+
+use thiserror::Error;
+
+use crate::hash::fnv1a_64;
+
+/// Longest datagram, in bytes: it crosses common networks without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// The format version that is written, and the newest that is read.
+pub const FORMAT_VERSION: u8 = 1;
+/// Longest message that fits into a datagram, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - CHECKSUM_BYTES;
 
-/// Longest datagram, in bytes: it crosses common networks in one piece.
-pub const LONGEST: usize = 1400;
 const MAGIC: [u8; 2] = *b"DF";
-/// The form that is written, and the oldest that is read.
-pub const FORM: u8 = 1;
-const OLDEST: u8 = 1;
-const HEAD: usize = 2 + 1 + 1 + 8;
-const TAIL: usize = 4;
-/// Room for a message.
-pub const ROOM: usize = LONGEST - HEAD - TAIL;
+const OLDEST_READABLE_VERSION: u8 = 1;
+/// Magic, version, kind, fleet tag.
+const HEADER_BYTES: usize = 2 + 1 + 1 + 8;
+const VERSION_OFFSET: usize = 2;
+const KIND_OFFSET: usize = 3;
+const TAG_OFFSET: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
-/// What a message belongs to.
+/// What a datagram carries. The discriminants are the bytes on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Membership.
-    Member = 1,
-    /// A call to a voter.
-    Call = 2,
-    /// A voter's reply.
-    Reply = 3,
-    /// An owner's order or word.
+pub enum MessageKind {
+    /// A message of the membership protocol.
+    Membership = 1,
+    /// A proposer's request to an acceptor.
+    AcceptorRequest = 2,
+    /// An acceptor's reply.
+    AcceptorReply = 3,
+    /// A lease holder's order.
     Order = 4,
 }
 
-impl Kind {
-    /// All of them, in the order of their numbers on the wire.
-    pub const ALL: [Kind; 4] = [Kind::Member, Kind::Call, Kind::Reply, Kind::Order];
+impl MessageKind {
+    /// All kinds, in the order of their bytes on the wire.
+    pub const ALL: [MessageKind; 4] = [
+        MessageKind::Membership,
+        MessageKind::AcceptorRequest,
+        MessageKind::AcceptorReply,
+        MessageKind::Order,
+    ];
 
-    fn of(byte: u8) -> Option<Kind> {
-        Kind::ALL.get(usize::from(byte).checked_sub(1)?).copied()
+    fn from_byte(byte: u8) -> Option<MessageKind> {
+        MessageKind::ALL.get(usize::from(byte).checked_sub(1)?).copied()
     }
 }
 
-/// The kind that a datagram says it is of, unchecked: for those who count.
-pub fn peek(datagram: &[u8]) -> Option<Kind> {
-    datagram.get(3).copied().and_then(Kind::of)
-}
-
 /// Why a datagram is dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Bad {
-    /// Too short for its frame, or too long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
+pub enum FrameError {
+    /// Shorter than a frame, or longer than a datagram may be.
+    #[error("the length is not one of a datagram of a fleet")]
     Length,
-    /// No datagram of a fleet.
+    /// It does not start with the magic bytes.
+    #[error("not a datagram of a fleet")]
     Magic,
-    /// Of a form that this program does not read.
-    Form,
-    /// Another fleet's.
+    /// A format version that this program does not read.
+    #[error("unknown format version")]
+    Version,
+    /// It belongs to another fleet.
+    #[error("of another fleet")]
     Fleet,
-    /// Damaged on its way.
+    /// It was damaged on its way.
+    #[error("the checksum does not match")]
     Checksum,
-    /// Of a kind that this form does not have.
+    /// A kind that this format version does not have.
+    #[error("unknown kind of message")]
     Kind,
 }
 
-/// The tag of a fleet, from its name: the same on every machine.
-pub fn tag(fleet: &str) -> u64 {
-    // FNV-1a: no secret, it only tells fleets apart that share a network.
-    fleet
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+/// The tag of a fleet, from its name. It tells apart fleets that share a network, and is no secret.
+pub fn fleet_tag(fleet: &str) -> u64 {
+    fnv1a_64(fleet)
+}
+
+/// The kind that a datagram claims to be of, without any check: for counting.
+pub fn peek_kind(datagram: &[u8]) -> Option<MessageKind> {
+    datagram.get(KIND_OFFSET).copied().and_then(MessageKind::from_byte)
 }
 
-/// Puts a message into a datagram; none if it is too long.
-pub fn wrap(tag: u64, kind: Kind, message: &[u8]) -> Option<Vec<u8>> {
-    if message.len() > ROOM {
+/// Puts a message into a datagram; none if the message is longer than [`MAX_MESSAGE_BYTES`].
+pub fn encode(fleet_tag: u64, kind: MessageKind, message: &[u8]) -> Option<Vec<u8>> {
+    if message.len() > MAX_MESSAGE_BYTES {
         return None;
     }
-    let mut datagram = Vec::with_capacity(HEAD + message.len() + TAIL);
+    let mut datagram = Vec::with_capacity(HEADER_BYTES + message.len() + CHECKSUM_BYTES);
     datagram.extend_from_slice(&MAGIC);
-    datagram.push(FORM);
+    datagram.push(FORMAT_VERSION);
     datagram.push(kind as u8);
-    datagram.extend_from_slice(&tag.to_le_bytes());
+    datagram.extend_from_slice(&fleet_tag.to_le_bytes());
     datagram.extend_from_slice(message);
     datagram.extend_from_slice(&crc32fast::hash(&datagram).to_le_bytes());
     Some(datagram)
 }
 
-/// The message of a datagram.
+/// Checks a datagram and gives the message in it.
 ///
 /// # Errors
-/// Why it has to be dropped.
-pub fn open(tag: u64, datagram: &[u8]) -> Result<(Kind, &[u8]), Bad> {
-    if datagram.len() < HEAD + TAIL || datagram.len() > LONGEST {
-        return Err(Bad::Length);
+/// Why the datagram has to be dropped.
+pub fn decode(fleet_tag: u64, datagram: &[u8]) -> Result<(MessageKind, &[u8]), FrameError> {
+    if datagram.len() < HEADER_BYTES + CHECKSUM_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
+        return Err(FrameError::Length);
     }
-    let (framed, sum) = datagram.split_at(datagram.len() - TAIL);
-    let (head, message) = framed.split_at(HEAD);
-    if head[..2] != MAGIC {
-        return Err(Bad::Magic);
+    let (content, checksum) = datagram.split_at(datagram.len() - CHECKSUM_BYTES);
+    let (header, message) = content.split_at(HEADER_BYTES);
+    if header[..VERSION_OFFSET] != MAGIC {
+        return Err(FrameError::Magic);
     }
-    if !(OLDEST..=FORM).contains(&head[2]) {
-        return Err(Bad::Form);
+    if !(OLDEST_READABLE_VERSION..=FORMAT_VERSION).contains(&header[VERSION_OFFSET]) {
+        return Err(FrameError::Version);
     }
-    if crc32fast::hash(framed).to_le_bytes() != sum {
-        return Err(Bad::Checksum);
+    if crc32fast::hash(content).to_le_bytes() != checksum {
+        return Err(FrameError::Checksum);
     }
-    if head[4..] != tag.to_le_bytes() {
-        return Err(Bad::Fleet);
+    if header[TAG_OFFSET..] != fleet_tag.to_le_bytes() {
+        return Err(FrameError::Fleet);
     }
-    Ok((Kind::of(head[3]).ok_or(Bad::Kind)?, message))
+    let kind = MessageKind::from_byte(header[KIND_OFFSET]).ok_or(FrameError::Kind)?;
+    Ok((kind, message))
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -2,13 +2,14 @@
 //!
 //! The register of a role holds a [`Tenure`]. Time decides only when somebody may *try* to take the role: a contender
 //! waits until a beat has stood still for a lease's length by its own clock. What keeps an owner that wakes up
-//! late from doing harm is the epoch on whatever it orders ([`crate::fence`]), never a clock.
+//! late from doing harm is the epoch on whatever it orders ([`crate::fencing`]), never a clock.
 
 use std::time::Duration;
 
 use rand_core::RngCore;
 use serde::{Deserialize, Serialize};
 
+use crate::node_id::NodeId;
 use crate::register::*;
 use crate::round::{Event, Round, Stamps};
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -9,10 +9,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::fence::{Fence, Refused};
-use crate::frame::{self, Bad, Kind};
+use crate::fencing::{FencingError, FencingGuard};
+use crate::frame::{self, FrameError, MessageKind};
 use crate::lease::{Change, Electorate, Seat, Terms};
-use crate::member::{self, Membership, Pace, Peer};
+use crate::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
+use crate::node_id::NodeId;
 use crate::record::{Outcome, Record};
 use crate::register::*;
 use crate::round::{Admission, Event as Told};
@@ -34,11 +35,11 @@
     /// The fleet's name.
     pub fleet: String,
     /// This process.
-    pub me: Peer,
+    pub me: MemberIdentity,
     /// The voters, by place: names and addresses.
-    pub voters: Vec<Peer>,
+    pub voters: Vec<MemberIdentity>,
     /// Whom to call to find the others.
-    pub seeds: Vec<Peer>,
+    pub seeds: Vec<MemberIdentity>,
     /// About how many members there are.
     pub size: u32,
     /// The roles that somebody is to hold.
@@ -46,7 +47,7 @@
     /// Leases.
     pub terms: Terms,
     /// Membership.
-    pub pace: Pace,
+    pub pace: MembershipTimeouts,
     /// For random numbers: drawn anew at each start.
     pub seed: u64,
 }
@@ -74,13 +75,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member came, went, or this process is not one any more.
-    Member(member::Change),
+    Member(MembershipChange),
     /// This process took a role, or does not hold it any more.
     Role(Key, Change),
     /// An owner's order, not refused; `true` with the first one under its epoch.
     Order(Order, bool),
     /// An order under an epoch that has been succeeded: without effect.
-    Refused(Order, Refused),
+    Refused(Order, FencingError),
     /// This process's voter has been let in.
     VoterIn,
     /// What a look at a register, or a change of it, has come to.
@@ -114,7 +115,7 @@
     records: BTreeMap<Key, Record>,
     electorate: Electorate,
     admission: Option<(Admission, Duration)>,
-    fence: Fence,
+    fence: FencingGuard,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     events: VecDeque<Event>,
     dropped: Dropped,
@@ -132,7 +133,7 @@
         let members = Membership::new(me, seeds, settings.size, settings.pace, draw(&mut dice));
         let electorate = Electorate::of(voters, draw(&mut dice));
         Node {
-            tag: frame::tag(&settings.fleet),
+            tag: frame::fleet_tag(&settings.fleet),
             dice,
             members,
             was_blank: voter.as_ref().is_some_and(Voter::is_blank),
@@ -142,7 +143,7 @@
             records: BTreeMap::new(),
             electorate,
             admission: None,
-            fence: Fence::default(),
+            fence: FencingGuard::default(),
             out: VecDeque::new(),
             events: VecDeque::new(),
             dropped: Dropped::default(),
@@ -209,7 +210,7 @@
         let seats = self.seats.values().map(Seat::due);
         let records = self.records.values().filter_map(Record::due);
         let admission = self.admission.iter().map(|(_, at)| *at);
-        seats.chain(records).chain(admission).fold(self.members.due(), Duration::min)
+        seats.chain(records).chain(admission).fold(self.members.next_deadline(), Duration::min)
     }
 
     /// Orders something in a role, at this moment. False if this process may not (any more): whoever has taken time
@@ -220,8 +221,8 @@
             self.dropped.too_long += 1;
             return false;
         }
-        let order = Order { role: role.to_string(), epoch, from: self.settings.me.node(), body };
-        self.post(to, Kind::Order, &order);
+        let order = Order { role: role.to_string(), epoch, from: self.settings.me.node_id(), body };
+        self.post(to, MessageKind::Order, &order);
         true
     }
 
@@ -244,11 +245,11 @@
     }
 
     /// After [`Outcome::Promised`]: what the register is to hold, or none to leave it as it is. A value of more than
-    /// [`LONGEST_VALUE`] bytes is none, and told to have failed.
+    /// [`MAX_VALUE_BYTES`] bytes is none, and told to have failed.
     pub fn propose(&mut self, now: Duration, key: &str, value: Option<Value>) {
         let Some(record) = self.records.get_mut(key) else { return };
         let mut calls = Vec::new();
-        let too_long = value.as_ref().is_some_and(|value| value.len() > LONGEST_VALUE);
+        let too_long = value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES);
         record.propose(now, value.filter(|_| !too_long), &mut calls);
         if too_long {
             self.events.push_back(Event::Record(key.to_string(), NOT_BEGUN));
@@ -261,11 +262,11 @@
         // A seat and a record of one process would use the same ballots in a role's register.
         let role = self.settings.roles.iter().any(|role| role == key) || self.seats.contains_key(key);
         let full = self.records.len() >= MOST_RECORDS && !self.records.contains_key(key);
-        if role || full || self.leaving || key.len() > LONGEST_KEY {
+        if role || full || self.leaving || key.len() > MAX_KEY_BYTES {
             self.events.push_back(Event::Record(key.to_string(), NOT_BEGUN));
             return None;
         }
-        let (me, terms) = (self.settings.me.node(), self.settings.terms);
+        let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
         Some(self.records.entry(key.to_string()).or_insert_with(|| Record::new(me, key.to_string(), terms)))
     }
 
@@ -301,23 +302,23 @@
         self.seats.values().all(|seat| !seat.is_held())
     }
 
-    fn post<T: Serialize>(&mut self, to: SocketAddr, kind: Kind, message: &T) {
+    fn post<T: Serialize>(&mut self, to: SocketAddr, kind: MessageKind, message: &T) {
         let message = postcard::to_stdvec(message).ok();
-        match message.and_then(|message| frame::wrap(self.tag, kind, &message)) {
+        match message.and_then(|message| frame::encode(self.tag, kind, &message)) {
             Some(datagram) => self.out.push_back((to, datagram)),
             None => self.dropped.too_long += 1,
         }
     }
 
     fn carry_members(&mut self) {
-        while let Some((to, message)) = self.members.send() {
-            match frame::wrap(self.tag, Kind::Member, &message) {
+        while let Some((to, message)) = self.members.next_message() {
+            match frame::encode(self.tag, MessageKind::Membership, &message) {
                 Some(datagram) => self.out.push_back((to, datagram)),
                 None => self.dropped.too_long += 1,
             }
         }
-        while let Some(change) = self.members.change() {
-            if change == member::Change::Superseded {
+        while let Some(change) = self.members.next_change() {
+            if change == MembershipChange::Superseded {
                 self.retire();
             }
             self.events.push_back(Event::Member(change));
@@ -327,7 +328,7 @@
     fn call(&mut self, calls: Vec<(Slot, Call)>) {
         for (slot, call) in calls {
             if let Some(voter) = self.settings.voters.get(usize::from(slot.0)) {
-                self.post(voter.address, Kind::Call, &call);
+                self.post(voter.address, MessageKind::AcceptorRequest, &call);
             }
         }
     }
@@ -342,22 +343,22 @@
         from: SocketAddr,
         datagram: &[u8],
         disk: &mut impl Disk,
-    ) -> Result<(), Bad> {
-        let (kind, message) = frame::open(self.tag, datagram).inspect_err(|_| self.dropped.foreign += 1)?;
+    ) -> Result<(), FrameError> {
+        let (kind, message) = frame::decode(self.tag, datagram).inspect_err(|_| self.dropped.foreign += 1)?;
         match kind {
-            Kind::Member => {
-                self.members.hear(now, message);
+            MessageKind::Membership => {
+                self.members.handle_message(now, message);
                 self.carry_members();
             }
-            Kind::Call => match postcard::from_bytes(message) {
+            MessageKind::AcceptorRequest => match postcard::from_bytes(message) {
                 Ok(call) => self.vote(from, call, disk),
                 Err(_) => self.dropped.senseless += 1,
             },
-            Kind::Reply => match postcard::from_bytes(message) {
+            MessageKind::AcceptorReply => match postcard::from_bytes(message) {
                 Ok(reply) => self.told(now, &reply),
                 Err(_) => self.dropped.senseless += 1,
             },
-            Kind::Order => match postcard::from_bytes::<Order>(message) {
+            MessageKind::Order => match postcard::from_bytes::<Order>(message) {
                 Ok(order) => match self.fence.admit(&order.role, order.epoch) {
                     Ok(first) => self.events.push_back(Event::Order(order, first)),
                     Err(why) => {
@@ -388,7 +389,7 @@
         {
             self.events.push_back(Event::VoterIn);
         }
-        self.post(from, Kind::Reply, &reply);
+        self.post(from, MessageKind::AcceptorReply, &reply);
     }
 
     fn told(&mut self, now: Duration, reply: &Reply) {
@@ -429,7 +430,7 @@
         let mut calls = Vec::new();
         let ranks: Vec<Option<u32>> = self.settings.roles.iter().map(|role| self.rank(role)).collect();
         for (role, rank) in self.settings.roles.clone().into_iter().zip(ranks) {
-            let (me, terms) = (self.settings.me.node(), self.settings.terms);
+            let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
             if rank.is_some() && !self.seats.contains_key(&role) {
                 let highest = self.rounds.remove(&role).unwrap_or_default();
                 self.seats.insert(role.clone(), Seat::new(me, role.clone(), terms).above(highest));
@@ -451,9 +452,10 @@
     /// This process's place among those that look after a role: each role has an order of its own over the members,
     /// which a member that comes or goes changes for few roles only.
     fn rank(&self, role: &str) -> Option<u32> {
-        let weight = |name: &str| frame::tag(&format!("{name}/{role}")).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let weight =
+            |name: &str| frame::fleet_tag(&format!("{name}/{role}")).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mine = (weight(&self.settings.me.name), &self.settings.me.name);
-        let before = self.members.present().filter(|peer| (weight(&peer.name), &peer.name) > mine).count();
+        let before = self.members.members().filter(|peer| (weight(&peer.name), &peer.name) > mine).count();
         (before < CANDIDATES && !self.leaving).then_some(before as u32)
     }
 
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -6,6 +6,7 @@
 use rand_core::RngCore;
 
 use crate::lease::{Electorate, Terms};
+use crate::node_id::NodeId;
 use crate::register::*;
 use crate::round::{Event, Round};
 
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -4,19 +4,17 @@
 
 use std::collections::BTreeMap;
 
+use crate::node_id::NodeId;
+
 /// Longest name of a register, in bytes.
-pub const LONGEST_KEY: usize = 64;
+pub const MAX_KEY_BYTES: usize = 64;
 /// Longest value, in bytes.
-pub const LONGEST_VALUE: usize = 1024;
+pub const MAX_VALUE_BYTES: usize = 1024;
 /// Most registers that a voter keeps.
-pub const MOST_REGISTERS: usize = 1024;
+pub const MAX_REGISTERS: usize = 1024;
 
 /// Most voters; a view of more places is nobody's.
-pub const MOST_VOTERS: u8 = 7;
-
-/// A process of a gateway: a new start has a new number, so that nobody takes it for the one before.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct NodeId(pub u64);
+pub const MAX_ACCEPTORS: u8 = 7;
 
 /// A voter's place among the voters. Whoever fills it may change, the number of places does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -66,7 +64,7 @@
 
     /// Whether it names no places that no fleet has: it is stored for good, and has to fit into every call.
     pub fn is_sound(&self) -> bool {
-        self.0.keys().all(|slot| slot.0 < MOST_VOTERS)
+        self.0.keys().all(|slot| slot.0 < MAX_ACCEPTORS)
     }
 
     /// The first view that follows both.
--- a/crates/fleet/src/voter.rs
+++ b/crates/fleet/src/voter.rs
@@ -254,7 +254,7 @@
                 Answer::Promise { accepted: cell.accepted, value: cell.value.clone() }
             }
             Request::Accept { key, ballot, value } => {
-                if value.len() > LONGEST_VALUE {
+                if value.len() > MAX_VALUE_BYTES {
                     return Err(Refusal::Bounds);
                 }
                 let cell = cell(&mut next.registers, key)?;
@@ -283,7 +283,7 @@
         }
         for (key, cell) in registers {
             let arrived = &mut self.arriving.registers;
-            if key.len() <= LONGEST_KEY && (arrived.len() < MOST_REGISTERS || arrived.contains_key(key)) {
+            if key.len() <= MAX_KEY_BYTES && (arrived.len() < MAX_REGISTERS || arrived.contains_key(key)) {
                 arrived.insert(key.clone(), cell.clone());
             }
         }
@@ -311,7 +311,7 @@
 
 fn cell(registers: &mut BTreeMap<Key, Cell>, key: Key) -> Result<&mut Cell, Refusal> {
     let known = registers.contains_key(&key);
-    if key.len() > LONGEST_KEY || !known && registers.len() >= MOST_REGISTERS {
+    if key.len() > MAX_KEY_BYTES || !known && registers.len() >= MAX_REGISTERS {
         return Err(Refusal::Bounds);
     }
     Ok(registers.entry(key).or_default())
--- a/crates/fleet/src/voter/tests.rs
+++ b/crates/fleet/src/voter/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(install(2, &["d"]), Answer::Refused(Refusal::Arrived(1)));
     assert_eq!(install(2, &["a", "c"]), Answer::Installed);
     let request = Request::Admit { after: Key::new() };
-    let call = Call { view: view.with(Slot(MOST_VOTERS), 9), nonce: 3, request };
+    let call = Call { view: view.with(Slot(MAX_ACCEPTORS), 9), nonce: 3, request };
     assert!(
         matches!(voter.ask(call), Step::Reply(reply) if reply.answer == Answer::Refused(Refusal::Bounds))
     );
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -5,10 +5,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunemount_fleet::frame::{self, Kind};
+use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::{Tenure, Terms};
-use dunemount_fleet::member::{Change, Membership, Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
 use dunemount_fleet::node::{Disk, Event, Node, Order, Settings};
+use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::*;
 use dunemount_fleet::voter::{Step, Voter};
 use serde::{de::DeserializeOwned, Serialize};
@@ -28,8 +29,8 @@
     SocketAddr::from(([127, 0, 0, index + 1], 7400))
 }
 
-fn peer(index: u8, start: u64) -> Peer {
-    Peer { name: format!("gw-{index}"), start, life: 0, address: address(index) }
+fn peer(index: u8, start: u64) -> MemberIdentity {
+    MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address: address(index) }
 }
 
 fn ballot(round: u64, by: u64) -> Ballot {
@@ -148,15 +149,19 @@
     Order { role: ROLE.to_string(), epoch: 300, from: NodeId(0xfeed_0001), body: b"drain gw-7".to_vec() }
 }
 
-fn datagram<T: Serialize>(kind: Kind, message: &T) -> Vec<u8> {
+fn datagram<T: Serialize>(kind: MessageKind, message: &T) -> Vec<u8> {
     let message = postcard::to_stdvec(message).expect("bytes");
-    frame::wrap(frame::tag(FLEET), kind, &message).expect("short")
+    frame::encode(frame::fleet_tag(FLEET), kind, &message).expect("short")
 }
 
 /// The datagram of this name means this message, and this message is written as this datagram.
-fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, kind: Kind, message: &T) {
+fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+    name: &str,
+    kind: MessageKind,
+    message: &T,
+) {
     let kept = fixture(&format!("datagram-{name}-v1.bin"));
-    let (read, bytes) = frame::open(frame::tag(FLEET), &kept).expect("this fleet's");
+    let (read, bytes) = frame::decode(frame::fleet_tag(FLEET), &kept).expect("this fleet's");
     assert_eq!(read, kind, "{name}");
     assert_eq!(postcard::from_bytes::<T>(bytes).expect("a message"), *message, "{name}");
     assert_eq!(datagram(kind, message), kept, "{name}");
@@ -165,9 +170,9 @@
 /// Guards talk between versions: each message between proposers and voters, and an order, is read and written the same.
 #[test]
 fn datagrams_of_voters_and_orders() {
-    calls().iter().for_each(|(name, call)| check(name, Kind::Call, call));
-    replies().iter().for_each(|(name, reply)| check(name, Kind::Reply, reply));
-    check("order", Kind::Order, &order());
+    calls().iter().for_each(|(name, call)| check(name, MessageKind::AcceptorRequest, call));
+    replies().iter().for_each(|(name, reply)| check(name, MessageKind::AcceptorReply, reply));
+    check("order", MessageKind::Order, &order());
 }
 
 /// A disk that forgets.
@@ -179,17 +184,18 @@
     }
 }
 
-fn pace() -> Pace {
-    Pace {
-        probe: Duration::from_millis(500),
-        answer: Duration::from_millis(150),
-        suspicion: Duration::from_millis(1_500),
-        remembered: Duration::from_secs(60),
+fn timeouts() -> MembershipTimeouts {
+    MembershipTimeouts {
+        probe_interval: Duration::from_millis(500),
+        probe_timeout: Duration::from_millis(150),
+        suspicion_timeout: Duration::from_millis(1_500),
+        down_retention: Duration::from_secs(60),
     }
 }
 
 fn node(voter: Option<Voter>) -> Node {
-    let voters: Vec<Peer> = (0..3).map(|index| Peer::at(&peer(index, 0).name, address(index))).collect();
+    let voters: Vec<MemberIdentity> =
+        (0..3).map(|index| MemberIdentity::with_address(&peer(index, 0).name, address(index))).collect();
     let settings = Settings {
         fleet: FLEET.into(),
         me: peer(1, 7),
@@ -198,7 +204,7 @@
         size: 3,
         roles: Vec::new(),
         terms: Terms { length: Duration::from_secs(3), drift: 0.05, resend: Duration::from_millis(150) },
-        pace: pace(),
+        pace: timeouts(),
         seed: 1,
     };
     Node::new(settings, voter)
@@ -227,21 +233,25 @@
     let mut announcing = node(None);
     announcing.tick(Duration::ZERO);
     assert_eq!(announcing.send(), Some((address(0), announce.clone())));
-    let (kind, message) = frame::open(frame::tag(FLEET), &announce).expect("this fleet's");
-    assert_eq!(kind, Kind::Member);
-    let mut seed = Membership::new(peer(0, 3), Vec::new(), 3, pace(), 2);
-    seed.hear(Duration::ZERO, message);
-    assert_eq!(seed.change(), Some(Change::Came(peer(1, 7))));
+    let (kind, message) = frame::decode(frame::fleet_tag(FLEET), &announce).expect("this fleet's");
+    assert_eq!(kind, MessageKind::Membership);
+    let mut seed = Membership::new(peer(0, 3), Vec::new(), 3, timeouts(), 2);
+    seed.handle_message(Duration::ZERO, message);
+    assert_eq!(seed.next_change(), Some(MembershipChange::Up(peer(1, 7))));
 
     // One with that name that has started later tells it so.
     let later = fixture("datagram-membership-later-start-v1.bin");
-    let mut namesake = Membership::new(Peer { life: 4, ..peer(1, 8) }, Vec::new(), 3, pace(), 3);
-    namesake.hear(Duration::ZERO, message);
-    let (to, told) = namesake.send().expect("it says so");
-    assert_eq!((to, frame::wrap(frame::tag(FLEET), Kind::Member, &told)), (address(1), Some(later.clone())));
-    let (_, message) = frame::open(frame::tag(FLEET), &later).expect("this fleet's");
-    let namesake: Peer = postcard::from_bytes(&message[1..]).expect("a peer");
-    assert_eq!((message[0], namesake), (1, Peer { life: 4, ..peer(1, 8) }));
+    let mut namesake =
+        Membership::new(MemberIdentity { incarnation: 4, ..peer(1, 8) }, Vec::new(), 3, timeouts(), 3);
+    namesake.handle_message(Duration::ZERO, message);
+    let (to, told) = namesake.next_message().expect("it says so");
+    assert_eq!(
+        (to, frame::encode(frame::fleet_tag(FLEET), MessageKind::Membership, &told)),
+        (address(1), Some(later.clone()))
+    );
+    let (_, message) = frame::decode(frame::fleet_tag(FLEET), &later).expect("this fleet's");
+    let namesake: MemberIdentity = postcard::from_bytes(&message[1..]).expect("a peer");
+    assert_eq!((message[0], namesake), (1, MemberIdentity { incarnation: 4, ..peer(1, 8) }));
     announcing.hear(Duration::ZERO, address(1), &later, &mut Nowhere).expect("this fleet's");
-    assert_eq!(announcing.event(), Some(Event::Member(Change::Superseded)));
+    assert_eq!(announcing.event(), Some(Event::Member(MembershipChange::Superseded)));
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -5,20 +5,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunemount_fleet::member::{Change, Membership, Pace, Peer, LONGEST_NAME};
+use dunemount_fleet::membership::{
+    MemberIdentity, Membership, MembershipChange, MembershipTimeouts, MAX_NAME_BYTES,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const PACE: Pace = Pace {
-    probe: Duration::from_millis(500),
-    answer: Duration::from_millis(150),
-    suspicion: Duration::from_millis(2_000),
-    remembered: Duration::from_secs(60),
+const TIMEOUTS: MembershipTimeouts = MembershipTimeouts {
+    probe_interval: Duration::from_millis(500),
+    probe_timeout: Duration::from_millis(150),
+    suspicion_timeout: Duration::from_millis(2_000),
+    down_retention: Duration::from_secs(60),
 };
 
-fn peer(index: usize, start: u64) -> Peer {
+fn peer(index: usize, start: u64) -> MemberIdentity {
     let address: SocketAddr = format!("127.0.{}.{}:7400", index / 250, index % 250 + 1).parse().expect("one");
-    Peer { name: format!("gw-{index}"), start, life: 0, address }
+    MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address }
 }
 
 /// A message on its way: when it comes, its number, to whom, and what it says.
@@ -61,12 +63,13 @@
         net
     }
 
-    fn start(&mut self, index: usize, me: Peer, size: usize) {
-        let seeds =
-            (0..3.min(size)).map(|seed| Peer::at(&peer(seed, 0).name, peer(seed, 0).address)).collect();
+    fn start(&mut self, index: usize, me: MemberIdentity, size: usize) {
+        let seeds = (0..3.min(size))
+            .map(|seed| MemberIdentity::with_address(&peer(seed, 0).name, peer(seed, 0).address))
+            .collect();
         self.at.insert(me.address, index);
         let seed = self.dice.next_u64();
-        self.members[index] = Some(Membership::new(me, seeds, size as u32, PACE, seed));
+        self.members[index] = Some(Membership::new(me, seeds, size as u32, TIMEOUTS, seed));
         self.superseded[index] = false;
     }
 
@@ -81,13 +84,13 @@
                 let to = *to;
                 let Some(Reverse((.., message))) = self.queue.pop() else { break };
                 if let Some(member) = &mut self.members[to] {
-                    member.hear(self.now, &message);
+                    member.handle_message(self.now, &message);
                 }
                 self.carry(to);
             }
             for index in 0..self.members.len() {
                 if let Some(member) = &mut self.members[index] {
-                    if member.due() <= self.now {
+                    if member.next_deadline() <= self.now {
                         member.tick(self.now);
                     }
                 }
@@ -97,7 +100,7 @@
     }
 
     fn carry(&mut self, from: usize) {
-        while let Some((to, message)) = self.members[from].as_mut().and_then(Membership::send) {
+        while let Some((to, message)) = self.members[from].as_mut().and_then(Membership::next_message) {
             self.sent += 1;
             self.bytes += message.len() as u64;
             let Some(to) = self.at.get(&to).copied() else { continue };
@@ -110,14 +113,14 @@
             let delay = Duration::from_micros(u64::from(self.dice.next_u32() % 20_000));
             self.queue.push(Reverse((self.now + delay, self.serial, to, message)));
         }
-        while let Some(change) = self.members[from].as_mut().and_then(Membership::change) {
-            self.superseded[from] |= change == Change::Superseded;
+        while let Some(change) = self.members[from].as_mut().and_then(Membership::next_change) {
+            self.superseded[from] |= change == MembershipChange::Superseded;
         }
     }
 
     /// How many others each member sees.
     fn seen(&self) -> Vec<usize> {
-        self.members.iter().flatten().map(|member| member.present().len()).collect()
+        self.members.iter().flatten().map(|member| member.members().len()).collect()
     }
 }
 
@@ -137,7 +140,7 @@
     net.run(Duration::from_secs(5));
     assert_eq!(net.seen(), [6; 7]);
     let known = |net: &Net| {
-        let seen = net.members[0].as_ref().expect("there").present().find(|p| p.name == "gw-5").cloned();
+        let seen = net.members[0].as_ref().expect("there").members().find(|p| p.name == "gw-5").cloned();
         seen.expect("known").start
     };
     assert_eq!(known(&net), 2);
@@ -172,7 +175,7 @@
 fn a_name_borne_twice_is_the_later_starts() {
     let mut net = Net::of(5, 3);
     net.run(Duration::from_secs(5));
-    let twin = Peer { address: "127.0.9.9:7400".parse().expect("one"), ..peer(4, 2) };
+    let twin = MemberIdentity { address: "127.0.9.9:7400".parse().expect("one"), ..peer(4, 2) };
     net.members.push(None);
     net.superseded.push(false);
     net.start(5, twin, 5);
@@ -181,7 +184,7 @@
     let starts: Vec<u64> = net.members[..4]
         .iter()
         .flatten()
-        .flat_map(|member| member.present().filter(|p| p.name == "gw-4").map(|p| p.start))
+        .flat_map(|member| member.members().filter(|p| p.name == "gw-4").map(|p| p.start))
         .collect();
     assert_eq!(starts, [2; 4]);
 }
@@ -194,13 +197,13 @@
     let now = net.now;
     let mut dice = Pcg64Mcg::seed_from_u64(5);
     let member = net.members[0].as_mut().expect("there");
-    let refused = member.refused();
+    let refused = member.rejected_messages();
     for length in 0..600 {
         let bytes: Vec<u8> = (0..length).map(|_| dice.next_u32() as u8).collect();
-        member.hear(now, &bytes);
-        assert_eq!(member.present().len(), 2);
+        member.handle_message(now, &bytes);
+        assert_eq!(member.members().len(), 2);
     }
-    assert!(member.refused() > refused + 500);
+    assert!(member.rejected_messages() > refused + 500);
 }
 
 /// Guards the cost: what a member sends does not grow with the fleet.
@@ -250,9 +253,9 @@
 /// members each, and one that is too long is none and hides none.
 #[test]
 fn names_that_differ_in_one_place_are_members_each() {
-    let longest = "n".repeat(LONGEST_NAME);
+    let longest = "n".repeat(MAX_NAME_BYTES);
     let but = |at: usize, with: &str| format!("{}{with}{}", &longest[..at], &longest[at + 1..]);
-    let last = LONGEST_NAME - 1;
+    let last = MAX_NAME_BYTES - 1;
     let names = [longest.clone(), but(0, "m"), but(8, "m"), but(last, "m"), but(last, ""), but(last, "\0")];
     let too_long = format!("{longest}n");
     let mut net = Net::of(3, 8);
@@ -260,17 +263,17 @@
         let index = net.members.len();
         net.members.push(None);
         net.superseded.push(false);
-        net.start(index, Peer { name: name.clone(), ..peer(index, 1) }, 10);
+        net.start(index, MemberIdentity { name: name.clone(), ..peer(index, 1) }, 10);
     }
     net.run(Duration::from_secs(20));
     let mut all: Vec<&str> = names.iter().map(String::as_str).chain(["gw-0", "gw-1", "gw-2"]).collect();
     all.sort_unstable();
     for member in net.members.iter().take(3 + names.len()).flatten() {
-        let me = member.me().name.as_str();
-        let seen: Vec<&str> = member.present().map(|peer| peer.name.as_str()).collect();
+        let me = member.local().name.as_str();
+        let seen: Vec<&str> = member.members().map(|peer| peer.name.as_str()).collect();
         let others: Vec<&str> = all.iter().copied().filter(|name| *name != me).collect();
         assert_eq!(seen, others, "as {me} sees them");
-        assert!(member.refused() > 0, "the name that is too long is refused and counted");
+        assert!(member.rejected_messages() > 0, "the name that is too long is refused and counted");
     }
     assert_eq!(net.superseded, [false; 10]);
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -4,6 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunemount_fleet::lease::{proposal, Purpose, Tenure};
+use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::*;
 use dunemount_fleet::round::{Admission, Event, Round, Stamps};
 use dunemount_fleet::voter::{Step, Voter};
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunemount_fleet::frame::{self, Kind};
+use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::{Change, Terms};
-use dunemount_fleet::member::{Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::node::{Disk, Event, Node, Settings};
 use dunemount_fleet::register::{Ballot, Call, Key, Request, Slot};
 use dunemount_fleet::voter::Voter;
@@ -18,9 +18,9 @@
 const LEASE: Duration = Duration::from_millis(3_000);
 const STEP: Duration = Duration::from_millis(10);
 
-fn peer(index: usize, start: u64) -> Peer {
+fn peer(index: usize, start: u64) -> MemberIdentity {
     let address: SocketAddr = format!("127.0.0.{}:7400", index + 1).parse().expect("one");
-    Peer { name: format!("gw-{index}"), start, life: 0, address }
+    MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address }
 }
 
 /// A file in memory.
@@ -92,8 +92,9 @@
 
     fn start(&mut self, index: usize) {
         self.starts += 1;
-        let voters: Vec<Peer> =
-            (0..self.voters).map(|slot| Peer::at(&peer(slot, 0).name, peer(slot, 0).address)).collect();
+        let voters: Vec<MemberIdentity> = (0..self.voters)
+            .map(|slot| MemberIdentity::with_address(&peer(slot, 0).name, peer(slot, 0).address))
+            .collect();
         let settings = Settings {
             fleet: "test".into(),
             me: peer(index, self.starts),
@@ -102,11 +103,11 @@
             size: self.nodes.len() as u32,
             roles: (0..self.roles).map(|role| format!("survey/{role}")).collect(),
             terms: Terms { length: LEASE, drift: 0.05, resend: Duration::from_millis(150) },
-            pace: Pace {
-                probe: Duration::from_millis(500),
-                answer: Duration::from_millis(150),
-                suspicion: Duration::from_millis(1_500),
-                remembered: Duration::from_secs(60),
+            pace: MembershipTimeouts {
+                probe_interval: Duration::from_millis(500),
+                probe_timeout: Duration::from_millis(150),
+                suspicion_timeout: Duration::from_millis(1_500),
+                down_retention: Duration::from_secs(60),
             },
             seed: self.dice.next_u64(),
         };
@@ -158,8 +159,10 @@
     fn carry(&mut self, index: usize) {
         while let Some((to, datagram)) = self.nodes[index].as_mut().and_then(Node::send) {
             let sent = format!("{} {:?} {index} {to} {datagram:?}", self.digest, self.now);
-            self.digest = frame::tag(&sent);
-            if let Ok((Kind::Call, message)) = frame::open(frame::tag("test"), &datagram) {
+            self.digest = frame::fleet_tag(&sent);
+            if let Ok((MessageKind::AcceptorRequest, message)) =
+                frame::decode(frame::fleet_tag("test"), &datagram)
+            {
                 let deaf = |voter: &usize| peer(*voter, 0).address == to;
                 if self.mute.contains(&index) || self.deaf.iter().any(deaf) {
                     continue;
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use dunemount_fleet::lease::{Electorate, Terms};
-use dunemount_fleet::member::{Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::node::{Disk, Event, Node, Settings, MOST_RECORDS};
+use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::record::{Outcome, Record};
 use dunemount_fleet::register::*;
 use dunemount_fleet::round::{Event as Told, Round, Stamps};
@@ -422,21 +423,22 @@
 }
 
 fn nodes() -> Vec<Node> {
-    let voters: Vec<Peer> = (0..3).map(|index| Peer::at(&format!("gw-{index}"), address(index))).collect();
+    let voters: Vec<MemberIdentity> =
+        (0..3).map(|index| MemberIdentity::with_address(&format!("gw-{index}"), address(index))).collect();
     let node = |index: usize| {
         let settings = Settings {
             fleet: "test".into(),
-            me: Peer { start: 1, ..voters[index].clone() },
+            me: MemberIdentity { start: 1, ..voters[index].clone() },
             seeds: voters.clone(),
             voters: voters.clone(),
             size: 3,
             roles: vec!["survey/1".to_string()],
             terms: TERMS,
-            pace: Pace {
-                probe: Duration::from_millis(500),
-                answer: Duration::from_millis(150),
-                suspicion: Duration::from_millis(1_500),
-                remembered: Duration::from_secs(60),
+            pace: MembershipTimeouts {
+                probe_interval: Duration::from_millis(500),
+                probe_timeout: Duration::from_millis(150),
+                suspicion_timeout: Duration::from_millis(1_500),
+                down_retention: Duration::from_secs(60),
             },
             seed: index as u64 + 1,
         };
@@ -500,7 +502,7 @@
     let not_begun = Outcome::Failed { proposed: false, no_majority: false };
     nodes[1].change(now, KEY);
     carry(&mut nodes, &mut now, second / 10);
-    nodes[1].propose(now, KEY, Some(vec![0; LONGEST_VALUE + 1]));
+    nodes[1].propose(now, KEY, Some(vec![0; MAX_VALUE_BYTES + 1]));
     assert_eq!(carry(&mut nodes, &mut now, second), [(1, KEY.to_string(), not_begun.clone())], "too long");
     nodes[1].look(now, "survey/1");
     let told = carry(&mut nodes, &mut now, second);
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -6,8 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use dunemount_fleet::fence::Fence;
+use dunemount_fleet::fencing::FencingGuard;
 use dunemount_fleet::lease::{Change, Electorate, Seat, Terms};
+use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::*;
 use dunemount_fleet::round::Admission;
 use dunemount_fleet::voter::{Step, Voter};
@@ -146,7 +147,7 @@
     broken: Broken,
     places: Vec<Place>,
     nodes: Vec<Node>,
-    fences: Vec<Fence>,
+    fences: Vec<FencingGuard>,
     generations: u32,
     ids: u64,
     pub calm: bool,
@@ -170,7 +171,7 @@
             broken,
             places: Vec::new(),
             nodes: Vec::new(),
-            fences: vec![Fence::default(); 2],
+            fences: vec![FencingGuard::default(); 2],
             generations: 0,
             ids: 0,
             calm: false,
--- a/crates/loadtest/src/capacity/measure/lists.rs
+++ b/crates/loadtest/src/capacity/measure/lists.rs
@@ -146,7 +146,7 @@
         let position: Position = (host as u16, 20 + host as u32 % 500, host % FAMILY == 0);
         let one = postcard::to_stdvec(&position).map_err(|e| e.to_string())?;
         // Eight more for the time that all positions of the message count from.
-        if message.len() + one.len() + 8 > frame::ROOM {
+        if message.len() + one.len() + 8 > frame::MAX_MESSAGE_BYTES {
             bytes += datagram(&message)?;
             message.clear();
         }
@@ -157,5 +157,7 @@
 
 fn datagram(message: &[u8]) -> Result<usize, String> {
     let whole = [&[0; 8], message].concat();
-    frame::wrap(0, frame::Kind::Order, &whole).map(|bytes| bytes.len()).ok_or("positions: too long".into())
+    frame::encode(0, frame::MessageKind::Order, &whole)
+        .map(|bytes| bytes.len())
+        .ok_or("positions: too long".into())
 }
--- a/crates/loadtest/src/capacity/measure/members.rs
+++ b/crates/loadtest/src/capacity/measure/members.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dunemount_fleet::frame;
-use dunemount_fleet::member::{Membership, Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, Membership, MembershipTimeouts};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -29,7 +29,7 @@
 /// Longest that a message is on its way, in microseconds.
 const WAY: u32 = 20_000;
 /// Bytes around a message in its datagram.
-const FRAME: u64 = (frame::LONGEST - frame::ROOM) as u64;
+const FRAME: u64 = (frame::MAX_DATAGRAM_BYTES - frame::MAX_MESSAGE_BYTES) as u64;
 
 enum Step {
     Tick(usize),
@@ -51,9 +51,9 @@
     bytes: u64,
 }
 
-fn peer(index: usize, start: u64) -> Peer {
+fn peer(index: usize, start: u64) -> MemberIdentity {
     let address = SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8 + 1], 7400));
-    Peer { name: format!("gateway-{index:04}"), start, life: 0, address }
+    MemberIdentity { name: format!("gateway-{index:04}"), start, incarnation: 0, address }
 }
 
 impl Net {
@@ -75,11 +75,17 @@
     }
 
     fn start(&mut self, index: usize, start: u64) {
-        let pace = Pace { probe: PROBE, answer: PROBE / 3, suspicion: PROBE * 3, remembered: PROBE * 120 };
+        let pace = MembershipTimeouts {
+            probe_interval: PROBE,
+            probe_timeout: PROBE / 3,
+            suspicion_timeout: PROBE * 3,
+            down_retention: PROBE * 120,
+        };
         let count = self.members.len();
         // One voter in each of the first zones.
-        let seeds =
-            (0..3.min(count)).map(|seed| Peer::at(&peer(seed, 0).name, peer(seed, 0).address)).collect();
+        let seeds = (0..3.min(count))
+            .map(|seed| MemberIdentity::with_address(&peer(seed, 0).name, peer(seed, 0).address))
+            .collect();
         let seed = u64::from(self.dice.next_u32());
         self.members[index] = Some(Membership::new(peer(index, start), seeds, count as u32, pace, seed));
         let at = self.now + Duration::from_micros(u64::from(self.dice.next_u32() % 500_000));
@@ -105,7 +111,10 @@
                     index
                 }
                 Step::Hear(index, message) => {
-                    self.members[index].as_mut().into_iter().for_each(|member| member.hear(now, &message));
+                    self.members[index]
+                        .as_mut()
+                        .into_iter()
+                        .for_each(|member| member.handle_message(now, &message));
                     index
                 }
             };
@@ -116,7 +125,7 @@
 
     /// Puts what a member sends on its way and books its next turn.
     fn carry(&mut self, from: usize) {
-        while let Some((to, message)) = self.members[from].as_mut().and_then(Membership::send) {
+        while let Some((to, message)) = self.members[from].as_mut().and_then(Membership::next_message) {
             self.sent += 1;
             self.bytes += message.len() as u64 + FRAME;
             let to = self.at.get(&to).copied();
@@ -127,8 +136,8 @@
             }
         }
         let Some(member) = &mut self.members[from] else { return };
-        while member.change().is_some() {}
-        let due = member.due().max(self.now);
+        while member.next_change().is_some() {}
+        let due = member.next_deadline().max(self.now);
         if due < self.booked[from] {
             self.booked[from] = due;
             self.book(due, Step::Tick(from));
@@ -139,7 +148,7 @@
     fn all_know(&self, others: impl Fn(usize) -> usize) -> bool {
         let mut there =
             self.members.iter().enumerate().filter_map(|(at, member)| Some((at, member.as_ref()?)));
-        there.all(|(at, member)| member.present().len() == others(at))
+        there.all(|(at, member)| member.members().len() == others(at))
     }
 
     /// Goes on until each member knows so many others: how long that took, and the most bytes a second and member. News
--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -4,10 +4,11 @@
 use std::time::Instant;
 
 use dunemount::fleet::file::VoterFile;
-use dunemount_fleet::frame::{self, Kind};
+use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::Tenure;
 use dunemount_fleet::node::Disk;
-use dunemount_fleet::register::{Ballot, Call, NodeId, Reply, Request, Slot, View};
+use dunemount_fleet::node_id::NodeId;
+use dunemount_fleet::register::{Ballot, Call, Reply, Request, Slot, View};
 use dunemount_fleet::voter::{Step, Voter};
 use serde::Serialize;
 
@@ -35,16 +36,16 @@
 
 /// The two calls of a renewal.
 fn renewal(register: usize, beat: u64) -> [Call; 2] {
-    let owner = NodeId(frame::tag(&format!("gw-{register}")));
+    let owner = NodeId(frame::fleet_tag(&format!("gw-{register}")));
     let (key, ballot) = (format!("survey/{register}"), Ballot { round: 1_000 + beat, by: owner });
     let value = Tenure { epoch: 7, owner: Some(owner), beat, wanted: None }.write();
     let call = |request| Call { view: View::default(), nonce: owner.0 ^ beat, request };
     [call(Request::Prepare { key: key.clone(), ballot }), call(Request::Accept { key, ballot, value })]
 }
 
-fn datagram(kind: Kind, message: &impl Serialize) -> Result<usize, String> {
+fn datagram(kind: MessageKind, message: &impl Serialize) -> Result<usize, String> {
     let bytes = postcard::to_stdvec(message).map_err(|e| e.to_string())?;
-    frame::wrap(0, kind, &bytes).map(|bytes| bytes.len()).ok_or("a call that is too long".into())
+    frame::encode(0, kind, &bytes).map(|bytes| bytes.len()).ok_or("a call that is too long".into())
 }
 
 /// Measures the file, the store and the datagrams.
@@ -76,12 +77,12 @@
             let (mut took, mut file, mut datagrams) = (0.0, 0, 0);
             for beat in 0..RENEWALS {
                 for call in renewal(beat * registers / RENEWALS, 1_000_000 + beat as u64) {
-                    datagrams += datagram(Kind::Call, &call)?;
+                    datagrams += datagram(MessageKind::AcceptorRequest, &call)?;
                     let from = Instant::now();
                     let (reply, bytes) = ask(&mut voter, call, Some(&mut disk))?;
                     took += from.elapsed().as_secs_f64() * 1e6;
                     file = bytes;
-                    datagrams += datagram(Kind::Reply, &reply)?;
+                    datagrams += datagram(MessageKind::AcceptorReply, &reply)?;
                 }
             }
             let stores = (2 * RENEWALS) as f64;
--- a/crates/loadtest/src/scale/count.rs
+++ b/crates/loadtest/src/scale/count.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::Duration;
 
-use dunemount_fleet::frame::Kind;
+use dunemount_fleet::frame::MessageKind;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
@@ -34,9 +34,9 @@
 /// Everything that is counted at a gateway since its start; a start anew goes on with the counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent, by [`Kind::ALL`].
+    /// Datagrams sent, by [`MessageKind::ALL`].
     pub sent: [Flow; 4],
-    /// Datagrams received, by [`Kind::ALL`].
+    /// Datagrams received, by [`MessageKind::ALL`].
     pub received: [Flow; 4],
     /// Datagrams that the cut between regions held back.
     pub held: u64,
@@ -64,7 +64,7 @@
 
 impl Counts {
     /// Books a datagram by its kind; one of no kind is the gateway's to refuse.
-    pub fn book(flows: &mut [Flow; 4], kind: Option<Kind>, bytes: usize) {
+    pub fn book(flows: &mut [Flow; 4], kind: Option<MessageKind>, bytes: usize) {
         if let Some(flow) = kind.and_then(|kind| flows.get_mut(kind as usize - 1)) {
             flow.add(bytes);
         }
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/hollow.rs
@@ -25,7 +25,7 @@
 use dunemount::settings::Zones;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
-use dunemount_fleet::member::Change;
+use dunemount_fleet::membership::MembershipChange;
 use dunemount_fleet::node::Event as Told;
 use dunemount_rollout::follower::{self, Follower};
 use dunemount_rollout::version::Document;
@@ -215,13 +215,13 @@
                 self.counts.held += 1;
                 continue;
             }
-            Counts::book(&mut self.counts.received, frame::peek(&bytes[..count]), count);
+            Counts::book(&mut self.counts.received, frame::peek_kind(&bytes[..count]), count);
             return Ok((count, from));
         }
     }
 
     fn send(&mut self, datagram: &[u8], to: SocketAddr) {
-        Counts::book(&mut self.counts.sent, frame::peek(datagram), datagram.len());
+        Counts::book(&mut self.counts.sent, frame::peek_kind(datagram), datagram.len());
         let _ = self.socket.send_to(datagram, to);
     }
 }
@@ -630,12 +630,12 @@
         carrier.turn(now, Counted { socket, counts, common, region: *region });
         while let Some(event) = self.carrier.node.event() {
             match event {
-                Told::Member(Change::Came(peer)) => {
+                Told::Member(MembershipChange::Up(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.came(other, peer.start);
                     }
                 }
-                Told::Member(Change::Went(peer)) => {
+                Told::Member(MembershipChange::Down(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.went(other, Some(peer.start));
                     }
--- a/src/fleet/carrier.rs
+++ b/src/fleet/carrier.rs
@@ -67,7 +67,7 @@
     unread: Option<Unread>,
     /// Operators have been told that the voter cannot store.
     told_unstored: bool,
-    refused: BTreeMap<frame::Bad, u64>,
+    refused: BTreeMap<frame::FrameError, u64>,
     log: Logger,
 }
 
@@ -142,7 +142,7 @@
     }
 
     fn take_in(&mut self, now: Duration, wire: &mut impl Wire) {
-        let mut bytes = [0; frame::LONGEST + 1];
+        let mut bytes = [0; frame::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..DATAGRAMS {
             // Errors of a socket without a connection are of datagrams sent before; they are not this one's.
             let (count, from) = match wire.receive(&mut bytes) {
@@ -158,7 +158,8 @@
                 let count = self.refused.entry(bad).or_default();
                 *count += 1;
                 if count.is_power_of_two() {
-                    warn!(self.log, "fleet: datagram dropped"; "why" => ?bad, "from" => %from, "so_far" => *count);
+                    let why = drop_reason(bad);
+                    warn!(self.log, "fleet: datagram dropped"; "why" => why, "from" => %from, "so_far" => *count);
                 }
             }
             self.tell_unstored();
@@ -178,3 +179,15 @@
         self.told_unstored = failed.is_some();
     }
 }
+
+/// Why a datagram was dropped, in the words of the operators' pages.
+fn drop_reason(error: frame::FrameError) -> &'static str {
+    match error {
+        frame::FrameError::Length => "Length",
+        frame::FrameError::Magic => "Magic",
+        frame::FrameError::Version => "Form",
+        frame::FrameError::Fleet => "Fleet",
+        frame::FrameError::Checksum => "Checksum",
+        frame::FrameError::Kind => "Kind",
+    }
+}
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -9,8 +9,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use dunemount_fleet::fencing::FencingError;
 use dunemount_fleet::lease::{Change, Terms};
-use dunemount_fleet::member::{self, Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, MembershipChange, MembershipTimeouts};
 use dunemount_fleet::node::{Event, Settings};
 use polling::{Event as Poll, PollMode, Poller};
 use slog::{error, info, warn, Logger};
@@ -67,23 +68,28 @@
 /// A voter without a file, in words for the operator.
 pub fn settings(options: &FleetOptions, start: Start) -> Result<Option<(Settings, Option<usize>)>, String> {
     let (Some(fleet), Some(listen)) = (options.name.clone(), options.listen) else { return Ok(None) };
-    let peer = |place: &Place| Peer::at(&place.name, place.address);
+    let peer = |place: &Place| MemberIdentity::with_address(&place.name, place.address);
     let slot = options.voter(&start.name)?.map(|(slot, _)| slot);
     // The address that the others know counts, where it is not the one that is listened at.
     let address = slot.map_or(listen, |slot| options.voters[slot].address);
-    let voters: Vec<Peer> = options.voters.iter().map(peer).collect();
+    let voters: Vec<MemberIdentity> = options.voters.iter().map(peer).collect();
     let seeds =
         if options.seeds.is_empty() { voters.clone() } else { options.seeds.iter().map(peer).collect() };
     let (lease, probe) = (Duration::from_millis(options.lease_ms), Duration::from_millis(options.probe_ms));
     let settings = Settings {
         fleet,
-        me: Peer { name: start.name, start: start.start, life: 0, address },
+        me: MemberIdentity { name: start.name, start: start.start, incarnation: 0, address },
         voters,
         seeds,
         size: options.size,
         roles: start.roles,
         terms: Terms { length: lease, drift: DRIFT, resend: lease / 20 },
-        pace: Pace { probe, answer: probe / 3, suspicion: probe * 3, remembered: probe * 120 },
+        pace: MembershipTimeouts {
+            probe_interval: probe,
+            probe_timeout: probe / 3,
+            suspicion_timeout: probe * 3,
+            down_retention: probe * 120,
+        },
         seed: start.seed,
     };
     Ok(Some((settings, slot)))
@@ -205,16 +211,24 @@
     }
 }
 
+/// A rejection in the words of the operators' pages.
+fn fencing_reason(error: FencingError) -> String {
+    match error {
+        FencingError::StaleEpoch { newest } => format!("Succeeded({newest})"),
+        FencingError::LimitExceeded => "Bounds".to_string(),
+    }
+}
+
 /// Tells operators of an event. What became of a register is told by whoever asked for it.
 pub(super) fn log_event(log: &Logger, event: Event) {
     match event {
-        Event::Member(member::Change::Came(peer)) => {
+        Event::Member(MembershipChange::Up(peer)) => {
             info!(log, "fleet: member came"; "member" => &peer.name, "address" => %peer.address);
         }
-        Event::Member(member::Change::Went(peer)) => {
+        Event::Member(MembershipChange::Down(peer)) => {
             info!(log, "fleet: member went"; "member" => &peer.name, "address" => %peer.address);
         }
-        Event::Member(member::Change::Superseded) => {
+        Event::Member(MembershipChange::Superseded) => {
             warn!(log, "fleet: a process with this name has started later, this one is no member any more");
         }
         Event::Role(role, Change::Took { epoch }) => {
@@ -227,7 +241,8 @@
             info!(log, "fleet: order"; "first" => first, "epoch" => order.epoch, "role" => order.role);
         }
         Event::Refused(order, why) => {
-            warn!(log, "fleet: order refused"; "why" => ?why, "epoch" => order.epoch, "role" => order.role);
+            let why = fencing_reason(why);
+            warn!(log, "fleet: order refused"; "why" => why, "epoch" => order.epoch, "role" => order.role);
         }
         Event::VoterIn => info!(log, "fleet: the voter is let in"),
         Event::Record(..) => {}
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -299,5 +299,5 @@
 /// The members that the node knows, itself among them.
 fn members(node: &Node) -> Vec<String> {
     let members = node.members();
-    members.present().chain([members.me()]).map(|peer| peer.name.clone()).collect()
+    members.members().chain([members.local()]).map(|peer| peer.name.clone()).collect()
 }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -7,9 +7,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use dunemount_fleet::member::Peer;
+use dunemount_fleet::membership::MemberIdentity;
 use dunemount_fleet::node::Node;
-use dunemount_fleet::register::{NodeId, Slot};
+use dunemount_fleet::node_id::NodeId;
+use dunemount_fleet::register::Slot;
 use dunemount_rollout::follower::{Machine, Standing};
 use serde::{Deserialize, Serialize};
 
@@ -174,15 +175,15 @@
     /// A node's status.
     pub fn of(node: &Node, now: Duration) -> Status {
         let settings = node.settings();
-        let member = |peer: &Peer| Member {
+        let member = |peer: &MemberIdentity| Member {
             name: peer.name.clone(),
             address: peer.address.to_string(),
             start: peer.start,
         };
-        let (members, me) = (node.members(), node.members().me());
+        let (members, me) = (node.members(), node.members().local());
         let named = |id: NodeId| {
-            let mut all = members.present().chain([me]);
-            all.find(|peer| peer.node() == id).map(|peer| peer.name.clone())
+            let mut all = members.members().chain([me]);
+            all.find(|peer| peer.node_id() == id).map(|peer| peer.name.clone())
         };
         let seat = |role: &String| {
             let seat = node.seat(role)?;
@@ -191,23 +192,23 @@
             let epoch = seen.map_or(0, |tenure| tenure.epoch);
             Some(Role { name: role.clone(), epoch, owner, held: held.is_some() })
         };
-        let voter = |(slot, voter): (usize, &Peer)| Voter {
+        let voter = |(slot, voter): (usize, &MemberIdentity)| Voter {
             name: voter.name.clone(),
             generation: node.electorate().view.generation(Slot(slot as u8)),
-            present: members.present().chain([me]).any(|peer| peer.name == voter.name),
+            present: members.members().chain([me]).any(|peer| peer.name == voter.name),
         };
         let dropped = node.dropped();
         Status {
             fleet: settings.fleet.clone(),
             me: member(me),
-            members: members.present().map(member).collect(),
+            members: members.members().map(member).collect(),
             voters: settings.voters.iter().enumerate().map(voter).collect(),
             voting: node.voter().map(|voter| !voter.is_blank()),
             registers: node.voter().map_or(0, |voter| voter.registers()),
             unstored: None,
             roles: settings.roles.iter().filter_map(seat).collect(),
             foreign: dropped.foreign,
-            senseless: dropped.senseless + members.refused(),
+            senseless: dropped.senseless + members.rejected_messages(),
             refused: dropped.orders,
             too_long: dropped.too_long,
             unfit: node.electorate().unfit,
