--- a/benches/scene/mod.rs
+++ b/benches/scene/mod.rs
@@ -4,7 +4,8 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
+use dunemount::attempt::{AttemptOutcome, ResponseStatus};
+use dunemount::balancer::{Balancer, Output, RoutingDecision, RoutingRequest};
 use dunemount::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -38,7 +39,7 @@
     size: Size,
     now: Micros,
     rng: Pcg64Mcg,
-    out: VecDeque<(Ticket, MemberId, u64)>,
+    out: VecDeque<(RequestId, MemberId, u64)>,
     taken: u64,
     cost: Cost,
 }
@@ -110,10 +111,10 @@
             ..Entry::default()
         };
         let all = (0..size.families).flat_map(|f| (0..size.members).map(move |m| entry(f, m)));
-        balancer.members(START, true, all.collect());
+        balancer.update_endpoints(START, true, all.collect());
         for session in 0..size.sessions {
             let commit = START + Micros::millis(1_000_000) + Micros(session);
-            balancer.committed(GroupId(session % size.families), SessionKey(session), commit);
+            balancer.record_commit(GroupId(session % size.families), SessionKey(session), commit);
         }
         let rng = Pcg64Mcg::seed_from_u64(11);
         Scene { balancer, size, now: START, rng, out: VecDeque::new(), taken: 0, cost: Cost::default() }
@@ -139,13 +140,16 @@
             self.now = self.now + PACE;
             self.taken += 1;
             let now = self.now;
-            while let Some(due) = self.timed(|b| b.tick(now)) {
+            while let Some(due) = self.timed(|b| b.poll_output(now)) {
                 match due {
-                    Due::Verdict(ticket, Verdict::Send { member, .. }) => self.sent(ticket, member),
-                    Due::Probe(member) => {
+                    Output::Decision(request_id, RoutingDecision::Send { member, .. }) => {
+                        self.sent(request_id, member)
+                    }
+                    Output::HealthCheck(member) => {
                         let (role, position) = self.told(member);
-                        let said = Ended::Answer { said: Said::Served, role, position };
-                        self.timed(|b| b.probed(now, member, said));
+                        let said =
+                            AttemptOutcome::Response { status: ResponseStatus::Served, role, position };
+                        self.timed(|b| b.health_checked(now, member, said));
                     }
                     _ => {}
                 }
@@ -156,7 +160,7 @@
                 1 | 3 => session % self.size.families,
                 _ => self.draw(self.size.families),
             };
-            let ask = Ask {
+            let ask = RoutingRequest {
                 class: ClassId(class),
                 group: GroupId(group),
                 session: SessionKey(session),
@@ -164,24 +168,24 @@
                 repeat: false,
                 time_left: Micros::millis(1000),
             };
-            let (ticket, verdict) = self.timed(|b| b.pick(now, ask));
-            if let Verdict::Send { member, .. } = verdict {
-                self.sent(ticket, member);
+            let (request_id, decision) = self.timed(|b| b.pick(now, ask));
+            if let RoutingDecision::Send { member, .. } = decision {
+                self.sent(request_id, member);
             }
             let old = self.taken.saturating_sub(self.size.open as u64);
             while self.out.front().is_some_and(|(.., sent)| *sent <= old) {
-                let Some((ticket, member, _)) = self.out.pop_front() else { break };
+                let Some((request_id, member, _)) = self.out.pop_front() else { break };
                 let (role, position) = self.told(member);
-                let ended = Ended::Answer { said: Said::Served, role, position };
-                self.timed(|b| b.report(now, ticket, ended));
+                let ended = AttemptOutcome::Response { status: ResponseStatus::Served, role, position };
+                self.timed(|b| b.handle_outcome(now, request_id, ended));
                 self.cost.served += 1;
             }
         }
         self.cost
     }
 
-    fn sent(&mut self, ticket: Ticket, member: MemberId) {
-        self.out.push_back((ticket, member, self.taken));
+    fn sent(&mut self, request_id: RequestId, member: MemberId) {
+        self.out.push_back((request_id, member, self.taken));
     }
 
     /// What a member says: the primary has everything, its replicas are a little behind.
--- a/crates/loadtest/src/capacity/measure/lists.rs
+++ b/crates/loadtest/src/capacity/measure/lists.rs
@@ -1,9 +1,10 @@
-//! What a list costs a gateway: `Watch::receive`, `Directory::take` and `Balancer::members`, in this thread; what an
+//! What a list costs a gateway: `Watch::receive`, `Directory::take` and `Balancer::update_endpoints`, in this thread; what an
 //! idle balancer's survey costs; and how long positions of all hosts would be, as `postcard` writes them.
 
 use std::time::Instant;
 
-use dunemount::balancer::{Ask, Balancer, Ended, Said, Verdict};
+use dunemount::attempt::{AttemptOutcome, ResponseStatus};
+use dunemount::balancer::{Balancer, RoutingDecision, RoutingRequest};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{Directory, Listing, Watch};
 use dunemount::settings::Site;
@@ -49,7 +50,7 @@
     let all = listing.all;
     let (entries, unread) = directory.take(listing, clock);
     let taken = Instant::now();
-    balancer.members(clock.read(), all, entries);
+    balancer.update_endpoints(clock.read(), all, entries);
     let done = Instant::now();
     for (sum, (from, to)) in cost.0.iter_mut().zip([(from, read), (read, taken), (taken, done)]) {
         *sum += (to - from).as_secs_f64() * 1e6 / REPEATS as f64;
@@ -72,9 +73,9 @@
     let (start, cpu) = (clock.read(), own_cpu_us());
     let (mut now, mut asked) = (start, 0u64);
     while now < start + DRIVEN {
-        while balancer.tick(now).is_some() {}
+        while balancer.poll_output(now).is_some() {}
         asked += 1;
-        let ask = Ask {
+        let ask = RoutingRequest {
             class: ClassId(0),
             group: GroupId(asked % families as u64),
             session: SessionKey(asked),
@@ -82,12 +83,16 @@
             repeat: false,
             time_left: Micros::millis(1_000),
         };
-        let (ticket, verdict) = balancer.pick(now, ask);
-        if let Verdict::Send { .. } = verdict {
-            let ended = Ended::Answer { said: Said::Served, role: Some(Role::Primary), position: Some(now) };
-            balancer.report(now, ticket, ended);
+        let (request_id, decision) = balancer.pick(now, ask);
+        if let RoutingDecision::Send { .. } = decision {
+            let ended = AttemptOutcome::Response {
+                status: ResponseStatus::Served,
+                role: Some(Role::Primary),
+                position: Some(now),
+            };
+            balancer.handle_outcome(now, request_id, ended);
         } else {
-            balancer.gone(now, ticket);
+            balancer.handle_client_gone(now, request_id);
         }
         now = now + PACE;
     }
--- a/crates/loadtest/src/capacity/measure/pools.rs
+++ b/crates/loadtest/src/capacity/measure/pools.rs
@@ -3,10 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
+use dunemount::attempt::{AttemptOutcome, ResponseStatus};
+use dunemount::balancer::{Balancer, Output, RoutingDecision, RoutingRequest};
 use dunemount::net::pool::Pool;
 use dunemount::settings::Site;
-use dunemount::{ClassId, Entry, GroupId, Listed, MemberId, Micros, Role, SessionKey, ZoneId};
+use dunemount::{ClassId, Entry, GroupId, Listed, MemberId, Micros, RequestId, Role, SessionKey, ZoneId};
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp, Uniform};
 use rand_pcg::Pcg64Mcg;
@@ -36,7 +37,7 @@
 enum Step {
     Arrive,
     /// An attempt's answer is here, or it was called off before.
-    End(Ticket, MemberId, u64),
+    End(RequestId, MemberId, u64),
     /// A probe's answer is here.
     Probed(MemberId, u64),
     Stale,
@@ -62,8 +63,8 @@
     steps: BTreeMap<(Micros, u64), Step>,
     serial: u64,
     /// Attempts that are out, by request, with their connections.
-    out: BTreeMap<Ticket, (MemberId, u64)>,
-    classes: BTreeMap<Ticket, ClassId>,
+    out: BTreeMap<RequestId, (MemberId, u64)>,
+    classes: BTreeMap<RequestId, ClassId>,
     families: u64,
     rng: Pcg64Mcg,
     pause: Exp<f64>,
@@ -108,7 +109,7 @@
             work: Exp::new(1.0 / WORK_US).map_err(said)?,
             counts: Counts::default(),
         };
-        world.balancer.members(world.now, true, world.hosts.clone());
+        world.balancer.update_endpoints(world.now, true, world.hosts.clone());
         world.after(Micros(1), Step::Arrive);
         world.after(Micros(1), Step::Stale);
         Ok(world)
@@ -124,7 +125,7 @@
         loop {
             let step = self.steps.keys().next().map_or(until, |(at, _)| *at);
             // The balancer moves on with each tick of its settings at the least.
-            let due = self.balancer.next_due().unwrap_or(until).max(self.now);
+            let due = self.balancer.next_deadline().unwrap_or(until).max(self.now);
             let next = step.min(due);
             if next > until {
                 self.now = until;
@@ -132,11 +133,11 @@
             }
             self.now = next;
             let mut turns = 0;
-            while let Some(due) = self.balancer.tick(self.now).filter(|_| turns < 100_000) {
+            while let Some(due) = self.balancer.poll_output(self.now).filter(|_| turns < 100_000) {
                 turns += 1;
                 self.carry_out(due);
             }
-            if self.balancer.next_due().is_some_and(|at| at <= self.now) && step > self.now {
+            if self.balancer.next_deadline().is_some_and(|at| at <= self.now) && step > self.now {
                 self.now = self.now + Micros(1);
             }
             while let Some(first) = self.steps.first_entry().filter(|first| first.key().0 <= self.now) {
@@ -146,26 +147,26 @@
         }
     }
 
-    fn carry_out(&mut self, due: Due) {
+    fn carry_out(&mut self, due: Output) {
         match due {
-            Due::Verdict(ticket, verdict) => self.apply(ticket, verdict),
-            Due::Cancel(ticket) => {
+            Output::Decision(request_id, decision) => self.apply(request_id, decision),
+            Output::Cancel(request_id) => {
                 // As the gateway does: the connection goes with the attempt.
-                if let Some((member, key)) = self.out.remove(&ticket) {
+                if let Some((member, key)) = self.out.remove(&request_id) {
                     self.pool.closed(member, key);
                 }
             }
-            Due::Probe(member) => {
+            Output::HealthCheck(member) => {
                 self.counts.health_checks += 1;
                 let (key, ready) = self.connection(member);
                 self.after(ready + WAY, Step::Probed(member, key));
             }
-            Due::CloseIdle(member) => {
+            Output::CloseIdle(member) => {
                 for key in self.pool.idle_to(member) {
                     self.pool.closed(member, key);
                 }
             }
-            Due::Notice(_) => {}
+            Output::Notice(_) => {}
         }
     }
 
@@ -181,28 +182,28 @@
         (self.serial, HANDSHAKE)
     }
 
-    fn apply(&mut self, ticket: Ticket, verdict: Verdict) {
-        match verdict {
-            Verdict::Send { member, .. } => {
+    fn apply(&mut self, request_id: RequestId, decision: RoutingDecision) {
+        match decision {
+            RoutingDecision::Send { member, .. } => {
                 let (key, ready) = self.connection(member);
-                if self.classes.get(&ticket) == Some(&ClassId(0)) {
+                if self.classes.get(&request_id) == Some(&ClassId(0)) {
                     self.counts.offloaded += u64::from(!leads(member));
                 }
-                self.out.insert(ticket, (member, key));
+                self.out.insert(request_id, (member, key));
                 let work = Micros(self.work.sample(&mut self.rng) as u64);
-                self.after(ready + WAY + work, Step::End(ticket, member, key));
+                self.after(ready + WAY + work, Step::End(request_id, member, key));
             }
-            Verdict::Held => {}
-            Verdict::Refuse { .. } | Verdict::Fail => drop(self.classes.remove(&ticket)),
+            RoutingDecision::Queued => {}
+            RoutingDecision::Reject { .. } | RoutingDecision::Fail => drop(self.classes.remove(&request_id)),
         }
     }
 
-    fn said(&self, member: MemberId) -> Ended {
+    fn said(&self, member: MemberId) -> AttemptOutcome {
         let lag = self.lags.get(&member).copied().unwrap_or_default();
         let primary = leads(member);
         let role = if primary { Role::Primary } else { Role::Replica };
-        Ended::Answer {
-            said: Said::Served,
+        AttemptOutcome::Response {
+            status: ResponseStatus::Served,
             role: Some(role),
             position: Some(self.now - WAY.scale(0.5) - lag),
         }
@@ -211,18 +212,18 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive => self.arrive(),
-            Step::End(ticket, member, key) => {
-                if self.out.get(&ticket) == Some(&(member, key)) {
-                    self.out.remove(&ticket);
+            Step::End(request_id, member, key) => {
+                if self.out.get(&request_id) == Some(&(member, key)) {
+                    self.out.remove(&request_id);
                     self.pool.put(self.now, member, key);
-                    self.classes.remove(&ticket);
-                    let verdict = self.balancer.report(self.now, ticket, self.said(member));
-                    self.apply(ticket, verdict);
+                    self.classes.remove(&request_id);
+                    let decision = self.balancer.handle_outcome(self.now, request_id, self.said(member));
+                    self.apply(request_id, decision);
                 }
             }
             Step::Probed(member, key) => {
                 self.pool.put(self.now, member, key);
-                self.balancer.probed(self.now, member, self.said(member));
+                self.balancer.health_checked(self.now, member, self.said(member));
             }
             Step::Stale => {
                 let stale: Vec<u64> = self.pool.stale(self.now);
@@ -248,7 +249,7 @@
             1 | 2 => 1,
             _ => 0,
         });
-        let ask = Ask {
+        let ask = RoutingRequest {
             class,
             group: GroupId(draw(&mut self.rng, self.families)),
             session: SessionKey(draw(&mut self.rng, SESSIONS)),
@@ -257,9 +258,9 @@
             time_left: Micros::millis(1_000),
         };
         self.counts.reads += u64::from(class == ClassId(0));
-        let (ticket, verdict) = self.balancer.pick(self.now, ask);
-        self.classes.insert(ticket, class);
-        self.apply(ticket, verdict);
+        let (request_id, decision) = self.balancer.pick(self.now, ask);
+        self.classes.insert(request_id, class);
+        self.apply(request_id, decision);
     }
 
     /// Lists a zone's hosts as gone, or as there again and cold.
@@ -267,7 +268,7 @@
         let started = if listed == Listed::Ready { self.now } else { Micros(0) };
         let of_zone = self.hosts.iter().filter(|host| host.zone == ZoneId(0));
         let entries: Vec<Entry> = of_zone.map(|host| Entry { listed, started, ..*host }).collect();
-        self.balancer.members(self.now, false, entries);
+        self.balancer.update_endpoints(self.now, false, entries);
     }
 }
 
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/hollow.rs
@@ -510,7 +510,7 @@
         let settings = self.in_force.take(text, &mut zones)?.site.settings;
         self.directory.know_zones(zones);
         if let Some(balancer) = &mut self.balancer {
-            balancer.retune(settings.clone());
+            balancer.update_settings(settings.clone());
         }
         self.settings = settings;
         Ok(())
@@ -738,7 +738,7 @@
                     let (version, all) = (list.rev, list.all);
                     let (entries, unread) = listing.directory.take(list, clock);
                     if let Some(balancer) = &mut listing.balancer {
-                        balancer.members(now, all && unread == 0, entries);
+                        balancer.update_endpoints(now, all && unread == 0, entries);
                     }
                     let news = known != Some(version);
                     (if news { &mut self.counts.lists } else { &mut self.counts.idle }).add(heard);
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,32 +1,28 @@
-//! The decision module in blocking style: [`Balancer::pick`] a member for a request,
-//! [`Balancer::report`] how the attempt ended, [`Balancer::tick`] for all that has fallen due.
-//! Timers and attempt numbers live here; events and actions stay behind this line.
+//! The router in blocking style, for a gateway's event loop: [`Balancer::pick`] decides on a request,
+//! [`Balancer::handle_outcome`] takes how its attempt ended, [`Balancer::poll_output`] gives out what is to be done next.
+//! Timers and attempt numbers are kept here; the router's events and actions are not seen outside.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
+use crate::attempt::AttemptOutcome;
 use crate::balance::{self, Router};
 use crate::notice::{Notice, ReadBasis};
-use crate::request::{Broken, Cause};
 
-/// A request's number, unique while the gateway runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(u64);
-
-/// What the client asks for.
+/// A request for which a member is to be chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct RoutingRequest {
     /// Its class.
     pub class: ClassId,
     /// Its group.
     pub group: GroupId,
-    /// Its session; dropped in classes that have none.
+    /// Its session; ignored in classes that have none.
     pub session: SessionKey,
     /// Position of its session's last commit, where the client carries one.
     pub committed: Option<Micros>,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub repeat: bool,
     /// Time until the client gives up.
     pub time_left: Micros,
@@ -34,107 +30,77 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RoutingDecision {
     /// Start an attempt.
     Send {
         /// Where to.
         member: MemberId,
-        /// How long to wait for its answer.
+        /// How long to wait for its response.
         timeout: Micros,
     },
-    /// Wait: a later [`Due`] decides.
-    Held,
-    /// Final answer: refused, a further try is harmless.
-    Refuse {
-        /// When to come back, if there is advice.
-        come_back: Option<Micros>,
+    /// Wait: a later [`Output`] decides.
+    Queued,
+    /// Final answer: rejected, a retry is harmless.
+    Reject {
+        /// When to retry, if there is advice.
+        retry_after: Option<Micros>,
     },
-    /// Final answer: failed, with no word on its effect.
+    /// Final answer: failed, and it may have run.
     Fail,
 }
 
-/// Something that has fallen due.
+/// Something that the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Due {
-    /// The verdict on a request that was held.
-    Verdict(Ticket, Verdict),
-    /// Stop waiting for the request's attempt. It is booked already.
-    Cancel(Ticket),
-    /// Ask a member how it is and call [`Balancer::probed`].
-    Probe(MemberId),
+pub enum Output {
+    /// Carry out the decision on a request that was queued.
+    Decision(RequestId, RoutingDecision),
+    /// Stop waiting for the request's attempt, which has ended for the balancer already.
+    Cancel(RequestId),
+    /// Check a member's health and call [`Balancer::health_checked`].
+    HealthCheck(MemberId),
     /// Close the idle connections to a member.
     CloseIdle(MemberId),
-    /// Something for the operators' log.
+    /// Write to the operators' log.
     Notice(Notice),
 }
 
-/// What a host's answer says, whatever the protocol.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// Served.
-    Served,
-    /// Wrong role or too far behind; no effect.
-    Miss,
-    /// Turned away; never ran.
-    TurnedAway,
-    /// The host failed; it may have run.
-    Error,
-}
+impl Output {
+    fn is_decision_on(&self, request: RequestId) -> bool {
+        matches!(self, Output::Decision(id, _) if *id == request)
+    }
 
-/// How an attempt or a probe ended.
-#[derive(Clone, Copy, Debug)]
-pub enum Ended {
-    /// With an answer.
-    Answer {
-        /// What it says.
-        said: Said,
-        /// The host's role as it answered.
-        role: Option<Role>,
-        /// Its position, or the commit of a write.
-        position: Option<Micros>,
-    },
-    /// Without one.
-    Broken(Broken),
+    fn concerns(&self, request: RequestId) -> bool {
+        self.is_decision_on(request) || matches!(self, Output::Cancel(id) if *id == request)
+    }
 }
 
-impl Ended {
-    /// The module's word for it. The one place where the reach of an attempt decides its outcome.
-    fn status(self) -> Status {
-        match self {
-            Ended::Answer { said: Said::Served, .. } => Status::Ok,
-            Ended::Answer { said: Said::Miss, .. } => Status::Miss,
-            Ended::Answer { said: Said::TurnedAway, .. } => Status::Full,
-            Ended::Answer { said: Said::Error, .. } => Status::Error,
-            Ended::Broken(broken) if broken.may_have_run() => match broken.cause {
-                Cause::TimedOut => Status::Timeout,
-                Cause::WrittenTooLate => Status::Withdrawn,
-                Cause::Spoilt => Status::Spoilt,
-                Cause::Lost | Cause::NotTried => Status::Reset,
-            },
-            Ended::Broken(Broken { cause: Cause::Lost | Cause::Spoilt, .. }) => Status::ConnectFailed,
-            Ended::Broken(_) => Status::Moot,
-        }
-    }
+/// Numbers of the members that the endpoint list names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// All of them.
+    pub listed: usize,
+    /// Those that get nothing new: administratively down, or ejected.
+    pub ejected: usize,
 }
 
 /// The attempt that is out for a request.
-struct Flight {
-    attempt: AttemptNo,
+struct AttemptInFlight {
+    number: AttemptNo,
     member: MemberId,
-    sent: Micros,
-    /// When its answer began to flow to the client.
-    began: Option<Micros>,
+    started_at: Micros,
+    /// When its response began to stream to the client.
+    streaming_since: Option<Micros>,
 }
 
-/// A request as far as the facade follows it.
-struct Track {
+/// A request until it is finished.
+struct TrackedRequest {
     class: ClassId,
-    until: Micros,
-    sends: u32,
-    flight: Option<Flight>,
+    deadline: Micros,
+    attempts: u32,
+    attempt: Option<AttemptInFlight>,
 }
 
-/// What a balancer knows, for the process that follows.
+/// What a balancer knows, for the next process of its gateway.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Snapshot {
     groups: BTreeSet<GroupId>,
@@ -143,56 +109,56 @@
 }
 
 impl Snapshot {
-    /// Adds what another worker of the same gateway knows; their families differ.
-    pub fn join(&mut self, other: Snapshot) {
+    /// Adds what another worker of the same gateway knows; their groups differ.
+    pub fn merge(&mut self, other: Snapshot) {
         self.groups.extend(other.groups);
         self.pool.extend(other.pool);
         self.router.join(other.router);
     }
 
-    /// What concerns some families.
-    pub fn part(mut self, own: impl Fn(GroupId) -> bool) -> Snapshot {
-        self.groups.retain(|group| own(*group));
-        self.router = self.router.part(own);
+    /// What concerns these groups.
+    pub fn for_groups(mut self, is_included: impl Fn(GroupId) -> bool) -> Snapshot {
+        self.groups.retain(|group| is_included(*group));
+        self.router = self.router.part(is_included);
         let members = self.router.members();
         self.pool.retain(|member| members.contains(member));
         self
     }
 }
 
-/// The facade over the decision module.
+/// Drives the router for a caller that carries out one decision after the other.
 pub struct Balancer {
     router: Router,
-    /// Need and effect of each class.
+    /// Consistency and idempotency of each class.
     kinds: Vec<(Consistency, Idempotency)>,
     groups: BTreeSet<GroupId>,
-    /// The members that the list names.
-    pool: BTreeSet<MemberId>,
-    next_ticket: u64,
-    tracks: BTreeMap<Ticket, Track>,
+    /// The members that the endpoint list names.
+    listed: BTreeSet<MemberId>,
+    next_request: u64,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     timers: BTreeSet<(Micros, TimerId)>,
-    due: VecDeque<Due>,
+    outputs: VecDeque<Output>,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings only. Two attempts at once are ruled out, whatever they say.
+    /// A balancer that knows its settings only. It never hedges, whatever they say.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = Settings { hedging: false, ..settings };
         Balancer {
-            kinds: settings.classes.iter().map(|class| (class.consistency, class.idempotency)).collect(),
+            kinds: kinds(&settings),
             router: Router::with_own_clock(settings, seed),
             groups: BTreeSet::new(),
-            pool: BTreeSet::new(),
-            next_ticket: 0,
-            tracks: BTreeMap::new(),
+            listed: BTreeSet::new(),
+            next_request: 0,
+            requests: BTreeMap::new(),
             timers: BTreeSet::new(),
-            due: VecDeque::new(),
+            outputs: VecDeque::new(),
         }
     }
 
-    /// Goes on under new settings. Classes that open requests bear keep their places.
-    pub fn retune(&mut self, settings: Settings) {
-        self.kinds = settings.classes.iter().map(|class| (class.consistency, class.idempotency)).collect();
+    /// Continues under new settings. Classes of requests in flight must keep their ids.
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.kinds = kinds(&settings);
         self.router.retune(Settings { hedging: false, ..settings });
     }
 
@@ -201,231 +167,236 @@
         self.router.longest_deadline()
     }
 
-    /// Whether an open request is of this class.
-    pub fn bears(&self, class: ClassId) -> bool {
-        self.tracks.values().any(|track| track.class == class)
+    /// Whether a request of this class is in flight.
+    pub fn has_requests_of(&self, class: ClassId) -> bool {
+        self.requests.values().any(|request| request.class == class)
     }
 
-    /// Takes in a member list or a change to it.
-    pub fn members(&mut self, now: Micros, full: bool, entries: Vec<Entry>) {
+    /// Takes in an endpoint list or changes to it.
+    pub fn update_endpoints(&mut self, now: Micros, is_full: bool, entries: Vec<Entry>) {
         self.groups.extend(entries.iter().map(|entry| entry.group));
-        if full {
-            self.pool.clear();
+        if is_full {
+            self.listed.clear();
         }
         for entry in &entries {
             match entry.listed {
-                Listed::Ready | Listed::Draining => self.pool.insert(entry.member),
-                Listed::Gone => self.pool.remove(&entry.member),
+                Listed::Ready | Listed::Draining => self.listed.insert(entry.member),
+                Listed::Gone => self.listed.remove(&entry.member),
             };
         }
-        let kind = if full { ListKind::Full } else { ListKind::Changes };
+        let kind = if is_full { ListKind::Full } else { ListKind::Changes };
         self.drive(now, Event::Members { kind, entries });
     }
 
-    /// What is known, for the process that follows.
+    /// What is known, for the next process.
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot { groups: self.groups.clone(), pool: self.pool.clone(), router: self.router.snapshot() }
+        Snapshot { groups: self.groups.clone(), pool: self.listed.clone(), router: self.router.snapshot() }
     }
 
-    /// Takes over what another process knew. `place` says where a class of this one stood there, `error` by how much this
-    /// process's clock may differ from that one's.
-    pub fn inherit(&mut self, snapshot: Snapshot, place: impl Fn(ClassId) -> Option<ClassId>, error: Micros) {
-        let known = |class| place(ClassId(class)).and_then(|at| snapshot.router.means.get(at.0).copied());
-        let means: Vec<Option<f64>> = (0..self.kinds.len()).map(known).collect();
-        (self.groups, self.pool) = (snapshot.groups, snapshot.pool);
-        self.router.inherit(snapshot.router, &means, error);
+    /// Restores what another process knew. `previous_class` gives the id that a class of this process had there;
+    /// `clock_error` is by how much the clocks of the two may differ.
+    pub fn restore(
+        &mut self,
+        snapshot: Snapshot,
+        previous_class: impl Fn(ClassId) -> Option<ClassId>,
+        clock_error: Micros,
+    ) {
+        let known_mean =
+            |class| previous_class(ClassId(class)).and_then(|id| snapshot.router.means.get(id.0).copied());
+        let means: Vec<Option<f64>> = (0..self.kinds.len()).map(known_mean).collect();
+        (self.groups, self.listed) = (snapshot.groups, snapshot.pool);
+        self.router.inherit(snapshot.router, &means, clock_error);
     }
 
-    /// A session's write was committed at another process of this gateway.
-    pub fn committed(&mut self, group: GroupId, session: SessionKey, commit: Micros) {
+    /// Records a commit of a session at another process of this gateway.
+    pub fn record_commit(&mut self, group: GroupId, session: SessionKey, commit: Micros) {
         self.router.committed(group, session, commit);
     }
 
-    /// What a session's reads in a group must see, where that is held against it alone.
-    pub fn commit(&self, group: GroupId, session: SessionKey) -> Option<Micros> {
+    /// The commit that a session's reads in a group must see, where it is known for this session alone.
+    pub fn session_commit(&self, group: GroupId, session: SessionKey) -> Option<Micros> {
         self.router.commit(group, session)
     }
 
-    /// Leaves a member out at the operators' word, whatever the list says, or puts it back.
+    /// Takes a member out of use on the operators' order, whatever the endpoint list says, or puts it back.
     pub fn set_administratively_down(&mut self, now: Micros, member: MemberId, down: bool) {
         self.drive(now, Event::SetDown { member, down });
     }
 
-    /// Whether the list names a member.
-    pub fn lists(&self, member: MemberId) -> bool {
-        self.pool.contains(&member)
+    /// Whether the endpoint list names a member.
+    pub fn is_listed(&self, member: MemberId) -> bool {
+        self.listed.contains(&member)
     }
 
-    /// Number of members in the list, and of those among them that are avoided.
-    pub fn pool(&self) -> (usize, usize) {
-        (self.pool.len(), self.pool.iter().filter(|member| self.router.avoids(**member)).count())
+    /// Numbers of members in the endpoint list.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        EndpointCounts {
+            listed: self.listed.len(),
+            ejected: self.listed.iter().filter(|member| self.router.avoids(**member)).count(),
+        }
     }
 
     /// Whether the member may be sent anything new.
-    pub fn admits(&self, member: MemberId) -> bool {
+    pub fn is_routable(&self, member: MemberId) -> bool {
         self.router.admits(member)
     }
 
-    /// Whether a list has ever named this group.
-    pub fn knows(&self, group: GroupId) -> bool {
+    /// Whether an endpoint list has ever named this group.
+    pub fn has_group(&self, group: GroupId) -> bool {
         self.groups.contains(&group)
     }
 
-    /// Whether requests of this class write, and whether they carry a key.
-    pub fn wants(&self, class: ClassId) -> (bool, bool) {
-        let (consistency, idempotency) = self.kinds[class.0];
-        (consistency == Consistency::Write, matches!(idempotency, Idempotency::IdempotencyKey { .. }))
+    /// Whether requests of this class write.
+    pub fn is_write_class(&self, class: ClassId) -> bool {
+        self.kinds[class.0].0 == Consistency::Write
+    }
+
+    /// Whether requests of this class carry an idempotency key.
+    pub fn is_keyed_class(&self, class: ClassId) -> bool {
+        matches!(self.kinds[class.0].1, Idempotency::IdempotencyKey { .. })
     }
 
-    /// Takes a request on. Unless held it is decided at once.
-    pub fn pick(&mut self, now: Micros, ask: Ask) -> (Ticket, Verdict) {
-        let ticket = Ticket(self.next_ticket);
-        self.next_ticket += 1;
-        self.tracks
-            .insert(ticket, Track { class: ask.class, until: now + ask.time_left, sends: 0, flight: None });
-        let keyed =
-            matches!(self.kinds.get(ask.class.0), Some((Consistency::Write | Consistency::Session, _)));
+    /// Takes a request on. Unless it is queued it is decided at once.
+    pub fn pick(&mut self, now: Micros, request: RoutingRequest) -> (RequestId, RoutingDecision) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let deadline = now + request.time_left;
+        let tracked = TrackedRequest { class: request.class, deadline, attempts: 0, attempt: None };
+        self.requests.insert(id, tracked);
+        let has_session =
+            matches!(self.kinds.get(request.class.0), Some((Consistency::Write | Consistency::Session, _)));
         self.drive(
             now,
             Event::Request(Request {
-                id: RequestId(ticket.0),
-                class: ask.class,
-                group: ask.group,
-                session: keyed.then_some(ask.session),
-                committed: ask.committed,
+                id,
+                class: request.class,
+                group: request.group,
+                session: has_session.then_some(request.session),
+                committed: request.committed,
                 tenant: None,
-                repeat: ask.repeat,
-                time_left: ask.time_left,
+                repeat: request.repeat,
+                time_left: request.time_left,
             }),
         );
-        (ticket, self.verdict_on(ticket))
+        (id, self.take_decision(id))
     }
 
-    /// The attempt's answer has begun to flow to the client: the request is its own from here on, and
-    /// nothing will be decided about it any more. False if it has been decided already.
+    /// The response of the attempt that is out has begun to stream to the client: nothing will be decided about the
+    /// request any more. False if it has been decided already.
     #[must_use]
-    pub fn started(&mut self, now: Micros, ticket: Ticket) -> bool {
-        let track = self.tracks.get_mut(&ticket);
-        let Some(flight) = track.and_then(|track| track.flight.as_mut()) else { return false };
-        flight.began = Some(now);
-        self.drive(now, Event::Started { request: RequestId(ticket.0) });
+    pub fn start_streaming(&mut self, now: Micros, request: RequestId) -> bool {
+        let tracked = self.requests.get_mut(&request);
+        let Some(attempt) = tracked.and_then(|tracked| tracked.attempt.as_mut()) else { return false };
+        attempt.streaming_since = Some(now);
+        self.drive(now, Event::Started { request });
         true
     }
 
-    /// Books the end of the attempt that is out. A served request is finished; for any other the
-    /// verdict says how it goes on.
-    pub fn report(&mut self, now: Micros, ticket: Ticket, ended: Ended) -> Verdict {
-        let flight = self.tracks.get(&ticket).and_then(|track| track.flight.as_ref());
-        let flows = flight.is_some_and(|flight| flight.began.is_some());
-        let finished = flows || matches!(ended, Ended::Answer { said: Said::Served, .. });
-        self.outcome(now, ticket, ended, finished);
-        if finished {
-            self.tracks.remove(&ticket);
+    /// Takes in how the attempt that is out ended. A served request is finished; for any other the decision says how it
+    /// goes on.
+    pub fn handle_outcome(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: AttemptOutcome,
+    ) -> RoutingDecision {
+        let attempt = self.requests.get(&request).and_then(|tracked| tracked.attempt.as_ref());
+        let is_streaming = attempt.is_some_and(|attempt| attempt.streaming_since.is_some());
+        let is_finished = is_streaming || outcome.is_served();
+        let (role, position) = outcome.reported();
+        self.end_attempt(now, request, outcome.status(), is_finished, role, position);
+        if is_finished {
+            self.requests.remove(&request);
         }
-        self.verdict_on(ticket)
+        self.take_decision(request)
     }
 
-    /// Whether the attempt that is out may still be written to its member, after a connection took
-    /// its time to come up.
-    pub fn still_holds(&self, now: Micros, ticket: Ticket) -> bool {
-        self.tracks.contains_key(&ticket) && self.router.holds(now, RequestId(ticket.0))
+    /// Whether the attempt that is out may still be written to its member, after its connection took time to come up.
+    pub fn is_attempt_valid(&self, now: Micros, request: RequestId) -> bool {
+        self.requests.contains_key(&request) && self.router.holds(now, request)
     }
 
-    /// Whether what is known of the member that a request is out at covers what the request must see, were its last byte
+    /// Whether the member of the attempt that is out is known to be recent enough for the request, were its last byte
     /// written now.
-    pub fn still_covers(&self, now: Micros, ticket: Ticket) -> bool {
-        self.router.covers(now, RequestId(ticket.0))
+    pub fn is_fresh_enough(&self, now: Micros, request: RequestId) -> bool {
+        self.router.covers(now, request)
     }
 
-    /// What the choice of the member that a request is out at rested on.
-    pub fn read_basis(&self, now: Micros, ticket: Ticket) -> Option<ReadBasis> {
-        self.router.read_basis(now, RequestId(ticket.0))
+    /// What the choice of the member of the attempt that is out rested on.
+    pub fn read_basis(&self, now: Micros, request: RequestId) -> Option<ReadBasis> {
+        self.router.read_basis(now, request)
     }
 
-    /// Tells of single requests as well from now on.
-    pub fn trace(&mut self) {
+    /// Gives notices of single requests as well from now on.
+    pub fn enable_request_notices(&mut self) {
         self.router.trace();
     }
 
-    /// The ticket of a request that a notice names.
-    pub fn ticket(request: RequestId) -> Ticket {
-        Ticket(request.0)
-    }
-
-    /// The client has left or was answered by other means: nothing is owed any more.
-    pub fn gone(&mut self, now: Micros, ticket: Ticket) {
-        self.due.retain(|due| !matches!(due, Due::Verdict(t, _) | Due::Cancel(t) if *t == ticket));
-        if self.tracks.contains_key(&ticket) {
-            self.drive(now, Event::Gone(RequestId(ticket.0)));
-            self.abandon(now, ticket);
+    /// The client has left or was answered by other means: the request is finished.
+    pub fn handle_client_gone(&mut self, now: Micros, request: RequestId) {
+        self.outputs.retain(|output| !output.concerns(request));
+        if self.requests.contains_key(&request) {
+            self.drive(now, Event::Gone(request));
+            self.forget(now, request);
         }
     }
 
-    /// Books the end of a probe and what the member said of itself.
-    pub fn probed(&mut self, now: Micros, member: MemberId, ended: Ended) {
-        let report = match ended {
-            Ended::Answer { role, position, .. } => Report { position, role },
-            Ended::Broken(_) => Report::default(),
-        };
-        self.drive(now, Event::HealthChecked { member, status: ended.status(), report });
+    /// Takes in how a health check ended and what the member reported.
+    pub fn health_checked(&mut self, now: Micros, member: MemberId, outcome: AttemptOutcome) {
+        let (role, position) = outcome.reported();
+        let report = Report { position, role };
+        self.drive(now, Event::HealthChecked { member, status: outcome.status(), report });
     }
 
-    /// Lets due timers act and hands out what has fallen due, in order.
-    pub fn tick(&mut self, now: Micros) -> Option<Due> {
-        if self.due.is_empty() {
-            // Timers set while these act wait for the next call, or one due at once would never end.
+    /// Fires the timers that are due and gives the next output, in order.
+    pub fn poll_output(&mut self, now: Micros) -> Option<Output> {
+        if self.outputs.is_empty() {
+            // Timers set while these fire wait for the next call, or one due at once would never end.
             let later = self.timers.split_off(&(now + Micros(1), TimerId(0)));
             for (_, timer) in std::mem::replace(&mut self.timers, later) {
                 self.drive(now, Event::Timer(timer));
             }
         }
-        self.due.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// When [`Balancer::tick`] has something to do next.
-    pub fn next_due(&self) -> Option<Micros> {
-        if self.due.is_empty() {
+    /// When [`Balancer::poll_output`] has something to do next.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        if self.outputs.is_empty() {
             self.timers.first().map(|(at, _)| *at)
         } else {
             Some(Micros(0))
         }
     }
 
-    /// The verdict that the last event brought for a request.
-    fn verdict_on(&mut self, ticket: Ticket) -> Verdict {
-        let place = self.due.iter().position(|due| matches!(due, Due::Verdict(t, _) if *t == ticket));
-        match place.and_then(|index| self.due.remove(index)) {
-            Some(Due::Verdict(_, verdict)) => verdict,
-            _ => Verdict::Held,
+    /// Takes out the decision that the last event brought for a request.
+    fn take_decision(&mut self, request: RequestId) -> RoutingDecision {
+        let index = self.outputs.iter().position(|output| output.is_decision_on(request));
+        match index.and_then(|index| self.outputs.remove(index)) {
+            Some(Output::Decision(_, decision)) => decision,
+            _ => RoutingDecision::Queued,
         }
     }
 
-    fn outcome(&mut self, now: Micros, ticket: Ticket, ended: Ended, finished: bool) {
-        let (role, position) = match ended {
-            Ended::Answer { role, position, .. } => (role, position),
-            Ended::Broken(_) => (None, None),
-        };
-        self.book(now, ticket, ended.status(), finished, role, position);
-    }
-
-    fn book(
+    fn end_attempt(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        request: RequestId,
         status: Status,
         finished: bool,
         role: Option<Role>,
         position: Option<Micros>,
     ) {
-        let Some(flight) = self.tracks.get_mut(&ticket).and_then(|track| track.flight.take()) else { return };
+        let tracked = self.requests.get_mut(&request);
+        let Some(attempt) = tracked.and_then(|tracked| tracked.attempt.take()) else { return };
         self.drive(
             now,
             Event::Outcome(Outcome {
-                request: RequestId(ticket.0),
-                attempt: flight.attempt,
-                member: flight.member,
+                request,
+                attempt: attempt.number,
+                member: attempt.member,
                 status,
-                latency: flight.began.unwrap_or(now) - flight.sent,
+                latency: attempt.streaming_since.unwrap_or(now) - attempt.started_at,
                 finished,
                 role,
                 position,
@@ -434,58 +405,72 @@
         );
     }
 
-    /// Forgets a finished request; what it still had out counts as called off.
-    fn abandon(&mut self, now: Micros, ticket: Ticket) {
-        self.book(now, ticket, Status::Cancelled, true, None, None);
-        self.tracks.remove(&ticket);
+    /// Forgets a finished request; an attempt that is still out counts as cancelled.
+    fn forget(&mut self, now: Micros, request: RequestId) {
+        self.cancel_attempt(now, request);
+        self.requests.remove(&request);
+    }
+
+    fn cancel_attempt(&mut self, now: Micros, request: RequestId) {
+        self.end_attempt(now, request, Status::Cancelled, true, None, None);
     }
 
     fn drive(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
         for action in actions {
-            match action {
-                Action::Send { request, member, timeout } => {
-                    let ticket = Ticket(request.0);
-                    let Some(track) = self.tracks.get_mut(&ticket) else { continue };
-                    track.flight =
-                        Some(Flight { attempt: AttemptNo(track.sends), member, sent: now, began: None });
-                    track.sends += 1;
-                    let left = track.until - now;
-                    let timeout = timeout.map_or(left, |t| t.min(left));
-                    self.due.push_back(Due::Verdict(ticket, Verdict::Send { member, timeout }));
-                }
-                Action::Refuse { request, retry_after } => {
-                    self.conclude(now, Ticket(request.0), Verdict::Refuse { come_back: retry_after });
-                }
-                Action::Fail { request } => self.conclude(now, Ticket(request.0), Verdict::Fail),
-                Action::Cancel { request, .. } => {
-                    let ticket = Ticket(request.0);
-                    if self.tracks.get(&ticket).is_some_and(|track| track.flight.is_some()) {
-                        self.due.push_back(Due::Cancel(ticket));
-                        self.book(now, ticket, Status::Cancelled, true, None, None);
-                    }
-                }
-                Action::HealthCheck { member } => self.due.push_back(Due::Probe(member)),
-                Action::CloseIdle { member } => self.due.push_back(Due::CloseIdle(member)),
-                Action::SetTimer { timer, at } => {
-                    self.timers.insert((at, timer));
+            self.handle_action(now, action);
+        }
+    }
+
+    fn handle_action(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send { request, member, timeout } => self.start_attempt(now, request, member, timeout),
+            Action::Refuse { request, retry_after } => {
+                self.conclude(now, request, RoutingDecision::Reject { retry_after });
+            }
+            Action::Fail { request } => self.conclude(now, request, RoutingDecision::Fail),
+            Action::Cancel { request, .. } => {
+                if self.requests.get(&request).is_some_and(|tracked| tracked.attempt.is_some()) {
+                    self.outputs.push_back(Output::Cancel(request));
+                    self.cancel_attempt(now, request);
                 }
-                Action::Notice(notice) => self.due.push_back(Due::Notice(notice)),
-                // The list is always watched, and there is no way to talk to other gateways.
-                Action::Watch | Action::TellPeers { .. } => {}
             }
+            Action::HealthCheck { member } => self.outputs.push_back(Output::HealthCheck(member)),
+            Action::CloseIdle { member } => self.outputs.push_back(Output::CloseIdle(member)),
+            Action::SetTimer { timer, at } => {
+                self.timers.insert((at, timer));
+            }
+            Action::Notice(notice) => self.outputs.push_back(Output::Notice(notice)),
+            // The endpoint list is always watched, and this driver has no way to other gateways.
+            Action::Watch | Action::TellPeers { .. } => {}
         }
     }
 
-    /// Hands on a final answer. A verdict to send that nobody has fetched yet is void with it, and
-    /// whoever gets the answer closes the attempt's connection.
-    fn conclude(&mut self, now: Micros, ticket: Ticket, verdict: Verdict) {
-        if !self.tracks.contains_key(&ticket) {
+    fn start_attempt(&mut self, now: Micros, request: RequestId, member: MemberId, timeout: Option<Micros>) {
+        let Some(tracked) = self.requests.get_mut(&request) else { return };
+        let number = AttemptNo(tracked.attempts);
+        tracked.attempt = Some(AttemptInFlight { number, member, started_at: now, streaming_since: None });
+        tracked.attempts += 1;
+        let time_left = tracked.deadline - now;
+        let timeout = timeout.map_or(time_left, |timeout| timeout.min(time_left));
+        let decision = RoutingDecision::Send { member, timeout };
+        self.outputs.push_back(Output::Decision(request, decision));
+    }
+
+    /// Gives out a final answer. A decision to send that nobody has taken yet is void with it, and whoever takes the
+    /// answer closes the attempt's connection.
+    fn conclude(&mut self, now: Micros, request: RequestId, decision: RoutingDecision) {
+        if !self.requests.contains_key(&request) {
             return;
         }
-        self.due.retain(|due| !matches!(due, Due::Verdict(t, _) if *t == ticket));
-        self.due.push_back(Due::Verdict(ticket, verdict));
-        self.abandon(now, ticket);
+        self.outputs.retain(|output| !output.is_decision_on(request));
+        self.outputs.push_back(Output::Decision(request, decision));
+        self.forget(now, request);
     }
 }
+
+/// Consistency and idempotency of each class.
+fn kinds(settings: &Settings) -> Vec<(Consistency, Idempotency)> {
+    settings.classes.iter().map(|class| (class.consistency, class.idempotency)).collect()
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -80,6 +80,7 @@
 //! ```
 
 mod api;
+pub mod attempt;
 mod balance;
 pub mod balancer;
 pub mod check;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -39,7 +39,7 @@
 use super::clock::Clock;
 use super::discovery::{Directory, Listing};
 use super::pool::Pool;
-use crate::balancer::{Balancer, Due, Ticket, Verdict};
+use crate::balancer::{Balancer, Output, RoutingDecision};
 use crate::classes::Classes;
 use crate::config::Taken;
 use crate::fault::Fault;
@@ -48,11 +48,11 @@
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::pg::statement::Statement;
-use crate::request::Ledger;
+use crate::request::InFlightRequests;
 use crate::settings::{Site, Zones};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 use crate::upgrade::line::Inheritance;
-use crate::Micros;
+use crate::{Micros, RequestId};
 
 const LISTENER: usize = usize::MAX - 1;
 const SIGNALS: usize = usize::MAX - 2;
@@ -152,7 +152,7 @@
     workers: Arc<Workers>,
     mailbox: VecDeque<WorkerMessage>,
     /// Requests that other workers' clients await from this one.
-    remote_requests: BTreeMap<Owner, Ticket>,
+    remote_requests: BTreeMap<Owner, RequestId>,
     clock: Clock,
     /// The time of this turn.
     now: Micros,
@@ -164,7 +164,7 @@
     ready: VecDeque<Key>,
     scratch: Vec<u8>,
     pool: Pool<Key>,
-    ledger: Ledger<Key, Statement, Owner>,
+    requests: InFlightRequests<Key, Statement, Owner>,
     balancer: Balancer,
     classes: Classes,
     connect_timeout: Micros,
@@ -235,7 +235,7 @@
                     ready: VecDeque::new(),
                     scratch: vec![0; 16 * 1024],
                     pool: Pool::new(hosts / count, site.settings.connection_idle_timeout),
-                    ledger: Ledger::default(),
+                    requests: InFlightRequests::default(),
                     balancer: Balancer::new(site.settings, config.seed.wrapping_add(me as u64)),
                     classes,
                     connect_timeout: site.connect_timeout.max(Micros::millis(10)),
@@ -320,7 +320,7 @@
     pub fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         if self.log.is_debug_enabled() {
-            self.balancer.trace();
+            self.balancer.enable_request_notices();
         }
         info!(self.log, "ready"; "clients" => self.clients.most, "hosts" => self.pool.most());
         while self.phase != Phase::Closing
@@ -331,7 +331,7 @@
             if self.workers.is_lost() {
                 return Err(io::Error::other("another worker has died"));
             }
-            let next = self.timers.next().into_iter().chain(self.balancer.next_due()).min();
+            let next = self.timers.next().into_iter().chain(self.balancer.next_deadline()).min();
             let asleep = self.clock.read();
             let wait = next.map(|at| Duration::from_micros((at - asleep).0));
             let wait = if self.may_sleep() { wait } else { Some(Duration::ZERO) };
@@ -362,7 +362,7 @@
             self.guard(SIGNALS, Gateway::fire_timers);
             self.guard(SIGNALS, Gateway::settle);
         }
-        info!(self.log, "ended"; "owed" => self.ledger.len());
+        info!(self.log, "ended"; "owed" => self.requests.len());
         Ok(())
     }
 
@@ -434,25 +434,25 @@
         for _ in 0..100_000 {
             if let Some(key) = self.ready.pop_front() {
                 self.pump(key);
-            } else if !self.do_due() {
+            } else if !self.process_output() {
                 return;
             }
         }
     }
 
-    fn do_due(&mut self) -> bool {
-        let Some(due) = self.balancer.tick(self.now) else { return false };
-        match due {
-            Due::Verdict(ticket, verdict) => self.apply(ticket, verdict),
-            Due::Cancel(ticket) => self.drop_attempt(ticket),
-            Due::Probe(member) => self.probe(member),
-            Due::CloseIdle(member) => {
+    fn process_output(&mut self) -> bool {
+        let Some(output) = self.balancer.poll_output(self.now) else { return false };
+        match output {
+            Output::Decision(request_id, decision) => self.apply(request_id, decision),
+            Output::Cancel(request_id) => self.drop_attempt(request_id),
+            Output::HealthCheck(member) => self.probe(member),
+            Output::CloseIdle(member) => {
                 for key in self.pool.idle_to(member) {
                     self.log_host_closed(key, "idle connections to it are distrusted");
                     self.close(key);
                 }
             }
-            Due::Notice(notice) => self.log_notice(notice),
+            Output::Notice(notice) => self.log_notice(notice),
         }
         true
     }
@@ -463,7 +463,7 @@
         signals.told[0].store(false, Ordering::SeqCst);
         let _ = signals.end.read(&mut bytes);
         if self.phase == Phase::Serving {
-            info!(self.log, "signal to end, handing over"; "owed" => self.ledger.len());
+            info!(self.log, "signal to end, handing over"; "owed" => self.requests.len());
             self.phase = Phase::HandingOver;
             let longest = self.balancer.longest_deadline().min(LONGEST_COUNTED);
             self.answer_by(self.now + longest + LAST_ANSWERS);
@@ -494,10 +494,10 @@
 
     /// The process may be killed soon: whoever still waits is told so now.
     fn give_last_answers(&mut self) {
-        let waiting: Vec<Ticket> = self.ledger.waiting().collect();
-        for ticket in waiting {
-            self.balancer.gone(self.now, ticket);
-            self.apply(ticket, Verdict::Fail);
+        let waiting: Vec<RequestId> = self.requests.waiting().collect();
+        for request_id in waiting {
+            self.balancer.handle_client_gone(self.now, request_id);
+            self.apply(request_id, RoutingDecision::Fail);
         }
     }
 
@@ -517,7 +517,7 @@
             self.set_timer(SHORTAGE_PAUSE, Timer::HandedOver);
         } else if let Some(listener) = self.clients.listener.take() {
             let _ = self.poller.delete(&listener);
-            info!(self.log, "listener closed"; "owed" => self.ledger.len(), "clients" => self.clients.open);
+            info!(self.log, "listener closed"; "owed" => self.requests.len(), "clients" => self.clients.open);
         }
         if self.phase == Phase::Closing {
             return;
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -168,8 +168,9 @@
 
     /// The figures as they stand.
     pub(super) fn figures(&mut self) -> &Figures {
-        self.figures.active = self.ledger.len();
-        (self.figures.pool_size, self.figures.pool_ejected) = self.balancer.pool();
+        self.figures.active = self.requests.len();
+        let counts = self.balancer.endpoint_counts();
+        (self.figures.pool_size, self.figures.pool_ejected) = (counts.listed, counts.ejected);
         &self.figures
     }
 
@@ -196,7 +197,7 @@
     pub(super) fn set_down(&mut self, name: &str, down: bool) {
         let member = self.directory.number(name);
         self.balancer.set_administratively_down(self.now, member, down);
-        while self.do_due() {}
+        while self.process_output() {}
     }
 
     /// An order holds on one more worker.
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -16,7 +16,7 @@
 use super::timers::Timer;
 use super::workers::{InFlight, Owner, WorkerMessage};
 use super::{Gateway, Phase, LISTENER};
-use crate::balancer::Ask;
+use crate::balancer::RoutingRequest;
 use crate::pg::client::{Client, Demand};
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
@@ -416,7 +416,7 @@
             self.figures.class(&statement.class).shed += 1;
             return self.answer(owner, Final::Refused(None));
         }
-        let ask = Ask {
+        let request = RoutingRequest {
             class,
             group: GroupId(statement.cluster),
             session: statement.session,
@@ -424,32 +424,32 @@
             repeat: statement.repeat,
             time_left,
         };
-        let (ticket, verdict) = self.balancer.pick(now, ask);
+        let (request_id, decision) = self.balancer.pick(now, request);
         if owner.worker != self.me {
-            self.remote_requests.insert(owner, ticket);
+            self.remote_requests.insert(owner, request_id);
         } else if let Some(client) = self.client(owner.key) {
             client.asked = true;
-            client.in_flight = Some(InFlight::Here(ticket));
+            client.in_flight = Some(InFlight::Here(request_id));
         }
         let id = statement.id.clone();
-        self.ledger.open(ticket, &id, owner, statement, until);
-        self.set_timer(time_left, Timer::GiveUp(ticket));
+        self.requests.insert(request_id, &id, owner, statement, until);
+        self.set_timer(time_left, Timer::GiveUp(request_id));
         // What fell due before the verdict comes first: connections to be closed before it is sent.
-        while self.do_due() {}
-        self.apply(ticket, verdict);
+        while self.process_output() {}
+        self.apply(request_id, decision);
     }
 
     /// The class of a statement that can be routed here.
     fn route(&self, statement: Statement) -> Result<(ClassId, Statement), String> {
         let class = self.classes.id(self.now, &statement.class).ok_or("unknown class")?;
-        if !self.balancer.knows(GroupId(statement.cluster)) {
+        if !self.balancer.has_group(GroupId(statement.cluster)) {
             return Err("unknown group".into());
         }
-        let (writes, keyed) = self.balancer.wants(class);
-        if writes != statement.writes || keyed && !statement.keyed {
+        let lacks_key = self.balancer.is_keyed_class(class) && !statement.keyed;
+        if self.balancer.is_write_class(class) != statement.writes || lacks_key {
             return Err("the statement does not fit its class".into());
         }
-        if self.ledger.bears(&statement.id) {
+        if self.requests.has_client_id(&statement.id) {
             return Err("a request of this id is open".into());
         }
         Ok((class, statement))
--- a/src/net/event_loop/flowing.rs
+++ b/src/net/event_loop/flowing.rs
@@ -5,25 +5,30 @@
 use super::slots::Key;
 use super::workers::{Owner, WorkerMessage};
 use super::Gateway;
-use crate::balancer::Ticket;
+use crate::RequestId;
 
 /// A host is not read while the client that its answer flows to has so much unread.
 pub(super) const UNREAD: usize = 64 * 1024;
 
 impl Gateway {
     /// The answer on a connection to a host begins to flow: the request belongs to its client.
-    pub(super) fn begin_flow(&mut self, ticket: Ticket) {
-        if self.balancer.started(self.now, ticket) {
-            self.ledger.flow(ticket);
+    pub(super) fn begin_flow(&mut self, request_id: RequestId) {
+        if self.balancer.start_streaming(self.now, request_id) {
+            self.requests.start_streaming(request_id);
         }
     }
 
     /// Passes on what has come of an answer that flows.
     pub(super) fn flow(&mut self, key: Key) {
         let Some(host) = self.host(key) else { return };
-        let Task::Attempt(ticket) = host.task else { return };
+        let Task::Attempt(request_id) = host.task else { return };
         let bytes = host.protocol.flow();
-        let Some(owner) = self.ledger.get(ticket).filter(|life| life.flows()).map(|life| life.owner) else {
+        let Some(owner) = self
+            .requests
+            .get(request_id)
+            .filter(|request| request.is_streaming())
+            .map(|request| request.owner)
+        else {
             return;
         };
         if bytes.is_empty() {
@@ -64,9 +69,9 @@
     }
 
     /// The client of an answer that flows has read on: so is its host.
-    pub(super) fn let_flow(&mut self, ticket: Ticket) {
+    pub(super) fn let_flow(&mut self, request_id: RequestId) {
         let now = self.now;
-        let Some(key) = self.ledger.get(ticket).and_then(|life| life.attempt()) else { return };
+        let Some(key) = self.requests.get(request_id).and_then(|request| request.attempt()) else { return };
         if let Some(host) = self.host(key).filter(|host| host.held) {
             (host.held, host.heard) = (false, now);
             self.arm(key);
@@ -74,13 +79,13 @@
     }
 
     /// An answer that flowed cannot be finished: its client is told by the end of the connection.
-    pub(super) fn cut_off(&mut self, ticket: Ticket) {
-        let Some(life) = self.conclude(ticket) else { return };
+    pub(super) fn cut_off(&mut self, request_id: RequestId) {
+        let Some(request) = self.conclude(request_id) else { return };
         self.counts.failed += 1;
-        self.figures.class(&life.work.class).errors += 1;
-        match life.owner.worker == self.me {
-            true => self.cut(life.owner.key),
-            false => self.workers.deliver(life.owner.worker, WorkerMessage::Cut(life.owner.key)),
+        self.figures.class(&request.statement.class).errors += 1;
+        match request.owner.worker == self.me {
+            true => self.cut(request.owner.key),
+            false => self.workers.deliver(request.owner.worker, WorkerMessage::Cut(request.owner.key)),
         }
     }
 
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -7,12 +7,11 @@
 use super::slots::{Key, Link, Slot};
 use super::timers::Timer;
 use super::Gateway;
-use crate::balancer::{Ended, Said, Ticket};
+use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::net::dial;
 use crate::pg::host::{self, Answer, Host, Turn};
-use crate::request::{Broken, Cause, Reach};
 use crate::shortage::is_shortage;
-use crate::{MemberId, Micros};
+use crate::{MemberId, Micros, RequestId};
 
 /// How long a probe may take.
 const PROBE_TIMEOUT: Micros = Micros::millis(250);
@@ -33,13 +32,13 @@
 }
 
 /// What the log says of a connection that is given up for this cause.
-fn close_reason(cause: Cause) -> &'static str {
+fn close_reason(cause: FailureCause) -> &'static str {
     match cause {
-        Cause::Lost => "lost",
-        Cause::Spoilt => "spoilt",
-        Cause::TimedOut => "no answer in time",
-        Cause::NotTried => "not tried",
-        Cause::WrittenTooLate => "written too late",
+        FailureCause::ConnectionLost => "lost",
+        FailureCause::MalformedResponse => "spoilt",
+        FailureCause::TimedOut => "no answer in time",
+        FailureCause::NotAttempted => "not tried",
+        FailureCause::WrittenTooLate => "written too late",
     }
 }
 
@@ -47,13 +46,13 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Task {
     None,
-    Attempt(Ticket),
+    Attempt(RequestId),
     Probe,
 }
 
 impl Gateway {
-    pub(super) fn connect(&mut self, member: MemberId) -> Result<Key, Cause> {
-        let address = self.directory.address(member).ok_or(Cause::NotTried)?;
+    pub(super) fn connect(&mut self, member: MemberId) -> Result<Key, FailureCause> {
+        let address = self.directory.address(member).ok_or(FailureCause::NotAttempted)?;
         if !self.pool.has_room() {
             match self.pool.oldest() {
                 Some(idle) => {
@@ -62,13 +61,18 @@
                 }
                 None => {
                     warn!(self.log, "no descriptors left for hosts"; "open" => self.pool.len());
-                    return Err(Cause::NotTried);
+                    return Err(FailureCause::NotAttempted);
                 }
             }
         }
         self.counts.connects += 1;
-        let socket =
-            dial(address).map_err(|e| if is_shortage(&e) { Cause::NotTried } else { Cause::Lost })?;
+        let socket = dial(address).map_err(|e| {
+            if is_shortage(&e) {
+                FailureCause::NotAttempted
+            } else {
+                FailureCause::ConnectionLost
+            }
+        })?;
         let link = HostLink {
             protocol: Host::default(),
             member,
@@ -79,7 +83,7 @@
             heard: self.now,
             task: Task::None,
         };
-        let key = self.insert(socket, Link::Host(link), true).map_err(|_| Cause::NotTried)?;
+        let key = self.insert(socket, Link::Host(link), true).map_err(|_| FailureCause::NotAttempted)?;
         self.set_timer(self.connect_timeout, Timer::Connect(key));
         Ok(key)
     }
@@ -113,31 +117,38 @@
                     "code" => &code);
                 let turned_away = matches!(code.as_str(), "53300" | "57P03");
                 let said = Answer {
-                    said: if turned_away { Said::TurnedAway } else { Said::Error },
+                    said: if turned_away { ResponseStatus::Rejected } else { ResponseStatus::Failed },
                     rows: Vec::new(),
                     value: None,
                     role: None,
                     position: None,
                 };
                 match task {
-                    Task::Attempt(ticket) if turned_away => self.answered(ticket, member, said),
-                    Task::Attempt(ticket) => {
-                        self.ledger.end(ticket);
-                        self.broke(ticket, member, Broken { reach: Reach::NotConnected, cause: Cause::Lost });
+                    Task::Attempt(request_id) if turned_away => self.answered(request_id, member, said),
+                    Task::Attempt(request_id) => {
+                        self.requests.end_attempt(request_id);
+                        self.broke(
+                            request_id,
+                            member,
+                            FailedAttempt {
+                                progress: AttemptProgress::NotConnected,
+                                cause: FailureCause::ConnectionLost,
+                            },
+                        );
                     }
                     Task::Probe => self.probed(member, said),
                     Task::None => {}
                 }
             }
             Turn::Flows => match task {
-                Task::Attempt(ticket) => self.begin_flow(ticket),
+                Task::Attempt(request_id) => self.begin_flow(request_id),
                 // No report is that long.
-                _ => self.host_lost(key, Cause::Spoilt),
+                _ => self.host_lost(key, FailureCause::MalformedResponse),
             },
             Turn::Answered(answer) => {
                 self.free(key);
                 match task {
-                    Task::Attempt(ticket) => self.answered(ticket, member, answer),
+                    Task::Attempt(request_id) => self.answered(request_id, member, answer),
                     Task::Probe => self.probed(member, answer),
                     Task::None => {}
                 }
@@ -148,35 +159,43 @@
                 if self.counts.spoilt == 1 {
                     warn!(self.log, "host breaks the protocol"; "host" => self.directory.name(member));
                 }
-                self.host_lost(key, Cause::Spoilt);
+                self.host_lost(key, FailureCause::MalformedResponse);
             }
         }
     }
 
     /// A connection to a host has ended, or is given up for this cause.
-    pub(super) fn host_lost(&mut self, key: Key, cause: Cause) {
+    pub(super) fn host_lost(&mut self, key: Key, cause: FailureCause) {
         let Some(host) = self.host(key) else { return };
         let (member, task) = (host.member, std::mem::replace(&mut host.task, Task::None));
-        let (reach, welcome) = (host.protocol.reach(), host.welcome);
+        let (progress, welcome) = (host.protocol.reach(), host.welcome);
         let answer = host.protocol.ended();
-        if cause != Cause::Lost {
+        if cause != FailureCause::ConnectionLost {
             self.log_host_closed(key, close_reason(cause));
         }
         self.close(key);
         match (task, answer) {
             // Whoever it was dialled for did not wait for it to fail, but the module must hear of it.
-            (Task::None, _) if !welcome && cause == Cause::Lost => {
-                self.balancer.probed(self.now, member, Ended::Broken(Broken { reach, cause }));
+            (Task::None, _) if !welcome && cause == FailureCause::ConnectionLost => {
+                self.balancer.health_checked(
+                    self.now,
+                    member,
+                    AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
+                );
             }
             (Task::None, _) => {}
-            (Task::Attempt(ticket), Some(answer)) => self.answered(ticket, member, answer),
-            (Task::Attempt(ticket), None) => {
-                self.ledger.end(ticket);
-                self.broke(ticket, member, Broken { reach, cause });
+            (Task::Attempt(request_id), Some(answer)) => self.answered(request_id, member, answer),
+            (Task::Attempt(request_id), None) => {
+                self.requests.end_attempt(request_id);
+                self.broke(request_id, member, FailedAttempt { progress, cause });
             }
             (Task::Probe, Some(answer)) => self.probed(member, answer),
             (Task::Probe, None) => {
-                self.balancer.probed(self.now, member, Ended::Broken(Broken { reach, cause }));
+                self.balancer.health_checked(
+                    self.now,
+                    member,
+                    AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
+                );
             }
         }
     }
@@ -196,8 +215,8 @@
                 self.start_task(key);
             }
             Err(cause) => {
-                let broken = Broken { reach: Reach::NotConnected, cause };
-                self.balancer.probed(self.now, member, Ended::Broken(broken));
+                let failed = FailedAttempt { progress: AttemptProgress::NotConnected, cause };
+                self.balancer.health_checked(self.now, member, AttemptOutcome::NoResponse(failed));
             }
         }
     }
@@ -205,7 +224,11 @@
     pub(super) fn probed(&mut self, member: MemberId, answer: Answer) {
         let (role, position) = host::report(&answer.value.unwrap_or_default());
         let position = self.position(position);
-        self.balancer.probed(self.now, member, Ended::Answer { said: answer.said, role, position });
+        self.balancer.health_checked(
+            self.now,
+            member,
+            AttemptOutcome::Response { status: answer.said, role, position },
+        );
     }
 
     /// A position that a host has told; whether it can be is for the decision module to say.
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -8,12 +8,13 @@
 use super::timers::Timer;
 use super::workers::{Commit, InFlight, Owner, Parting, WorkerMessage};
 use super::Gateway;
-use crate::balancer::{Ended, Said, Ticket, Verdict};
+use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
+use crate::balancer::RoutingDecision;
 use crate::pg::codec::CancelKey;
 use crate::pg::host::Answer;
 use crate::pg::statement::Statement;
-use crate::request::{Broken, Cause, Life, Reach};
-use crate::{GroupId, MemberId, Micros};
+use crate::request::InFlightRequest;
+use crate::{GroupId, MemberId, Micros, RequestId};
 
 /// A final answer.
 pub(super) enum Final {
@@ -29,18 +30,18 @@
 impl Gateway {
     /// Gives the final answer, and counts it; another process of this gateway hears first of what a write may have
     /// committed.
-    pub(super) fn finish(&mut self, ticket: Ticket, answer: Final) {
-        self.drop_attempt(ticket);
-        let Some(life) = self.conclude(ticket) else { return };
-        let tally = self.figures.class(&life.work.class);
+    pub(super) fn finish(&mut self, request_id: RequestId, answer: Final) {
+        self.drop_attempt(request_id);
+        let Some(request) = self.conclude(request_id) else { return };
+        let tally = self.figures.class(&request.statement.class);
         match answer {
             Final::Served(_) => tally.ok += 1,
             Final::Refused(_) => tally.shed += 1,
             Final::Failed | Final::Cancelled | Final::Unroutable(_) => tally.errors += 1,
         }
-        match self.commit_of(&life.work) {
-            Some(commit) => self.tell_commit(commit, Some((life.owner, answer))),
-            None => self.answer(life.owner, answer),
+        match self.commit_of(&request.statement) {
+            Some(commit) => self.tell_commit(commit, Some((request.owner, answer))),
+            None => self.answer(request.owner, answer),
         }
     }
 
@@ -48,7 +49,7 @@
     fn commit_of(&self, work: &Statement) -> Option<Commit> {
         let (group, session) = (GroupId(work.cluster), work.session);
         let told = work.writes && self.workers.linked.load(Ordering::SeqCst);
-        let commit = told.then(|| self.balancer.commit(group, session)).flatten()?;
+        let commit = told.then(|| self.balancer.session_commit(group, session)).flatten()?;
         Some((group, session, commit))
     }
 
@@ -64,34 +65,39 @@
     }
 
     /// Takes a request out of the ledger: whoever gets it must answer.
-    pub(super) fn conclude(&mut self, ticket: Ticket) -> Option<Life<Key, Statement, Owner>> {
-        let life = self.ledger.finish(ticket)?;
-        if life.owner.worker != self.me {
-            self.remote_requests.remove(&life.owner);
+    pub(super) fn conclude(
+        &mut self,
+        request_id: RequestId,
+    ) -> Option<InFlightRequest<Key, Statement, Owner>> {
+        let request = self.requests.finish(request_id)?;
+        if request.owner.worker != self.me {
+            self.remote_requests.remove(&request.owner);
         }
-        Some(life)
+        Some(request)
     }
 
     /// The client of an open request has left or cancelled it: its attempt ends and no other follows. One whose
     /// answer flows already cannot be cancelled any more.
-    pub(super) fn abandon(&mut self, ticket: Ticket, how: Parting) {
-        if how == Parting::Cancelled && self.ledger.get(ticket).is_none_or(|life| life.flows()) {
+    pub(super) fn abandon(&mut self, request_id: RequestId, how: Parting) {
+        if how == Parting::Cancelled
+            && self.requests.get(request_id).is_none_or(|request| request.is_streaming())
+        {
             return;
         }
         // Booked first: what a write may have committed is known before its answer goes out.
-        if let Some(key) = self.ledger.end(ticket) {
+        if let Some(key) = self.requests.end_attempt(request_id) {
             self.free(key);
         }
-        self.balancer.gone(self.now, ticket);
+        self.balancer.handle_client_gone(self.now, request_id);
         match how {
             Parting::Cancelled => {
                 self.counts.cancelled += 1;
-                self.finish(ticket, Final::Cancelled);
+                self.finish(request_id, Final::Cancelled);
             }
             Parting::Gone => {
                 self.counts.left += 1;
-                let life = self.conclude(ticket);
-                if let Some(commit) = life.and_then(|life| self.commit_of(&life.work)) {
+                let request = self.conclude(request_id);
+                if let Some(commit) = request.and_then(|request| self.commit_of(&request.statement)) {
                     self.tell_commit(commit, None);
                 }
             }
@@ -108,7 +114,7 @@
         };
         let Some((client, in_flight)) = self.slots.iter().find_map(named) else { return false };
         match in_flight {
-            Some(InFlight::Here(ticket)) => self.abandon(ticket, Parting::Cancelled),
+            Some(InFlight::Here(request_id)) => self.abandon(request_id, Parting::Cancelled),
             Some(InFlight::At(home)) => self.take_leave(home, client, Parting::Cancelled),
             None => {}
         }
@@ -128,8 +134,8 @@
 
     /// Whether the client of a request has left though its end has not been read yet: it lies in the socket, perhaps
     /// behind bytes that wait. Asked before each attempt, since in a turn events of hosts and timers come first.
-    fn has_left(&mut self, ticket: Ticket) -> bool {
-        let owner = self.ledger.get(ticket).map(|life| life.owner);
+    fn has_left(&mut self, request_id: RequestId) -> bool {
+        let owner = self.requests.get(request_id).map(|request| request.owner);
         let Some(Owner { key, .. }) = owner.filter(|owner| owner.worker == self.me) else { return false };
         let left = self.slot(key).is_some_and(|slot| hung_up(&slot.socket));
         if left {
@@ -154,7 +160,7 @@
         client.used = now;
         match answer {
             Final::Served(rows) => client.protocol.serve(&rows),
-            Final::Refused(come_back) => client.protocol.refuse(come_back),
+            Final::Refused(retry_after) => client.protocol.refuse(retry_after),
             Final::Failed => client.protocol.fail("58000", "no answer in time, it may have run"),
             Final::Cancelled => client.protocol.fail("57014", "canceling statement due to user request"),
             Final::Unroutable(why) => client.protocol.fail("08P01", &why),
@@ -167,23 +173,25 @@
         }
     }
 
-    pub(super) fn apply(&mut self, ticket: Ticket, verdict: Verdict) {
-        match verdict {
-            Verdict::Held => {}
-            Verdict::Send { member, timeout } => self.send(ticket, member, timeout),
-            Verdict::Refuse { come_back } => {
+    pub(super) fn apply(&mut self, request_id: RequestId, decision: RoutingDecision) {
+        match decision {
+            RoutingDecision::Queued => {}
+            RoutingDecision::Send { member, timeout } => self.send(request_id, member, timeout),
+            RoutingDecision::Reject { retry_after } => {
                 self.counts.refused += 1;
-                self.finish(ticket, Final::Refused(come_back));
+                self.finish(request_id, Final::Refused(retry_after));
             }
-            Verdict::Fail => {
+            RoutingDecision::Fail => {
                 self.counts.failed += 1;
-                self.finish(ticket, Final::Failed);
+                self.finish(request_id, Final::Failed);
             }
         }
     }
 
-    pub(super) fn send(&mut self, ticket: Ticket, member: MemberId, timeout: Micros) {
-        if self.ledger.get(ticket).is_none_or(|life| life.attempt().is_some()) || self.has_left(ticket) {
+    pub(super) fn send(&mut self, request_id: RequestId, member: MemberId, timeout: Micros) {
+        if self.requests.get(request_id).is_none_or(|request| request.attempt().is_some())
+            || self.has_left(request_id)
+        {
             return;
         }
         let key = match self.take_idle(member) {
@@ -191,18 +199,22 @@
             None => match self.connect(member) {
                 Ok(key) => key,
                 Err(cause) => {
-                    self.broke(ticket, member, Broken { reach: Reach::NotConnected, cause });
+                    self.broke(
+                        request_id,
+                        member,
+                        FailedAttempt { progress: AttemptProgress::NotConnected, cause },
+                    );
                     return;
                 }
             },
         };
-        if !self.ledger.begin(ticket, key) {
+        if !self.requests.start_attempt(request_id, key) {
             return;
         }
-        self.set_timer(timeout, Timer::Attempt(ticket, key));
+        self.set_timer(timeout, Timer::Attempt(request_id, key));
         let until = self.now + timeout;
         if let Some(host) = self.host(key) {
-            (host.task, host.until) = (Task::Attempt(ticket), until);
+            (host.task, host.until) = (Task::Attempt(request_id), until);
         }
         self.start_task(key);
     }
@@ -214,26 +226,32 @@
         let now = self.clock.read();
         let Some(host) = self.host(key).filter(|host| host.welcome) else { return };
         let (member, task, until) = (host.member, host.task, host.until);
-        if matches!(task, Task::Attempt(ticket) if self.has_left(ticket)) {
+        if matches!(task, Task::Attempt(request_id) if self.has_left(request_id)) {
             return;
         }
         let text = match task {
             Task::None => return self.free(key),
-            Task::Probe if !self.balancer.admits(member) => {
+            Task::Probe if !self.balancer.is_routable(member) => {
                 self.free(key);
-                let broken = Broken { reach: Reach::NotConnected, cause: Cause::NotTried };
-                return self.balancer.probed(now, member, Ended::Broken(broken));
+                let failed = FailedAttempt {
+                    progress: AttemptProgress::NotConnected,
+                    cause: FailureCause::NotAttempted,
+                };
+                return self.balancer.health_checked(now, member, AttemptOutcome::NoResponse(failed));
             }
             Task::Probe => "SHOW gauges".to_string(),
-            Task::Attempt(ticket) => {
-                let holds = self.balancer.still_holds(now, ticket);
-                let Some(life) = self.ledger.get(ticket) else { return };
-                let text = life.work.with_wait(until.min(life.until) - now);
+            Task::Attempt(request_id) => {
+                let holds = self.balancer.is_attempt_valid(now, request_id);
+                let Some(request) = self.requests.get(request_id) else { return };
+                let text = request.statement.with_wait(until.min(request.deadline) - now);
                 if !holds {
                     self.free(key);
-                    self.ledger.end(ticket);
-                    let broken = Broken { reach: Reach::NotConnected, cause: Cause::NotTried };
-                    self.broke(ticket, member, broken);
+                    self.requests.end_attempt(request_id);
+                    let failed = FailedAttempt {
+                        progress: AttemptProgress::NotConnected,
+                        cause: FailureCause::NotAttempted,
+                    };
+                    self.broke(request_id, member, failed);
                     return;
                 }
                 self.counts.attempts += 1;
@@ -251,17 +269,19 @@
     /// held up for so long that its data may be too old.
     pub(super) fn attempt_written(&mut self, key: Key) {
         let Some(host) = self.host(key) else { return };
-        let Task::Attempt(ticket) = host.task else { return };
-        if host.protocol.reach() != Reach::WhollyWritten || std::mem::replace(&mut host.counted, true) {
+        let Task::Attempt(request_id) = host.task else { return };
+        if host.protocol.reach() != AttemptProgress::FullyWritten
+            || std::mem::replace(&mut host.counted, true)
+        {
             return;
         }
         let member = host.member;
-        if let Some(life) = self.ledger.get(ticket) {
-            self.figures.class(&life.work.class).tries += 1;
+        if let Some(request) = self.requests.get(request_id) {
+            self.figures.class(&request.statement.class).tries += 1;
         }
-        self.log_attempt(ticket, member);
-        if !self.balancer.still_covers(self.clock.read(), ticket) {
-            self.host_lost(key, Cause::WrittenTooLate);
+        self.log_attempt(request_id, member);
+        if !self.balancer.is_fresh_enough(self.clock.read(), request_id) {
+            self.host_lost(key, FailureCause::WrittenTooLate);
         }
     }
 
@@ -273,7 +293,7 @@
         host.task = Task::None;
         host.counted = false;
         let (member, idle, welcome) = (host.member, host.protocol.is_idle(), host.welcome);
-        if idle && self.balancer.admits(member) {
+        if idle && self.balancer.is_routable(member) {
             self.pool.put(now, member, key);
         } else if welcome {
             self.log_host_closed(
@@ -286,38 +306,38 @@
 
     /// Takes a request's attempt off the wire. What has been written ends with its connection; one
     /// that is still coming up has carried nothing and may serve another request.
-    pub(super) fn drop_attempt(&mut self, ticket: Ticket) {
-        let Some(key) = self.ledger.end(ticket) else { return };
+    pub(super) fn drop_attempt(&mut self, request_id: RequestId) {
+        let Some(key) = self.requests.end_attempt(request_id) else { return };
         self.free(key);
     }
 
     /// An attempt has ended without an answer.
-    pub(super) fn broke(&mut self, ticket: Ticket, member: MemberId, broken: Broken) {
+    pub(super) fn broke(&mut self, request_id: RequestId, member: MemberId, failed: FailedAttempt) {
         self.counts.broken += 1;
-        let ended = Ended::Broken(broken);
-        self.log_attempt_end(ticket, member, &ended);
-        let verdict = self.balancer.report(self.now, ticket, ended);
-        while self.do_due() {}
-        if self.ledger.get(ticket).is_some_and(|life| life.flows()) {
-            return self.cut_off(ticket);
+        let outcome = AttemptOutcome::NoResponse(failed);
+        self.log_attempt_end(request_id, member, &outcome);
+        let decision = self.balancer.handle_outcome(self.now, request_id, outcome);
+        while self.process_output() {}
+        if self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
+            return self.cut_off(request_id);
         }
-        self.apply(ticket, verdict);
+        self.apply(request_id, decision);
     }
 
-    pub(super) fn answered(&mut self, ticket: Ticket, member: MemberId, answer: Answer) {
-        self.ledger.end(ticket);
+    pub(super) fn answered(&mut self, request_id: RequestId, member: MemberId, answer: Answer) {
+        self.requests.end_attempt(request_id);
         let position = self.position(answer.position);
-        let ended = Ended::Answer { said: answer.said, role: answer.role, position };
-        self.log_attempt_end(ticket, member, &ended);
-        let verdict = self.balancer.report(self.now, ticket, ended);
-        if answer.said == Said::Served {
+        let outcome = AttemptOutcome::Response { status: answer.said, role: answer.role, position };
+        self.log_attempt_end(request_id, member, &outcome);
+        let decision = self.balancer.handle_outcome(self.now, request_id, outcome);
+        if answer.said == ResponseStatus::Served {
             self.counts.served += 1;
-            self.finish(ticket, Final::Served(answer.rows));
+            self.finish(request_id, Final::Served(answer.rows));
         } else {
-            while self.do_due() {}
-            match self.ledger.get(ticket).is_some_and(|life| life.flows()) {
-                true => self.cut_off(ticket),
-                false => self.apply(ticket, verdict),
+            while self.process_output() {}
+            match self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
+                true => self.cut_off(request_id),
+                false => self.apply(request_id, decision),
             }
         }
     }
--- a/src/net/event_loop/slots.rs
+++ b/src/net/event_loop/slots.rs
@@ -13,8 +13,8 @@
 use super::timers::Timer;
 use super::workers::{InFlight, Owner, Parting, WorkerMessage};
 use super::{flowing, Gateway, Phase};
+use crate::attempt::FailureCause;
 use crate::pg::codec::Outbox;
-use crate::request::Cause;
 use crate::shortage::{is_shortage, is_to_wait};
 use crate::Micros;
 
@@ -255,7 +255,7 @@
             let waits = client.in_flight.filter(|_| left < flowing::UNREAD);
             let choked = waits.is_some() && std::mem::take(&mut client.choked);
             match waits {
-                Some(InFlight::Here(ticket)) => self.let_flow(ticket),
+                Some(InFlight::Here(request_id)) => self.let_flow(request_id),
                 Some(InFlight::At(home)) if choked => {
                     self.workers.deliver(home, WorkerMessage::Drained(Owner { worker: self.me, key }));
                 }
@@ -342,13 +342,13 @@
         match &mut slot.link {
             Link::Client(client) => {
                 match client.in_flight.take() {
-                    Some(InFlight::Here(ticket)) => self.abandon(ticket, Parting::Gone),
+                    Some(InFlight::Here(request_id)) => self.abandon(request_id, Parting::Gone),
                     Some(InFlight::At(home)) => self.take_leave(home, key, Parting::Gone),
                     None => {}
                 }
                 self.close(key);
             }
-            Link::Host(_) => self.host_lost(key, Cause::Lost),
+            Link::Host(_) => self.host_lost(key, FailureCause::ConnectionLost),
             Link::Discovery(_) => self.discovery_failed(key, "connection broke"),
             Link::Caller(_) | Link::Lingering(_) => self.close(key),
         }
--- a/src/net/event_loop/succession.rs
+++ b/src/net/event_loop/succession.rs
@@ -97,14 +97,14 @@
 
     /// What this worker knows, and the names of its open requests.
     pub(super) fn own_snapshot(&self) -> (balancer::Snapshot, Vec<(String, Micros)>) {
-        let open = self.ledger.names().map(|(name, until)| (name.to_string(), until)).collect();
+        let open = self.requests.client_ids().map(|(name, until)| (name.to_string(), until)).collect();
         (self.balancer.snapshot(), open)
     }
 
     /// One more worker has told what it knows.
     pub(super) fn gather_snapshot(&mut self, known: balancer::Snapshot, open: Vec<(String, Micros)>) {
         let Some(gathering) = &mut self.line.gathering else { return };
-        gathering.known.join(known);
+        gathering.known.merge(known);
         gathering.open.extend(open);
         gathering.waits = gathering.waits.saturating_sub(1);
         self.hand_over();
@@ -172,9 +172,9 @@
             snapshot.classes.get(name).copied()
         };
         let (workers, me) = (&self.workers, self.me);
-        let part = snapshot.balancer.clone().part(|group| workers.home(group) == me);
-        self.balancer.inherit(part, place, error);
-        self.ledger.leave_to_others(snapshot.open.iter().cloned());
+        let part = snapshot.balancer.clone().for_groups(|group| workers.home(group) == me);
+        self.balancer.restore(part, place, error);
+        self.requests.add_elsewhere(snapshot.open.iter().cloned());
     }
 
     /// Takes over the lead from the process before.
@@ -305,7 +305,7 @@
             }
             Message::Commit { group, session, commit } => {
                 match self.workers.home(group) {
-                    home if home == self.me => self.balancer.committed(group, session, commit),
+                    home if home == self.me => self.balancer.record_commit(group, session, commit),
                     home => self.workers.deliver(home, WorkerMessage::Committed((group, session, commit))),
                 }
                 self.tell_others(Some(index), &Message::Commit { group, session, commit });
--- a/src/net/event_loop/timers.rs
+++ b/src/net/event_loop/timers.rs
@@ -9,9 +9,9 @@
 use super::hosts::Task;
 use super::slots::{Key, Link, Slot};
 use super::Gateway;
-use crate::balancer::{Ticket, Verdict};
-use crate::request::Cause;
-use crate::Micros;
+use crate::attempt::FailureCause;
+use crate::balancer::RoutingDecision;
+use crate::{Micros, RequestId};
 
 /// An answer that has begun and brings nothing for so long does not end; one that flows is waited for
 /// longer, since nobody else can give the rest.
@@ -27,9 +27,9 @@
     /// The connection to a host must be up.
     Connect(Key),
     /// The attempt's time is over.
-    Attempt(Ticket, Key),
+    Attempt(RequestId, Key),
     /// The client gives up: if it is still owed its answer, it gets it now.
-    GiveUp(Ticket),
+    GiveUp(RequestId),
     /// The probe's time is over.
     Probe(Key),
     /// Discovery should have answered.
@@ -115,25 +115,25 @@
         match timer {
             Timer::Connect(key) => {
                 if self.host(key).is_some_and(|host| !host.welcome) {
-                    self.host_lost(key, Cause::Lost);
+                    self.host_lost(key, FailureCause::ConnectionLost);
                 }
             }
-            Timer::Attempt(ticket, key) => {
-                let life = self.ledger.get(ticket).filter(|life| !life.flows());
-                if life.and_then(|life| life.attempt()) == Some(key) {
-                    self.host_lost(key, Cause::TimedOut);
+            Timer::Attempt(request_id, key) => {
+                let request = self.requests.get(request_id).filter(|request| !request.is_streaming());
+                if request.and_then(|request| request.attempt()) == Some(key) {
+                    self.host_lost(key, FailureCause::TimedOut);
                 }
             }
-            Timer::GiveUp(ticket) => {
-                if self.ledger.get(ticket).is_some_and(|life| !life.flows()) {
+            Timer::GiveUp(request_id) => {
+                if self.requests.get(request_id).is_some_and(|request| !request.is_streaming()) {
                     warn!(self.log, "request overdue");
-                    self.balancer.gone(self.now, ticket);
-                    self.apply(ticket, Verdict::Fail);
+                    self.balancer.handle_client_gone(self.now, request_id);
+                    self.apply(request_id, RoutingDecision::Fail);
                 }
             }
             Timer::Probe(key) => {
                 if self.host(key).is_some_and(|host| host.task == Task::Probe) {
-                    self.host_lost(key, Cause::TimedOut);
+                    self.host_lost(key, FailureCause::TimedOut);
                 }
             }
             Timer::Call(key) => self.discovery_overdue(key),
@@ -168,11 +168,11 @@
         };
         let half: Vec<Key> = self.slots.iter().filter_map(half).collect();
         for key in half {
-            self.host_lost(key, Cause::Spoilt);
+            self.host_lost(key, FailureCause::MalformedResponse);
         }
         self.reap_clients();
         self.reap_admin_connections();
-        self.ledger.forget_others(self.now);
+        self.requests.forget_elsewhere(self.now);
         if self.workers.successor.load(Ordering::SeqCst) {
             self.pass_clients();
         }
@@ -182,7 +182,7 @@
             info!(self.log, "traffic"; "taken" => counts.taken, "served" => counts.served,
                 "refused" => counts.refused, "failed" => counts.failed, "left" => counts.left, "cancelled" => counts.cancelled,
                 "attempts" => counts.attempts, "broken" => counts.broken, "connects" => counts.connects,
-                "probes" => counts.health_checks, "spoilt" => counts.spoilt, "open" => self.ledger.len(), "clients" => self.clients.open,
+                "probes" => counts.health_checks, "spoilt" => counts.spoilt, "open" => self.requests.len(), "clients" => self.clients.open,
                 "hosts" => self.pool.len());
         }
         self.set_timer(ROUND, Timer::Round);
--- a/src/net/event_loop/trace.rs
+++ b/src/net/event_loop/trace.rs
@@ -5,9 +5,9 @@
 
 use super::slots::Key;
 use super::Gateway;
-use crate::balancer::{Balancer, Ended, Ticket};
+use crate::attempt::{AttemptOutcome, AttemptProgress, FailureCause, ResponseStatus};
 use crate::notice::{role_name, Dating, Notice, ReadBasis};
-use crate::{MemberId, Micros};
+use crate::{MemberId, Micros, RequestId};
 
 impl Gateway {
     /// Writes what the decision module has to tell.
@@ -31,36 +31,38 @@
                 }
             }
             Notice::GivenUp { request, why, attempts } => {
-                let id = self.request_id(Balancer::ticket(request));
+                let id = self.client_id(request);
                 debug!(self.log, "request given up"; "id" => id, "why" => ?why, "attempts" => attempts);
             }
         }
     }
 
     /// An attempt's last byte has been written.
-    pub(super) fn log_attempt(&self, ticket: Ticket, member: MemberId) {
+    pub(super) fn log_attempt(&self, request_id: RequestId, member: MemberId) {
         if !self.log.is_debug_enabled() {
             return;
         }
-        let basis = self.balancer.read_basis(self.now, ticket);
+        let basis = self.balancer.read_basis(self.now, request_id);
         let Some(ReadBasis { needed, position, age, source, log_time, dating }) = basis else { return };
         let dated = dating.map(|dating| (self.directory.name(dating.member), dating.status));
-        debug!(self.log, "attempt written"; "id" => self.request_id(ticket), "host" => self.directory.name(member),
+        debug!(self.log, "attempt written"; "id" => self.client_id(request_id), "host" => self.directory.name(member),
             "needed_ms" => self.unix_ms(needed), "position_ms" => self.unix_ms(position), "age_ms" => age.0 / 1000,
             "source" => ?source, "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated,
             "dated_ms_ago" => dating.map(|dating| self.ms_ago(dating.heard)));
     }
 
     /// An attempt has ended.
-    pub(super) fn log_attempt_end(&self, ticket: Ticket, member: MemberId, ended: &Ended) {
-        let (id, host) = (self.request_id(ticket), self.directory.name(member));
-        match ended {
-            Ended::Answer { said, role, position } => {
+    pub(super) fn log_attempt_end(&self, request_id: RequestId, member: MemberId, outcome: &AttemptOutcome) {
+        let (id, host) = (self.client_id(request_id), self.directory.name(member));
+        match outcome {
+            AttemptOutcome::Response { status, role, position } => {
                 debug!(self.log, "attempt answered"; "id" => id, "host" => host,
-                "said" => ?said, "role" => role_name(*role), "position_ms" => self.unix_ms(*position))
+                "said" => status_name(*status), "role" => role_name(*role), "position_ms" => self.unix_ms(*position))
+            }
+            AttemptOutcome::NoResponse(failed) => {
+                debug!(self.log, "attempt broke"; "id" => id, "host" => host,
+                "reach" => progress_name(failed.progress), "cause" => cause_name(failed.cause))
             }
-            Ended::Broken(broken) => debug!(self.log, "attempt broke"; "id" => id, "host" => host,
-                "reach" => ?broken.reach, "cause" => ?broken.cause),
         }
     }
 
@@ -69,8 +71,8 @@
         debug!(self.log, "connection to a host closed"; "connection" => key.place, "why" => why);
     }
 
-    fn request_id(&self, ticket: Ticket) -> &str {
-        self.ledger.get(ticket).map_or("?", |life| life.work.id.as_str())
+    fn client_id(&self, request_id: RequestId) -> &str {
+        self.requests.get(request_id).map_or("?", |request| request.statement.id.as_str())
     }
 
     fn unix_ms(&self, position: Option<Micros>) -> Option<f64> {
@@ -81,3 +83,33 @@
         (self.now - time).as_f64() / 1000.0
     }
 }
+
+/// What a response is called in the log.
+fn status_name(status: ResponseStatus) -> &'static str {
+    match status {
+        ResponseStatus::Served => "Served",
+        ResponseStatus::Unsuitable => "Miss",
+        ResponseStatus::Rejected => "TurnedAway",
+        ResponseStatus::Failed => "Error",
+    }
+}
+
+/// What the progress of a failed attempt is called in the log.
+fn progress_name(progress: AttemptProgress) -> &'static str {
+    match progress {
+        AttemptProgress::NotConnected => "NotConnected",
+        AttemptProgress::PartiallyWritten => "PartlyWritten",
+        AttemptProgress::FullyWritten => "WhollyWritten",
+    }
+}
+
+/// What the cause of a failed attempt is called in the log.
+fn cause_name(cause: FailureCause) -> &'static str {
+    match cause {
+        FailureCause::ConnectionLost => "Lost",
+        FailureCause::MalformedResponse => "Spoilt",
+        FailureCause::TimedOut => "TimedOut",
+        FailureCause::NotAttempted => "NotTried",
+        FailureCause::WrittenTooLate => "WrittenTooLate",
+    }
+}
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -225,14 +225,14 @@
         let mut settings = site.settings;
         let names = site.classes.iter().cloned();
         let new = names.zip(std::mem::take(&mut settings.classes)).collect();
-        settings.classes = self.classes.adopt(self.now, new, |class| self.balancer.bears(class));
+        settings.classes = self.classes.adopt(self.now, new, |class| self.balancer.has_requests_of(class));
         for class in &site.classes {
             self.figures.class(class);
         }
         self.pool.keep_for(settings.connection_idle_timeout);
         (self.watching.gateways, self.watching.drain_grace) = (settings.gateways, settings.drain_grace);
         self.connect_timeout = site.connect_timeout.max(Micros::millis(10));
-        self.balancer.retune(settings);
+        self.balancer.update_settings(settings);
     }
 
     /// Discovery may have moved: the watch goes on there at once, with the whole list, since versions of
@@ -267,9 +267,9 @@
             if !own {
                 entry.listed = Listed::Gone;
             }
-            own || balancer.lists(entry.member)
+            own || balancer.is_listed(entry.member)
         });
         // Who is missing from a whole list is gone, but not for a line that cannot be read.
-        self.balancer.members(self.now, (all || known) && unread == 0, entries);
+        self.balancer.update_endpoints(self.now, (all || known) && unread == 0, entries);
     }
 }
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -13,13 +13,13 @@
 use super::slots::Key;
 use super::succession::Passed;
 use super::{Gateway, Phase};
-use crate::balancer::{self, Ticket};
+use crate::balancer;
 use crate::net::discovery::Listing;
 use crate::ops::figures::Figures;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
 use crate::settings::{Site, Zones};
-use crate::{GroupId, Micros, SessionKey};
+use crate::{GroupId, Micros, RequestId, SessionKey};
 
 /// Most requests that lie in one worker's post: some milliseconds of its work, so that one that finds it full
 /// would have waited too long.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InFlight {
     /// Here, under this ticket.
-    Here(Ticket),
+    Here(RequestId),
     /// At this worker.
     At(usize),
 }
@@ -58,7 +58,7 @@
     /// To a front: a client to serve, and since when it may have waited to be accepted.
     Client(TcpStream, Micros),
     /// To a home: a request, and when its client gives up.
-    Ask { owner: Owner, statement: Box<Statement>, until: Micros },
+    Request { owner: Owner, statement: Box<Statement>, until: Micros },
     /// To a home: the client of an open request has left, or has cancelled it.
     Left(Owner, Parting),
     /// To the line: the same of a request that may have gone past it.
@@ -109,7 +109,7 @@
     /// Who waits for what the message brings.
     fn owner(&self, me: usize) -> Option<Owner> {
         match self {
-            WorkerMessage::Ask { owner, .. } | WorkerMessage::Via { owner, .. } => Some(*owner),
+            WorkerMessage::Request { owner, .. } | WorkerMessage::Via { owner, .. } => Some(*owner),
             WorkerMessage::Commit { answer, .. } => answer.as_ref().map(|(owner, _)| *owner),
             WorkerMessage::Left(owner, _) | WorkerMessage::Drained(owner) => Some(*owner),
             WorkerMessage::Answer(key, _) | WorkerMessage::Piece { key, .. } => {
@@ -240,10 +240,10 @@
     fn handle_message(&mut self, message: WorkerMessage) {
         match message {
             WorkerMessage::Client(socket, since) => self.welcome(socket, since),
-            WorkerMessage::Ask { owner, statement, until } => self.take_on(owner, *statement, until),
+            WorkerMessage::Request { owner, statement, until } => self.take_on(owner, *statement, until),
             WorkerMessage::Left(owner, how) => {
-                if let Some(ticket) = self.remote_requests.get(&owner).copied() {
-                    self.abandon(ticket, how);
+                if let Some(request_id) = self.remote_requests.get(&owner).copied() {
+                    self.abandon(request_id, how);
                 }
             }
             WorkerMessage::Leave { home, owner, how } if home == self.me => {
@@ -258,8 +258,8 @@
                 }
             }
             WorkerMessage::Drained(owner) => {
-                if let Some(ticket) = self.remote_requests.get(&owner).copied() {
-                    self.let_flow(ticket);
+                if let Some(request_id) = self.remote_requests.get(&owner).copied() {
+                    self.let_flow(request_id);
                 }
             }
             WorkerMessage::Answer(key, answer) => self.give(key, answer),
@@ -285,7 +285,9 @@
             WorkerMessage::Via { home, owner, statement, until } => match home == self.me {
                 true => self.take_on(owner, *statement, until),
                 false => {
-                    if self.workers.posts[home].offer(WorkerMessage::Ask { owner, statement, until }).is_err()
+                    if self.workers.posts[home]
+                        .offer(WorkerMessage::Request { owner, statement, until })
+                        .is_err()
                     {
                         self.counts.refused += 1;
                         self.answer(owner, Final::Refused(None));
@@ -294,7 +296,7 @@
             },
             WorkerMessage::Commit { commit, answer } => self.tell_commit(commit, answer),
             WorkerMessage::Committed((group, session, commit)) => {
-                self.balancer.committed(group, session, commit)
+                self.balancer.record_commit(group, session, commit)
             }
             WorkerMessage::Part => {
                 let (known, open) = self.own_snapshot();
@@ -334,6 +336,6 @@
         if self.me != 0 && self.workers.linked.load(Ordering::SeqCst) {
             return self.workers.posts[0].offer(WorkerMessage::Via { home, owner, statement, until }).is_ok();
         }
-        self.workers.posts[home].offer(WorkerMessage::Ask { owner, statement, until }).is_ok()
+        self.workers.posts[home].offer(WorkerMessage::Request { owner, statement, until }).is_ok()
     }
 }
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -1,8 +1,7 @@
 //! A connection to a database host, driven by bytes: from greeting through one request at a time.
 
 use super::codec::{self, Frame, Inbox, Outbox};
-use crate::balancer::Said;
-use crate::request::Reach;
+use crate::attempt::{AttemptProgress, ResponseStatus};
 use crate::Role;
 
 /// Longest value that is held until it is whole; a longer one flows.
@@ -54,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// What it says.
-    pub said: Said,
+    pub said: ResponseStatus,
     /// The messages that a client gets to see.
     pub rows: Vec<u8>,
     /// The value of its row, if it is short enough for a report.
@@ -113,7 +112,7 @@
 }
 
 fn blank() -> Answer {
-    Answer { said: Said::Error, rows: Vec::new(), value: None, role: None, position: None }
+    Answer { said: ResponseStatus::Failed, rows: Vec::new(), value: None, role: None, position: None }
 }
 
 impl Host {
@@ -235,9 +234,9 @@
             }
             (b'E', State::Busy(stage)) if stage != Stage::Told => {
                 self.answer.said = match codec::error_code(body).ok_or(Nonsense)? {
-                    "25006" | "72000" => Said::Miss,
-                    "53300" | "57P03" => Said::TurnedAway,
-                    _ => Said::Error,
+                    "25006" | "72000" => ResponseStatus::Unsuitable,
+                    "53300" | "57P03" => ResponseStatus::Rejected,
+                    _ => ResponseStatus::Failed,
                 };
                 self.answer.rows.clear();
                 self.answer.value = None;
@@ -255,7 +254,7 @@
             }
             (b'C', _) if body.ends_with(&[0]) && body[..body.len() - 1].is_ascii() => {
                 self.pass_on(frame, Stage::Told);
-                self.answer.said = Said::Served;
+                self.answer.said = ResponseStatus::Served;
             }
             (b'Z', _) if body == b"I" => {
                 self.state = State::Idle;
@@ -283,11 +282,11 @@
     }
 
     /// How far the request had come, if the connection ends now.
-    pub fn reach(&self) -> Reach {
+    pub fn reach(&self) -> AttemptProgress {
         match (self.asked, self.out.is_empty()) {
-            (false, _) => Reach::NotConnected,
-            (true, false) => Reach::PartlyWritten,
-            (true, true) => Reach::WhollyWritten,
+            (false, _) => AttemptProgress::NotConnected,
+            (true, false) => AttemptProgress::PartiallyWritten,
+            (true, true) => AttemptProgress::FullyWritten,
         }
     }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,166 +1,129 @@
-//! A request's life: who is owed its answer, which attempt is out and when the client gives up.
+//! The requests that are owed a response: who waits for each, which attempt is out and when the client gives up.
 //! Knows no protocol and no sockets: owners and connections are whatever the caller names them by.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::balancer::Ticket;
-use crate::Micros;
-
-/// How far an attempt's bytes had come when it broke.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
-    /// No connection was up for it.
-    NotConnected,
-    /// Its last byte was not written yet.
-    PartlyWritten,
-    /// Its last byte was written.
-    WhollyWritten,
-}
-
-/// What ended an attempt that has no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// The connection was refused, never came up or broke.
-    Lost,
-    /// What came back is no answer.
-    Spoilt,
-    /// The time for it ran out.
-    TimedOut,
-    /// The gateway did not try: no descriptors, no address, or the choice had gone stale.
-    NotTried,
-    /// The gateway was held up as it wrote: the data may have become too old meanwhile.
-    WrittenTooLate,
-}
-
-/// An attempt that ended without an answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// How far it had come.
-    pub reach: Reach,
-    /// What ended it.
-    pub cause: Cause,
-}
+use crate::{Micros, RequestId};
 
-impl Broken {
-    /// Whether the host may have run it: it begins once the last byte has arrived, never before.
-    pub fn may_have_run(self) -> bool {
-        self.reach == Reach::WhollyWritten
-    }
-}
-
-/// A request that is owed an answer.
+/// A request that is owed a response.
 #[derive(Debug)]
-pub struct Life<K, W, O = K> {
-    /// The client connection that asked.
+pub struct InFlightRequest<C, S, O = C> {
+    /// Who waits for the response.
     pub owner: O,
-    /// What it asked for, as the protocol's front needs it to send it on.
-    pub work: W,
+    /// What is forwarded to a host.
+    pub statement: S,
     /// When the client stops waiting.
-    pub until: Micros,
-    /// Its name, which no other request may bear while it is open.
-    name: String,
-    attempt: Option<K>,
-    flows: bool,
+    pub deadline: Micros,
+    /// The id that the client gave it, which no other request may have while it is in flight.
+    client_id: String,
+    attempt: Option<C>,
+    is_streaming: bool,
 }
 
-impl<K: Copy, W, O> Life<K, W, O> {
+impl<C: Copy, S, O> InFlightRequest<C, S, O> {
     /// The connection that carries the attempt now out.
-    pub fn attempt(&self) -> Option<K> {
+    pub fn attempt(&self) -> Option<C> {
         self.attempt
     }
 
-    /// Whether its answer has begun to flow to the client: then it has no deadline and no further try.
-    pub fn flows(&self) -> bool {
-        self.flows
+    /// Whether its response has begun to stream to the client: from then on it has no deadline and no retry.
+    pub fn is_streaming(&self) -> bool {
+        self.is_streaming
     }
 }
 
-/// All requests that are owed an answer. Each leaves it exactly once, through [`Ledger::finish`].
+/// All requests that are owed a response. Each leaves exactly once, through [`InFlightRequests::finish`].
 #[derive(Debug)]
-pub struct Ledger<K, W, O = K> {
-    lives: BTreeMap<Ticket, Life<K, W, O>>,
-    names: BTreeSet<String>,
-    /// Names of requests that another process answers, and when each ends at the latest.
-    others: BTreeMap<String, Micros>,
+pub struct InFlightRequests<C, S, O = C> {
+    requests: BTreeMap<RequestId, InFlightRequest<C, S, O>>,
+    client_ids: BTreeSet<String>,
+    /// Client ids of requests that another process answers, and when each ends at the latest.
+    elsewhere: BTreeMap<String, Micros>,
 }
 
-impl<K, W, O> Default for Ledger<K, W, O> {
+impl<C, S, O> Default for InFlightRequests<C, S, O> {
     fn default() -> Self {
-        Ledger { lives: BTreeMap::new(), names: BTreeSet::new(), others: BTreeMap::new() }
+        InFlightRequests {
+            requests: BTreeMap::new(),
+            client_ids: BTreeSet::new(),
+            elsewhere: BTreeMap::new(),
+        }
     }
 }
 
-impl<K: Copy, W, O> Ledger<K, W, O> {
-    /// Takes a request on.
-    pub fn open(&mut self, ticket: Ticket, name: &str, owner: O, work: W, until: Micros) {
-        let name = name.to_string();
-        self.names.insert(name.clone());
-        self.lives.insert(ticket, Life { owner, work, until, name, attempt: None, flows: false });
+impl<C: Copy, S, O> InFlightRequests<C, S, O> {
+    /// Adds a request.
+    pub fn insert(&mut self, id: RequestId, client_id: &str, owner: O, statement: S, deadline: Micros) {
+        let client_id = client_id.to_string();
+        self.client_ids.insert(client_id.clone());
+        let request =
+            InFlightRequest { owner, statement, deadline, client_id, attempt: None, is_streaming: false };
+        self.requests.insert(id, request);
     }
 
-    /// Whether a request of this name is open.
-    pub fn bears(&self, name: &str) -> bool {
-        self.names.contains(name) || self.others.contains_key(name)
+    /// Whether a request to which a client gave this id is in flight, here or at another process.
+    pub fn has_client_id(&self, client_id: &str) -> bool {
+        self.client_ids.contains(client_id) || self.elsewhere.contains_key(client_id)
     }
 
-    /// The names of the open requests, and when each ends at the latest.
-    pub fn names(&self) -> impl Iterator<Item = (&str, Micros)> {
-        self.lives.values().map(|life| (life.name.as_str(), life.until))
+    /// The client ids of the requests, and when each request ends at the latest.
+    pub fn client_ids(&self) -> impl Iterator<Item = (&str, Micros)> {
+        self.requests.values().map(|request| (request.client_id.as_str(), request.deadline))
     }
 
-    /// The open requests whose answers do not flow yet.
-    pub fn waiting(&self) -> impl Iterator<Item = Ticket> + '_ {
-        self.lives.iter().filter(|(_, life)| !life.flows).map(|(ticket, _)| *ticket)
+    /// The requests whose responses do not stream yet.
+    pub fn waiting(&self) -> impl Iterator<Item = RequestId> + '_ {
+        self.requests.iter().filter(|(_, request)| !request.is_streaming).map(|(id, _)| *id)
     }
 
-    /// Books requests that another process answers.
-    pub fn leave_to_others(&mut self, open: impl IntoIterator<Item = (String, Micros)>) {
-        self.others.extend(open);
+    /// Adds requests that another process answers, by their client ids and deadlines.
+    pub fn add_elsewhere(&mut self, requests: impl IntoIterator<Item = (String, Micros)>) {
+        self.elsewhere.extend(requests);
     }
 
-    /// Forgets those of them that have ended.
-    pub fn forget_others(&mut self, now: Micros) {
-        self.others.retain(|_, until| *until > now);
+    /// Forgets the requests of another process whose deadlines have passed.
+    pub fn forget_elsewhere(&mut self, now: Micros) {
+        self.elsewhere.retain(|_, deadline| *deadline > now);
     }
 
-    /// The request, while it is owed an answer.
-    pub fn get(&self, ticket: Ticket) -> Option<&Life<K, W, O>> {
-        self.lives.get(&ticket)
+    /// The request, while it is owed a response.
+    pub fn get(&self, id: RequestId) -> Option<&InFlightRequest<C, S, O>> {
+        self.requests.get(&id)
     }
 
-    /// Books an attempt. False, and nothing is booked, if the request has ended or one is out already.
+    /// Records an attempt. False, and nothing is recorded, if the request has finished or an attempt is out already.
     #[must_use]
-    pub fn begin(&mut self, ticket: Ticket, on: K) -> bool {
-        let free = self.lives.get_mut(&ticket).filter(|life| life.attempt.is_none());
-        free.map(|life| life.attempt = Some(on)).is_some()
+    pub fn start_attempt(&mut self, id: RequestId, connection: C) -> bool {
+        let free = self.requests.get_mut(&id).filter(|request| request.attempt.is_none());
+        free.map(|request| request.attempt = Some(connection)).is_some()
     }
 
-    /// Books that the answer of the attempt that is out flows to the client from now on.
-    pub fn flow(&mut self, ticket: Ticket) {
-        if let Some(life) = self.lives.get_mut(&ticket) {
-            life.flows = life.attempt.is_some();
+    /// Records that the response of the attempt that is out streams to the client from now on.
+    pub fn start_streaming(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_streaming = request.attempt.is_some();
         }
     }
 
-    /// Books the end of the attempt that is out and names its connection.
-    pub fn end(&mut self, ticket: Ticket) -> Option<K> {
-        self.lives.get_mut(&ticket)?.attempt.take()
+    /// Records the end of the attempt that is out, and returns its connection.
+    pub fn end_attempt(&mut self, id: RequestId) -> Option<C> {
+        self.requests.get_mut(&id)?.attempt.take()
     }
 
-    /// Ends a request: whoever gets it back must answer, nobody else may.
-    pub fn finish(&mut self, ticket: Ticket) -> Option<Life<K, W, O>> {
-        let life = self.lives.remove(&ticket)?;
-        self.names.remove(&life.name);
-        Some(life)
+    /// Removes a request: whoever gets it must answer it, nobody else may.
+    pub fn finish(&mut self, id: RequestId) -> Option<InFlightRequest<C, S, O>> {
+        let request = self.requests.remove(&id)?;
+        self.client_ids.remove(&request.client_id);
+        Some(request)
     }
 
-    /// Number of requests owed an answer.
+    /// Number of requests that are owed a response.
     pub fn len(&self) -> usize {
-        self.lives.len()
+        self.requests.len()
     }
 
-    /// Whether nobody is owed anything.
+    /// Whether no request is owed a response.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.requests.is_empty()
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,13 +1,12 @@
 //! Connection states against random steps: whatever the cut of the bytes, a client gets one answer
 //! a query in order, and a host's answer counts only once it is whole.
 
-use dunemount::balancer::Said;
+use dunemount::attempt::{AttemptProgress, ResponseStatus};
 use dunemount::pg::client::{Client, Demand, Handover};
 use dunemount::pg::codec::{self, Inbox};
 use dunemount::pg::host::{Answer, Host, Turn};
 use dunemount::pg::statement::{Malformed, Statement};
 use dunemount::pg::timed_inbox::{Arrival, TimedInbox};
-use dunemount::request::Reach;
 use dunemount::{Micros, Role};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -146,9 +145,9 @@
         let mut host = welcomed();
         prop_assert!(host.ask("q"));
         let (mut bytes, mut told_at) = (Vec::new(), usize::MAX);
-        let said = [Said::Served, Said::Miss, Said::TurnedAway, Said::Error][kind];
+        let said = [ResponseStatus::Served, ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][kind];
         codec::frame(&mut bytes, b'N', b"SNOTICE\0\0");
-        if said == Said::Served {
+        if said == ResponseStatus::Served {
             codec::frame(&mut bytes, b'T', DOC);
             let mut row = vec![0, 1];
             row.extend_from_slice(&(value.len() as u32).to_be_bytes());
@@ -162,7 +161,7 @@
         codec::parameter(&mut bytes, "part", "replica");
         codec::parameter(&mut bytes, "caught_up_to", "1767225600123");
         codec::ready(&mut bytes);
-        prop_assert_eq!(host.reach(), Reach::PartlyWritten);
+        prop_assert_eq!(host.reach(), AttemptProgress::PartiallyWritten);
         host.out.flush(&mut Vec::new()).expect("written");
         let whole = cut >= bytes.len();
         bytes.truncate(cut);
@@ -174,14 +173,14 @@
             }
         }
         prop_assert_eq!(host.is_idle(), whole);
-        let reach = if whole { Reach::NotConnected } else { Reach::WhollyWritten };
+        let reach = if whole { AttemptProgress::NotConnected } else { AttemptProgress::FullyWritten };
         prop_assert_eq!(host.reach(), reach, "of the request now on the connection");
         if whole {
             let Some(Turn::Answered(answer)) = turns.pop() else { panic!("no answer") };
             prop_assert_eq!((answer.said, answer.role), (said, Some(Role::Replica)));
             prop_assert_eq!(answer.position, Some(1_767_225_600_123.0));
-            prop_assert_eq!(answer.value, (said == Said::Served).then_some(value));
-            prop_assert_eq!(tags(&answer.rows), if said == Said::Served { "TDC" } else { "" });
+            prop_assert_eq!(answer.value, (said == ResponseStatus::Served).then_some(value));
+            prop_assert_eq!(tags(&answer.rows), if said == ResponseStatus::Served { "TDC" } else { "" });
             prop_assert!(host.ended().is_none(), "told twice");
         } else {
             prop_assert!(!host.ask("next"), "asked into an unfinished reply");
@@ -245,7 +244,7 @@
         }
         match (lost, ended.or_else(|| host.ended())) {
             (None, Some(answer)) => {
-                prop_assert_eq!((flowed, answer.said), (length > 64 * 1024, Said::Served));
+                prop_assert_eq!((flowed, answer.said), (length > 64 * 1024, ResponseStatus::Served));
                 seen.extend(answer.rows);
                 prop_assert!(seen == bytes[..shown]);
             }
@@ -503,7 +502,7 @@
     codec::frame(&mut bytes, b'?', &[]);
     host.receive(&bytes);
     assert_eq!(host.turn(), Some(Turn::Nonsense));
-    assert_eq!(host.reach(), Reach::WhollyWritten);
+    assert_eq!(host.reach(), AttemptProgress::FullyWritten);
 }
 
 /// Guards against statements that cannot be routed: each is told what is wrong with it.
@@ -603,7 +602,7 @@
         host.out.flush(&mut Vec::new()).expect("written");
         host.receive(&answer(parts));
         assert_eq!(host.turn(), Some(Turn::Nonsense), "{parts:?}");
-        assert_eq!((host.reach(), host.ended()), (Reach::WhollyWritten, None), "{parts:?}");
+        assert_eq!((host.reach(), host.ended()), (AttemptProgress::FullyWritten, None), "{parts:?}");
     }
     // A value that claims 3 GB, and noise, are told at once: nothing more is waited for.
     for bytes in [b"T\0\0\0\x1d".to_vec(), b"D\xc0\0\0\0".to_vec(), b"C\0\0\x7f\xff".to_vec(), vec![7]] {
@@ -639,6 +638,10 @@
             READY,
         ]));
         let Some(Turn::Answered(answer)) = host.turn() else { panic!("no answer beside {note:?}") };
-        assert_eq!((answer.said, answer.role, answer.position), (Said::Served, None, None), "{note:?}");
+        assert_eq!(
+            (answer.said, answer.role, answer.position),
+            (ResponseStatus::Served, None, None),
+            "{note:?}"
+        );
     }
 }
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
-use dunemount::request::{Broken, Cause, Ledger, Reach};
+use dunemount::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
+use dunemount::balancer::{Balancer, EndpointCounts, Output, RoutingDecision, RoutingRequest};
+use dunemount::request::InFlightRequests;
 use dunemount::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -66,12 +67,12 @@
         primary: id == 1,
         ..Entry::default()
     };
-    balancer.members(START, true, (1..=3).map(entry).collect());
+    balancer.update_endpoints(START, true, (1..=3).map(entry).collect());
     balancer
 }
 
-fn ask(class: usize, session: u64, time_left: Micros) -> Ask {
-    Ask {
+fn request(class: usize, session: u64, time_left: Micros) -> RoutingRequest {
+    RoutingRequest {
         class: ClassId(class),
         group: GroupId(1),
         session: SessionKey(session),
@@ -81,50 +82,52 @@
     }
 }
 
-fn answer(said: Said, member: MemberId, position: Micros) -> Ended {
+fn answer(said: ResponseStatus, member: MemberId, position: Micros) -> AttemptOutcome {
     let role = Some(if member == MemberId(1) { Role::Primary } else { Role::Replica });
-    Ended::Answer { said, role, position: Some(position) }
+    AttemptOutcome::Response { status: said, role, position: Some(position) }
 }
 
 /// The primary answers two reads, its log having gone on in between, and so proves the time of its log: without that no
 /// replica's position says how old its data are, and one answer alone proves nothing.
 fn tell_log_time(balancer: &mut Balancer) {
     for now in [START, START + Micros::millis(2)] {
-        let (ticket, verdict) = balancer.pick(now, ask(0, 1, LONG));
-        assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
-        balancer.report(now, ticket, answer(Said::Served, MemberId(1), now));
+        let (request_id, decision) = balancer.pick(now, request(0, 1, LONG));
+        assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
+        balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, MemberId(1), now));
     }
 }
 
 /// What the network code would hold: the deadline of each open request and the member it is out at.
 #[derive(Default)]
 struct Desk {
-    open: BTreeMap<Ticket, (Micros, Option<MemberId>)>,
+    open: BTreeMap<RequestId, (Micros, Option<MemberId>)>,
 }
 
 impl Desk {
-    fn take(&mut self, ticket: Ticket, verdict: Verdict) {
-        let (_, out) = self.open.get_mut(&ticket).expect("a verdict on a request that has ended");
-        match verdict {
-            Verdict::Held => {}
-            Verdict::Send { member, .. } => {
+    fn take(&mut self, request_id: RequestId, decision: RoutingDecision) {
+        let (_, out) = self.open.get_mut(&request_id).expect("a decision on a request that has ended");
+        match decision {
+            RoutingDecision::Queued => {}
+            RoutingDecision::Send { member, .. } => {
                 assert!(out.replace(member).is_none(), "two attempts out at once");
             }
-            Verdict::Refuse { .. } | Verdict::Fail => {
-                self.open.remove(&ticket);
+            RoutingDecision::Reject { .. } | RoutingDecision::Fail => {
+                self.open.remove(&request_id);
             }
         }
     }
 
     fn settle(&mut self, now: Micros, balancer: &mut Balancer) {
-        while let Some(due) = balancer.tick(now) {
-            match due {
-                Due::Verdict(ticket, verdict) => self.take(ticket, verdict),
-                Due::Cancel(ticket) => {
-                    self.open.get_mut(&ticket).expect("a cancel after the end").1 = None;
+        while let Some(output) = balancer.poll_output(now) {
+            match output {
+                Output::Decision(request_id, decision) => self.take(request_id, decision),
+                Output::Cancel(request_id) => {
+                    self.open.get_mut(&request_id).expect("a cancel after the end").1 = None;
                 }
-                Due::Probe(member) => balancer.probed(now, member, answer(Said::Served, member, now)),
-                Due::CloseIdle(_) | Due::Notice(_) => {}
+                Output::HealthCheck(member) => {
+                    balancer.health_checked(now, member, answer(ResponseStatus::Served, member, now))
+                }
+                Output::CloseIdle(_) | Output::Notice(_) => {}
             }
         }
         let overdue = self.open.values().any(|(until, _)| *until < now);
@@ -137,10 +140,10 @@
         cases: 200, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Default::default()
     })]
 
-    /// Guards the two promises the network code builds on: one final verdict for every request before
+    /// Guards the two promises the network code builds on: one final answer for every request before
     /// its client gives up, and never a send while an attempt is out.
     #[test]
-    fn every_request_gets_one_verdict_in_time(
+    fn every_request_gets_one_decision_in_time(
         steps in prop::collection::vec((0..9u8, any::<u8>(), 1..60u64), 1..120),
         cancels in any::<bool>(),
     ) {
@@ -153,35 +156,35 @@
                 (0..=2, _) => {
                     // Down to nothing: a client's last try has little of its time left.
                     let left = Micros::millis(u64::from(pick) * 4);
-                    let (ticket, verdict) = balancer.pick(now, ask(nth(4), u64::from(pick) % 5, left));
-                    desk.open.insert(ticket, (now + left, None));
-                    desk.take(ticket, verdict);
+                    let (request_id, decision) = balancer.pick(now, request(nth(4), u64::from(pick) % 5, left));
+                    desk.open.insert(request_id, (now + left, None));
+                    desk.take(request_id, decision);
                 }
-                (3..=6, Some((ticket, member))) => {
-                    let reach = [Reach::NotConnected, Reach::PartlyWritten, Reach::WhollyWritten][nth(3)];
-                    let cause = [Cause::Lost, Cause::TimedOut, Cause::NotTried][nth(3)];
-                    let ended = match step {
-                        3 => answer(Said::Served, member, now),
-                        4 => answer([Said::Miss, Said::TurnedAway, Said::Error][nth(3)], member, now),
-                        _ => Ended::Broken(Broken { reach, cause }),
+                (3..=6, Some((request_id, member))) => {
+                    let progress = [AttemptProgress::NotConnected, AttemptProgress::PartiallyWritten, AttemptProgress::FullyWritten][nth(3)];
+                    let cause = [FailureCause::ConnectionLost, FailureCause::TimedOut, FailureCause::NotAttempted][nth(3)];
+                    let outcome = match step {
+                        3 => answer(ResponseStatus::Served, member, now),
+                        4 => answer([ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][nth(3)], member, now),
+                        _ => AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
                     };
-                    desk.open.get_mut(&ticket).expect("open").1 = None;
-                    let verdict = balancer.report(now, ticket, ended);
+                    desk.open.get_mut(&request_id).expect("open").1 = None;
+                    let decision = balancer.handle_outcome(now, request_id, outcome);
                     if step == 3 {
-                        prop_assert_eq!(verdict, Verdict::Held);
-                        desk.open.remove(&ticket);
+                        prop_assert_eq!(decision, RoutingDecision::Queued);
+                        desk.open.remove(&request_id);
                     } else {
-                        desk.take(ticket, verdict);
+                        desk.take(request_id, decision);
                     }
                 }
                 (7, _) => {
-                    let Some(ticket) = desk.open.keys().nth(nth(desk.open.len())).copied() else { continue };
-                    balancer.gone(now, ticket);
-                    desk.open.remove(&ticket);
+                    let Some(request_id) = desk.open.keys().nth(nth(desk.open.len())).copied() else { continue };
+                    balancer.handle_client_gone(now, request_id);
+                    desk.open.remove(&request_id);
                 }
                 _ => {
                     // The loop wakes when something is due; it may be a little late.
-                    let next = balancer.next_due().unwrap_or(START);
+                    let next = balancer.next_deadline().unwrap_or(START);
                     now = now.max(next.min(now + Micros::millis(ms))) + Micros(u64::from(pick));
                 }
             }
@@ -190,28 +193,30 @@
     }
 }
 
-/// Guards the one place where the reach of a broken attempt decides whether it may have run: a write
+/// Guards the one place where the progress of a failed attempt decides whether it may have run: a write
 /// that never ran is refused and so may be repeated, one that may have run is failed.
 #[test]
-fn reach_decides_what_a_write_is_told() {
-    for reach in [Reach::NotConnected, Reach::PartlyWritten, Reach::WhollyWritten] {
+fn progress_decides_how_a_write_is_answered() {
+    for progress in
+        [AttemptProgress::NotConnected, AttemptProgress::PartiallyWritten, AttemptProgress::FullyWritten]
+    {
         let (mut balancer, mut now) = (balancer(true), START);
-        let (ticket, mut verdict) = balancer.pick(now, ask(3, 1, LONG));
+        let (request_id, mut decision) = balancer.pick(now, request(3, 1, LONG));
         let last = loop {
-            match verdict {
-                Verdict::Send { .. } => {
-                    let broken = Broken { reach, cause: Cause::Lost };
-                    verdict = balancer.report(now, ticket, Ended::Broken(broken));
+            match decision {
+                RoutingDecision::Send { .. } => {
+                    let failed = FailedAttempt { progress, cause: FailureCause::ConnectionLost };
+                    decision = balancer.handle_outcome(now, request_id, AttemptOutcome::NoResponse(failed));
                 }
-                Verdict::Held => match balancer.tick(now) {
-                    Some(Due::Verdict(_, due)) => verdict = due,
+                RoutingDecision::Queued => match balancer.poll_output(now) {
+                    Some(Output::Decision(_, next)) => decision = next,
                     Some(_) => {}
                     None => now = now + Micros::millis(5),
                 },
                 last => break last,
             }
         };
-        assert_eq!(last == Verdict::Fail, reach == Reach::WhollyWritten, "{reach:?}");
+        assert_eq!(last == RoutingDecision::Fail, progress == AttemptProgress::FullyWritten, "{progress:?}");
     }
 }
 
@@ -223,45 +228,56 @@
     tell_log_time(&mut balancer);
     let position = START - Micros::millis(490);
     for member in [2, 3] {
-        balancer.probed(START, MemberId(member), answer(Said::Served, MemberId(member), position));
+        balancer.health_checked(
+            START,
+            MemberId(member),
+            answer(ResponseStatus::Served, MemberId(member), position),
+        );
     }
-    let (ticket, verdict) = balancer.pick(START, ask(0, 1, LONG));
-    assert!(matches!(verdict, Verdict::Send { member: MemberId(2 | 3), .. }));
-    assert!(balancer.still_holds(START, ticket));
-    assert!(!balancer.still_holds(START + Micros::millis(20), ticket));
-    balancer.gone(START, ticket);
-    assert!(!balancer.still_holds(START, ticket), "a request that has ended");
+    let (request_id, decision) = balancer.pick(START, request(0, 1, LONG));
+    assert!(matches!(decision, RoutingDecision::Send { member: MemberId(2 | 3), .. }));
+    assert!(balancer.is_attempt_valid(START, request_id));
+    assert!(!balancer.is_attempt_valid(START + Micros::millis(20), request_id));
+    balancer.handle_client_gone(START, request_id);
+    assert!(!balancer.is_attempt_valid(START, request_id), "a request that has ended");
 }
 
 /// Guards that a client's leaving frees the member at once: the attempt counts as called off.
 #[test]
-fn a_request_that_is_gone_gets_no_verdict() {
+fn a_request_that_is_gone_gets_no_decision() {
     let mut balancer = balancer(true);
-    let (ticket, verdict) = balancer.pick(START, ask(3, 1, LONG));
-    assert!(matches!(verdict, Verdict::Send { .. }));
-    balancer.gone(START, ticket);
-    let broken = Ended::Broken(Broken { reach: Reach::WhollyWritten, cause: Cause::TimedOut });
-    assert_eq!(balancer.report(START, ticket, broken), Verdict::Held);
+    let (request_id, decision) = balancer.pick(START, request(3, 1, LONG));
+    assert!(matches!(decision, RoutingDecision::Send { .. }));
+    balancer.handle_client_gone(START, request_id);
+    let failed = AttemptOutcome::NoResponse(FailedAttempt {
+        progress: AttemptProgress::FullyWritten,
+        cause: FailureCause::TimedOut,
+    });
+    assert_eq!(balancer.handle_outcome(START, request_id, failed), RoutingDecision::Queued);
     let later = START + Micros::millis(2000);
-    while let Some(due) = balancer.tick(later) {
-        assert!(!matches!(due, Due::Verdict(..) | Due::Cancel(_)), "{due:?}");
+    while let Some(output) = balancer.poll_output(later) {
+        assert!(!matches!(output, Output::Decision(..) | Output::Cancel(_)), "{output:?}");
     }
 }
 
-/// Guards the ledger: one answer a request, one attempt at a time.
+/// Guards the requests in flight: one answer a request, one attempt at a time.
 #[test]
-fn the_ledger_gives_each_request_away_once() {
-    let (mut ledger, mut balancer) = (Ledger::default(), balancer(true));
-    let (ticket, _) = balancer.pick(START, ask(0, 1, LONG));
-    ledger.open(ticket, "name", 'c', "work", START);
-    assert!(ledger.bears("name") && !ledger.bears("other"));
-    assert!(ledger.begin(ticket, 'a'));
-    assert!(!ledger.begin(ticket, 'b'), "a second attempt while one is out");
-    assert_eq!(ledger.end(ticket), Some('a'));
-    assert!(ledger.begin(ticket, 'b'));
-    assert_eq!(ledger.finish(ticket).and_then(|life| life.attempt()), Some('b'));
-    assert!(ledger.finish(ticket).is_none() && !ledger.begin(ticket, 'd') && ledger.is_empty());
-    assert!(!ledger.bears("name"), "an ended request leaves its name");
+fn each_in_flight_request_is_finished_once() {
+    let (mut requests, mut balancer) = (InFlightRequests::default(), balancer(true));
+    let (request_id, _) = balancer.pick(START, request(0, 1, LONG));
+    requests.insert(request_id, "name", 'c', "work", START);
+    assert!(requests.has_client_id("name") && !requests.has_client_id("other"));
+    assert!(requests.start_attempt(request_id, 'a'));
+    assert!(!requests.start_attempt(request_id, 'b'), "a second attempt while one is out");
+    assert_eq!(requests.end_attempt(request_id), Some('a'));
+    assert!(requests.start_attempt(request_id, 'b'));
+    assert_eq!(requests.finish(request_id).and_then(|request| request.attempt()), Some('b'));
+    assert!(
+        requests.finish(request_id).is_none()
+            && !requests.start_attempt(request_id, 'd')
+            && requests.is_empty()
+    );
+    assert!(!requests.has_client_id("name"), "an ended request leaves its name");
 }
 
 /// Guards against a request overdue: a client's last try may come with less time than the module needs
@@ -270,8 +286,8 @@
 fn a_try_without_time_is_refused_at_once() {
     for class in 0..4 {
         let mut balancer = balancer(true);
-        let (_, verdict) = balancer.pick(START, ask(class, 1, Micros::millis(8)));
-        assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
+        let (_, decision) = balancer.pick(START, request(class, 1, Micros::millis(8)));
+        assert!(matches!(decision, RoutingDecision::Reject { .. }), "{decision:?}");
     }
 }
 
@@ -281,20 +297,25 @@
 fn what_never_reached_a_host_is_not_held_for_long() {
     for class in 0..4 {
         let (mut balancer, mut now) = (balancer(true), START);
-        let (ticket, mut verdict) = balancer.pick(now, ask(class, 1, LONG));
-        while matches!(verdict, Verdict::Held | Verdict::Send { .. }) {
-            let broken = Broken { reach: Reach::NotConnected, cause: Cause::Lost };
-            match balancer.tick(now) {
-                _ if verdict != Verdict::Held => {
-                    verdict = balancer.report(now, ticket, Ended::Broken(broken));
+        let (request_id, mut decision) = balancer.pick(now, request(class, 1, LONG));
+        while matches!(decision, RoutingDecision::Queued | RoutingDecision::Send { .. }) {
+            let failed = FailedAttempt {
+                progress: AttemptProgress::NotConnected,
+                cause: FailureCause::ConnectionLost,
+            };
+            match balancer.poll_output(now) {
+                _ if decision != RoutingDecision::Queued => {
+                    decision = balancer.handle_outcome(now, request_id, AttemptOutcome::NoResponse(failed));
+                }
+                Some(Output::Decision(_, next)) => decision = next,
+                Some(Output::HealthCheck(member)) => {
+                    balancer.health_checked(now, member, AttemptOutcome::NoResponse(failed))
                 }
-                Some(Due::Verdict(_, due)) => verdict = due,
-                Some(Due::Probe(member)) => balancer.probed(now, member, Ended::Broken(broken)),
                 Some(_) => {}
                 None => now = now + Micros::millis(5),
             }
         }
-        assert!(matches!(verdict, Verdict::Refuse { .. }), "class {class}: {verdict:?}");
+        assert!(matches!(decision, RoutingDecision::Reject { .. }), "class {class}: {decision:?}");
         assert!(now < START + LONG.scale(0.5), "class {class}: held until {now:?}");
     }
 }
@@ -319,43 +340,45 @@
         let mut sent = BTreeMap::new();
         for _ in 0..ms / 20 {
             now = now + Micros::millis(20);
-            while let Some(due) = balancer.tick(now) {
-                if let Due::Probe(member) = due {
+            while let Some(output) = balancer.poll_output(now) {
+                if let Output::HealthCheck(member) = output {
                     *sent.entry(member).or_insert(0) += 1;
-                    balancer.probed(now, member, answer(Said::Served, member, now));
+                    balancer.health_checked(now, member, answer(ResponseStatus::Served, member, now));
                 }
             }
-            if let (ticket, Verdict::Send { member, .. }) = balancer.pick(now, ask(0, 1, LONG)) {
+            if let (request_id, RoutingDecision::Send { member, .. }) =
+                balancer.pick(now, request(0, 1, LONG))
+            {
                 *sent.entry(member).or_insert(0) += 1;
-                balancer.report(now, ticket, answer(Said::Served, member, now));
+                balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, member, now));
             }
         }
         (now, sent)
     };
     let (at, sent) = serve(&mut balancer, 2_000);
     assert!(sent[&out] > 10);
-    let (waiting, verdict) = loop {
-        let (ticket, verdict) = balancer.pick(at, ask(0, 1, LONG));
-        if matches!(verdict, Verdict::Send { member, .. } if member == out) {
-            break (ticket, verdict);
+    let (waiting, decision) = loop {
+        let (request_id, decision) = balancer.pick(at, request(0, 1, LONG));
+        if matches!(decision, RoutingDecision::Send { member, .. } if member == out) {
+            break (request_id, decision);
         }
     };
-    assert!(matches!(verdict, Verdict::Send { .. }) && balancer.still_holds(at, waiting));
+    assert!(matches!(decision, RoutingDecision::Send { .. }) && balancer.is_attempt_valid(at, waiting));
     for _ in 0..2 {
         balancer.set_administratively_down(at, out, true);
-        assert!(!balancer.admits(out) && !balancer.still_holds(at, waiting));
+        assert!(!balancer.is_routable(out) && !balancer.is_attempt_valid(at, waiting));
     }
-    assert_eq!(balancer.pool(), (3, 1));
+    assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 3, ejected: 1 });
     let (at, sent) = serve(&mut balancer, 1_000);
     assert!(!sent.contains_key(&out));
-    balancer.members(at, true, vec![entry(1, Listed::Ready), entry(3, Listed::Ready)]);
-    assert_eq!(balancer.pool(), (2, 0));
+    balancer.update_endpoints(at, true, vec![entry(1, Listed::Ready), entry(3, Listed::Ready)]);
+    assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 2, ejected: 0 });
     let (at, _) = serve(&mut balancer, 1_000);
-    balancer.members(at, false, vec![entry(2, Listed::Ready)]);
+    balancer.update_endpoints(at, false, vec![entry(2, Listed::Ready)]);
     let (at, sent) = serve(&mut balancer, 1_000);
     assert!(!sent.contains_key(&out), "it is back in the list and still down");
     balancer.set_administratively_down(at, out, false);
-    assert_eq!(balancer.pool(), (3, 0));
+    assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 3, ejected: 0 });
     let (_, sent) = serve(&mut balancer, 5_000);
     assert!((1..120).contains(&sent[&out]), "a trickle for a cold member: {}", sent[&out]);
 }
@@ -367,23 +390,30 @@
 fn what_another_process_knew_binds_this_one() {
     let mut before = balancer(true);
     for member in [2, 3] {
-        before.probed(START, MemberId(member), answer(Said::Served, MemberId(member), START));
+        before.health_checked(
+            START,
+            MemberId(member),
+            answer(ResponseStatus::Served, MemberId(member), START),
+        );
     }
     before.set_administratively_down(START, MemberId(2), true);
-    before.committed(GroupId(1), SessionKey(9), START + Micros::millis(50));
+    before.record_commit(GroupId(1), SessionKey(9), START + Micros::millis(50));
     let text = serde_json::to_string(&before.snapshot()).expect("written");
     let mut after = balancer(true);
-    after.inherit(serde_json::from_str(&text).expect("read"), Some, Micros(0));
+    after.restore(serde_json::from_str(&text).expect("read"), Some, Micros(0));
     let now = START + Micros::millis(100);
     for (session, wanted) in [(9, 1), (8, 3)] {
-        let (_, verdict) = after.pick(now, ask(1, session, LONG));
-        assert!(matches!(verdict, Verdict::Send { member: MemberId(to), .. } if to == wanted), "{verdict:?}");
+        let (_, decision) = after.pick(now, request(1, session, LONG));
+        assert!(
+            matches!(decision, RoutingDecision::Send { member: MemberId(to), .. } if to == wanted),
+            "{decision:?}"
+        );
     }
     // What is told later counts as well.
-    after.committed(GroupId(1), SessionKey(8), now);
-    let (_, verdict) = after.pick(now, ask(1, 8, LONG));
-    assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
-    assert_eq!(after.pool(), (3, 1));
+    after.record_commit(GroupId(1), SessionKey(8), now);
+    let (_, decision) = after.pick(now, request(1, 8, LONG));
+    assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
+    assert_eq!(after.endpoint_counts(), EndpointCounts { listed: 3, ejected: 1 });
 }
 
 /// Guards room at members whose answers flow: their work is done, and a slow reader must not keep
@@ -393,33 +423,41 @@
 fn a_member_has_room_again_once_its_answer_flows() {
     let mut balancer = balancer(true);
     for member in [2, 3] {
-        balancer.probed(START, MemberId(member), answer(Said::Served, MemberId(member), START));
+        balancer.health_checked(
+            START,
+            MemberId(member),
+            answer(ResponseStatus::Served, MemberId(member), START),
+        );
     }
     let mut out = Vec::new();
     let held = loop {
-        match balancer.pick(START, ask(0, 1, LONG)) {
-            (ticket, Verdict::Send { member, .. }) => out.push((ticket, member)),
-            (ticket, _) => break ticket,
+        match balancer.pick(START, request(0, 1, LONG)) {
+            (request_id, RoutingDecision::Send { member, .. }) => out.push((request_id, member)),
+            (request_id, _) => break request_id,
         }
     };
-    for (ticket, _) in &out {
-        assert!(balancer.started(START, *ticket));
+    for (request_id, _) in &out {
+        assert!(balancer.start_streaming(START, *request_id));
     }
-    let placed = std::iter::from_fn(|| balancer.tick(START))
-        .any(|due| matches!(due, Due::Verdict(ticket, Verdict::Send { .. }) if ticket == held));
+    let placed = std::iter::from_fn(|| balancer.poll_output(START)).any(
+        |output| matches!(output, Output::Decision(request_id, RoutingDecision::Send { .. }) if request_id == held),
+    );
     assert!(placed, "the one that was held goes out while the answers still flow");
     let late = START + Micros::millis(5_000);
-    for (ticket, member) in out {
-        balancer.gone(START, held);
-        assert_eq!(balancer.report(late, ticket, answer(Said::Served, member, START)), Verdict::Held);
+    for (request_id, member) in out {
+        balancer.handle_client_gone(START, held);
+        assert_eq!(
+            balancer.handle_outcome(late, request_id, answer(ResponseStatus::Served, member, START)),
+            RoutingDecision::Queued
+        );
     }
-    let (write, verdict) = balancer.pick(late, ask(3, 5, LONG));
-    assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
-    assert!(balancer.started(late, write));
-    balancer.report(late, write, answer(Said::Served, MemberId(1), late));
-    assert!(!balancer.started(late, write), "it has ended");
-    let (_, verdict) = balancer.pick(late, ask(1, 5, LONG));
-    assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
+    let (write, decision) = balancer.pick(late, request(3, 5, LONG));
+    assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
+    assert!(balancer.start_streaming(late, write));
+    balancer.handle_outcome(late, write, answer(ResponseStatus::Served, MemberId(1), late));
+    assert!(!balancer.start_streaming(late, write), "it has ended");
+    let (_, decision) = balancer.pick(late, request(1, 5, LONG));
+    assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
 }
 
 /// Guards slow start where the time of day of this machine is off: a host whose start the list tells is cold or warm by the
@@ -441,23 +479,31 @@
                 started: if id == 2 { log - age } else { Micros(0) },
                 ..Entry::default()
             };
-            balancer.members(now, true, (1..=3).map(entry).collect());
+            balancer.update_endpoints(now, true, (1..=3).map(entry).collect());
             // One to start from, and as many proofs as are asked for where the time of day is off by much.
             for _ in 0..4 {
-                let (ticket, verdict) = balancer.pick(now, ask(0, 1, LONG));
+                let (request_id, decision) = balancer.pick(now, request(0, 1, LONG));
                 assert!(
-                    matches!(verdict, Verdict::Send { member: MemberId(1), .. }),
-                    "off by {off}: {verdict:?}"
+                    matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
+                    "off by {off}: {decision:?}"
+                );
+                balancer.handle_outcome(
+                    now,
+                    request_id,
+                    answer(ResponseStatus::Served, MemberId(1), log_at(now)),
                 );
-                balancer.report(now, ticket, answer(Said::Served, MemberId(1), log_at(now)));
                 now = now + Micros::millis(5);
             }
             for member in [2, 3] {
-                balancer.probed(now, MemberId(member), answer(Said::Served, MemberId(member), log_at(now)));
+                balancer.health_checked(
+                    now,
+                    MemberId(member),
+                    answer(ResponseStatus::Served, MemberId(member), log_at(now)),
+                );
             }
             let mut sent = BTreeMap::new();
             for _ in 0..8 {
-                if let (_, Verdict::Send { member, .. }) = balancer.pick(now, ask(0, 1, LONG)) {
+                if let (_, RoutingDecision::Send { member, .. }) = balancer.pick(now, request(0, 1, LONG)) {
                     *sent.entry(member.0).or_insert(0) += 1;
                 }
             }
@@ -475,23 +521,27 @@
         let mut balancer = balancer(true);
         tell_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
-        let (write, verdict) = balancer.pick(now, ask(3, 7, LONG));
-        assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
+        let (write, decision) = balancer.pick(now, request(3, 7, LONG));
+        assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
         let commit = now + Micros::millis(held);
-        balancer.report(now, write, answer(Said::Served, MemberId(1), commit));
+        balancer.handle_outcome(now, write, answer(ResponseStatus::Served, MemberId(1), commit));
         // Surveys of the family pass meanwhile.
         for _ in 0..30 {
             now = now + Micros::millis(5);
-            while balancer.tick(now).is_some() {}
+            while balancer.poll_output(now).is_some() {}
         }
         for member in [2, 3] {
             let before = commit - Micros::millis(1);
-            balancer.probed(now, MemberId(member), answer(Said::Served, MemberId(member), before));
+            balancer.health_checked(
+                now,
+                MemberId(member),
+                answer(ResponseStatus::Served, MemberId(member), before),
+            );
         }
-        let (_, verdict) = balancer.pick(now, ask(1, 7, LONG));
+        let (_, decision) = balancer.pick(now, request(1, 7, LONG));
         assert!(
-            matches!(verdict, Verdict::Send { member: MemberId(1), .. }),
-            "held for {held} ms: {verdict:?}"
+            matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
+            "held for {held} ms: {decision:?}"
         );
     }
 }
@@ -504,18 +554,22 @@
         let mut balancer = balancer(true);
         tell_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
-        let (ticket, _) = balancer.pick(now, ask(2, 1, LONG));
+        let (request_id, _) = balancer.pick(now, request(2, 1, LONG));
         let spoilt = now + Micros::millis(beyond);
-        balancer.report(now, ticket, answer(Said::Served, MemberId(1), spoilt));
+        balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, MemberId(1), spoilt));
         now = now + Micros::millis(700);
-        while balancer.tick(now).is_some() {}
+        while balancer.poll_output(now).is_some() {}
         // A write tells that it is a replica now, 700 ms behind.
-        let (ticket, verdict) = balancer.pick(now, ask(3, 1, LONG));
-        assert!(matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{verdict:?}");
-        let (said, role, position) = (Said::Miss, Some(Role::Replica), Some(START + Micros::millis(5)));
-        balancer.report(now, ticket, Ended::Answer { said, role, position });
-        let (_, verdict) = balancer.pick(now, ask(0, 2, LONG));
-        assert!(!matches!(verdict, Verdict::Send { member: MemberId(1), .. }), "{beyond} ms: {verdict:?}");
+        let (request_id, decision) = balancer.pick(now, request(3, 1, LONG));
+        assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
+        let (said, role, position) =
+            (ResponseStatus::Unsuitable, Some(Role::Replica), Some(START + Micros::millis(5)));
+        balancer.handle_outcome(now, request_id, AttemptOutcome::Response { status: said, role, position });
+        let (_, decision) = balancer.pick(now, request(0, 2, LONG));
+        assert!(
+            !matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
+            "{beyond} ms: {decision:?}"
+        );
     }
 }
 
@@ -529,17 +583,22 @@
         let now = START + Micros::millis(2);
         for member in [2, 3] {
             let position = now - Micros::millis(492);
-            balancer.probed(now, MemberId(member), answer(Said::Served, MemberId(member), position));
+            balancer.health_checked(
+                now,
+                MemberId(member),
+                answer(ResponseStatus::Served, MemberId(member), position),
+            );
         }
-        let (ticket, verdict) = balancer.pick(now, ask(0, 1, Micros::millis(5_000)));
-        assert!(matches!(verdict, Verdict::Send { member: MemberId(2 | 3), .. }), "{verdict:?}");
-        assert!(balancer.still_covers(now, ticket));
+        let (request_id, decision) = balancer.pick(now, request(0, 1, Micros::millis(5_000)));
+        assert!(matches!(decision, RoutingDecision::Send { member: MemberId(2 | 3), .. }), "{decision:?}");
+        assert!(balancer.is_fresh_enough(now, request_id));
         let written = now + Micros::millis(late);
-        assert!(!balancer.still_covers(written, ticket), "{late} ms");
-        let broken = Broken { reach: Reach::WhollyWritten, cause: Cause::WrittenTooLate };
-        let verdict = balancer.report(now, ticket, Ended::Broken(broken));
-        let asked_elsewhere = matches!(verdict, Verdict::Send { .. } | Verdict::Held);
-        assert!(asked_elsewhere, "{verdict:?}");
-        assert_eq!(balancer.pool().1, 0, "nobody is ejected");
+        assert!(!balancer.is_fresh_enough(written, request_id), "{late} ms");
+        let failed =
+            FailedAttempt { progress: AttemptProgress::FullyWritten, cause: FailureCause::WrittenTooLate };
+        let decision = balancer.handle_outcome(now, request_id, AttemptOutcome::NoResponse(failed));
+        let asked_elsewhere = matches!(decision, RoutingDecision::Send { .. } | RoutingDecision::Queued);
+        assert!(asked_elsewhere, "{decision:?}");
+        assert_eq!(balancer.endpoint_counts().ejected, 0, "nobody is ejected");
     }
 }
--- a/tests/state_formats.rs
+++ b/tests/state_formats.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
-use dunemount::request::{Broken, Cause, Reach};
+use dunemount::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
+use dunemount::balancer::{Balancer, EndpointCounts, Output, RoutingDecision, RoutingRequest};
 use dunemount::*;
 use serde_json::Value;
 
@@ -54,8 +54,14 @@
 /// Never writes.
 const READER: SessionKey = SessionKey(9);
 
-const LOST: Ended = Ended::Broken(Broken { reach: Reach::NotConnected, cause: Cause::Lost });
-const RESET: Ended = Ended::Broken(Broken { reach: Reach::WhollyWritten, cause: Cause::Lost });
+const LOST: AttemptOutcome = AttemptOutcome::NoResponse(FailedAttempt {
+    progress: AttemptProgress::NotConnected,
+    cause: FailureCause::ConnectionLost,
+});
+const RESET: AttemptOutcome = AttemptOutcome::NoResponse(FailedAttempt {
+    progress: AttemptProgress::FullyWritten,
+    cause: FailureCause::ConnectionLost,
+});
 
 fn class(consistency: Consistency) -> Class {
     let window = Micros::millis(900);
@@ -131,42 +137,42 @@
     }
 }
 
-fn request(class: usize, group: GroupId, session: SessionKey) -> Ask {
+fn request(class: usize, group: GroupId, session: SessionKey) -> RoutingRequest {
     let class = ClassId(class);
-    Ask { class, group, session, committed: None, repeat: false, time_left: DEADLINE }
+    RoutingRequest { class, group, session, committed: None, repeat: false, time_left: DEADLINE }
 }
 
 /// A member's answer: the primaries stand at the present, the others a little before.
-fn answer(member: MemberId, now: Micros) -> Ended {
+fn answer(member: MemberId, now: Micros) -> AttemptOutcome {
     let (role, position) = match member.0 {
         PRIMARY | SECOND_PRIMARY => (Role::Primary, now),
         _ => (Role::Replica, now - LAG),
     };
-    Ended::Answer { said: Said::Served, role: Some(role), position: Some(position) }
+    AttemptOutcome::Response { status: ResponseStatus::Served, role: Some(role), position: Some(position) }
 }
 
 /// Where a request goes at once, if it goes anywhere; the attempt stays out.
-fn pick(balancer: &mut Balancer, now: Micros, ask: Ask) -> Option<(Ticket, u64)> {
+fn pick(balancer: &mut Balancer, now: Micros, ask: RoutingRequest) -> Option<(RequestId, u64)> {
     match balancer.pick(now, ask) {
-        (ticket, Verdict::Send { member, .. }) => Some((ticket, member.0)),
+        (request_id, RoutingDecision::Send { member, .. }) => Some((request_id, member.0)),
         _ => None,
     }
 }
 
 /// Where a request goes at once; it is answered a latency later.
-fn serve(balancer: &mut Balancer, now: Micros, ask: Ask) -> Option<u64> {
-    let (ticket, member) = pick(balancer, now, ask)?;
+fn serve(balancer: &mut Balancer, now: Micros, ask: RoutingRequest) -> Option<u64> {
+    let (request_id, member) = pick(balancer, now, ask)?;
     let answered = now + LATENCY;
-    balancer.report(answered, ticket, answer(MemberId(member), answered));
+    balancer.handle_outcome(answered, request_id, answer(MemberId(member), answered));
     Some(member)
 }
 
 /// Lets what is due act and answers the health checks of all members but these.
 fn run_due(balancer: &mut Balancer, now: Micros, unheard: &[u64]) {
-    while let Some(due) = balancer.tick(now) {
-        match due {
-            Due::Probe(member) if unheard.contains(&member.0) => {}
-            Due::Probe(member) => balancer.probed(now, member, answer(member, now)),
+    while let Some(output) = balancer.poll_output(now) {
+        match output {
+            Output::HealthCheck(member) if unheard.contains(&member.0) => {}
+            Output::HealthCheck(member) => balancer.health_checked(now, member, answer(member, now)),
             _ => {}
         }
     }
@@ -195,9 +201,9 @@
 fn scenario() -> Balancer {
     let mut balancer = balancer(7);
     let all = [1, 2, 3, 4, 5, 6, 11, 12, 13];
-    balancer.members(START, true, all.map(entry).to_vec());
+    balancer.update_endpoints(START, true, all.map(entry).to_vec());
     run(&mut balancer, START, RESTART, &[]);
-    balancer.members(RESTART, false, vec![listed_at_the_end(WARMING_UP)]);
+    balancer.update_endpoints(RESTART, false, vec![listed_at_the_end(WARMING_UP)]);
     run(&mut balancer, RESTART, LAST_WRITES, &[]);
     let mut now = LAST_WRITES;
     for (group, session) in [(FIRST, WRITER), (FIRST, ROAMER), (SECOND, ROAMER)] {
@@ -206,8 +212,8 @@
     }
     balancer.set_administratively_down(END, MemberId(DOWN), true);
     let left: Vec<Entry> = all.into_iter().filter(|id| *id != REMOVED).map(listed_at_the_end).collect();
-    balancer.members(END, true, left);
-    balancer.probed(END, MemberId(EJECTED), LOST);
+    balancer.update_endpoints(END, true, left);
+    balancer.health_checked(END, MemberId(EJECTED), LOST);
     reset_at(&mut balancer, END, BROKEN);
     balancer
 }
@@ -220,22 +226,22 @@
 /// The connection of a read that is out at a member breaks.
 fn reset_at(balancer: &mut Balancer, now: Micros, member: u64) {
     for _ in 0..100 {
-        let Some((ticket, to)) = pick(balancer, now, request(SESSION, group_of(member), READER)) else {
+        let Some((request_id, to)) = pick(balancer, now, request(SESSION, group_of(member), READER)) else {
             break;
         };
         if to == member {
-            balancer.report(now, ticket, RESET);
-            balancer.gone(now, ticket);
+            balancer.handle_outcome(now, request_id, RESET);
+            balancer.handle_client_gone(now, request_id);
             return;
         }
-        balancer.gone(now, ticket);
+        balancer.handle_client_gone(now, request_id);
     }
     panic!("no read was sent to {member}");
 }
 
 fn successor(snapshot: &str) -> Balancer {
     let mut successor = balancer(8);
-    successor.inherit(serde_json::from_str(snapshot).expect("read"), Some, Micros(0));
+    successor.restore(serde_json::from_str(snapshot).expect("read"), Some, Micros(0));
     successor
 }
 
@@ -253,17 +259,17 @@
 
 /// Members that reads of a class in a group are sent to at this moment, several at once and none answered.
 fn readers(balancer: &mut Balancer, now: Micros, class: usize, group: GroupId) -> BTreeSet<u64> {
-    let mut tickets = Vec::new();
+    let mut requests = Vec::new();
     let mut members = BTreeSet::new();
     for _ in 0..READS_AT_ONCE {
-        let (ticket, verdict) = balancer.pick(now, request(class, group, READER));
-        tickets.push(ticket);
-        if let Verdict::Send { member, .. } = verdict {
+        let (request_id, decision) = balancer.pick(now, request(class, group, READER));
+        requests.push(request_id);
+        if let RoutingDecision::Send { member, .. } = decision {
             members.insert(member.0);
         }
     }
-    for ticket in tickets {
-        balancer.gone(now, ticket);
+    for request_id in requests {
+        balancer.handle_client_gone(now, request_id);
     }
     members
 }
@@ -271,14 +277,18 @@
 /// What is read back from any of the forms: who may be sent to, who leads, and what sessions wrote.
 fn assert_members_and_sessions(snapshot: &str, now: Micros) {
     let balancer = &mut successor(snapshot);
-    assert_eq!(balancer.pool(), (8, 2), "one is ejected and one is administratively down");
-    assert!(!balancer.lists(MemberId(REMOVED)) && balancer.admits(MemberId(REMOVED)));
-    assert!(balancer.lists(MemberId(DOWN)) && !balancer.admits(MemberId(DOWN)));
-    assert!(balancer.admits(MemberId(WARMING_UP)) && balancer.admits(MemberId(BROKEN)));
-    assert!(balancer.knows(FIRST) && balancer.knows(SECOND) && !balancer.knows(GroupId(3)));
-    assert_eq!(balancer.commit(FIRST, WRITER), Some(Micros::millis(101_502)));
-    assert_eq!(balancer.commit(SECOND, WRITER), None);
-    assert_eq!(balancer.commit(FIRST, READER), None);
+    assert_eq!(
+        balancer.endpoint_counts(),
+        EndpointCounts { listed: 8, ejected: 2 },
+        "one is ejected and one is administratively down"
+    );
+    assert!(!balancer.is_listed(MemberId(REMOVED)) && balancer.is_routable(MemberId(REMOVED)));
+    assert!(balancer.is_listed(MemberId(DOWN)) && !balancer.is_routable(MemberId(DOWN)));
+    assert!(balancer.is_routable(MemberId(WARMING_UP)) && balancer.is_routable(MemberId(BROKEN)));
+    assert!(balancer.has_group(FIRST) && balancer.has_group(SECOND) && !balancer.has_group(GroupId(3)));
+    assert_eq!(balancer.session_commit(FIRST, WRITER), Some(Micros::millis(101_502)));
+    assert_eq!(balancer.session_commit(SECOND, WRITER), None);
+    assert_eq!(balancer.session_commit(FIRST, READER), None);
     for (group, primary) in [(FIRST, PRIMARY), (SECOND, SECOND_PRIMARY)] {
         for class in [WRITE, FRESH] {
             let members = readers(&mut successor(snapshot), now, class, group);
@@ -297,10 +307,14 @@
 /// A member whose connection has broken before is ejected by the next one, and one that was ejected is tried again.
 fn assert_health(balancer: &mut Balancer, now: Micros) {
     reset_at(balancer, now, BROKEN);
-    assert_eq!(balancer.pool(), (8, 3));
+    assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 8, ejected: 3 });
     let later = now + Micros::millis(1_500);
     run(balancer, now, later, &[EJECTED, BROKEN]);
-    assert_eq!(balancer.pool(), (8, 1), "only who is administratively down is still avoided");
+    assert_eq!(
+        balancer.endpoint_counts(),
+        EndpointCounts { listed: 8, ejected: 1 },
+        "only who is administratively down is still avoided"
+    );
 }
 
 /// A member that is warming up gets the less, as long as it is.
@@ -356,8 +370,8 @@
     for snapshot in [SNAPSHOT.to_string(), other_way_round(SNAPSHOT)] {
         let mut balancer = successor(&snapshot);
         assert_members_and_sessions(&snapshot, now);
-        assert_eq!(balancer.commit(FIRST, ROAMER), Some(Micros::millis(101_504)));
-        assert_eq!(balancer.commit(SECOND, ROAMER), Some(Micros::millis(101_506)));
+        assert_eq!(balancer.session_commit(FIRST, ROAMER), Some(Micros::millis(101_504)));
+        assert_eq!(balancer.session_commit(SECOND, ROAMER), Some(Micros::millis(101_506)));
         assert_eq!(serve(&mut balancer, now, request(SESSION, FIRST, ROAMER)), Some(PRIMARY));
         assert_eq!(serve(&mut balancer, now, request(SESSION, SECOND, ROAMER)), Some(SECOND_PRIMARY));
         // The time of both logs is known, and so are the replicas' positions: their data are young enough.
