--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -9,9 +9,10 @@
 use rand_core::RngCore;
 use serde::{Deserialize, Serialize};
 
+use crate::messages::{AcceptorReply, AcceptorRequest};
 use crate::node_id::NodeId;
-use crate::register::*;
-use crate::round::{Event, Round, Stamps};
+use crate::proposer::{ProposerRound, RoundEvent, StoreCounts};
+use crate::register::{AcceptorSet, AcceptorSlot, Ballot, Key, Value};
 
 /// What the register of a role holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -74,13 +75,13 @@
     /// Number of places.
     pub voters: u8,
     /// The newest view heard of.
-    pub view: View,
+    pub view: AcceptorSet,
     /// How often each has stored.
-    pub stamps: Stamps,
+    pub stamps: StoreCounts,
     /// Places whose voter goes by an older view.
-    pub older: Vec<Slot>,
+    pub older: Vec<AcceptorSlot>,
     /// Voters that have lost their file and want to be let in.
-    pub blank: Vec<(Slot, u64)>,
+    pub blank: Vec<(AcceptorSlot, u64)>,
     /// Replies of voters that came back with an older copy or cannot store.
     pub unfit: u64,
     nonce: u64,
@@ -100,15 +101,17 @@
     }
 
     /// Notes what an event says of the voters.
-    pub fn note(&mut self, event: &Event) {
+    pub fn note(&mut self, event: &RoundEvent) {
         match event {
-            Event::Newer(view) => self.view = self.view.join(view),
-            Event::Older(slot) if !self.older.contains(slot) => self.older.push(*slot),
-            Event::Blank(slot, generation) if !self.blank.contains(&(*slot, *generation)) => {
+            RoundEvent::NewerAcceptorSet(view) => self.view = self.view.join(view),
+            RoundEvent::OutdatedAcceptor(slot) if !self.older.contains(slot) => self.older.push(*slot),
+            RoundEvent::UninitializedAcceptor(slot, generation)
+                if !self.blank.contains(&(*slot, *generation)) =>
+            {
                 self.blank.retain(|(at, _)| at != slot);
                 self.blank.push((*slot, *generation));
             }
-            Event::Unfit(_) => self.unfit += 1,
+            RoundEvent::UnfitAcceptor(_) => self.unfit += 1,
             _ => {}
         }
     }
@@ -181,7 +184,7 @@
 enum Doing {
     Nothing,
     /// A change for a purpose, or a look for none.
-    Round(Round, Option<Purpose>),
+    Round(ProposerRound, Option<Purpose>),
 }
 
 /// One process's part in one role.
@@ -276,7 +279,7 @@
         rank: Option<u32>,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<Change> {
         let mut change = None;
         self.first = self.first.or(Some(now)).filter(|_| rank == Some(0));
@@ -311,7 +314,7 @@
         rank: Option<u32>,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) {
         let purpose = match (&self.held, &self.seen, rank) {
             (Some(_), ..) if self.leaving => Some(Purpose::GiveBack),
@@ -329,11 +332,11 @@
         let (key, nonce, voters) = (self.key.clone(), electorate.nonce(), electorate.voters);
         let (view, stamps) = (electorate.view.clone(), electorate.stamps.clone());
         let round = match purpose {
-            None => Round::look(key, view, nonce, voters, stamps),
+            None => ProposerRound::read(key, view, nonce, voters, stamps),
             Some(_) => {
                 self.highest += 1 + u64::from(dice.next_u32() % 2);
-                let ballot = Ballot { round: self.highest, by: self.me };
-                Round::begin(key, ballot, view, nonce, voters, stamps)
+                let ballot = Ballot { counter: self.highest, proposer: self.me };
+                ProposerRound::change(key, ballot, view, nonce, voters, stamps)
             }
         };
         self.doing = Doing::Round(round, purpose);
@@ -359,10 +362,10 @@
         }
     }
 
-    fn send(&mut self, now: Duration, out: &mut Vec<(Slot, Call)>) {
+    fn send(&mut self, now: Duration, out: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
         self.resend = now + self.terms.resend;
         if let Doing::Round(round, _) = &self.doing {
-            out.extend(round.calls());
+            out.extend(round.pending_requests());
         }
     }
 
@@ -370,28 +373,28 @@
     pub fn hear(
         &mut self,
         now: Duration,
-        reply: &Reply,
+        reply: &AcceptorReply,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<Change> {
         let Doing::Round(round, purpose) = &mut self.doing else { return None };
         if reply.nonce != round.nonce() {
             return None;
         }
-        let (event, purpose) = (round.hear(reply), *purpose);
+        let (event, purpose) = (round.handle_reply(reply), *purpose);
         electorate.note(&event);
-        electorate.stamps.book(&electorate.view, reply);
+        electorate.stamps.record(&electorate.view, reply);
         match (event, purpose) {
-            (Event::Read { ballot, value, .. }, _) => self.looked(now, ballot, value.as_deref()),
-            (Event::Prepared(value), Some(purpose)) => self.prepared(now, value, purpose, dice, out),
-            (Event::Chosen(value), Some(purpose)) => self.chosen(now, &value, purpose),
-            (Event::Outbid(by), _) => {
-                self.highest = self.highest.max(by.round);
+            (RoundEvent::Read { ballot, value, .. }, _) => self.looked(now, ballot, value.as_deref()),
+            (RoundEvent::Prepared(value), Some(purpose)) => self.prepared(now, value, purpose, dice, out),
+            (RoundEvent::Chosen(value), Some(purpose)) => self.chosen(now, &value, purpose),
+            (RoundEvent::Preempted(by), _) => {
+                self.highest = self.highest.max(by.counter);
                 self.stop(now, dice);
                 None
             }
-            (Event::Newer(_), _) => {
+            (RoundEvent::NewerAcceptorSet(_), _) => {
                 self.stop(now, dice);
                 None
             }
@@ -401,7 +404,7 @@
 
     /// A look has ended. The latest that a majority has accepted need not be chosen; to see that nobody renews, it does.
     fn looked(&mut self, now: Duration, ballot: Ballot, value: Option<&[u8]>) -> Option<Change> {
-        self.highest = self.highest.max(ballot.round);
+        self.highest = self.highest.max(ballot.counter);
         self.doing = Doing::Nothing;
         self.next = now + self.terms.length / 6;
         let tenure = value.map_or(Some(Tenure::default()), Tenure::read)?;
@@ -432,7 +435,7 @@
         value: Option<Value>,
         purpose: Purpose,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<Change> {
         let known = match value.as_deref().map_or(Some(Tenure::default()), Tenure::read) {
             Some(known) => known,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,14 +10,16 @@
 //! - [`fencing`]: what a receiver of orders keeps, so that an owner that wakes up late does no harm;
 //! - [`node`]: all of these as one process of the fleet.
 
+pub mod acceptor;
 pub mod fencing;
 pub mod frame;
 mod hash;
 pub mod lease;
 pub mod membership;
+pub mod messages;
 pub mod node;
 pub mod node_id;
+pub mod proposer;
+pub mod reconfiguration;
 pub mod record;
 pub mod register;
-pub mod round;
-pub mod voter;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -7,17 +7,18 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 
+use crate::acceptor::{Acceptor, RequestOutcome};
 use crate::fencing::{FencingError, FencingGuard};
 use crate::frame::{self, FrameError, MessageKind};
 use crate::lease::{Change, Electorate, Seat, Terms};
 use crate::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
-use crate::node_id::NodeId;
+use crate::messages::{AcceptorReply, AcceptorRequest, Operation, Order};
+use crate::proposer::RoundEvent;
+use crate::reconfiguration::Reconfiguration;
 use crate::record::{Outcome, Record};
-use crate::register::*;
-use crate::round::{Admission, Event as Told};
-use crate::voter::{Step, Voter};
+use crate::register::{AcceptorSlot, Key, Value, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 /// So many members, by rank, look after a role; the others leave the voters alone.
 const CANDIDATES: usize = 3;
@@ -58,19 +59,6 @@
     fn store(&mut self, file: &[u8]) -> bool;
 }
 
-/// What an owner tells a member on behalf of the fleet.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
-    /// In which role.
-    pub role: Key,
-    /// Under which epoch.
-    pub epoch: u64,
-    /// Who orders.
-    pub from: NodeId,
-    /// What about.
-    pub body: Vec<u8>,
-}
-
 /// What has happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
@@ -107,14 +95,14 @@
     tag: u64,
     dice: Pcg64Mcg,
     members: Membership,
-    voter: Option<Voter>,
+    voter: Option<Acceptor>,
     seats: BTreeMap<Key, Seat>,
     /// Per role that it has looked after, and does not now, the highest round of a ballot: none is used again.
     rounds: BTreeMap<Key, u64>,
     /// Registers that are no role's. None goes before the process does, so that no ballot is used again.
     records: BTreeMap<Key, Record>,
     electorate: Electorate,
-    admission: Option<(Admission, Duration)>,
+    admission: Option<(Reconfiguration, Duration)>,
     fence: FencingGuard,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     events: VecDeque<Event>,
@@ -126,7 +114,7 @@
 
 impl Node {
     /// A process with its voter, if it is one.
-    pub fn new(settings: Settings, voter: Option<Voter>) -> Node {
+    pub fn new(settings: Settings, voter: Option<Acceptor>) -> Node {
         let mut dice = Pcg64Mcg::seed_from_u64(settings.seed);
         let me = settings.me.clone();
         let (seeds, voters) = (settings.seeds.clone(), settings.voters.len() as u8);
@@ -136,7 +124,7 @@
             tag: frame::fleet_tag(&settings.fleet),
             dice,
             members,
-            was_blank: voter.as_ref().is_some_and(Voter::is_blank),
+            was_blank: voter.as_ref().is_some_and(Acceptor::is_uninitialized),
             voter,
             seats: BTreeMap::new(),
             rounds: BTreeMap::new(),
@@ -153,9 +141,9 @@
     }
 
     /// Its voter, once its file could be read; not while it has one.
-    pub fn set_voter(&mut self, voter: Voter) {
+    pub fn set_voter(&mut self, voter: Acceptor) {
         if self.voter.is_none() {
-            self.was_blank = voter.is_blank();
+            self.was_blank = voter.is_uninitialized();
             self.voter = Some(voter);
         }
     }
@@ -166,7 +154,7 @@
     }
 
     /// This process's voter.
-    pub fn voter(&self) -> Option<&Voter> {
+    pub fn voter(&self) -> Option<&Acceptor> {
         self.voter.as_ref()
     }
 
@@ -325,7 +313,7 @@
         }
     }
 
-    fn call(&mut self, calls: Vec<(Slot, Call)>) {
+    fn call(&mut self, calls: Vec<(AcceptorSlot, AcceptorRequest)>) {
         for (slot, call) in calls {
             if let Some(voter) = self.settings.voters.get(usize::from(slot.0)) {
                 self.post(voter.address, MessageKind::AcceptorRequest, &call);
@@ -372,19 +360,19 @@
         Ok(())
     }
 
-    fn vote(&mut self, from: SocketAddr, call: Call, disk: &mut impl Disk) {
+    fn vote(&mut self, from: SocketAddr, call: AcceptorRequest, disk: &mut impl Disk) {
         let Some(voter) = &mut self.voter else {
             self.dropped.senseless += 1;
             return;
         };
-        let reply = match voter.ask(call) {
-            Step::Reply(reply) => reply,
-            Step::Store(pending) => match disk.store(&pending.bytes()) {
+        let reply = match voter.handle_request(call) {
+            RequestOutcome::Reply(reply) => reply,
+            RequestOutcome::Store(pending) => match disk.store(&pending.file_bytes()) {
                 true => pending.stored(),
                 false => pending.failed(),
             },
         };
-        if std::mem::replace(&mut self.was_blank, self.voter.as_ref().is_some_and(Voter::is_blank))
+        if std::mem::replace(&mut self.was_blank, self.voter.as_ref().is_some_and(Acceptor::is_uninitialized))
             && !self.was_blank
         {
             self.events.push_back(Event::VoterIn);
@@ -392,19 +380,21 @@
         self.post(from, MessageKind::AcceptorReply, &reply);
     }
 
-    fn told(&mut self, now: Duration, reply: &Reply) {
+    fn told(&mut self, now: Duration, reply: &AcceptorReply) {
         let mut calls = Vec::new();
         if let Some((admission, _)) = self.admission.as_mut().filter(|(a, _)| a.nonce() == reply.nonce) {
-            let told = admission.hear(reply);
-            self.electorate.note(&Told::Newer(admission.view().clone()));
+            let told = admission.handle_reply(reply);
+            self.electorate.note(&RoundEvent::NewerAcceptorSet(admission.acceptors().clone()));
             self.electorate.note(&told);
-            let over = admission.is_done() || told != Told::None;
+            let over = admission.is_done() || told != RoundEvent::None;
             if admission.is_done() {
                 let slot = reply.slot;
                 self.electorate.blank.retain(|(at, _)| *at != slot);
             }
             // The next part is asked for at once.
-            calls.extend(admission.calls().into_iter().filter(|(slot, _)| !over && *slot != reply.slot));
+            calls.extend(
+                admission.pending_requests().into_iter().filter(|(slot, _)| !over && *slot != reply.slot),
+            );
             if over {
                 self.admission = None;
             }
@@ -460,15 +450,22 @@
     }
 
     /// Voters that lag are told of the view, one that has lost its file is let in: by whoever notices.
-    fn help(&mut self, now: Duration, calls: &mut Vec<(Slot, Call)>) {
+    fn help(&mut self, now: Duration, calls: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
         for slot in std::mem::take(&mut self.electorate.older) {
             let (nonce, view) = (self.electorate.nonce(), self.electorate.view.clone());
-            calls.push((slot, Call { view, nonce, request: Request::Admit { after: Key::new() } }));
+            calls.push((
+                slot,
+                AcceptorRequest {
+                    acceptors: view,
+                    nonce,
+                    operation: Operation::Reconfigure { after: Key::new() },
+                },
+            ));
         }
         match (&mut self.admission, self.electorate.blank.first().copied()) {
             (Some((admission, at)), _) if *at <= now => {
                 *at = now + self.settings.terms.resend;
-                calls.extend(admission.calls());
+                calls.extend(admission.pending_requests());
             }
             (None, Some((slot, generation))) if generation >= self.electorate.view.generation(slot) => {
                 // If somebody has begun to let this very file in, this process does only if nobody ends it.
@@ -476,7 +473,7 @@
                 let wait = if begun { self.settings.terms.length } else { Duration::ZERO };
                 let nonce = self.electorate.nonce();
                 let Electorate { view, stamps, voters, .. } = &self.electorate;
-                let admission = Admission::begin(slot, generation, view, nonce, *voters, stamps.clone());
+                let admission = Reconfiguration::new(slot, generation, view, nonce, *voters, stamps.clone());
                 self.admission = Some((admission, now + wait));
             }
             // It has an older number than one that was let in: it takes a higher one when it hears of the view.
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -6,9 +6,10 @@
 use rand_core::RngCore;
 
 use crate::lease::{Electorate, Terms};
+use crate::messages::{AcceptorReply, AcceptorRequest};
 use crate::node_id::NodeId;
-use crate::register::*;
-use crate::round::{Event, Round};
+use crate::proposer::{ProposerRound, RoundEvent};
+use crate::register::{AcceptorSlot, Ballot, Key, Value};
 
 /// What a look or a change has come to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +46,7 @@
     Nothing,
     /// Begins once the rest is over.
     Waiting(Aim),
-    Round(Round, Aim),
+    Round(ProposerRound, Aim),
 }
 
 /// One process's looks at a register, and its changes of it. To be kept as long as the process lives: a new one would use
@@ -109,7 +110,12 @@
     }
 
     /// After [`Outcome::Promised`]: what the register is to hold, or none to leave it as it is.
-    pub fn propose(&mut self, now: Duration, value: Option<Value>, out: &mut Vec<(Slot, Call)>) {
+    pub fn propose(
+        &mut self,
+        now: Duration,
+        value: Option<Value>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
+    ) {
         let Doing::Round(round, Aim::Change) = &mut self.doing else { return };
         match value {
             Some(value) if round.is_prepared() => {
@@ -133,7 +139,7 @@
         now: Duration,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<Outcome> {
         match &self.doing {
             Doing::Waiting(aim) if now >= self.rest => {
@@ -160,27 +166,27 @@
         aim: Aim,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) {
         (self.asked, self.proposed) = (now, false);
         let (key, nonce, voters) = (self.key.clone(), electorate.nonce(), electorate.voters);
         let (view, stamps) = (electorate.view.clone(), electorate.stamps.clone());
         let round = match aim {
-            Aim::Look => Round::look(key, view, nonce, voters, stamps),
+            Aim::Look => ProposerRound::read(key, view, nonce, voters, stamps),
             Aim::Repair(_) | Aim::Change => {
                 self.highest += 1 + u64::from(dice.next_u32() % 2);
-                let ballot = Ballot { round: self.highest, by: self.me };
-                Round::begin(key, ballot, view, nonce, voters, stamps)
+                let ballot = Ballot { counter: self.highest, proposer: self.me };
+                ProposerRound::change(key, ballot, view, nonce, voters, stamps)
             }
         };
         self.doing = Doing::Round(round, aim);
         self.send(now, out);
     }
 
-    fn send(&mut self, now: Duration, out: &mut Vec<(Slot, Call)>) {
+    fn send(&mut self, now: Duration, out: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
         self.resend = now + self.terms.resend;
         if let Doing::Round(round, _) = &self.doing {
-            out.extend(round.calls());
+            out.extend(round.pending_requests());
         }
     }
 
@@ -196,30 +202,30 @@
     pub fn hear(
         &mut self,
         now: Duration,
-        reply: &Reply,
+        reply: &AcceptorReply,
         electorate: &mut Electorate,
         dice: &mut impl RngCore,
-        out: &mut Vec<(Slot, Call)>,
+        out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<Outcome> {
         let Doing::Round(round, aim) = &mut self.doing else { return None };
         if reply.nonce != round.nonce() {
             return None;
         }
-        let (event, aim) = (round.hear(reply), *aim);
+        let (event, aim) = (round.handle_reply(reply), *aim);
         electorate.note(&event);
-        electorate.stamps.book(&electorate.view, reply);
+        electorate.stamps.record(&electorate.view, reply);
         match (event, aim) {
-            (Event::Read { ballot, value, agreed }, _) => {
-                self.highest = self.highest.max(ballot.round);
-                if agreed {
+            (RoundEvent::Read { ballot, value, unanimous }, _) => {
+                self.highest = self.highest.max(ballot.counter);
+                if unanimous {
                     self.doing = Doing::Nothing;
                     return Some(Outcome::Holds(value, self.asked));
                 }
                 self.begin(now, Aim::Repair(self.asked), electorate, dice, out);
                 None
             }
-            (Event::Prepared(value), Aim::Change) => Some(Outcome::Promised(value)),
-            (Event::Prepared(Some(value)), Aim::Repair(_)) => {
+            (RoundEvent::Prepared(value), Aim::Change) => Some(Outcome::Promised(value)),
+            (RoundEvent::Prepared(Some(value)), Aim::Repair(_)) => {
                 if let Doing::Round(round, _) = &mut self.doing {
                     round.propose(value);
                 }
@@ -227,23 +233,23 @@
                 None
             }
             // A whole majority has accepted nothing.
-            (Event::Prepared(None), Aim::Repair(began)) => {
+            (RoundEvent::Prepared(None), Aim::Repair(began)) => {
                 self.doing = Doing::Nothing;
                 Some(Outcome::Holds(None, began))
             }
-            (Event::Chosen(value), Aim::Repair(began)) => {
+            (RoundEvent::Chosen(value), Aim::Repair(began)) => {
                 self.doing = Doing::Nothing;
                 Some(Outcome::Holds(Some(value), began))
             }
-            (Event::Chosen(value), _) => {
+            (RoundEvent::Chosen(value), _) => {
                 self.doing = Doing::Nothing;
                 Some(Outcome::Chosen(value))
             }
-            (Event::Outbid(by), _) => {
-                self.highest = self.highest.max(by.round);
+            (RoundEvent::Preempted(by), _) => {
+                self.highest = self.highest.max(by.counter);
                 Some(self.fail(now, false, dice))
             }
-            (Event::Newer(_), _) => Some(self.fail(now, false, dice)),
+            (RoundEvent::NewerAcceptorSet(_), _) => Some(self.fail(now, false, dice)),
             _ => None,
         }
     }
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -5,13 +5,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::{Tenure, Terms};
 use dunemount_fleet::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
-use dunemount_fleet::node::{Disk, Event, Node, Order, Settings};
+use dunemount_fleet::messages::*;
+use dunemount_fleet::node::{Disk, Event, Node, Settings};
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::*;
-use dunemount_fleet::voter::{Step, Voter};
 use serde::{de::DeserializeOwned, Serialize};
 
 const FLEET: &str = "formats";
@@ -33,46 +34,49 @@
     MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address: address(index) }
 }
 
-fn ballot(round: u64, by: u64) -> Ballot {
-    Ballot { round, by: NodeId(by) }
+fn ballot(counter: u64, proposer: u64) -> Ballot {
+    Ballot { counter, proposer: NodeId(proposer) }
 }
 
-fn view() -> View {
-    View::default().with(Slot(2), OTHER_FILE)
+fn acceptors() -> AcceptorSet {
+    AcceptorSet::default().with(AcceptorSlot(2), OTHER_FILE)
 }
 
 fn owned() -> Tenure {
     Tenure { epoch: 300, owner: Some(NodeId(0xfeed_0001)), beat: 70_000, wanted: Some(NodeId(5)) }
 }
 
-fn registers() -> BTreeMap<Key, Cell> {
-    let chosen =
-        Cell { promised: ballot(5, 9), accepted: ballot(4, 0xfeed_0001), value: Some(owned().write()) };
-    let promised = Cell { promised: ballot(200, 3), accepted: Ballot::default(), value: None };
+fn registers() -> BTreeMap<Key, RegisterState> {
+    let chosen = RegisterState {
+        promised: ballot(5, 9),
+        accepted: ballot(4, 0xfeed_0001),
+        value: Some(owned().write()),
+    };
+    let promised = RegisterState { promised: ballot(200, 3), accepted: Ballot::default(), value: None };
     BTreeMap::from([(CONFIGURATION.to_string(), promised), (ROLE.to_string(), chosen)])
 }
 
-fn ask(voter: &mut Voter, call: Call) -> Reply {
-    match voter.ask(call) {
-        Step::Reply(reply) => reply,
-        Step::Store(pending) => pending.stored(),
+fn ask(voter: &mut Acceptor, call: AcceptorRequest) -> AcceptorReply {
+    match voter.handle_request(call) {
+        RequestOutcome::Reply(reply) => reply,
+        RequestOutcome::Store(pending) => pending.stored(),
     }
 }
 
-/// Voter 1, which goes by a view with a file let in at place 2, and keeps two registers.
-fn voter() -> Voter {
-    let mut voter = Voter::founding(Slot(1));
+/// Acceptor 1, which goes by a view with a file let in at place 2, and keeps two registers.
+fn voter() -> Acceptor {
+    let mut voter = Acceptor::founding(AcceptorSlot(1));
     let role = || ROLE.to_string();
-    let requests = [
-        Request::Admit { after: Key::new() },
-        Request::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) },
-        Request::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
-        Request::Prepare { key: role(), ballot: ballot(5, 9) },
-        Request::Prepare { key: CONFIGURATION.to_string(), ballot: ballot(200, 3) },
+    let operations = [
+        Operation::Reconfigure { after: Key::new() },
+        Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) },
+        Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+        Operation::Prepare { key: role(), ballot: ballot(5, 9) },
+        Operation::Prepare { key: CONFIGURATION.to_string(), ballot: ballot(200, 3) },
     ];
-    for request in requests {
-        let reply = ask(&mut voter, Call { view: view(), nonce: 1, request });
-        assert!(!matches!(reply.answer, Answer::Refused(_)), "{reply:?}");
+    for operation in operations {
+        let reply = ask(&mut voter, AcceptorRequest { acceptors: acceptors(), nonce: 1, operation });
+        assert!(!matches!(reply.answer, Answer::Rejected(_)), "{reply:?}");
     }
     voter
 }
@@ -81,17 +85,23 @@
 #[test]
 fn a_voters_file() {
     let kept = fixture("voter-file-v1.bin");
-    assert_eq!(voter().file().expect("it votes"), kept);
-    let mut resumed = Voter::resume(Slot(1), &kept).expect("a whole file");
-    assert_eq!(resumed.file().expect("it votes"), kept);
-    assert_eq!(resumed, Voter::resume(Slot(1), &voter().file().expect("it votes")).expect("whole"));
-    assert!(!resumed.is_blank());
-    assert_eq!((resumed.generation(), resumed.registers()), (0, 2));
-    assert_eq!(resumed.view(), Some(&view()));
-    let all = Request::Admit { after: Key::new() };
-    let reply = ask(&mut resumed, Call { view: view(), nonce: 6, request: all });
-    let answer = Answer::Admitted { after: Key::new(), registers: registers(), more: false };
-    assert_eq!(reply, Reply { nonce: 6, slot: Slot(1), generation: 0, stamp: 5, answer });
+    assert_eq!(voter().file_bytes().expect("it votes"), kept);
+    let mut resumed = Acceptor::from_file(AcceptorSlot(1), &kept).expect("a whole file");
+    assert_eq!(resumed.file_bytes().expect("it votes"), kept);
+    assert_eq!(
+        resumed,
+        Acceptor::from_file(AcceptorSlot(1), &voter().file_bytes().expect("it votes")).expect("whole")
+    );
+    assert!(!resumed.is_uninitialized());
+    assert_eq!((resumed.generation(), resumed.register_count()), (0, 2));
+    assert_eq!(resumed.acceptors(), Some(&acceptors()));
+    let all = Operation::Reconfigure { after: Key::new() };
+    let reply = ask(&mut resumed, AcceptorRequest { acceptors: acceptors(), nonce: 6, operation: all });
+    let answer = Answer::Reconfigured { after: Key::new(), registers: registers(), more: false };
+    assert_eq!(
+        reply,
+        AcceptorReply { nonce: 6, slot: AcceptorSlot(1), generation: 0, store_count: 5, answer }
+    );
 }
 
 /// Guards a role's epoch across versions: what its register holds is read and written the same.
@@ -108,40 +118,46 @@
     Tenure { epoch: 2, owner: None, beat: 3, wanted: None }
 }
 
-fn calls() -> Vec<(&'static str, Call)> {
+fn calls() -> Vec<(&'static str, AcceptorRequest)> {
     let role = || ROLE.to_string();
-    let requests = [
-        ("call-prepare", Request::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) }),
+    let operations = [
+        ("call-prepare", Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) }),
         (
             "call-accept",
-            Request::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+            Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
         ),
-        ("call-read", Request::Read { key: role() }),
-        ("call-admit", Request::Admit { after: CONFIGURATION.to_string() }),
-        ("call-install", Request::Install { registers: registers(), total: 2 }),
+        ("call-read", Operation::Read { key: role() }),
+        ("call-admit", Operation::Reconfigure { after: CONFIGURATION.to_string() }),
+        ("call-install", Operation::InstallState { registers: registers(), total: 2 }),
     ];
-    requests.map(|(name, request)| (name, Call { view: view(), nonce: 0x0102_0304_0506, request })).into()
+    let request = |operation| AcceptorRequest { acceptors: acceptors(), nonce: 0x0102_0304_0506, operation };
+    operations.map(|(name, operation)| (name, request(operation))).into()
 }
 
-fn replies() -> Vec<(&'static str, Reply)> {
+fn replies() -> Vec<(&'static str, AcceptorReply)> {
     let answers = [
         ("reply-promise", Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(owned().write()) }),
         ("reply-promise-empty", Answer::Promise { accepted: Ballot::default(), value: None }),
         ("reply-accepted", Answer::Accepted),
         (
             "reply-admitted",
-            Answer::Admitted { after: CONFIGURATION.to_string(), registers: registers(), more: true },
+            Answer::Reconfigured { after: CONFIGURATION.to_string(), registers: registers(), more: true },
         ),
-        ("reply-installed", Answer::Installed),
-        ("reply-refused-promised", Answer::Refused(Refusal::Promised(ballot(200, 3)))),
-        ("reply-refused-view", Answer::Refused(Refusal::View(view()))),
-        ("reply-refused-blank", Answer::Refused(Refusal::Blank)),
-        ("reply-refused-arrived", Answer::Refused(Refusal::Arrived(7))),
-        ("reply-refused-broken", Answer::Refused(Refusal::Broken)),
-        ("reply-refused-bounds", Answer::Refused(Refusal::Bounds)),
+        ("reply-installed", Answer::StateInstalled),
+        ("reply-refused-promised", Answer::Rejected(Rejection::HigherPromise(ballot(200, 3)))),
+        ("reply-refused-view", Answer::Rejected(Rejection::AcceptorSetMismatch(acceptors()))),
+        ("reply-refused-blank", Answer::Rejected(Rejection::Uninitialized)),
+        ("reply-refused-arrived", Answer::Rejected(Rejection::InstallIncomplete(7))),
+        ("reply-refused-broken", Answer::Rejected(Rejection::StoreFailed)),
+        ("reply-refused-bounds", Answer::Rejected(Rejection::LimitExceeded)),
     ];
-    let reply =
-        |answer| Reply { nonce: 0x0102_0304_0506, slot: Slot(2), generation: OTHER_FILE, stamp: 300, answer };
+    let reply = |answer| AcceptorReply {
+        nonce: 0x0102_0304_0506,
+        slot: AcceptorSlot(2),
+        generation: OTHER_FILE,
+        store_count: 300,
+        answer,
+    };
     answers.map(|(name, answer)| (name, reply(answer))).into()
 }
 
@@ -193,7 +209,7 @@
     }
 }
 
-fn node(voter: Option<Voter>) -> Node {
+fn node(voter: Option<Acceptor>) -> Node {
     let voters: Vec<MemberIdentity> =
         (0..3).map(|index| MemberIdentity::with_address(&peer(index, 0).name, address(index))).collect();
     let settings = Settings {
@@ -213,7 +229,8 @@
 /// Guards the same through a whole node: a kept call is answered with the kept reply, a kept order is taken.
 #[test]
 fn a_node_takes_in_kept_datagrams_and_answers_with_kept_ones() {
-    let mut node = node(Some(Voter::resume(Slot(1), &fixture("voter-file-v1.bin")).expect("whole")));
+    let mut node =
+        node(Some(Acceptor::from_file(AcceptorSlot(1), &fixture("voter-file-v1.bin")).expect("whole")));
     for name in ["read", "prepare", "accept"] {
         let call = fixture(&format!("datagram-call-{name}-v1.bin"));
         node.hear(Duration::ZERO, address(2), &call, &mut Nowhere).expect("this fleet's");
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -3,11 +3,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::lease::{proposal, Purpose, Tenure};
+use dunemount_fleet::messages::*;
 use dunemount_fleet::node_id::NodeId;
+use dunemount_fleet::proposer::{ProposerRound, RoundEvent, StoreCounts};
+use dunemount_fleet::reconfiguration::Reconfiguration;
 use dunemount_fleet::register::*;
-use dunemount_fleet::round::{Admission, Event, Round, Stamps};
-use dunemount_fleet::voter::{Step, Voter};
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 
 const VOTERS: u8 = 3;
@@ -33,16 +35,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Contender {
-    round: Option<Round>,
+    round: Option<ProposerRound>,
     begun: u8,
-    view: View,
-    admission: Option<Admission>,
+    view: AcceptorSet,
+    admission: Option<Reconfiguration>,
     highest: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    voters: Vec<Voter>,
+    voters: Vec<Acceptor>,
     contenders: Vec<Contender>,
     /// Any letter may come never or late, and so many of them again.
     links: BTreeSet<Letter>,
@@ -80,24 +82,24 @@
 }
 
 impl Agreement {
-    fn post(state: &mut State, from: usize, calls: Vec<(Slot, Call)>) {
+    fn post(state: &mut State, from: usize, calls: Vec<(AcceptorSlot, AcceptorRequest)>) {
         for (slot, call) in calls {
             state.links.insert(Letter::Ask { slot: slot.0, from, call: pack(&call) });
         }
     }
 
-    fn hear(&self, state: &mut State, to: usize, reply: &Reply) {
+    fn hear(&self, state: &mut State, to: usize, reply: &AcceptorReply) {
         let contender = &mut state.contenders[to];
         if let Some(admission) = contender.admission.as_mut().filter(|a| a.nonce() == reply.nonce) {
-            let over = admission.hear(reply) != Event::None || admission.is_done();
-            contender.view = contender.view.join(admission.view());
-            let calls = if over { Vec::new() } else { admission.calls() };
+            let over = admission.handle_reply(reply) != RoundEvent::None || admission.is_done();
+            contender.view = contender.view.join(admission.acceptors());
+            let calls = if over { Vec::new() } else { admission.pending_requests() };
             contender.admission = contender.admission.take().filter(|_| !over);
             return Self::post(state, to, calls);
         }
         let Some(round) = contender.round.as_mut() else { return };
-        match round.hear(reply) {
-            Event::Prepared(value) => {
+        match round.handle_reply(reply) {
+            RoundEvent::Prepared(value) => {
                 let known = value.map_or(Tenure::default(), |value| Tenure::read(&value).expect("a tenure"));
                 // Time is left out: whoever tries may have waited for long enough.
                 let next = match self.blind {
@@ -106,24 +108,32 @@
                 };
                 if let Some(next) = next {
                     round.propose(next.write());
-                    let calls = round.calls();
+                    let calls = round.pending_requests();
                     Self::post(state, to, calls);
                 }
             }
-            Event::Chosen(value) => {
+            RoundEvent::Chosen(value) => {
                 let tenure = Tenure::read(&value).expect("a tenure");
                 contender.round = None;
                 if let Some(owner) = tenure.owner {
                     state.owners.entry(tenure.epoch).or_default().insert(owner);
                 }
             }
-            Event::Outbid(by) => (contender.round, contender.highest) = (None, by.round),
-            Event::Newer(view) => (contender.round, contender.view) = (None, contender.view.join(&view)),
-            Event::Blank(slot, generation) if contender.admission.is_none() => {
+            RoundEvent::Preempted(by) => (contender.round, contender.highest) = (None, by.counter),
+            RoundEvent::NewerAcceptorSet(view) => {
+                (contender.round, contender.view) = (None, contender.view.join(&view))
+            }
+            RoundEvent::UninitializedAcceptor(slot, generation) if contender.admission.is_none() => {
                 let nonce = 100 + u64::from(slot.0) + 10 * to as u64;
-                let admission =
-                    Admission::begin(slot, generation, &contender.view, nonce, VOTERS, Stamps::default());
-                let calls = admission.calls();
+                let admission = Reconfiguration::new(
+                    slot,
+                    generation,
+                    &contender.view,
+                    nonce,
+                    VOTERS,
+                    StoreCounts::default(),
+                );
+                let calls = admission.pending_requests();
                 contender.admission = Some(admission);
                 Self::post(state, to, calls);
             }
@@ -138,9 +148,9 @@
 
     fn init_states(&self) -> Vec<State> {
         let contender =
-            Contender { round: None, begun: 0, view: View::default(), admission: None, highest: 0 };
+            Contender { round: None, begun: 0, view: AcceptorSet::default(), admission: None, highest: 0 };
         vec![State {
-            voters: (0..VOTERS).map(|slot| Voter::founding(Slot(slot))).collect(),
+            voters: (0..VOTERS).map(|slot| Acceptor::founding(AcceptorSlot(slot))).collect(),
             contenders: vec![contender; self.rounds.len()],
             links: BTreeSet::new(),
             doubled: 0,
@@ -177,25 +187,25 @@
                 let contender = &mut state.contenders[index];
                 contender.begun += 1;
                 contender.highest += 1;
-                let ballot = Ballot { round: contender.highest, by: id(index) };
+                let ballot = Ballot { counter: contender.highest, proposer: id(index) };
                 let nonce = u64::from(contender.begun);
-                let round = Round::begin(
+                let round = ProposerRound::change(
                     KEY.into(),
                     ballot,
                     contender.view.clone(),
                     nonce,
                     VOTERS,
-                    Stamps::default(),
+                    StoreCounts::default(),
                 );
-                let calls = round.calls();
+                let calls = round.pending_requests();
                 contender.round = Some(round);
                 Self::post(&mut state, index, calls);
             }
             Action::Deliver(Letter::Ask { slot, from, call })
             | Action::Double(Letter::Ask { slot, from, call }) => {
-                let reply = match state.voters[usize::from(slot)].ask(unpack(&call)) {
-                    Step::Reply(reply) => reply,
-                    Step::Store(pending) => pending.stored(),
+                let reply = match state.voters[usize::from(slot)].handle_request(unpack(&call)) {
+                    RequestOutcome::Reply(reply) => reply,
+                    RequestOutcome::Store(pending) => pending.stored(),
                 };
                 state.links.insert(Letter::Reply { to: from, reply: pack(&reply) });
             }
@@ -205,10 +215,12 @@
             Action::Crash { slot, loses_file } => {
                 state.crashes += 1;
                 let voter = &mut state.voters[usize::from(slot)];
-                *voter = match voter.file() {
-                    _ if self.forgets => Voter::founding(Slot(slot)),
-                    Some(file) if !loses_file => Voter::resume(Slot(slot), &file).expect("a whole file"),
-                    _ => Voter::blank(Slot(slot), 7),
+                *voter = match voter.file_bytes() {
+                    _ if self.forgets => Acceptor::founding(AcceptorSlot(slot)),
+                    Some(file) if !loses_file => {
+                        Acceptor::from_file(AcceptorSlot(slot), &file).expect("a whole file")
+                    }
+                    _ => Acceptor::uninitialized(AcceptorSlot(slot), 7),
                 };
             }
         }
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -6,12 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use dunemount_fleet::acceptor::Acceptor;
 use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::{Change, Terms};
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
+use dunemount_fleet::messages::{AcceptorRequest, Operation};
 use dunemount_fleet::node::{Disk, Event, Node, Settings};
-use dunemount_fleet::register::{Ballot, Call, Key, Request, Slot};
-use dunemount_fleet::voter::Voter;
+use dunemount_fleet::register::{AcceptorSlot, Ballot, Key};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -84,7 +85,7 @@
             digest: 0,
         };
         for slot in 0..fleet.voters {
-            fleet.files[slot].0 = Voter::founding(Slot(slot as u8)).file();
+            fleet.files[slot].0 = Acceptor::founding(AcceptorSlot(slot as u8)).file_bytes();
         }
         (0..count).for_each(|index| fleet.start(index));
         fleet
@@ -111,10 +112,10 @@
             },
             seed: self.dice.next_u64(),
         };
-        let slot = Slot(index as u8);
+        let slot = AcceptorSlot(index as u8);
         let voter = (index < self.voters).then(|| match &self.files[index].0 {
-            Some(file) => Voter::resume(slot, file).expect("a whole file"),
-            None => Voter::blank(slot, self.starts as u32),
+            Some(file) => Acceptor::from_file(slot, file).expect("a whole file"),
+            None => Acceptor::uninitialized(slot, self.starts as u32),
         });
         self.nodes[index] = Some(Node::new(settings, voter));
     }
@@ -167,8 +168,8 @@
                 if self.mute.contains(&index) || self.deaf.iter().any(deaf) {
                     continue;
                 }
-                let call: Call = postcard::from_bytes(message).expect("a call");
-                if let Request::Prepare { key, ballot } = call.request {
+                let call: AcceptorRequest = postcard::from_bytes(message).expect("a call");
+                if let Operation::Prepare { key, ballot } = call.operation {
                     self.ballots.entry((key, ballot)).or_default().insert(call.nonce);
                 }
             }
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -6,14 +6,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::lease::{Electorate, Terms};
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
+use dunemount_fleet::messages::*;
 use dunemount_fleet::node::{Disk, Event, Node, Settings, MOST_RECORDS};
 use dunemount_fleet::node_id::NodeId;
+use dunemount_fleet::proposer::{ProposerRound, RoundEvent, StoreCounts};
 use dunemount_fleet::record::{Outcome, Record};
 use dunemount_fleet::register::*;
-use dunemount_fleet::round::{Event as Told, Round, Stamps};
-use dunemount_fleet::voter::{Step, Voter};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -23,15 +24,15 @@
     Terms { length: Duration::from_secs(3), drift: 0.05, resend: Duration::from_millis(150) };
 
 enum Post {
-    Ask { from: usize, call: Call, voter: usize },
-    Reply { to: usize, reply: Reply },
+    Ask { from: usize, call: AcceptorRequest, voter: usize },
+    Reply { to: usize, reply: AcceptorReply },
 }
 
 struct Process {
     record: Record,
     electorate: Electorate,
     /// A look that trusts the latest that a majority has accepted, when it began, and when it is given up.
-    trusting: Option<(Round, Duration)>,
+    trusting: Option<(ProposerRound, Duration)>,
     /// A change that it wants: a number that no other has, and whether it was proposed.
     wants: Option<u8>,
     /// When it proposed last.
@@ -49,7 +50,7 @@
 
 struct World {
     now: Duration,
-    voters: Vec<Voter>,
+    voters: Vec<Acceptor>,
     processes: Vec<Process>,
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     posts: Vec<Option<Post>>,
@@ -73,7 +74,7 @@
         };
         World {
             now: Duration::ZERO,
-            voters: (0..3).map(|slot| Voter::founding(Slot(slot))).collect(),
+            voters: (0..3).map(|slot| Acceptor::founding(AcceptorSlot(slot))).collect(),
             processes: (0..count).map(process).collect(),
             queue: BinaryHeap::new(),
             posts: Vec::new(),
@@ -99,7 +100,7 @@
         self.queue.push(Reverse((self.now + delay, self.posts.len() as u64, self.posts.len() - 1)));
     }
 
-    fn send(&mut self, from: usize, calls: Vec<(Slot, Call)>) {
+    fn send(&mut self, from: usize, calls: Vec<(AcceptorSlot, AcceptorRequest)>) {
         for (slot, call) in calls {
             let voter = usize::from(slot.0);
             self.post(from, voter, Post::Ask { from, call, voter });
@@ -111,8 +112,8 @@
         let process = &mut self.processes[index];
         if trusting {
             let (nonce, view) = (process.electorate.nonce(), process.electorate.view.clone());
-            let round = Round::look(KEY.to_string(), view, nonce, 3, Stamps::default());
-            let calls = round.calls();
+            let round = ProposerRound::read(KEY.to_string(), view, nonce, 3, StoreCounts::default());
+            let calls = round.pending_requests();
             process.trusting = Some((round, now));
             return self.send(index, calls);
         }
@@ -170,9 +171,9 @@
                 let Some(Reverse((_, _, post))) = self.queue.pop() else { break };
                 match self.posts[post].take() {
                     Some(Post::Ask { from, call, voter }) => {
-                        let reply = match self.voters[voter].ask(call) {
-                            Step::Reply(reply) => reply,
-                            Step::Store(pending) => pending.stored(),
+                        let reply = match self.voters[voter].handle_request(call) {
+                            RequestOutcome::Reply(reply) => reply,
+                            RequestOutcome::Store(pending) => pending.stored(),
                         };
                         self.post(from, voter, Post::Reply { to: from, reply });
                     }
@@ -196,11 +197,11 @@
         }
     }
 
-    fn hear(&mut self, index: usize, reply: &Reply) {
+    fn hear(&mut self, index: usize, reply: &AcceptorReply) {
         let now = self.now;
         let process = &mut self.processes[index];
         if let Some((round, asked)) = &mut process.trusting {
-            if let Told::Read { value, .. } = round.hear(reply) {
+            if let RoundEvent::Read { value, .. } = round.handle_reply(reply) {
                 let word = Word { asked: *asked, told: now, value: value.unwrap_or_default() };
                 (process.trusting, process.busy) = (None, false);
                 self.words.push(word);
@@ -392,9 +393,9 @@
     assert_eq!(record.tick(now, electorate, &mut world.dice, &mut calls), None);
     let mut told = Vec::new();
     for (slot, call) in calls {
-        let reply = match world.voters[usize::from(slot.0)].ask(call) {
-            Step::Reply(reply) => reply,
-            Step::Store(pending) => pending.stored(),
+        let reply = match world.voters[usize::from(slot.0)].handle_request(call) {
+            RequestOutcome::Reply(reply) => reply,
+            RequestOutcome::Store(pending) => pending.stored(),
         };
         told.extend(record.hear(now, &reply, electorate, &mut world.dice, &mut Vec::new()));
     }
@@ -442,7 +443,7 @@
             },
             seed: index as u64 + 1,
         };
-        Node::new(settings, Some(Voter::founding(Slot(index as u8))))
+        Node::new(settings, Some(Acceptor::founding(AcceptorSlot(index as u8))))
     };
     (0..3).map(node).collect()
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -6,12 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
+use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::fencing::FencingGuard;
 use dunemount_fleet::lease::{Change, Electorate, Seat, Terms};
+use dunemount_fleet::messages::*;
 use dunemount_fleet::node_id::NodeId;
+use dunemount_fleet::reconfiguration::Reconfiguration;
 use dunemount_fleet::register::*;
-use dunemount_fleet::round::Admission;
-use dunemount_fleet::voter::{Step, Voter};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -74,8 +75,8 @@
 }
 
 enum Event {
-    Ask { voter: usize, from: usize, start: u64, call: Call },
-    Reply { to: usize, start: u64, reply: Reply },
+    Ask { voter: usize, from: usize, start: u64, call: AcceptorRequest },
+    Reply { to: usize, start: u64, reply: AcceptorReply },
     Tick(usize),
     Order { receiver: usize, epoch: u64, from: NodeId },
     Fault,
@@ -100,11 +101,11 @@
     cut: bool,
     seat: Seat,
     electorate: Electorate,
-    admission: Option<Admission>,
+    admission: Option<Reconfiguration>,
 }
 
 struct Place {
-    voter: Voter,
+    voter: Acceptor,
     disk: Option<Vec<u8>>,
     up: bool,
 }
@@ -178,8 +179,8 @@
             seen: Seen { obeyed: vec![Vec::new(); 2], ..Seen::default() },
         };
         for slot in 0..voters {
-            let voter = Voter::founding(Slot(slot as u8));
-            world.places.push(Place { disk: voter.file(), voter, up: true });
+            let voter = Acceptor::founding(AcceptorSlot(slot as u8));
+            world.places.push(Place { disk: voter.file_bytes(), voter, up: true });
         }
         for index in 0..nodes {
             let node = world.fresh(voters);
@@ -281,7 +282,7 @@
                 voter.slot(),
                 place.up,
                 voter.generation(),
-                voter.view()
+                voter.acceptors()
             )
         };
         let nodes = |node: &Node| format!("{:?} {:?} {:?}; ", node.id, node.electorate, node.admission);
@@ -310,17 +311,17 @@
         }
     }
 
-    fn ask(&mut self, index: usize, from: usize, start: u64, call: Call) {
+    fn ask(&mut self, index: usize, from: usize, start: u64, call: AcceptorRequest) {
         let broken = self.broken;
         let crashes = self.weather.crashes && !self.calm && self.part() < 0.01;
         let place = &mut self.places[index];
         if !place.up {
             return;
         }
-        let reply = match place.voter.ask(call) {
-            Step::Reply(reply) => reply,
-            Step::Store(pending) => {
-                let bytes = pending.bytes();
+        let reply = match place.voter.handle_request(call) {
+            RequestOutcome::Reply(reply) => reply,
+            RequestOutcome::Store(pending) => {
+                let bytes = pending.file_bytes();
                 if crashes && broken != Broken::AnswersFirst {
                     // In the middle of storing: the file is the old or the new one, and nobody got an answer.
                     if bytes.len() % 2 == 0 {
@@ -341,7 +342,7 @@
         }
     }
 
-    fn reply(&mut self, to: usize, start: u64, reply: &Reply) {
+    fn reply(&mut self, to: usize, start: u64, reply: &AcceptorReply) {
         let node = &mut self.nodes[to];
         if !node.up || node.start != start {
             return;
@@ -355,13 +356,13 @@
         let mut out = Vec::new();
         if let Some(admission) = node.admission.as_mut().filter(|admission| admission.nonce() == reply.nonce)
         {
-            let event = admission.hear(reply);
+            let event = admission.handle_reply(reply);
             node.electorate.note(&event);
             if admission.is_done() {
                 node.electorate.blank.clear();
                 self.seen.admitted += 1;
                 node.admission = None;
-            } else if event != dunemount_fleet::round::Event::None {
+            } else if event != dunemount_fleet::proposer::RoundEvent::None {
                 node.admission = None;
             }
         }
@@ -387,20 +388,27 @@
             let nonce = electorate.nonce();
             out.push((
                 slot,
-                Call { view: electorate.view.clone(), nonce, request: Request::Admit { after: Key::new() } },
+                AcceptorRequest {
+                    acceptors: electorate.view.clone(),
+                    nonce,
+                    operation: Operation::Reconfigure { after: Key::new() },
+                },
             ));
         }
         if let (None, Some((slot, generation))) = (&node.admission, electorate.blank.first().copied()) {
             let (nonce, voters) = (electorate.nonce(), electorate.voters);
             let (view, stamps) = (electorate.view.clone(), electorate.stamps.clone());
-            node.admission = Some(Admission::begin(slot, generation, &view, nonce, voters, stamps));
+            node.admission = Some(Reconfiguration::new(slot, generation, &view, nonce, voters, stamps));
         }
         if let Some(admission) = node.admission.as_ref().filter(|_| self.serial % 4 == 0) {
             let broken = self.broken == Broken::LetInEmpty;
-            out.extend(admission.calls().into_iter().map(|(slot, call)| match call.request {
-                Request::Install { .. } if broken => (
+            out.extend(admission.pending_requests().into_iter().map(|(slot, call)| match call.operation {
+                Operation::InstallState { .. } if broken => (
                     slot,
-                    Call { request: Request::Install { registers: BTreeMap::new(), total: 0 }, ..call },
+                    AcceptorRequest {
+                        operation: Operation::InstallState { registers: BTreeMap::new(), total: 0 },
+                        ..call
+                    },
                 ),
                 _ => (slot, call),
             }));
@@ -422,7 +430,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, out: Vec<(Slot, Call)>) {
+    fn send(&mut self, from: usize, out: Vec<(AcceptorSlot, AcceptorRequest)>) {
         let (start, cut) = (self.nodes[from].start, self.nodes[from].cut);
         for (slot, call) in out {
             let voter = usize::from(slot.0);
@@ -461,7 +469,7 @@
         let lasts = Duration::from_millis(100).mul_f64(1.0 + 80.0 * self.part());
         match fault {
             Fault::VoterDown(index) => {
-                let others = self.places.iter().all(|place| place.up && !place.voter.is_blank());
+                let others = self.places.iter().all(|place| place.up && !place.voter.is_uninitialized());
                 let place = &mut self.places[index];
                 place.up = false;
                 if self.weather.lost_files && others {
@@ -479,13 +487,13 @@
         match fault {
             Fault::VoterDown(index) if !self.places[index].up => {
                 self.generations += 1;
-                let (slot, salt) = (Slot(index as u8), 1_000 + self.generations);
+                let (slot, salt) = (AcceptorSlot(index as u8), 1_000 + self.generations);
                 let place = &mut self.places[index];
                 place.up = true;
                 place.voter = match &place.disk {
-                    _ if self.broken == Broken::Forgets => Voter::founding(slot),
-                    Some(file) => Voter::resume(slot, file).expect("a whole file"),
-                    None => Voter::blank(slot, salt),
+                    _ if self.broken == Broken::Forgets => Acceptor::founding(slot),
+                    Some(file) => Acceptor::from_file(slot, file).expect("a whole file"),
+                    None => Acceptor::uninitialized(slot, salt),
                 };
             }
             Fault::VoterDown(_) => {}
--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -4,12 +4,13 @@
 use std::time::Instant;
 
 use dunemount::fleet::file::VoterFile;
+use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::Tenure;
+use dunemount_fleet::messages::{AcceptorReply, AcceptorRequest, Operation};
 use dunemount_fleet::node::Disk;
 use dunemount_fleet::node_id::NodeId;
-use dunemount_fleet::register::{Ballot, Call, Reply, Request, Slot, View};
-use dunemount_fleet::voter::{Step, Voter};
+use dunemount_fleet::register::{AcceptorSet, AcceptorSlot, Ballot};
 use serde::Serialize;
 
 use super::{Figures, Setup};
@@ -21,11 +22,15 @@
 const RENEWALS: usize = 20;
 
 /// Asks the voter; what has to be stored goes to the disk, if there is one. Gives the reply and the file's bytes.
-fn ask(voter: &mut Voter, call: Call, disk: Option<&mut VoterFile>) -> Result<(Reply, usize), String> {
-    match voter.ask(call) {
-        Step::Reply(reply) => Ok((reply, 0)),
-        Step::Store(pending) => {
-            let bytes = pending.bytes();
+fn ask(
+    voter: &mut Acceptor,
+    call: AcceptorRequest,
+    disk: Option<&mut VoterFile>,
+) -> Result<(AcceptorReply, usize), String> {
+    match voter.handle_request(call) {
+        RequestOutcome::Reply(reply) => Ok((reply, 0)),
+        RequestOutcome::Store(pending) => {
+            let bytes = pending.file_bytes();
             if disk.is_some_and(|disk| !disk.store(&bytes)) {
                 return Err("the voter's file cannot be stored".into());
             }
@@ -35,12 +40,13 @@
 }
 
 /// The two calls of a renewal.
-fn renewal(register: usize, beat: u64) -> [Call; 2] {
-    let owner = NodeId(frame::fleet_tag(&format!("gw-{register}")));
-    let (key, ballot) = (format!("survey/{register}"), Ballot { round: 1_000 + beat, by: owner });
+fn renewal(register: usize, beat: u64) -> [AcceptorRequest; 2] {
+    let owner = NodeId::from_start(&format!("gw-{register}"), 0);
+    let (key, ballot) = (format!("survey/{register}"), Ballot { counter: 1_000 + beat, proposer: owner });
     let value = Tenure { epoch: 7, owner: Some(owner), beat, wanted: None }.write();
-    let call = |request| Call { view: View::default(), nonce: owner.0 ^ beat, request };
-    [call(Request::Prepare { key: key.clone(), ballot }), call(Request::Accept { key, ballot, value })]
+    let call =
+        |operation| AcceptorRequest { acceptors: AcceptorSet::default(), nonce: owner.0 ^ beat, operation };
+    [call(Operation::Prepare { key: key.clone(), ballot }), call(Operation::Accept { key, ballot, value })]
 }
 
 fn datagram(kind: MessageKind, message: &impl Serialize) -> Result<usize, String> {
@@ -64,14 +70,14 @@
 fn rounds(setup: &Setup, path: &std::path::Path, figures: &mut Figures) -> Result<(), String> {
     for _ in 0..setup.rounds {
         for registers in REGISTERS {
-            let mut voter = Voter::founding(Slot(0));
+            let mut voter = Acceptor::founding(AcceptorSlot(0));
             for register in 0..registers {
                 for call in renewal(register, 1) {
                     ask(&mut voter, call, None)?;
                 }
             }
-            if voter.registers() != registers {
-                return Err(format!("{} of {registers} registers", voter.registers()));
+            if voter.register_count() != registers {
+                return Err(format!("{} of {registers} registers", voter.register_count()));
             }
             let mut disk = VoterFile::at(path);
             let (mut took, mut file, mut datagrams) = (0.0, 0, 0);
--- a/crates/loadtest/src/scale/run.rs
+++ b/crates/loadtest/src/scale/run.rs
@@ -16,7 +16,7 @@
 
 use dunemount::fleet::file::VoterFile;
 use dunemount::options::{FleetOptions, Place};
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 use dunemount_rollout::follower;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -269,7 +269,7 @@
                 return Ok(None);
             }
             let file = folder.0.join(format!("voter-{place}"));
-            VoterFile::at(&file).found(Slot(place as u8)).map_err(said)?;
+            VoterFile::at(&file).found(AcceptorSlot(place as u8)).map_err(said)?;
             Ok(Some(file))
         };
         let fleet_of = |listen: SocketAddr, file: Option<PathBuf>| FleetOptions {
--- a/src/check.rs
+++ b/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 
 use crate::cli::Files;
 use crate::config::{self, InForce, Taken};
@@ -84,7 +84,7 @@
     let fleet = options(files.settings.as_deref())?.fleet;
     let voter = fleet.voter(&name)?;
     let (place, file) = voter.ok_or(format!("{name} is none of the voters that [fleet] names"))?;
-    let done = VoterFile::at(file).found(Slot(place as u8));
+    let done = VoterFile::at(file).found(AcceptorSlot(place as u8));
     done.map_err(|e| format!("cannot lay out {}: {e}", file.display()))?;
     Ok(format!("{}: laid out for voter {place} of a new fleet", file.display()))
 }
--- a/src/fleet/carrier.rs
+++ b/src/fleet/carrier.rs
@@ -8,7 +8,7 @@
 
 use dunemount_fleet::frame;
 use dunemount_fleet::node::{Disk, Node, Settings};
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 use slog::{info, warn, Logger};
 
 use super::file::VoterFile;
@@ -52,7 +52,7 @@
 
 /// A voter's file that could not be read yet.
 struct Unread {
-    slot: Slot,
+    slot: AcceptorSlot,
     /// For the number of a new file, if there turns out to be none.
     salt: u32,
     again: Duration,
@@ -77,7 +77,7 @@
         let salt = settings.seed as u32;
         let (slot, file) = voter.unzip();
         let unread = slot.map(|slot| Unread {
-            slot: Slot(slot as u8),
+            slot: AcceptorSlot(slot as u8),
             salt,
             again: Duration::ZERO,
             why: String::new(),
--- a/src/fleet/file.rs
+++ b/src/fleet/file.rs
@@ -4,9 +4,9 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
+use dunemount_fleet::acceptor::Acceptor;
 use dunemount_fleet::node::Disk;
-use dunemount_fleet::register::Slot;
-use dunemount_fleet::voter::Voter;
+use dunemount_fleet::register::AcceptorSlot;
 
 /// A file that has arrived on the disk beside the one whose place it is to take.
 #[derive(Debug)]
@@ -79,27 +79,27 @@
     ///
     /// # Errors
     /// The file cannot be read. Whether there is one is not known then: it has to be tried again.
-    pub fn voter(&self, slot: Slot, salt: u32) -> io::Result<(Voter, Option<String>)> {
+    pub fn voter(&self, slot: AcceptorSlot, salt: u32) -> io::Result<(Acceptor, Option<String>)> {
         let why = match fs::read(&self.path) {
-            Ok(bytes) => match Voter::resume(slot, &bytes) {
+            Ok(bytes) => match Acceptor::from_file(slot, &bytes) {
                 Ok(voter) => return Ok((voter, None)),
                 Err(e) => e.to_string(),
             },
             Err(e) if e.kind() == io::ErrorKind::NotFound => "there is none".to_string(),
             Err(e) => return Err(e),
         };
-        Ok((Voter::blank(slot, salt), Some(why)))
+        Ok((Acceptor::uninitialized(slot, salt), Some(why)))
     }
 
     /// Lays the file out for a voter of a new fleet.
     ///
     /// # Errors
     /// One that is there already is left as it is: what it holds may have been promised.
-    pub fn found(&self, slot: Slot) -> io::Result<()> {
+    pub fn found(&self, slot: AcceptorSlot) -> io::Result<()> {
         if self.path.try_exists()? {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        put(&self.path, &Voter::founding(slot).file().unwrap_or_default())
+        put(&self.path, &Acceptor::founding(slot).file_bytes().unwrap_or_default())
     }
 }
 
--- a/src/fleet/file/tests.rs
+++ b/src/fleet/file/tests.rs
@@ -15,23 +15,23 @@
     let folder = folder("cut");
     let path = folder.join("voter");
     let file = VoterFile::at(&path);
-    file.found(Slot(1)).expect("written");
-    assert!(file.found(Slot(1)).is_err(), "never over one that is there");
+    file.found(AcceptorSlot(1)).expect("written");
+    assert!(file.found(AcceptorSlot(1)).is_err(), "never over one that is there");
     let whole = fs::read(&path).expect("there");
-    assert!(!file.voter(Slot(1), 7).expect("read").0.is_blank());
+    assert!(!file.voter(AcceptorSlot(1), 7).expect("read").0.is_uninitialized());
     for length in 0..whole.len() {
         fs::write(&path, &whole[..length]).expect("cut");
-        let (voter, why) = file.voter(Slot(1), 7).expect("read");
-        assert!(voter.is_blank() && why.is_some(), "cut to {length}");
+        let (voter, why) = file.voter(AcceptorSlot(1), 7).expect("read");
+        assert!(voter.is_uninitialized() && why.is_some(), "cut to {length}");
     }
     for at in 0..whole.len() {
         let mut changed = whole.clone();
         changed[at] ^= 0x10;
         fs::write(&path, &changed).expect("changed");
-        assert!(file.voter(Slot(1), 7).expect("read").0.is_blank(), "byte {at}");
+        assert!(file.voter(AcceptorSlot(1), 7).expect("read").0.is_uninitialized(), "byte {at}");
     }
     fs::write(&path, [&whole[..], b"x"].concat()).expect("longer");
-    assert!(file.voter(Slot(1), 7).expect("read").0.is_blank());
+    assert!(file.voter(AcceptorSlot(1), 7).expect("read").0.is_uninitialized());
     fs::remove_dir_all(folder).expect("its own");
 }
 
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -10,7 +10,7 @@
 use dunemount_fleet::membership::MemberIdentity;
 use dunemount_fleet::node::Node;
 use dunemount_fleet::node_id::NodeId;
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 use dunemount_rollout::follower::{Machine, Standing};
 use serde::{Deserialize, Serialize};
 
@@ -194,7 +194,7 @@
         };
         let voter = |(slot, voter): (usize, &MemberIdentity)| Voter {
             name: voter.name.clone(),
-            generation: node.electorate().view.generation(Slot(slot as u8)),
+            generation: node.electorate().view.generation(AcceptorSlot(slot as u8)),
             present: members.members().chain([me]).any(|peer| peer.name == voter.name),
         };
         let dropped = node.dropped();
@@ -203,8 +203,8 @@
             me: member(me),
             members: members.members().map(member).collect(),
             voters: settings.voters.iter().enumerate().map(voter).collect(),
-            voting: node.voter().map(|voter| !voter.is_blank()),
-            registers: node.voter().map_or(0, |voter| voter.registers()),
+            voting: node.voter().map(|voter| !voter.is_uninitialized()),
+            registers: node.voter().map_or(0, |voter| voter.register_count()),
             unstored: None,
             roles: settings.roles.iter().filter_map(seat).collect(),
             foreign: dropped.foreign,
