--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -11,7 +11,7 @@
 
 use dunemount::fleet::file::VoterFile;
 use dunemount::options::{FleetOptions, Place};
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 use dunemount_rollout::follower;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -64,7 +64,7 @@
             return Ok(None);
         }
         let file = self.folder.join(format!("voter-{index}"));
-        VoterFile::at(&file).found(Slot(index as u8)).map_err(text)?;
+        VoterFile::at(&file).found(AcceptorSlot(index as u8)).map_err(text)?;
         Ok(Some(file))
     }
 
