--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -12,7 +12,7 @@
 use dunemount::fleet::file::VoterFile;
 use dunemount::options::{FleetOptions, Place};
 use dunemount_fleet::register::AcceptorSlot;
-use dunemount_rollout::follower;
+use dunemount_rollout::settings::ControlServerInfo;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -167,7 +167,7 @@
             router: plan.router,
             roles: (0..groups).map(|group| format!("survey/{group}")).collect(),
             machines: self.machines.clone(),
-            pace: plan.pace,
+            timeouts: plan.timeouts,
             number: gateway_index,
         })
     }
@@ -175,7 +175,7 @@
 
 /// The control server with this index, listening there.
 fn control_server((index, address): (usize, SocketAddr)) -> control::Place {
-    let machine = follower::Machine { name: control_name(index), zone: zone_name(index) };
+    let machine = ControlServerInfo { name: control_name(index), zone: zone_name(index) };
     control::Place { machine, address }
 }
 
