--- a/src/balance.rs
+++ b/src/balance.rs
@@ -14,32 +14,32 @@
 use crate::notice::Notice;
 
 mod attempts;
-mod book;
+mod bookkeeping;
 mod capacity;
-pub(crate) mod chance;
 mod choice;
-mod dating;
 mod final_answer;
-mod health;
+mod housekeeping;
 mod log_clock;
+mod log_time_evidence;
 mod membership;
 mod positions;
 mod progress;
 mod queue;
+pub(crate) mod random;
+mod request_index;
 mod sessions;
 mod snapshot;
 mod snapshot_conversion;
 mod snapshot_format;
 mod state;
-mod upkeep;
 
-use book::Book;
 use capacity::limit_share;
-use health::SWEEP;
+use housekeeping::SWEEP;
 use log_clock::{LogClock, Offset};
+use request_index::RequestIndex;
 use sessions::Sessions;
 pub use snapshot::Snapshot;
-use state::{Attempt, Drawn, Due, Group, Member, Open};
+use state::{Attempt, Group, HealthCheckCandidate, Member, Open, WeightedMembers};
 
 type Actions = Vec<Action>;
 
@@ -53,29 +53,29 @@
     administratively_down: BTreeSet<MemberId>,
     open: BTreeMap<RequestId, Open>,
     attempts: BTreeMap<(RequestId, AttemptNo), Attempt>,
-    book: Book,
+    request_index: RequestIndex,
     sessions: Sessions,
     /// What the last draw was from.
-    drawn: Drawn,
+    weighted_scratch: WeightedMembers,
     /// Part of the usual limits that one of so many drivers has.
     limit_share: f64,
     /// Mean latency of each class.
-    means: Vec<f64>,
-    surveyed: Micros,
+    mean_latencies: Vec<f64>,
+    refreshed_at: Micros,
     /// Time that the survey under way covers, and the place of the family that is next in it.
-    survey: Option<(Micros, usize)>,
+    refresh: Option<(Micros, usize)>,
     /// The members to be probed first of those that it has seen.
-    due: Vec<Due>,
+    due: Vec<HealthCheckCandidate>,
     /// The family that was retried last, where not all had their turn.
-    retried: Option<GroupId>,
+    last_retried: Option<GroupId>,
     /// When the next sweep is due, zero before the first; a timer that ends before is stale.
-    wake: Micros,
+    next_sweep: Micros,
     /// Probes that the requests so far have paid for.
-    probe_credit: f64,
+    health_check_tokens: f64,
     /// Time over which the groups' served cost counts, in microseconds: longer than a warm-up.
-    span: f64,
+    served_span: f64,
     /// Longest that a connection may be idle and still be trusted to carry a request.
-    idle_trust: Micros,
+    trusted_idle_time: Micros,
     /// Attempts without an answer in a row, all on idle connections.
     idle_losses: u32,
     /// Positions are times of this router's clock; else what primaries say tells how the log's time stands to
@@ -87,9 +87,9 @@
     /// Bounds of the log's time over all families, for those of which nothing is proved; and those of the
     /// survey under way.
     usual_offset: Option<Offset>,
-    surveyed_offset: Option<Offset>,
+    refreshed_offset: Option<Offset>,
     /// When a primary was last probed for the time of its log.
-    dating_probed: Micros,
+    log_time_checked_at: Micros,
     /// What operators are told at the end of the event under way.
     notices: Vec<Notice>,
     /// They are told of single requests as well.
@@ -101,8 +101,9 @@
     pub fn retune(&mut self, settings: Settings) {
         for (place, class) in settings.classes.iter().enumerate() {
             let same = self.settings.classes.get(place).is_some_and(|old| old == class);
-            self.means.resize(self.means.len().max(place + 1), 0.0);
-            self.means[place] = if same { self.means[place] } else { class.latency_objective.as_f64() / 5.0 };
+            self.mean_latencies.resize(self.mean_latencies.len().max(place + 1), 0.0);
+            self.mean_latencies[place] =
+                if same { self.mean_latencies[place] } else { class.latency_objective.as_f64() / 5.0 };
         }
         self.limit_share = limit_share(&settings);
         if self.settings.replica_checks == ReplicaChecks::Reject
@@ -115,15 +116,15 @@
         let period = self.period();
         for (id, open) in &mut self.open {
             let end = open.give_up.min(open.deadline - period);
-            self.book.close(*id, std::mem::replace(&mut open.end, end), None);
-            self.book.open(*id, end);
+            self.request_index.close(*id, std::mem::replace(&mut open.end, end), None);
+            self.request_index.open(*id, end);
         }
     }
 
     /// Takes one event at `now` and appends what the driver must do, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        if self.wake == Micros(0) {
-            self.surveyed = now;
+        if self.next_sweep == Micros(0) {
+            self.refreshed_at = now;
             if self.settings.watch_required {
                 actions.push(Action::Watch);
             }
@@ -131,7 +132,7 @@
         }
         match event {
             Event::Endpoints { update: kind, endpoints: entries } => {
-                self.members_listed(now, kind, entries, actions)
+                self.endpoints_updated(now, kind, entries, actions)
             }
             Event::Request(req) => self.arrive(now, req, actions),
             Event::Started { request } => self.started(now, request, actions),
@@ -140,10 +141,10 @@
             Event::SetAdministrativelyDown { member, down } => {
                 self.set_administratively_down(now, member, down, actions);
             }
-            Event::Timer(SWEEP) if now >= self.wake => self.sweep(now, actions),
+            Event::Timer(SWEEP) if now >= self.next_sweep => self.sweep(now, actions),
             Event::Timer(_) | Event::Peer { .. } => {}
             Event::HealthChecked { member, status, report } => {
-                self.probed(now, member, status, report, actions)
+                self.health_checked(now, member, status, report, actions)
             }
         }
         actions.extend(self.notices.drain(..).map(Action::Notice));
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -1,13 +1,13 @@
 //! Attempts: what is booked when one is sent and when it ends, and whether another may follow.
 
 use super::capacity::LIMIT_FLOOR;
-use super::health::SEEK;
-use super::membership::EJECT_AFTER;
-use super::queue::CROWD_GAIN;
+use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::membership::EJECT_AFTER_FAILURES;
+use super::queue::DROP_RATE_GAIN;
 use super::state::{Attempt, Open};
 use super::{Actions, Router};
 use crate::api::*;
-use crate::notice::{Dating, GiveUp, Source};
+use crate::notice::{GiveUp, LogTimeEvidence, PositionSource};
 
 /// Weight of a new sample in a running mean of latencies: about the last fifty count.
 const MEAN_GAIN: f64 = 0.02;
@@ -32,7 +32,7 @@
         let copies = open.out.is_empty() || self.settings.hedging;
         open.attempts < open.most
             && match self.settings.classes[open.req.class.0].idempotency {
-                Idempotency::Idempotent => copies && open.errors < EJECT_AFTER,
+                Idempotency::Idempotent => copies && open.errors < EJECT_AFTER_FAILURES,
                 Idempotency::NonIdempotent
                 | Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, .. } => free,
                 Idempotency::IdempotencyKey { window, .. } => {
@@ -46,22 +46,24 @@
         let cost = self.cost(class);
         let needed = self.needed(now, &self.open[&id]).unwrap_or_default();
         let (Some(open), Some(member)) = (self.open.get_mut(&id), self.members.get_mut(&to)) else { return };
-        if let Some(spot) = open.spot.take() {
-            self.book.leave(spot);
+        if let Some(queue_entry) = open.queue_entry.take() {
+            self.request_index.leave(queue_entry);
         }
         if open.attempts == 0 {
-            self.groups.entry(open.req.group).and_modify(|group| group.crowd -= group.crowd * CROWD_GAIN);
+            self.groups
+                .entry(open.req.group)
+                .and_modify(|group| group.queue_drop_rate -= group.queue_drop_rate * DROP_RATE_GAIN);
         }
         let attempt = AttemptNo(open.attempts);
         open.attempts += 1;
         open.out.push((attempt, to));
         open.ran = open.ran.or(Some(now));
         let (since, open_for) = (now - member.used_at, self.settings.connection_idle_timeout);
-        let idle = member.inflight == 0 && since > SEEK && since < open_for;
-        if idle && since > self.idle_trust {
+        let idle = member.inflight == 0 && since > HEALTH_CHECK_PAUSE && since < open_for;
+        if idle && since > self.trusted_idle_time {
             actions.push(Action::CloseIdle { member: to });
         }
-        let idle = (idle && since <= self.idle_trust).then_some(since);
+        let idle = (idle && since <= self.trusted_idle_time).then_some(since);
         member.used_at = now;
         member.inflight += 1;
         member.load += cost;
@@ -92,7 +94,7 @@
 
     pub(super) fn outcome(&mut self, now: Micros, o: Outcome, actions: &mut Actions) {
         let Some(attempt) = self.attempts.remove(&(o.request, o.attempt)) else { return };
-        self.judge(now, &o, &attempt);
+        self.record_outcome(now, &o, &attempt);
         let answered = matches!(
             o.status,
             AttemptStatus::Ok
@@ -102,18 +104,20 @@
                 | AttemptStatus::Malformed
         );
         if answered {
-            self.heard(now, o.member);
+            self.member_responded(now, o.member);
             self.members.entry(o.member).and_modify(|m| m.breaks = 0);
         }
         if let (Some(Role::Primary), Some(position)) = (o.role, o.position) {
             let (member, status, sent) = (o.member, o.status, attempt.sent);
-            let told = self.told(&o, &attempt);
-            let dating = Dating { member, status, position, told, sent, heard: now };
-            self.hear_primary(now, dating);
+            let kind = self.position_kind(&o, &attempt);
+            self.observe_primary(
+                now,
+                LogTimeEvidence { member, status, position, kind, sent, received: now },
+            );
         }
         // A served write's position is its commit, which its primary has reached.
-        self.learn(now, o.member, o.role, now, o.position, Source::Answer(o.status));
-        self.learn_report(now, o.member, o.report);
+        self.observe_member(now, o.member, o.role, now, o.position, PositionSource::Answer(o.status));
+        self.observe_report(now, o.member, o.report);
         let write = self.settings.classes[attempt.class.0].consistency == Consistency::Write;
         if let Some(key) = attempt.session.filter(|_| write) {
             // What was lost on the way may have been a commit: its session reads on from this moment.
@@ -127,7 +131,7 @@
         let Some(member) = self.members.get_mut(&o.member) else { return };
         let group = member.endpoint.group;
         if o.status == AttemptStatus::Ok {
-            self.groups.entry(group).or_default().served += attempt.cost;
+            self.groups.entry(group).or_default().served_cost += attempt.cost;
         }
         let checked = attempt.needed > Micros(0) && self.settings.replica_checks == ReplicaChecks::Reject;
         if let Some(latest) = latest.filter(|_| checked) {
@@ -140,17 +144,17 @@
             }
         }
         if o.finished {
-            self.call_off_rest(o.request, actions);
+            self.cancel_remaining(o.request, actions);
             self.close(o.request);
         } else {
             self.after_failure(now, &o, actions);
         }
-        self.place_waiting(now, group, actions);
+        self.send_waiting(now, group, actions);
     }
 
     /// Books an outcome to its member: load, limit, latency and failures.
-    pub(super) fn judge(&mut self, now: Micros, o: &Outcome, attempt: &Attempt) {
-        let mean = &mut self.means[attempt.class.0];
+    pub(super) fn record_outcome(&mut self, now: Micros, o: &Outcome, attempt: &Attempt) {
+        let mean = &mut self.mean_latencies[attempt.class.0];
         let latency_objective = self.settings.classes[attempt.class.0].latency_objective.as_f64();
         let latency = o.latency.as_f64();
         let Some(member) = self.members.get_mut(&o.member) else { return };
@@ -164,12 +168,13 @@
             matches!(o.status, AttemptStatus::Timeout | AttemptStatus::Cancelled | AttemptStatus::Reset);
         let idle = attempt.idle.filter(|_| silent);
         if o.status == AttemptStatus::ConnectFailed {
-            self.idle_trust = self.settings.connection_idle_timeout;
+            self.trusted_idle_time = self.settings.connection_idle_timeout;
         } else if silent || attempt.idle.is_some() {
             self.idle_losses = if idle.is_some() { self.idle_losses + 1 } else { 0 };
         }
         let dropped = idle.filter(|_| self.idle_losses >= IDLE_LOSSES);
-        self.idle_trust = dropped.map_or(self.idle_trust, |time| self.idle_trust.min(time.scale(0.5)));
+        self.trusted_idle_time =
+            dropped.map_or(self.trusted_idle_time, |time| self.trusted_idle_time.min(time.scale(0.5)));
         let used = match o.status {
             _ if dropped.is_some() => None,
             AttemptStatus::Ok => {
--- a/src/balance/upkeep.rs
+++ b/src/balance/bookkeeping.rs
@@ -7,10 +7,10 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use super::book::{Book, Spot};
 use super::capacity::limit_share;
-use super::health::{PROBE_SAVED, SWEEP, SWEEP_TICKS};
+use super::housekeeping::{HEALTH_CHECK_BURST, SWEEP, SWEEP_TICKS};
 use super::log_clock::LogClock;
+use super::request_index::{QueueEntry, RequestIndex};
 use super::sessions::Sessions;
 use super::state::{Member, Open};
 use super::{Actions, Router};
@@ -21,8 +21,8 @@
     /// A router that knows nothing but its settings; `seed` feeds its draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
-            means: settings.classes.iter().map(|c| c.latency_objective.as_f64() / 5.0).collect(),
-            idle_trust: settings.connection_idle_timeout,
+            mean_latencies: settings.classes.iter().map(|c| c.latency_objective.as_f64() / 5.0).collect(),
+            trusted_idle_time: settings.connection_idle_timeout,
             limit_share: limit_share(&settings),
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -31,22 +31,22 @@
             administratively_down: BTreeSet::new(),
             open: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            book: Book::default(),
+            request_index: RequestIndex::default(),
             sessions: Sessions::default(),
-            drawn: Vec::new(),
-            surveyed: Micros(0),
-            survey: None,
+            weighted_scratch: Vec::new(),
+            refreshed_at: Micros(0),
+            refresh: None,
             due: Vec::new(),
-            retried: None,
-            wake: Micros(0),
-            probe_credit: PROBE_SAVED,
-            span: 0.0,
+            last_retried: None,
+            next_sweep: Micros(0),
+            health_check_tokens: HEALTH_CHECK_BURST,
+            served_span: 0.0,
             idle_losses: 0,
             one_clock: true,
             common_clock: LogClock::default(),
             usual_offset: None,
-            surveyed_offset: None,
-            dating_probed: Micros(0),
+            refreshed_offset: None,
+            log_time_checked_at: Micros(0),
             notices: Vec::new(),
             traced: false,
         }
@@ -64,7 +64,7 @@
 
     /// Keeps what operators are to be told. A router whose clock is the log's tells nothing: its driver keeps
     /// its own record.
-    pub(super) fn note(&mut self, notice: Notice) {
+    pub(super) fn notify(&mut self, notice: Notice) {
         if !self.one_clock {
             self.notices.push(notice);
         }
@@ -88,15 +88,15 @@
     /// Counts the group's live members and finds its leader anew: after a list, a claim, or one that is void.
     pub(super) fn recount(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else { return };
-        let before = group.leader;
+        let before = group.primary;
         let members = group.members.iter().filter_map(|id| Some((self.members.get(id)?, *id)));
         let claims = members.filter(|(m, _)| m.role == Role::Primary);
-        group.leader = claims.max_by_key(|(m, _)| m.role_at).map(|(_, id)| id);
+        group.primary = claims.max_by_key(|(m, _)| m.role_at).map(|(_, id)| id);
         let live = group.members.iter().filter(|id| self.members.get(*id).is_some_and(Member::listed));
-        group.live = live.count() as f64;
-        let after = group.leader;
+        group.live_members = live.count() as f64;
+        let after = group.primary;
         if before != after {
-            self.note(Notice::Primary { group: id, before, after });
+            self.notify(Notice::Primary { group: id, before, after });
         }
     }
 
@@ -105,8 +105,9 @@
         let Some(open) = self.open.get(&id) else { return };
         let (group, class) = (open.req.group, open.req.class);
         let (give_up, patience) = (open.give_up, self.patience(open));
-        let spot = self.book.wait(Spot { id, group, class, give_up, patience, place: 0 });
-        self.open.entry(id).and_modify(|open| open.spot = Some(spot));
+        let queue_entry =
+            self.request_index.wait(QueueEntry { id, group, class, give_up, patience, place: 0 });
+        self.open.entry(id).and_modify(|open| open.queue_entry = Some(queue_entry));
     }
 
     /// A session's write was committed, here or at the process beside this one.
@@ -130,11 +131,11 @@
         }
         let group = req.group;
         self.close(id);
-        self.place_waiting(now, group, actions);
+        self.send_waiting(now, group, actions);
     }
 
     /// Cancels the attempts still out for a finished read: their answers serve nobody.
-    pub(super) fn call_off_rest(&self, id: RequestId, actions: &mut Actions) {
+    pub(super) fn cancel_remaining(&self, id: RequestId, actions: &mut Actions) {
         let Some(open) = self.open.get(&id) else { return };
         if self.settings.cancels
             && self.settings.classes[open.req.class.0].idempotency == Idempotency::Idempotent
@@ -147,7 +148,7 @@
     /// Forgets a finished request; its attempts are still booked as they end.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(open) = self.open.remove(&id) else { return };
-        self.book.close(id, open.end, open.spot);
+        self.request_index.close(id, open.end, open.queue_entry);
     }
 
     pub(super) fn period(&self) -> Micros {
@@ -155,15 +156,15 @@
     }
 
     /// Asks for a sweep at `at`, unless one comes before.
-    pub(super) fn wake_by(&mut self, at: Micros, actions: &mut Actions) {
-        if at < self.wake {
-            self.wake = at;
+    pub(super) fn sweep_by(&mut self, at: Micros, actions: &mut Actions) {
+        if at < self.next_sweep {
+            self.next_sweep = at;
             actions.push(Action::SetTimer { timer: SWEEP, at });
         }
     }
 
     /// Probes a member.
-    pub(super) fn ask(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
+    pub(super) fn start_health_check(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
         let Some(member) = self.members.get_mut(&id) else { return };
         (member.probing, member.probed_at) = (true, now);
         actions.push(Action::HealthCheck { member: id });
--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -1,7 +1,7 @@
 //! What a request costs and who has room for it: concurrency limits, slow start, the parts of classes.
 
 use super::choice::WINDOW;
-use super::state::{Member, Turn};
+use super::state::{CandidateWindow, Member};
 use super::Router;
 use crate::api::*;
 
@@ -57,8 +57,8 @@
 impl Router {
     /// Cost of a request in usual requests: its class's mean latency against the smallest.
     pub(super) fn cost(&self, class: ClassId) -> f64 {
-        let least = self.means.iter().copied().fold(f64::INFINITY, f64::min);
-        self.means[class.0] / least
+        let least = self.mean_latencies.iter().copied().fold(f64::INFINITY, f64::min);
+        self.mean_latencies[class.0] / least
     }
 
     /// Whether any member has room for a request of this class; a family too large to ask has.
@@ -78,7 +78,7 @@
     }
 
     /// Part of the primary's limit open to writes: the less, the more replicas are behind a bound.
-    pub(super) fn write_part(&self, turn: Turn) -> f64 {
+    pub(super) fn write_part(&self, candidate_window: CandidateWindow) -> f64 {
         let bound = |class: &Class| {
             if let Consistency::BoundedStaleness(bound) = class.consistency {
                 Some(bound)
@@ -87,7 +87,7 @@
             }
         };
         let bound = self.settings.classes.iter().filter_map(bound).min().unwrap_or(BEHIND);
-        let replicas = self.candidates(turn).filter(|(_, m)| m.role == Role::Replica);
+        let replicas = self.candidates(candidate_window).filter(|(_, m)| m.role == Role::Replica);
         let count = |(all, late), (_, m): (_, &Member)| (all + 1, late + u32::from(m.lag > bound));
         let (all, late) = replicas.fold((0, 0), count);
         let part = f64::from(late) / f64::from(all.max(1));
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -3,9 +3,9 @@
 
 use rand_core::RngCore;
 
-use super::chance::draw;
-use super::health::SEEK;
-use super::state::{Drawn, Member, Open, Turn};
+use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::random::weighted_draw;
+use super::state::{CandidateWindow, Member, Open, WeightedMembers};
 use super::{Actions, Router};
 use crate::api::*;
 
@@ -28,14 +28,17 @@
 
 impl Router {
     /// Where in a group one choice begins to look: anywhere, if there are more members than it looks at.
-    pub(super) fn turn(&mut self, group: GroupId) -> Turn {
+    pub(super) fn candidate_window(&mut self, group: GroupId) -> CandidateWindow {
         let ring = self.groups.get(&group).map_or(0, |group| group.members.len());
         (group, if ring > WINDOW { self.rng.next_u64() as usize % ring } else { 0 })
     }
 
     /// The members of a group that may be sent to, of those that one choice looks at. Where all are ejected
     /// none is: it is not their fault.
-    pub(super) fn candidates(&self, (group, from): Turn) -> impl Iterator<Item = (MemberId, &Member)> {
+    pub(super) fn candidates(
+        &self,
+        (group, from): CandidateWindow,
+    ) -> impl Iterator<Item = (MemberId, &Member)> {
         let ring = self.groups.get(&group).map_or(&[][..], |group| &group.members);
         let (before, after) = ring.split_at(from.min(ring.len()));
         let window = after.iter().chain(before).take(WINDOW);
@@ -47,14 +50,14 @@
     /// The member for a waiting request, if one can take it now.
     pub(super) fn choose(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> Option<MemberId> {
         let group = self.open.get(&id).filter(|open| self.may_send(now, open))?.req.group;
-        let turn = self.turn(group);
+        let candidate_window = self.candidate_window(group);
         let open = self.open.get(&id)?;
         let class = &self.settings.classes[open.req.class.0];
         let cost = self.cost(open.req.class);
         if class.consistency == Consistency::Write {
-            return self.choose_writer(now, open, cost, turn);
+            return self.choose_writer(now, open, cost, candidate_window);
         }
-        let mut drawn = std::mem::take(&mut self.drawn);
+        let mut weighted = std::mem::take(&mut self.weighted_scratch);
         let primary = self.primary(group);
         let needed = self.needed(now, open);
         let pinned = open.req.session.is_some_and(|key| self.sessions.is_pending(group, key));
@@ -63,12 +66,12 @@
             let out = open.avoid.contains(&id) || open.out.iter().any(|(_, tried)| *tried == id);
             Some(id) != primary && !pin_holds && !out && m.has_room(now, &self.settings, cost, 1.0)
         };
-        let unsure = |m: &Member| m.silent && self.may_ask();
+        let unsure = |m: &Member| m.silent && self.reads_check_replicas();
         let current = |m: &Member| needed.is_some_and(|needed| m.position.unwrap_or_default() >= needed);
         let covers = |id, m: &Member| current(m) && !unsure(m) && candidate(id, m);
         let primary = primary.filter(|id| !open.avoid.contains(id));
-        self.weigh(now, turn, covers, &mut drawn);
-        let mut found = draw(&mut self.rng, &drawn);
+        self.weigh(now, candidate_window, covers, &mut weighted);
+        let mut found = weighted_draw(&mut self.rng, &weighted);
         // Where replicas check, those that should have caught up come before the primary. Where they do not,
         // one of them is asked first: a driver among many meets each too seldom to know.
         let latest = self.log_now(now, group).zip(needed);
@@ -80,21 +83,25 @@
         let at_ease = primary.is_some_and(|id| at_ease(&self.members[&id]));
         let (mut ask, mut asked) = (None, false);
         if found.is_none() && self.settings.replica_checks == ReplicaChecks::Reject {
-            self.weigh(now, turn, caught_up, &mut drawn);
-            found = draw(&mut self.rng, &drawn);
-        } else if found.is_none() && self.may_ask() && class.consistency != Consistency::Strong && !at_ease {
+            self.weigh(now, candidate_window, caught_up, &mut weighted);
+            found = weighted_draw(&mut self.rng, &weighted);
+        } else if found.is_none()
+            && self.reads_check_replicas()
+            && class.consistency != Consistency::Strong
+            && !at_ease
+        {
             let wait = class.latency_objective.scale(ASK_PART);
             let under_way = |m: &Member| m.probing && now - m.probed_at < wait;
-            asked = self.candidates(turn).any(|(id, m)| under_way(m) && caught_up(id, m));
+            asked = self.candidates(candidate_window).any(|(id, m)| under_way(m) && caught_up(id, m));
             // Whoever has waited for two that say nothing has no time for a third.
             let in_time = now + wait < self.patience(open);
-            let rested = |m: &Member| in_time && !m.probing && now - m.probed_at >= SEEK;
-            self.weigh(now, turn, |id, m| rested(m) && caught_up(id, m), &mut drawn);
-            ask = draw(&mut self.rng, &drawn).filter(|_| !asked);
+            let rested = |m: &Member| in_time && !m.probing && now - m.probed_at >= HEALTH_CHECK_PAUSE;
+            self.weigh(now, candidate_window, |id, m| rested(m) && caught_up(id, m), &mut weighted);
+            ask = weighted_draw(&mut self.rng, &weighted).filter(|_| !asked);
         }
-        self.drawn = drawn;
+        self.weighted_scratch = weighted;
         if let Some(member) = ask {
-            self.ask(now, member, actions);
+            self.start_health_check(now, member, actions);
         }
         if asked || ask.is_some() {
             return None;
@@ -103,7 +110,7 @@
     }
 
     /// Whether reads ask replicas: one of few drivers hears from each often enough.
-    pub(super) fn may_ask(&self) -> bool {
+    pub(super) fn reads_check_replicas(&self) -> bool {
         self.limit_share < 1.0 && self.settings.health_checks && self.settings.health_check_price <= ASK_PRICE
     }
 
@@ -129,8 +136,14 @@
 
     /// Where a write goes: the primary, or while none is known the most advanced of the members that
     /// have not just said that they are replicas. Answers to reads tell of a new primary too.
-    pub(super) fn choose_writer(&self, now: Micros, open: &Open, cost: f64, turn: Turn) -> Option<MemberId> {
-        let part = self.write_part(turn);
+    pub(super) fn choose_writer(
+        &self,
+        now: Micros,
+        open: &Open,
+        cost: f64,
+        candidate_window: CandidateWindow,
+    ) -> Option<MemberId> {
+        let part = self.write_part(candidate_window);
         let fits = |m: &Member| m.has_room(now, &self.settings, cost, part);
         if let Some(primary) = self.primary(open.req.group) {
             return Some(primary).filter(|id| fits(&self.members[id]));
@@ -138,8 +151,8 @@
         if !open.out.is_empty() || open.attempts + 2 > open.most {
             return None;
         }
-        let asked = |m: &Member| now - m.role_at.max(m.used_at) < SEEK;
-        let unsure = self.candidates(turn).filter(|(_, m)| fits(m) && !asked(m));
+        let asked = |m: &Member| now - m.role_at.max(m.used_at) < HEALTH_CHECK_PAUSE;
+        let unsure = self.candidates(candidate_window).filter(|(_, m)| fits(m) && !asked(m));
         unsure.max_by_key(|(id, m)| (m.position, *id)).map(|(id, _)| id)
     }
 
@@ -149,9 +162,9 @@
     pub(super) fn weigh(
         &self,
         now: Micros,
-        turn: Turn,
+        candidate_window: CandidateWindow,
         fits: impl Fn(MemberId, &Member) -> bool,
-        drawn: &mut Drawn,
+        weighted: &mut WeightedMembers,
     ) {
         let far = 1.0 + ZONE_PULL * self.settings.cross_zone_price;
         let new = LINK_PULL * (1.0 + HANDSHAKE_PULL * self.settings.handshake_price);
@@ -162,8 +175,8 @@
             let busy = 1.0 + (member.load + member.ghost) / member.weight;
             member.weight / distance / busy.powi(4)
         };
-        drawn.clear();
-        let fitting = self.candidates(turn).filter(|(id, m)| fits(*id, m));
-        drawn.extend(fitting.map(|(id, m)| (id, weight(m))));
+        weighted.clear();
+        let fitting = self.candidates(candidate_window).filter(|(id, m)| fits(*id, m));
+        weighted.extend(fitting.map(|(id, m)| (id, weight(m))));
     }
 }
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -1,6 +1,6 @@
 //! When a request is given up, and what its client is told then.
 
-use super::queue::CROWD_GAIN;
+use super::queue::DROP_RATE_GAIN;
 use super::state::{Group, Member};
 use super::{Actions, Router};
 use crate::api::*;
@@ -11,12 +11,13 @@
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: GiveUp, actions: &mut Actions) {
         let Some(attempts) = self.open.get(&id).map(|open| open.attempts) else { return };
         if self.traced {
-            self.note(Notice::GivenUp { request: id, why, attempts });
+            self.notify(Notice::GivenUp { request: id, why, attempts });
         }
         let Some(open) = self.open.get(&id) else { return };
         if open.attempts == 0 {
-            let crowded = |group: &mut Group| group.crowd += (1.0 - group.crowd) * CROWD_GAIN;
-            self.groups.entry(open.req.group).and_modify(crowded);
+            let dropped =
+                |group: &mut Group| group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_GAIN;
+            self.groups.entry(open.req.group).and_modify(dropped);
         }
         let idempotency = self.settings.classes[open.req.class.0].idempotency;
         let harmless = matches!(
@@ -26,14 +27,14 @@
         if harmless || open.unrun() {
             // About when the next of those under way in its family ends.
             let ahead = 1.0 + self.attempts.len() as f64 / self.groups.len().max(1) as f64;
-            let wait = Micros((self.means[open.req.class.0] / ahead) as u64);
+            let wait = Micros((self.mean_latencies[open.req.class.0] / ahead) as u64);
             let wait = wait.min(self.settings.max_retry_after);
             let useful = self.settings.retry_after && now + wait < open.deadline;
             actions.push(Action::Reject { request: id, retry_after: useful.then_some(wait) });
         } else {
             actions.push(Action::Fail { request: id });
         }
-        self.call_off_rest(id, actions);
+        self.cancel_remaining(id, actions);
         self.close(id);
     }
 
@@ -41,7 +42,7 @@
     pub(super) fn check_request(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let (period, Some(open)) = (self.period(), self.open.get(&id)) else { return };
         let class = &self.settings.classes[open.req.class.0];
-        let mean = Micros(self.means[open.req.class.0] as u64);
+        let mean = Micros(self.mean_latencies[open.req.class.0] as u64);
         let waiting = open.out.is_empty();
         let hopeless = waiting && (now + mean >= open.give_up || now >= self.patience(open));
         let settled = class.idempotency == Idempotency::Idempotent || waiting;
--- a/src/balance/log_clock/tests.rs
+++ b/src/balance/log_clock/tests.rs
@@ -8,9 +8,9 @@
 
 use super::*;
 use crate::api::{AttemptStatus, MemberId};
-use crate::balance::chance::unit;
-use crate::balance::progress::Progress;
-use crate::notice::{Dating, Told};
+use crate::balance::progress::PrimaryProgress;
+use crate::balance::random::uniform;
+use crate::notice::{LogTimeEvidence, PositionKind};
 
 /// Time between two requests, in microseconds: ten thousand a second to one in three seconds.
 const GAP: Range<f64> = 100.0..3e6;
@@ -23,7 +23,7 @@
 
 /// An answer on its way.
 struct Coming {
-    dating: Dating,
+    evidence: LogTimeEvidence,
     /// When the router takes it in, by its clock.
     at: f64,
 }
@@ -39,21 +39,21 @@
     /// Some write's commit, which a dropped repeat tells again.
     commit: f64,
     coming: Vec<Coming>,
-    progress: Progress,
+    progress: PrimaryProgress,
     clock: LogClock,
 }
 
 impl World {
     fn of(seed: u64, offset: f64) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let slew = (unit(&mut rng) - 0.5) * 0.001;
+        let slew = (uniform(&mut rng) - 0.5) * 0.001;
         let (now, commit) = (86_400e6, 0.0);
-        let (progress, clock) = (Progress::default(), LogClock::default());
+        let (progress, clock) = (PrimaryProgress::default(), LogClock::default());
         World { rng, now, offset, slew, still: None, commit, coming: vec![], progress, clock }
     }
 
     fn log(&mut self, range: &Range<f64>) -> f64 {
-        range.start * (range.end / range.start).powf(unit(&mut self.rng))
+        range.start * (range.end / range.start).powf(uniform(&mut self.rng))
     }
 
     fn now(&self) -> Micros {
@@ -77,13 +77,13 @@
 
     /// Sends a request; its position is taken at any moment until its answer is there, and both ends may be
     /// held up.
-    fn ask(&mut self) {
+    fn start_health_check(&mut self) {
         let (latency, held) = (self.log(&LATENCY), self.log(&HELD));
-        let held = if unit(&mut self.rng) < 0.1 { held } else { 0.0 };
-        let taken = latency * unit(&mut self.rng);
+        let held = if uniform(&mut self.rng) < 0.1 { held } else { 0.0 };
+        let taken = latency * uniform(&mut self.rng);
         let stood = self.still.unwrap_or(self.present_after(taken));
         // Rounded down, or a commit rounded up: of a write that ran just now, or of one that ran before.
-        let kind = unit(&mut self.rng);
+        let kind = uniform(&mut self.rng);
         let commit = kind < 0.3;
         let position = match commit {
             true if kind < 0.15 && self.commit > 0.0 => self.commit,
@@ -97,15 +97,15 @@
         };
         let (sent, at) = (self.now(), self.now + (latency - held).max(0.0));
         let status = AttemptStatus::Ok;
-        let dating = Dating {
+        let evidence = LogTimeEvidence {
             member: MemberId(1),
             status,
             position: Micros(position as u64),
-            told: if commit { Told::Commit } else { Told::Position },
+            kind: if commit { PositionKind::Commit } else { PositionKind::Current },
             sent,
-            heard: Micros(at as u64),
+            received: Micros(at as u64),
         };
-        self.coming.push(Coming { dating, at });
+        self.coming.push(Coming { evidence, at });
     }
 
     /// The primary comes to a stand: what is on its way was told before, or tells where it stands.
@@ -114,11 +114,14 @@
         self.still = Some(still);
         let (told, last) = (Micros((still / 1_000.0).floor() as u64 * 1_000), Micros(still as u64));
         self.coming.retain(|coming| {
-            coming.dating.told != Told::Commit || coming.dating.position <= last + Micros(1_000)
+            coming.evidence.kind != PositionKind::Commit || coming.evidence.position <= last + Micros(1_000)
         });
-        for Coming { dating, .. } in &mut self.coming {
-            dating.position =
-                if dating.told == Told::Commit { dating.position } else { dating.position.min(told) };
+        for Coming { evidence, .. } in &mut self.coming {
+            evidence.position = if evidence.kind == PositionKind::Commit {
+                evidence.position
+            } else {
+                evidence.position.min(told)
+            };
         }
     }
 
@@ -128,11 +131,11 @@
         let here = self.coming.partition_point(|coming| coming.at <= until);
         let here: Vec<Coming> = self.coming.drain(..here).collect();
         let mut changes = Vec::new();
-        for Coming { dating, at } in here {
-            if let Some(proof) = self.progress.hear(&dating) {
-                changes.push(self.clock.prove(proof, Offset::plausible(dating.heard)));
+        for Coming { evidence, at } in here {
+            if let Some(proof) = self.progress.observe(&evidence) {
+                changes.push(self.clock.prove(proof, Offset::plausible(evidence.received)));
             } else {
-                self.clock.reach(dating.sent, dating.heard, dating.position);
+                self.clock.reach(evidence.sent, evidence.received, evidence.position);
             }
             self.check(at);
         }
@@ -159,7 +162,7 @@
     fn go_on(&mut self, time: f64, gap: &Range<f64>) -> Vec<Change> {
         let (end, mut changes) = (self.now + time, Vec::new());
         while self.now < end {
-            self.ask();
+            self.start_health_check();
             let gap = self.log(gap).min(end - self.now).max(1.0);
             changes.extend(self.take_in(self.now + gap));
             self.pass(gap);
@@ -243,12 +246,12 @@
         let mut world = World::of(seed, 0.0);
         let mut still = seed % 2 == 0;
         for _ in 0..12 {
-            let (span, fastest) = (world.log(&SPAN), world.log(&GAP));
+            let (served_span, fastest) = (world.log(&SPAN), world.log(&GAP));
             world.still = None;
             if still {
                 world.stand();
             }
-            world.go_on(span.min(fastest * 3_000.0), &(fastest..fastest * 10.0));
+            world.go_on(served_span.min(fastest * 3_000.0), &(fastest..fastest * 10.0));
             still = !still;
         }
     }
@@ -275,9 +278,9 @@
         world.go_on(5e6, &(100.0..200_000.0));
         world.settle();
         let error = world.log(&(1.0..2e6));
-        let actual = error * (2.0 * unit(&mut world.rng) - 1.0);
+        let actual = error * (2.0 * uniform(&mut world.rng) - 1.0);
         world.clock = world.clock.after_error(Micros(error.ceil() as u64));
-        world.progress = Progress::default();
+        world.progress = PrimaryProgress::default();
         // The next clock shows so much more for the same moment.
         world.now += actual;
         world.offset -= actual;
--- a/src/balance/dating.rs
+++ b/src/balance/log_time_evidence.rs
@@ -4,7 +4,7 @@
 use super::state::Attempt;
 use super::{Actions, Router};
 use crate::api::*;
-use crate::notice::{Dating, Notice, Told};
+use crate::notice::{LogTimeEvidence, Notice, PositionKind};
 
 /// How closely a log's time should be known, as a part of the least bound on the age of data: until then
 /// primaries are probed for it.
@@ -14,35 +14,36 @@
 const REPORT_SOON: Micros = Micros::millis(25);
 const REPORT_LATE: Micros = Micros::millis(250);
 /// Least time between two such probes.
-const DATING_PAUSE: Micros = Micros::millis(100);
+const LOG_TIME_CHECK_PAUSE: Micros = Micros::millis(100);
 
 impl Router {
     /// What the position in an answer is.
-    pub(super) fn told(&self, outcome: &Outcome, attempt: &Attempt) -> Told {
+    pub(super) fn position_kind(&self, outcome: &Outcome, attempt: &Attempt) -> PositionKind {
         let class = &self.settings.classes[attempt.class.0];
         if outcome.status != AttemptStatus::Ok || class.consistency != Consistency::Write {
-            return Told::Position;
+            return PositionKind::Current;
         }
         // A repeat may be dropped and told the commit of the first run, whoever repeats: this router, or the
         // client, which may come by another one.
         let repeatable = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
         let first = outcome.attempt == AttemptNo(0) && !attempt.repeat && self.settings.clients_mark_retries;
         match first || !repeatable {
-            true => Told::NewCommit,
-            false => Told::Commit,
+            true => PositionKind::NewCommit,
+            false => PositionKind::Commit,
         }
     }
 
     /// Takes in what a primary reports of itself: it proves nothing alone, but may show that its log goes on.
-    pub(super) fn hear_report(&mut self, now: Micros, member: MemberId, report: HealthReport) {
+    pub(super) fn observe_primary_report(&mut self, now: Micros, member: MemberId, report: HealthReport) {
         if let (Some(Role::Primary), Some(position)) = (report.role, report.position) {
-            let (told, status) = (Told::Report, AttemptStatus::Ok);
-            self.hear_primary(now, Dating { member, status, position, told, sent: now, heard: now });
+            let (kind, status) = (PositionKind::Reported, AttemptStatus::Ok);
+            let evidence = LogTimeEvidence { member, status, position, kind, sent: now, received: now };
+            self.observe_primary(now, evidence);
         }
     }
 
     /// Probes a primary that has told where it stands, while no log's time is known closely enough.
-    pub(super) fn probe_to_date(&mut self, now: Micros, actions: &mut Actions) {
+    pub(super) fn check_primary_for_log_time(&mut self, now: Micros, actions: &mut Actions) {
         let bound = |class: &Class| {
             if let Consistency::BoundedStaleness(bound) = class.consistency {
                 Some(bound)
@@ -52,7 +53,7 @@
         };
         let Some(least) = self.settings.classes.iter().filter_map(bound).min() else { return };
         let close = self.common_clock.known().is_some_and(|known| known.width(now) <= least.scale(CLOSE));
-        let rests = now - self.dating_probed < DATING_PAUSE || self.probe_credit < 1.0;
+        let rests = now - self.log_time_checked_at < LOG_TIME_CHECK_PAUSE || self.health_check_tokens < 1.0;
         if self.one_clock || !self.settings.health_checks || close || rests {
             return;
         }
@@ -61,11 +62,11 @@
             let ago = now - member.progress.since()?;
             (REPORT_SOON..REPORT_LATE).contains(&ago).then_some((ago, *id))
         };
-        let leaders = self.groups.values().filter_map(|group| group.leader);
+        let leaders = self.groups.values().filter_map(|group| group.primary);
         if let Some((_, member)) = leaders.filter_map(|id| soon(&id)).min() {
-            self.probe_credit -= 1.0;
-            self.dating_probed = now;
-            self.ask(now, member, actions);
+            self.health_check_tokens -= 1.0;
+            self.log_time_checked_at = now;
+            self.start_health_check(now, member, actions);
         }
     }
 
@@ -74,12 +75,12 @@
         if self.one_clock {
             return Some(Offset::NONE);
         }
-        let own = self.groups.get(&group).and_then(|group| group.log_time.known());
-        own.map_or(self.usual_offset, |own| self.agreed(own))
+        let own = self.groups.get(&group).and_then(|group| group.log_clock.known());
+        own.map_or(self.usual_offset, |own| self.within_common(own))
     }
 
     /// What is proved of a family's log time, closer where the proofs of all families fit.
-    pub(super) fn agreed(&self, own: Offset) -> Option<Offset> {
+    pub(super) fn within_common(&self, own: Offset) -> Option<Offset> {
         let common = self.common_clock.known().and_then(|common| common.meet(own));
         Some(common.unwrap_or(own))
     }
@@ -91,45 +92,45 @@
         if self.one_clock {
             return Some(latest);
         }
-        let own = self.groups.get(&group).and_then(|group| group.log_time.latest_in_doubt(now));
+        let own = self.groups.get(&group).and_then(|group| group.log_clock.latest_in_doubt(now));
         let doubt = own.or_else(|| self.common_clock.latest_in_doubt(now));
         Some(doubt.map_or(latest, |doubt| doubt.max(latest)))
     }
 
     /// Takes in an answer of a member that calls itself the primary: its log has come to this position, and
     /// if it has moved on, that dates the log.
-    pub(super) fn hear_primary(&mut self, now: Micros, answer: Dating) {
+    pub(super) fn observe_primary(&mut self, now: Micros, answer: LogTimeEvidence) {
         if self.one_clock {
             return;
         }
         let Some(member) = self.members.get_mut(&answer.member) else { return };
-        let (id, proof) = (member.endpoint.group, member.progress.hear(&answer));
+        let (id, proof) = (member.endpoint.group, member.progress.observe(&answer));
         let (common, usual) = (&mut self.common_clock, self.usual_offset);
         let Some(group) = self.groups.get_mut(&id) else { return };
         let change = proof.map_or(Change::None, |proof| {
-            group.dating = Some(answer);
+            group.evidence = Some(answer);
             common.prove(proof, Offset::plausible(now));
-            group.log_time.prove(proof, usual.unwrap_or(Offset::plausible(now)))
+            group.log_clock.prove(proof, usual.unwrap_or(Offset::plausible(now)))
         });
         let (sent, position) = (answer.sent, answer.position);
         common.reach(sent, now, position);
-        group.log_time.reach(sent, now, position);
+        group.log_clock.reach(sent, now, position);
         if change != Change::None {
             self.log_time_changed(now, id, change, answer);
         }
     }
 
     /// What is known of a family's log time is new, or holds no more.
-    fn log_time_changed(&mut self, now: Micros, id: GroupId, change: Change, dating: Dating) {
+    fn log_time_changed(&mut self, now: Micros, id: GroupId, change: Change, evidence: LogTimeEvidence) {
         let Some(offset) = self.offset(id) else { return };
         self.usual_offset = Some(self.usual_offset.map_or(offset, |usual| usual.hull(offset)));
         let (stepped, bounds) = (change != Change::Learned, offset.bounds());
-        self.note(Notice::LogTime { group: id, stepped, dating, bounds });
+        self.notify(Notice::LogTime { group: id, stepped, evidence, bounds });
         let Some(group) = self.groups.get_mut(&id) else { return };
         if change == Change::Stepped {
             // Commits and positions of before are on another scale: all that was committed so far has to be
             // seen.
-            group.floor = offset.latest(now + HOLD);
+            group.forgotten_commit = offset.latest(now + HOLD);
         }
         for id in &group.members {
             let Some(member) = self.members.get_mut(id) else { continue };
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, HashSet};
 
-use super::chance::unit;
+use super::random::uniform;
 use super::state::Member;
 use super::{Actions, Router};
 use crate::api::*;
@@ -12,11 +12,11 @@
 /// Concurrency limit of a member never tried, in usual requests; it adapts within a second.
 const LIMIT_START: f64 = 8.0;
 /// Least draw weight of a failing member: the trickle that shows its return.
-pub(super) const TRICKLE: f64 = 0.01;
+pub(super) const MIN_WEIGHT: f64 = 0.01;
 /// Broken connections in a row that eject a member, and errors after which a read is given up.
-pub(super) const EJECT_AFTER: u32 = 2;
+pub(super) const EJECT_AFTER_FAILURES: u32 = 2;
 /// Time after which a member taken as down is tried by a request, and a return counts as a restart.
-pub(super) const AWAY: Micros = Micros::millis(1000);
+pub(super) const EJECTION_TIME: Micros = Micros::millis(1000);
 
 impl Member {
     pub(super) fn usable(&self) -> bool {
@@ -33,7 +33,7 @@
     pub(super) fn restart(&mut self, at: Micros, rng: &mut Pcg64Mcg) {
         self.born = at;
         self.born_by_list = false;
-        self.credit = -unit(rng);
+        self.credit = -uniform(rng);
     }
 
     /// Books a connection that broke or could not be made. One says little: a full table, a slow link
@@ -42,14 +42,14 @@
         self.breaks += 1;
         let (since, before) = self.broken.unwrap_or((now, false));
         self.broken = Some((since, before || cut));
-        if self.breaks >= EJECT_AFTER {
+        if self.breaks >= EJECT_AFTER_FAILURES {
             self.ejected = Some(now);
         }
     }
 }
 
 impl Router {
-    pub(super) fn members_listed(
+    pub(super) fn endpoints_updated(
         &mut self,
         now: Micros,
         update: EndpointUpdate,
@@ -74,7 +74,7 @@
             let member = self
                 .members
                 .entry(endpoint.member)
-                .or_insert_with(|| Member::new(endpoint, role, start, TRICKLE));
+                .or_insert_with(|| Member::new(endpoint, role, start, MIN_WEIGHT));
             if member.endpoint.group != endpoint.group {
                 let before = self.groups.entry(member.endpoint.group).or_default();
                 before.members.retain(|id| *id != endpoint.member);
@@ -128,7 +128,7 @@
         member.administratively_down = down;
         if !down {
             let limit = LIMIT_START * self.limit_share.sqrt();
-            let new = Member::new(member.endpoint, Role::Replica, limit, TRICKLE);
+            let new = Member::new(member.endpoint, Role::Replica, limit, MIN_WEIGHT);
             let old = std::mem::replace(member, new);
             (member.position, member.position_at, member.lag) = (old.position, old.position_at, old.lag);
             (member.inflight, member.load, member.probing) = (old.inflight, old.load, old.probing);
@@ -137,15 +137,15 @@
         }
         let group = member.endpoint.group;
         self.recount(group);
-        self.wake_by(now, actions);
+        self.sweep_by(now, actions);
     }
 
     /// A member has answered a request or a probe.
-    pub(super) fn heard(&mut self, now: Micros, id: MemberId) {
+    pub(super) fn member_responded(&mut self, now: Micros, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.ejected = None;
         (member.silent, member.heard_at) = (false, now);
-        if member.broken.take().is_some_and(|(since, cut)| cut && now - since > AWAY) {
+        if member.broken.take().is_some_and(|(since, cut)| cut && now - since > EJECTION_TIME) {
             // Away for so long, its process has most likely started again, whatever the list says: cold.
             member.restart(now, &mut self.rng);
         }
@@ -153,7 +153,7 @@
 
     /// The member believed to be the group's primary.
     pub(super) fn primary(&self, group: GroupId) -> Option<MemberId> {
-        let leader = self.groups.get(&group)?.leader?;
+        let leader = self.groups.get(&group)?.primary?;
         self.members.get(&leader)?.usable().then_some(leader)
     }
 }
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -4,18 +4,18 @@
 use super::state::Open;
 use super::Router;
 use crate::api::*;
-use crate::notice::{ReadBasis, Source};
+use crate::notice::{PositionSource, ReadBasis};
 
 impl Router {
     /// Takes in what a member said. A position stays valid for ever; the latest word on the role wins.
-    pub(super) fn learn(
+    pub(super) fn observe_member(
         &mut self,
         now: Micros,
         id: MemberId,
         role: Option<Role>,
         at: Micros,
         position: Option<Micros>,
-        source: Source,
+        source: PositionSource,
     ) {
         let Some(group) = self.members.get(&id).map(|member| member.endpoint.group) else { return };
         let (offset, latest) = (self.offset(group), self.log_now(now, group));
@@ -27,7 +27,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let mut contested = false;
         if let Some(role) = role.filter(|role| member.take_role(*role, at, position)) {
-            let leads = self.groups.get(&group).and_then(|g| g.leader) == Some(id);
+            let leads = self.groups.get(&group).and_then(|g| g.primary) == Some(id);
             contested = leads != (role == Role::Primary);
         }
         let position = position.map(|position| latest.map_or(position, |latest| position.min(latest)));
@@ -43,11 +43,11 @@
     }
 
     /// Takes in a member's report of itself. Its position dates the rest of it.
-    pub(super) fn learn_report(&mut self, now: Micros, id: MemberId, report: HealthReport) {
+    pub(super) fn observe_report(&mut self, now: Micros, id: MemberId, report: HealthReport) {
         let Some(group) = self.members.get(&id).map(|member| member.endpoint.group) else { return };
         let local = |position| self.offset(group).map(|offset| offset.local_earliest(now, position));
         let at = report.position.and_then(local).unwrap_or_default();
-        self.learn(now, id, report.role, at, report.position, Source::Report);
+        self.observe_member(now, id, report.role, at, report.position, PositionSource::Report);
     }
 
     /// What the choice of the member that a request is out at rested on.
@@ -61,7 +61,7 @@
             age: now - member.position_at,
             source: member.position_from,
             log_time: self.log_now(now, group),
-            dating: self.groups.get(&group).and_then(|group| group.dating),
+            evidence: self.groups.get(&group).and_then(|group| group.evidence),
         })
     }
 
@@ -87,7 +87,7 @@
             (Consistency::Session, SessionTokens::Carried) => open.req.committed.unwrap_or_default(),
             (Consistency::Session, SessionTokens::Remembered) => {
                 let commit = open.req.session.and_then(|key| self.sessions.commit(open.req.group, key));
-                let floor = self.groups.get(&open.req.group).map_or(Micros(0), |g| g.floor);
+                let floor = self.groups.get(&open.req.group).map_or(Micros(0), |g| g.forgotten_commit);
                 commit.map_or(floor, |commit| commit.max(floor))
             }
         })
--- a/src/balance/chance.rs
+++ b/src/balance/random.rs
@@ -7,18 +7,18 @@
 use crate::api::MemberId;
 
 /// An even draw between 0 and 1.
-pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
+pub fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// Draws one by weight.
-pub fn draw(rng: &mut Pcg64Mcg, drawn: &[(MemberId, f64)]) -> Option<MemberId> {
-    let mut point = unit(rng) * drawn.iter().map(|(_, weight)| weight).sum::<f64>();
-    for (id, weight) in drawn {
+pub fn weighted_draw(rng: &mut Pcg64Mcg, weighted: &[(MemberId, f64)]) -> Option<MemberId> {
+    let mut point = uniform(rng) * weighted.iter().map(|(_, weight)| weight).sum::<f64>();
+    for (id, weight) in weighted {
         if point < *weight {
             return Some(*id);
         }
         point -= weight;
     }
-    drawn.last().map(|(id, _)| *id)
+    weighted.last().map(|(id, _)| *id)
 }
--- a/src/balance/book.rs
+++ b/src/balance/request_index.rs
@@ -7,7 +7,7 @@
 
 /// A request that waits: its place in its family's queue and when it is looked at again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct QueueEntry {
     /// The request.
     pub id: RequestId,
     /// Its family.
@@ -24,7 +24,7 @@
 
 /// All open requests, and of those that wait the queues of their families.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct RequestIndex {
     places: u64,
     ends: BTreeSet<(Micros, RequestId)>,
     patience: BTreeSet<(Micros, RequestId)>,
@@ -33,43 +33,47 @@
     queues: BTreeMap<GroupId, BTreeSet<(ClassId, u64, RequestId)>>,
 }
 
-impl Book {
+impl RequestIndex {
     /// Takes a request on that ends then.
     pub fn open(&mut self, id: RequestId, end: Micros) {
         self.ends.insert((end, id));
     }
 
     /// Forgets a request.
-    pub fn close(&mut self, id: RequestId, end: Micros, spot: Option<Spot>) {
+    pub fn close(&mut self, id: RequestId, end: Micros, queue_entry: Option<QueueEntry>) {
         self.ends.remove(&(end, id));
-        if let Some(spot) = spot {
-            self.leave(spot);
+        if let Some(queue_entry) = queue_entry {
+            self.leave(queue_entry);
         }
     }
 
     /// Puts a request into its family's queue, behind all that wait; gives its place.
-    pub fn wait(&mut self, mut spot: Spot) -> Spot {
+    pub fn wait(&mut self, mut queue_entry: QueueEntry) -> QueueEntry {
         self.places += 1;
-        spot.place = self.places;
-        if self.hopes.len() <= spot.class.0 {
-            self.hopes.resize_with(spot.class.0 + 1, BTreeSet::new);
+        queue_entry.place = self.places;
+        if self.hopes.len() <= queue_entry.class.0 {
+            self.hopes.resize_with(queue_entry.class.0 + 1, BTreeSet::new);
         }
-        self.hopes[spot.class.0].insert((spot.give_up, spot.id));
-        self.patience.insert((spot.patience, spot.id));
-        self.queues.entry(spot.group).or_default().insert((spot.class, spot.place, spot.id));
-        spot
+        self.hopes[queue_entry.class.0].insert((queue_entry.give_up, queue_entry.id));
+        self.patience.insert((queue_entry.patience, queue_entry.id));
+        self.queues.entry(queue_entry.group).or_default().insert((
+            queue_entry.class,
+            queue_entry.place,
+            queue_entry.id,
+        ));
+        queue_entry
     }
 
     /// Takes a request out of its queue.
-    pub fn leave(&mut self, spot: Spot) {
-        if let Some(hopes) = self.hopes.get_mut(spot.class.0) {
-            hopes.remove(&(spot.give_up, spot.id));
+    pub fn leave(&mut self, queue_entry: QueueEntry) {
+        if let Some(hopes) = self.hopes.get_mut(queue_entry.class.0) {
+            hopes.remove(&(queue_entry.give_up, queue_entry.id));
         }
-        self.patience.remove(&(spot.patience, spot.id));
-        if let Some(queue) = self.queues.get_mut(&spot.group) {
-            queue.remove(&(spot.class, spot.place, spot.id));
+        self.patience.remove(&(queue_entry.patience, queue_entry.id));
+        if let Some(queue) = self.queues.get_mut(&queue_entry.group) {
+            queue.remove(&(queue_entry.class, queue_entry.place, queue_entry.id));
             if queue.is_empty() {
-                self.queues.remove(&spot.group);
+                self.queues.remove(&queue_entry.group);
             }
         }
     }
@@ -111,14 +115,14 @@
 
     /// The requests that something falls due for, in order: those that end, have waited for their time, or
     /// are worth nothing a mean latency of their class (in microseconds) from now.
-    pub fn due(&self, now: Micros, means: &[f64]) -> Vec<RequestId> {
+    pub fn due(&self, now: Micros, mean_latencies: &[f64]) -> Vec<RequestId> {
         let mut due = Vec::new();
         let mut take = |set: &BTreeSet<(Micros, RequestId)>, until: Micros| {
             due.extend(set.range(..=(until, RequestId(u64::MAX))).map(|(_, id)| *id));
         };
         take(&self.ends, now);
         take(&self.patience, now);
-        for (hopes, mean) in self.hopes.iter().zip(means) {
+        for (hopes, mean) in self.hopes.iter().zip(mean_latencies) {
             take(hopes, now + Micros(*mean as u64));
         }
         due.sort_unstable();
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -48,8 +48,8 @@
             groups: self.groups.iter().map(|(id, group)| (*id, group.into())).collect(),
             administratively_down: self.administratively_down.clone(),
             common_clock: self.common_clock.into(),
-            span: self.span,
-            means: self.means.clone(),
+            span: self.served_span,
+            means: self.mean_latencies.clone(),
             ..Snapshot::default()
         };
         for (key, group, commit) in self.sessions.commits() {
@@ -58,22 +58,22 @@
         snapshot
     }
 
-    /// Takes over what another router knew; `means` are those of this router's classes, where known. This
+    /// Takes over what another router knew; `mean_latencies` are those of this router's classes, where known. This
     /// router's clock may differ from the other's by `error` either way.
-    pub fn inherit(&mut self, snapshot: Snapshot, means: &[Option<f64>], error: Micros) {
+    pub fn inherit(&mut self, snapshot: Snapshot, mean_latencies: &[Option<f64>], error: Micros) {
         self.members = snapshot.members.into_iter().map(|(id, member)| (id, member.into())).collect();
         self.groups = snapshot.groups.into_iter().map(|(id, group)| (id, group.into())).collect();
         for group in self.groups.values_mut() {
-            group.log_time = group.log_time.after_error(error);
+            group.log_clock = group.log_clock.after_error(error);
         }
         self.common_clock = LogClock::from(snapshot.common_clock).after_error(error);
-        let groups = self.groups.values().filter_map(|group| self.agreed(group.log_time.known()?));
+        let groups = self.groups.values().filter_map(|group| self.within_common(group.log_clock.known()?));
         self.usual_offset = groups.reduce(Offset::hull);
         let sessions = snapshot.sessions.into_iter().chain(snapshot.roaming);
         self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
         self.administratively_down = snapshot.administratively_down;
-        self.span = snapshot.span;
-        for (mean, known) in self.means.iter_mut().zip(means) {
+        self.served_span = snapshot.span;
+        for (mean, known) in self.mean_latencies.iter_mut().zip(mean_latencies) {
             *mean = known.unwrap_or(*mean);
         }
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
--- a/src/balance/snapshot_conversion.rs
+++ b/src/balance/snapshot_conversion.rs
@@ -1,10 +1,10 @@
 //! Conversions between the router's state in memory and its serialised form.
 
-use super::progress::Progress;
+use super::progress::PrimaryProgress;
 use super::snapshot_format::*;
 use super::state::{Group, Member};
 use crate::api::*;
-use crate::notice::Source;
+use crate::notice::PositionSource;
 
 impl From<Endpoint> for EndpointRecord {
     fn from(endpoint: Endpoint) -> EndpointRecord {
@@ -47,22 +47,22 @@
     Ok = Ok, Error = Error, Rejected = Full, Timeout = Timeout, ConnectFailed = ConnectFailed, Reset = Reset,
     Malformed = Spoilt, Cancelled = Cancelled, Withdrawn = Withdrawn, NotSent = Moot, Unsuitable = Miss);
 
-impl From<Source> for PositionSourceRecord {
-    fn from(source: Source) -> PositionSourceRecord {
+impl From<PositionSource> for PositionSourceRecord {
+    fn from(source: PositionSource) -> PositionSourceRecord {
         match source {
-            Source::Nobody => PositionSourceRecord::Nobody,
-            Source::Answer(status) => PositionSourceRecord::Answer(status.into()),
-            Source::Report => PositionSourceRecord::Report,
+            PositionSource::Unknown => PositionSourceRecord::Nobody,
+            PositionSource::Answer(status) => PositionSourceRecord::Answer(status.into()),
+            PositionSource::Report => PositionSourceRecord::Report,
         }
     }
 }
 
-impl From<PositionSourceRecord> for Source {
-    fn from(record: PositionSourceRecord) -> Source {
+impl From<PositionSourceRecord> for PositionSource {
+    fn from(record: PositionSourceRecord) -> PositionSource {
         match record {
-            PositionSourceRecord::Nobody => Source::Nobody,
-            PositionSourceRecord::Answer(status) => Source::Answer(status.into()),
-            PositionSourceRecord::Report => Source::Report,
+            PositionSourceRecord::Nobody => PositionSource::Unknown,
+            PositionSourceRecord::Answer(status) => PositionSource::Answer(status.into()),
+            PositionSourceRecord::Report => PositionSource::Report,
         }
     }
 }
@@ -114,7 +114,7 @@
             role: record.role.into(),
             role_at: record.role_at,
             role_position: record.role_position,
-            progress: Progress::default(),
+            progress: PrimaryProgress::default(),
             inflight: 0,
             load: 0.0,
             ghost: record.ghost,
@@ -142,10 +142,10 @@
     fn from(group: &Group) -> GroupRecord {
         GroupRecord {
             members: group.members.clone(),
-            served: group.served,
-            live: group.live,
-            log_time: group.log_time.into(),
-            floor: group.floor,
+            served: group.served_cost,
+            live: group.live_members,
+            log_time: group.log_clock.into(),
+            floor: group.forgotten_commit,
         }
     }
 }
@@ -154,10 +154,10 @@
     fn from(record: GroupRecord) -> Group {
         Group {
             members: record.members,
-            served: record.served,
-            live: record.live,
-            log_time: record.log_time.into(),
-            floor: record.floor,
+            served_cost: record.served,
+            live_members: record.live,
+            log_clock: record.log_time.into(),
+            forgotten_commit: record.floor,
             ..Group::default()
         }
     }
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -1,19 +1,19 @@
 //! What the router keeps of members, families, open requests and attempts. Nothing is decided here.
 
-use super::book::Spot;
 use super::log_clock::{LogClock, ROUNDING};
-use super::progress::Progress;
+use super::progress::PrimaryProgress;
+use super::request_index::QueueEntry;
 use crate::api::*;
-use crate::notice::{Dating, Source};
+use crate::notice::{LogTimeEvidence, PositionSource};
 
 /// A member that may be probed: those whose connections broke first, then the one asked longest ago.
-pub type Due = (bool, Micros, MemberId);
+pub type HealthCheckCandidate = (bool, Micros, MemberId);
 
 /// A family, and the place among its members where one choice begins to look.
-pub type Turn = (GroupId, usize);
+pub type CandidateWindow = (GroupId, usize);
 
 /// Members with their weights in a draw.
-pub type Drawn = Vec<(MemberId, f64)>;
+pub type WeightedMembers = Vec<(MemberId, f64)>;
 
 /// A member as this router knows it.
 #[derive(Default)]
@@ -25,7 +25,7 @@
     pub born_by_list: bool,
     pub position: Option<Micros>,
     pub position_at: Micros,
-    pub position_from: Source,
+    pub position_from: PositionSource,
     /// How far it is thought to be behind: from its last position, and from reads that it turned away.
     pub lag: Micros,
     pub role: Role,
@@ -33,7 +33,7 @@
     /// The position that it told along with its role, if it told one.
     pub role_position: Option<Micros>,
     /// What it last told as the primary.
-    pub progress: Progress,
+    pub progress: PrimaryProgress,
     pub inflight: u32,
     /// Cost of the attempts in flight, in usual requests.
     pub load: f64,
@@ -101,9 +101,9 @@
 
     /// Forgets what it told as a member of another family: the list has moved it.
     pub fn leave_family(&mut self, role: Role) {
-        (self.position, self.position_from, self.lag) = (None, Source::Nobody, Micros(0));
+        (self.position, self.position_from, self.lag) = (None, PositionSource::Unknown, Micros(0));
         (self.role, self.role_at, self.role_position) = (role, Micros(0), None);
-        self.progress = Progress::default();
+        self.progress = PrimaryProgress::default();
     }
 
     /// Books that an attempt of this cost takes no room any more.
@@ -117,21 +117,21 @@
 #[derive(Default)]
 pub struct Group {
     pub members: Vec<MemberId>,
-    /// Cost served of late, over `Router::span`.
-    pub served: f64,
+    /// Cost served of late, over `Router::served_span`.
+    pub served_cost: f64,
     /// Members listed as ready.
-    pub live: f64,
+    pub live_members: f64,
     /// What is proved of the log's time.
-    pub log_time: LogClock,
+    pub log_clock: LogClock,
     /// The answer that last proved something of it.
-    pub dating: Option<Dating>,
+    pub evidence: Option<LogTimeEvidence>,
     /// The latest commit whose session was forgotten: a member that joins later may not have it yet.
-    pub floor: Micros,
+    pub forgotten_commit: Micros,
     /// The latest claim to be the primary that nothing newer disproved.
-    pub leader: Option<MemberId>,
-    pub surveyed: Micros,
+    pub primary: Option<MemberId>,
+    pub refreshed_at: Micros,
     /// Running share of requests that were given up before anybody was sent them.
-    pub crowd: f64,
+    pub queue_drop_rate: f64,
 }
 
 /// A request that awaits its final answer.
@@ -146,7 +146,7 @@
     pub give_up: Micros,
     /// When it ends, as it was booked, and where it waits.
     pub end: Micros,
-    pub spot: Option<Spot>,
+    pub queue_entry: Option<QueueEntry>,
     pub attempts: u32,
     pub out: Vec<(AttemptNo, MemberId)>,
     /// Send time of the first attempt that may have run.
--- a/src/net/event_loop/trace.rs
+++ b/src/net/event_loop/trace.rs
@@ -6,19 +6,19 @@
 use super::slots::Key;
 use super::Gateway;
 use crate::balancer::{Balancer, Ended, Ticket};
-use crate::notice::{role_name, Dating, Notice, ReadBasis};
+use crate::notice::{role_name, LogTimeEvidence, Notice, ReadBasis};
 use crate::{MemberId, Micros};
 
 impl Gateway {
     /// Writes what the decision module has to tell.
     pub(super) fn log_notice(&self, notice: Notice) {
         match notice {
-            Notice::LogTime { group, stepped, dating, bounds } => {
-                let Dating { status, position, sent, heard, .. } = dating;
+            Notice::LogTime { group, stepped, evidence, bounds } => {
+                let LogTimeEvidence { status, position, sent, received, .. } = evidence;
                 info!(self.log, "log time learned"; "group" => group.0, "stepped" => stepped,
-                    "host" => self.directory.name(dating.member), "answer" => ?status,
+                    "host" => self.directory.name(evidence.member), "answer" => ?status,
                     "position_ms" => self.unix_ms(Some(position)), "sent_ms_ago" => self.ms_ago(sent),
-                    "heard_ms_ago" => self.ms_ago(heard), "ahead_least_us" => bounds.0, "ahead_most_us" => bounds.1);
+                    "heard_ms_ago" => self.ms_ago(received), "ahead_least_us" => bounds.0, "ahead_most_us" => bounds.1);
             }
             Notice::Primary { group, before, after } => {
                 let name =
@@ -43,12 +43,12 @@
             return;
         }
         let basis = self.balancer.read_basis(self.now, ticket);
-        let Some(ReadBasis { needed, position, age, source, log_time, dating }) = basis else { return };
-        let dated = dating.map(|dating| (self.directory.name(dating.member), dating.status));
+        let Some(ReadBasis { needed, position, age, source, log_time, evidence }) = basis else { return };
+        let dated = evidence.map(|evidence| (self.directory.name(evidence.member), evidence.status));
         debug!(self.log, "attempt written"; "id" => self.request_id(ticket), "host" => self.directory.name(member),
             "needed_ms" => self.unix_ms(needed), "position_ms" => self.unix_ms(position), "age_ms" => age.0 / 1000,
             "source" => ?source, "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated,
-            "dated_ms_ago" => dating.map(|dating| self.ms_ago(dating.heard)));
+            "dated_ms_ago" => evidence.map(|evidence| self.ms_ago(evidence.received)));
     }
 
     /// An attempt has ended.
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -14,7 +14,7 @@
 use super::timers::Timer;
 use super::workers::WorkerMessage;
 use super::Gateway;
-use crate::balance::chance::unit;
+use crate::balance::random::uniform;
 use crate::fault::Fault;
 use crate::fleet::rollout::handover;
 use crate::net::dial;
@@ -140,7 +140,7 @@
     fn call_again(&mut self, why: &str, how: Failed) {
         let spent = self.now - self.watching.called;
         let Watching { watch, gateways, drain_grace, rng, .. } = &mut self.watching;
-        let backoff = watch.failed(how, *gateways, *drain_grace, spent, unit(rng));
+        let backoff = watch.failed(how, *gateways, *drain_grace, spent, uniform(rng));
         let fails = watch.fails();
         // The first failure and every hundredth after it: one line in ten seconds at the most.
         if fails % 100 == 1 {
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -1,48 +1,48 @@
-//! What the decision module tells operators: changes of what it knows with the evidence for them, what the choice of a
-//! replica rested on, and why a request was given up.
+//! What the decision module reports to operators: changes of what it knows with the evidence for them, what the choice
+//! of a replica rested on, and why a request was given up.
 
 use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId, Role};
 
-/// Where a belief about a member's position comes from.
+/// Where a member's position is known from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Source {
-    /// Nobody has told it.
+pub enum PositionSource {
+    /// It is not known.
     #[default]
-    Nobody,
-    /// An answer to a request, which ended the attempt in this way.
+    Unknown,
+    /// An answer to a request, whose attempt ended in this way.
     Answer(AttemptStatus),
-    /// What the member reported when it was probed.
+    /// The member's health report.
     Report,
 }
 
-/// What a position is that a member tells.
+/// What the position in an answer is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Where its log stood as it answered.
-    Position,
-    /// Where it stood some time ago.
-    Report,
-    /// The commit of a write that ran between request and answer.
+pub enum PositionKind {
+    /// Where the member's log stood as it answered.
+    Current,
+    /// Where its log stood some time ago.
+    Reported,
+    /// The commit of a write that was executed between request and answer.
     NewCommit,
-    /// The commit of a write that may have run before, of which this may be a repeat that was dropped.
+    /// The commit of a write that may have been executed before: this may be a duplicate that was dropped.
     Commit,
 }
 
-/// An answer from which the time of a family's log was taken.
+/// An answer from which the time of a group's log was derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dating {
-    /// Who answered.
+pub struct LogTimeEvidence {
+    /// The member that answered.
     pub member: MemberId,
-    /// How the attempt or the probe ended.
+    /// How the attempt or the health check ended.
     pub status: AttemptStatus,
-    /// The position that it told.
+    /// The position in the answer.
     pub position: Micros,
     /// What that position is.
-    pub told: Told,
-    /// When the request was sent, and when its answer was taken in.
+    pub kind: PositionKind,
+    /// When the request was sent.
     pub sent: Micros,
-    /// See `sent`.
-    pub heard: Micros,
+    /// When its answer was received.
+    pub received: Micros,
 }
 
 /// What the choice of a member for a read rested on.
@@ -50,66 +50,66 @@
 pub struct ReadBasis {
     /// The position that the read must see; none as long as the log's time is unknown.
     pub needed: Option<Micros>,
-    /// The member's position as it is believed, if it has told one.
+    /// The member's last known position, if there is one.
     pub position: Option<Micros>,
-    /// How long ago it told.
+    /// How long ago it was learned.
     pub age: Micros,
-    /// Where the belief comes from.
-    pub source: Source,
-    /// The time of the log by now at the latest.
+    /// Where it is known from.
+    pub source: PositionSource,
+    /// The latest that the log's time may be by now.
     pub log_time: Option<Micros>,
-    /// The answer that this time was last taken from, if it was one of this family.
-    pub dating: Option<Dating>,
+    /// The answer that this time was last derived from, if it was one of this group.
+    pub evidence: Option<LogTimeEvidence>,
 }
 
-/// Why a request was given up before it was served.
+/// Why a request was given up before it was served. The names are what the log shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// It came with less time than an attempt takes.
+    /// It came with less time left than an attempt takes.
     NoTime,
-    /// It waited for as long as one may, or an answer could not be in time any more.
+    /// It waited in the queue for as long as it may, or an answer could no longer be in time.
     Waited,
-    /// Its time was over while an attempt was out.
+    /// Its time was over while an attempt was in flight.
     Overdue,
-    /// An attempt failed and no other may follow.
+    /// An attempt failed and no retry is allowed.
     NoRetry,
 }
 
 /// Something that operators may want to know of.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
-    /// The time of a family's log was learned, or what was known of it holds no more.
+    /// The time of a group's log was learned, or what was known of it no longer holds.
     LogTime {
-        /// The family.
+        /// The group.
         group: GroupId,
-        /// What was known before holds no more.
+        /// What was known before no longer holds.
         stepped: bool,
-        /// The answer that told.
-        dating: Dating,
+        /// The answer that it was derived from.
+        evidence: LogTimeEvidence,
         /// Bounds of the log's time less this clock's, in microseconds.
         bounds: (i64, i64),
     },
-    /// Another member is taken for a family's primary.
+    /// Another member is taken for a group's primary.
     Primary {
-        /// The family.
+        /// The group.
         group: GroupId,
-        /// Who was taken for it, if anybody.
+        /// The member that was taken for it before, if any.
         before: Option<MemberId>,
-        /// Who is now.
+        /// The member that is now, if any.
         after: Option<MemberId>,
     },
-    /// A request was given up; only where notices of single requests are asked for.
+    /// A request was given up; only while single requests are traced.
     GivenUp {
         /// The request.
         request: RequestId,
         /// Why.
         why: GiveUp,
-        /// Attempts that it has had.
+        /// Attempts that it had.
         attempts: u32,
     },
 }
 
-/// What a role is called in the log.
+/// A role's name in the log.
 pub fn role_name(role: Option<Role>) -> &'static str {
     match role {
         Some(Role::Primary) => "primary",
