--- a/crates/loadtest/src/capacity/commands.rs
+++ b/crates/loadtest/src/capacity/commands.rs
@@ -3,8 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, ValueEnum};
-use dunemount::check::read;
-use dunemount::fault::Fault;
+use dunemount::text_file::{self, AtLine};
 
 use super::measure::{self, Setup};
 use super::page::{self, Inputs, Texts};
@@ -91,7 +90,7 @@
     match &given.page {
         Some(path) => {
             let renewed = page::renew(&read(path)?, &tables);
-            write(path, &renewed.map_err(|fault| fault.of(&path.display().to_string()))?)
+            write(path, &renewed.map_err(|fault| fault.in_file(path).to_string())?)
         }
         None => {
             for (name, table) in tables {
@@ -128,7 +127,7 @@
         }?;
         print(&points);
         let known = if given.slopes.exists() { read(&given.slopes)? } else { String::new() };
-        let fault = |fault: Fault| fault.of(&given.slopes.display().to_string());
+        let fault = |fault: AtLine<String>| fault.in_file(&given.slopes).to_string();
         let mut slopes = Slopes::read(&known).map_err(fault)?;
         slopes.renew(points);
         write(&given.slopes, &slopes.write()?)?;
@@ -136,6 +135,10 @@
     Ok(())
 }
 
+fn read(path: &Path) -> Result<String, String> {
+    text_file::read(path).map_err(|error| error.to_string())
+}
+
 fn print(points: &[Point]) {
     for point in points {
         let unit = KINDS.iter().find(|kind| kind.name == point.slope).map_or("", |kind| kind.unit);
--- a/crates/loadtest/src/capacity/measure/lists.rs
+++ b/crates/loadtest/src/capacity/measure/lists.rs
@@ -6,7 +6,7 @@
 use dunemount::balancer::{Ask, Balancer, Ended, Said, Verdict};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{Directory, Listing, Watch};
-use dunemount::settings::Site;
+use dunemount::settings::SiteSettings;
 use dunemount::{ClassId, GroupId, Micros, Role, SessionKey};
 use dunemount_fleet::frame;
 use serde_json::{json, Value};
@@ -65,9 +65,9 @@
 }
 
 /// Processor time a second of a balancer that knows so many hosts and has next to nothing to do.
-fn survey(site: &Site, known: &[Value], families: usize) -> Result<f64, String> {
+fn survey(site: &SiteSettings, known: &[Value], families: usize) -> Result<f64, String> {
     let clock = Clock::start();
-    let (mut directory, mut balancer) = (Directory::default(), Balancer::new(site.settings.clone(), 1));
+    let (mut directory, mut balancer) = (Directory::default(), Balancer::new(site.router.clone(), 1));
     take(&mut Cost::default(), &whole(known), &mut directory, &mut balancer, &clock)?;
     let (start, cpu) = (clock.read(), own_cpu_us());
     let (mut now, mut asked) = (start, 0u64);
@@ -107,7 +107,7 @@
             let mut cost = Cost::default();
             for seed in 0..REPEATS {
                 let mut directory = Directory::default();
-                let mut balancer = Balancer::new(site.settings.clone(), seed as u64);
+                let mut balancer = Balancer::new(site.router.clone(), seed as u64);
                 take(&mut cost, &bytes, &mut directory, &mut balancer, &clock)?;
             }
             let [read, taken, members] = cost.0;
@@ -120,7 +120,7 @@
             figures.add("position_bytes", hosts, positions(hosts)?);
         }
         let known = targets(HOSTS[HOSTS.len() - 1]);
-        let (mut directory, mut balancer) = (Directory::default(), Balancer::new(site.settings.clone(), 1));
+        let (mut directory, mut balancer) = (Directory::default(), Balancer::new(site.router.clone(), 1));
         take(&mut Cost::default(), &whole(&known), &mut directory, &mut balancer, &clock)?;
         for changed in CHANGES {
             let mut cost = Cost::default();
--- a/crates/loadtest/src/capacity/measure/mod.rs
+++ b/crates/loadtest/src/capacity/measure/mod.rs
@@ -14,8 +14,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use dunemount::config::InForce;
-use dunemount::settings::{Site, Zones};
+use dunemount::config::ActiveConfig;
+use dunemount::settings::{SiteSettings, Zones};
 use serde_json::{json, Value};
 
 use super::slopes::Point;
@@ -83,8 +83,8 @@
 }
 
 /// The settings of such a configuration, in the module's terms.
-fn site() -> Result<Site, String> {
+fn site() -> Result<SiteSettings, String> {
     let text = configuration(&[], 1024, "127.0.0.1:1")?.to_string();
-    let taken = InForce::default().take(text, &mut Zones::default());
-    taken.map(|taken| taken.site).map_err(|fault| fault.of("examples/config.json"))
+    let taken = ActiveConfig::default().replace(text, &mut Zones::default());
+    taken.map(|taken| taken.settings).map_err(|fault| fault.in_file("examples/config.json").to_string())
 }
--- a/crates/loadtest/src/capacity/measure/pools.rs
+++ b/crates/loadtest/src/capacity/measure/pools.rs
@@ -5,7 +5,7 @@
 
 use dunemount::balancer::{Ask, Balancer, Due, Ended, Said, Ticket, Verdict};
 use dunemount::net::pool::Pool;
-use dunemount::settings::Site;
+use dunemount::settings::SiteSettings;
 use dunemount::{ClassId, Entry, GroupId, Listed, MemberId, Micros, Role, SessionKey, ZoneId};
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp, Uniform};
@@ -73,7 +73,7 @@
 
 impl World {
     /// A world of so many hosts; the gateway is told of so many replicas of each family.
-    fn of(site: &Site, hosts: usize, replicas: usize, seed: u64) -> Result<World, String> {
+    fn of(site: &SiteSettings, hosts: usize, replicas: usize, seed: u64) -> Result<World, String> {
         let said = |e: rand_distr::ExpError| e.to_string();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let lag = Uniform::new(0.0, LAG_US);
@@ -94,8 +94,8 @@
         let lags = hosts.iter().map(|host| (host.member, behind(host, &mut rng))).collect();
         let mut world = World {
             now: START,
-            balancer: Balancer::new(site.settings.clone(), seed),
-            pool: Pool::new(MOST, site.settings.connection_idle_timeout),
+            balancer: Balancer::new(site.router.clone(), seed),
+            pool: Pool::new(MOST, site.router.connection_idle_timeout),
             families: hosts.last().map_or(1, |host| host.group.0 + 1),
             hosts,
             lags,
--- a/crates/loadtest/src/scale/control.rs
+++ b/crates/loadtest/src/scale/control.rs
@@ -84,7 +84,8 @@
 pub fn document(configuration: &str, number: u64, length: usize) -> Result<Vec<u8>, String> {
     let mut file: Value = serde_json::from_str(configuration).map_err(|e| e.to_string())?;
     file["settings"]["Permissions"]["MaxRetryAfterMs"] = (1_000.0 + number as f64).into();
-    let mut bytes = version::of(&file.to_string()).map_err(|fault| fault.of("configuration"))?;
+    let mut bytes = version::shared_part(&file.to_string())
+        .map_err(|fault| fault.in_file("configuration").to_string())?;
     bytes.resize(bytes.len().max(length), b' ');
     Ok(bytes)
 }
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/hollow.rs
@@ -13,16 +13,15 @@
 use std::time::{Duration, Instant};
 
 use dunemount::balancer::Balancer;
-use dunemount::config::{version, InForce};
-use dunemount::fault::Fault;
+use dunemount::config::{version, ActiveConfig, ConfigResult};
 use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
 use dunemount::fleet::file::{self, VoterFile};
 use dunemount::fleet::rollout::{self, links};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
-use dunemount::options::FleetOptions;
 use dunemount::settings::Zones;
+use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::member::Change;
@@ -79,7 +78,7 @@
     /// Its region.
     pub region: usize,
     /// What `[fleet]` would say.
-    pub fleet: FleetOptions,
+    pub fleet: FleetSettings,
     /// A voter's file.
     pub file: Option<PathBuf>,
     /// Its zone.
@@ -249,7 +248,7 @@
     next: Micros,
     dice: Pcg64Mcg,
     directory: Directory,
-    in_force: InForce,
+    in_force: ActiveConfig,
     settings: Settings,
     balancer: Option<Balancer>,
 }
@@ -431,7 +430,8 @@
         let socket = UdpSocket::bind(listen).map_err(said)?;
         socket.set_nonblocking(true).map_err(said)?;
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
-        let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
+        let (settings, slot) =
+            driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(VoterFile::at));
         let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
@@ -477,9 +477,9 @@
 impl Listing {
     fn new(common: &Common, seed: u64) -> Result<Listing, String> {
         let mut zones = Zones::default();
-        let mut in_force = InForce::default();
-        let taken = in_force.take(common.configuration.clone(), &mut zones);
-        let settings = taken.map_err(|fault| fault.of("configuration"))?.site.settings;
+        let mut in_force = ActiveConfig::default();
+        let taken = in_force.replace(common.configuration.clone(), &mut zones);
+        let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(Listing {
             watch: Watch::from(None),
             call: None,
@@ -499,15 +499,15 @@
         let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
-            text.and_then(|text| self.take(text)).map_err(|fault| fault.of(&place))?;
+            text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
         }
         Ok(document)
     }
 
     /// Takes a configuration, all of it or nothing.
-    fn take(&mut self, text: String) -> Result<(), Fault> {
+    fn take(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
-        let settings = self.in_force.take(text, &mut zones)?.site.settings;
+        let settings = self.in_force.replace(text, &mut zones)?.settings.router;
         self.directory.know_zones(zones);
         if let Some(balancer) = &mut self.balancer {
             balancer.retune(settings.clone());
@@ -763,7 +763,8 @@
             Some(document) => version::overlay(text, document.bytes()),
             None => Ok(text.to_string()),
         };
-        text.and_then(|text| self.listing.take(text)).map_err(|fault| fault.of("configuration"))?;
+        text.and_then(|text| self.listing.take(text))
+            .map_err(|fault| fault.in_file("configuration").to_string())?;
         self.progress.configured();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
--- a/crates/loadtest/src/scale/run.rs
+++ b/crates/loadtest/src/scale/run.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use dunemount::fleet::file::VoterFile;
-use dunemount::options::{FleetOptions, Place};
+use dunemount::settings_file::{FleetSettings, NamedAddress};
 use dunemount_fleet::register::Slot;
 use dunemount_rollout::follower;
 use rand_core::{RngCore, SeedableRng};
@@ -258,10 +258,10 @@
             address: *address,
         });
         let machines = Machines(Arc::new(machines.collect()));
-        let voters: Vec<Place> = (0..plan.voters)
+        let voters: Vec<NamedAddress> = (0..plan.voters)
             .map(|place| match plan.control {
-                0 => Place { name: name(place), address: addresses[place] },
-                _ => Place { name: control_name(place), address: addresses[plan.gateways() + place] },
+                0 => NamedAddress { name: name(place), address: addresses[place] },
+                _ => NamedAddress { name: control_name(place), address: addresses[plan.gateways() + place] },
             })
             .collect();
         let file_of = |place: usize| -> Result<Option<PathBuf>, String> {
@@ -272,7 +272,7 @@
             VoterFile::at(&file).found(Slot(place as u8)).map_err(said)?;
             Ok(Some(file))
         };
-        let fleet_of = |listen: SocketAddr, file: Option<PathBuf>| FleetOptions {
+        let fleet_of = |listen: SocketAddr, file: Option<PathBuf>| FleetSettings {
             name: Some(FLEET.into()),
             listen: Some(listen),
             voters: voters.clone(),
@@ -909,7 +909,7 @@
 }
 
 /// `[fleet]` as a process of the program reads it.
-fn settings(fleet: &FleetOptions) -> String {
+fn settings(fleet: &FleetSettings) -> String {
     let voters: Vec<String> =
         fleet.voters.iter().map(|place| format!("{}@{}", place.name, place.address)).collect();
     let mut text = format!(
--- a/crates/loadtest/tests/capacity.rs
+++ b/crates/loadtest/tests/capacity.rs
@@ -157,8 +157,9 @@
     let unknown =
         inputs(SIZE, SLOPES, &FORMULAS.replace("list_bytes(", "list_byte("), BUDGETS).expect("parsed");
     assert!(unknown.tables().expect_err("unknown").starts_with("whole: list_byte(hosts): "));
-    let page =
-        |text: &str| page::renew(text, &[("a".into(), "x\n".into())]).expect_err("a fault").of("page.md");
+    let page = |text: &str| {
+        page::renew(text, &[("a".into(), "x\n".into())]).expect_err("a fault").in_file("page.md").to_string()
+    };
     assert_eq!(page("<!-- table: a -->\n"), "page.md:1: a table's mark without its end");
     assert_eq!(page("<!-- table: c -->\n<!-- end -->\n"), "page.md:1: c: no such table");
     assert_eq!(page("text\n"), "page.md: a: no mark for this table");
--- a/crates/loadtest/tests/deployments.rs
+++ b/crates/loadtest/tests/deployments.rs
@@ -1,6 +1,6 @@
 //! The module in deployments drawn over all that the protocol and the settings can describe, every rule audited.
 
-use dunemount::config::InForce;
+use dunemount::config::ActiveConfig;
 use dunemount::settings::Zones;
 use dunemount::*;
 use dunemount_loadtest::deployment::{Deployment, Dice};
@@ -8,8 +8,8 @@
 use serde_json::{json, Value};
 
 fn settings(deployment: &Deployment) -> Settings {
-    let taken = InForce::default().take(deployment.config.to_string(), &mut Zones::default());
-    taken.unwrap_or_else(|fault| panic!("{}", fault.of("drawn"))).site.settings
+    let taken = ActiveConfig::default().replace(deployment.config.to_string(), &mut Zones::default());
+    taken.unwrap_or_else(|fault| panic!("{}", fault.in_file("drawn"))).settings.router
 }
 
 /// Requests of a run: enough for both troubles to overlap, few enough for thousands of runs.
@@ -93,8 +93,8 @@
         let mut config = config.clone();
         *config.pointer_mut(place).unwrap_or_else(|| panic!("{place} is there")) = value;
         let text = serde_json::to_string_pretty(&config).expect("text");
-        let fault = InForce::default().take(text, &mut Zones::default()).err();
-        let fault = fault.unwrap_or_else(|| panic!("{place} was taken")).of("drawn");
+        let fault = ActiveConfig::default().replace(text, &mut Zones::default()).err();
+        let fault = fault.unwrap_or_else(|| panic!("{place} was taken")).in_file("drawn").to_string();
         assert!(fault.contains(cause), "{place}: {fault}");
         let rest = fault.strip_prefix("drawn:").unwrap_or_default();
         assert!(rest.starts_with(|c: char| c.is_ascii_digit()), "{place}: no line in {fault}");
--- a/src/bin/dunemount-benchlink.rs
+++ b/src/bin/dunemount-benchlink.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use dunemount::settings::{Ms, Params, Site, Zones};
+use dunemount::settings::{Ms, SettingsDocument, SiteSettings, Zones};
 use dunemount::*;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -52,7 +52,7 @@
     Launch {
         who: u64,
         salt: u64,
-        params: Box<Params>,
+        params: Box<SettingsDocument>,
     },
     Halt {
         who: u64,
@@ -217,7 +217,7 @@
 /// A router and what its settings say.
 struct Instance {
     router: Router,
-    site: Site,
+    site: SiteSettings,
 }
 
 /// All instances of this process, and what the wire scopes to the process.
@@ -251,8 +251,8 @@
     fn translate(&mut self, now: Micros, event: WireEvent) -> Result<Option<(u64, Event)>, String> {
         Ok(Some(match event {
             WireEvent::Launch { who, salt, params } => {
-                let site = params.site(&mut self.zones)?;
-                let router = Router::new(site.settings.clone(), salt);
+                let site = params.into_site_settings(&mut self.zones).map_err(|error| error.to_string())?;
+                let router = Router::new(site.router.clone(), salt);
                 self.instances.insert(who, Instance { router, site });
                 return Ok(None);
             }
@@ -286,7 +286,7 @@
             WireEvent::Gone { who, id } => (who, Event::Gone(request_id(&id)?)),
             WireEvent::Elapsed { who, nonce } => (who, Event::Timer(TimerId(nonce))),
             WireEvent::Pong { who, member, disposition, telemetry } => {
-                let report = report(telemetry, self.instance(who)?.site.counted_from);
+                let report = report(telemetry, self.instance(who)?.site.positions_from);
                 (who, Event::HealthChecked { member: MemberId(member), status: disposition.into(), report })
             }
             WireEvent::NeighbourSays { who, from, raw } => {
@@ -313,11 +313,11 @@
 
     fn request(&mut self, now: Micros, req: Req) -> Result<Request, String> {
         let instance = self.instance(req.who)?;
-        let class = instance.site.classes.iter().position(|name| *name == req.priority);
+        let class = instance.site.class_names.iter().position(|name| *name == req.priority);
         let class = class.ok_or_else(|| format!("Priority: unknown class {:?}", req.priority))?;
         let tenant = match req.team {
             Some(Value::String(name)) => {
-                let tenant = instance.site.tenants.iter().position(|known| *known == name);
+                let tenant = instance.site.tenant_names.iter().position(|known| *known == name);
                 Some(TenantId(tenant.ok_or_else(|| format!("Team: unknown tenant {name:?}"))?))
             }
             Some(_) | None => None,
@@ -335,7 +335,7 @@
     }
 
     fn outcome(&mut self, outcome: WireOutcome) -> Result<Outcome, String> {
-        let counted_from = self.instance(outcome.who)?.site.counted_from;
+        let counted_from = self.instance(outcome.who)?.site.positions_from;
         let position = outcome.progress / 4;
         Ok(Outcome {
             request: request_id(&outcome.id)?,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -17,7 +17,7 @@
     pub command: Option<Command>,
     /// How it is served without a command.
     #[command(flatten)]
-    pub serve: Serve,
+    pub serve: ServeArgs,
 }
 
 const SIGNALS: &str = "\
@@ -29,23 +29,23 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve in the foreground, logging to standard output, until a signal ends it.
-    Serve(Serve),
+    Serve(ServeArgs),
     /// Read both files, name the first fault with its file and line, and change nothing.
-    Check(Files),
+    Check(FileArgs),
     /// What concerns the fleet of gateways that `[fleet]` in the settings names.
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
 }
 
 /// What may be asked for of the fleet.
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Lay out this gateway's file as a voter of a NEW fleet. Never for a voter that has lost its file: the others let
     /// it in again by themselves.
     Found {
         /// The files that name it and its fleet.
         #[command(flatten)]
-        files: Files,
+        files: FileArgs,
         /// The voter's name, where the configuration does not tell it: a control machine has none.
         #[arg(long, value_name = "NAME")]
         name: Option<String>,
@@ -66,19 +66,19 @@
         name: String,
         /// The settings that name it, the others and the fleet.
         #[command(flatten)]
-        settings: Settings,
+        settings: SettingsArgs,
         /// Form of the log's lines.
-        #[arg(long, value_enum, value_name = "FORM", env = "GW_LOG_FORM", default_value_t = Form::Text)]
-        log: Form,
+        #[arg(long, value_enum, value_name = "FORM", env = "GW_LOG_FORM", default_value_t = LogFormat::Text)]
+        log: LogFormat,
     },
     /// The configuration's versions at the fleet's control machines.
     #[command(subcommand)]
-    Config(Version),
+    Config(ConfigCommand),
 }
 
 /// What may be asked for of the configuration's versions.
 #[derive(Debug, Subcommand)]
-pub enum Version {
+pub enum ConfigCommand {
     /// Check a configuration, and have what all gateways share of it become the next version. Exit status 0: accepted;
     /// 1: not; 3: uncertain, `status` tells.
     Put {
@@ -86,7 +86,7 @@
         file: PathBuf,
         /// The settings that name the control machines.
         #[command(flatten)]
-        settings: Settings,
+        settings: SettingsArgs,
     },
     /// Print the newest version, or an older one that is still kept.
     Show {
@@ -95,7 +95,7 @@
         number: Option<u64>,
         /// The settings that name the control machines.
         #[command(flatten)]
-        settings: Settings,
+        settings: SettingsArgs,
     },
     /// Tell which version is the newest, and which gateways have it in force, lag, have refused it or are silent.
     Status {
@@ -104,13 +104,13 @@
         json: bool,
         /// The settings that name the control machines.
         #[command(flatten)]
-        settings: Settings,
+        settings: SettingsArgs,
     },
 }
 
 /// The project's own settings alone.
 #[derive(Args, Debug)]
-pub struct Settings {
+pub struct SettingsArgs {
     /// The project's own settings, an INI file.
     #[arg(long, value_name = "FILE", env = "GW_SETTINGS")]
     pub settings: Option<PathBuf>,
@@ -118,18 +118,18 @@
 
 /// How to serve.
 #[derive(Args, Debug)]
-pub struct Serve {
+pub struct ServeArgs {
     /// The files to serve with.
     #[command(flatten)]
-    pub files: Files,
+    pub files: FileArgs,
     /// Form of the log's lines.
-    #[arg(long, value_enum, value_name = "FORM", env = "GW_LOG_FORM", default_value_t = Form::Text)]
-    pub log: Form,
+    #[arg(long, value_enum, value_name = "FORM", env = "GW_LOG_FORM", default_value_t = LogFormat::Text)]
+    pub log: LogFormat,
 }
 
 /// The files that a gateway reads.
 #[derive(Args, Debug)]
-pub struct Files {
+pub struct FileArgs {
     /// The platform's configuration, a JSON file. GW_NAME, GW_LISTEN, GW_ADMIN_ADDR and GW_DISCOVERY
     /// override what it says.
     #[arg(long, value_name = "FILE", env = "GW_CONFIG")]
@@ -141,7 +141,7 @@
 
 /// Forms of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     /// A line for people: time, level, message, fields.
     Text,
     /// One JSON object a line.
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -18,7 +18,7 @@
 use super::carrier::Carrier;
 use super::file::VoterFile;
 use super::status::{Board, Status};
-use crate::options::{FleetOptions, Place};
+use crate::settings_file::{FleetSettings, NamedAddress, SettingsFileError};
 
 /// Clocks are taken to run apart by no more than this part.
 const DRIFT: f64 = 0.05;
@@ -65,9 +65,12 @@
 ///
 /// # Errors
 /// A voter without a file, in words for the operator.
-pub fn settings(options: &FleetOptions, start: Start) -> Result<Option<(Settings, Option<usize>)>, String> {
+pub fn settings(
+    options: &FleetSettings,
+    start: Start,
+) -> Result<Option<(Settings, Option<usize>)>, SettingsFileError> {
     let (Some(fleet), Some(listen)) = (options.name.clone(), options.listen) else { return Ok(None) };
-    let peer = |place: &Place| Peer::at(&place.name, place.address);
+    let peer = |place: &NamedAddress| Peer::at(&place.name, place.address);
     let slot = options.voter(&start.name)?.map(|(slot, _)| slot);
     // The address that the others know counts, where it is not the one that is listened at.
     let address = slot.map_or(listen, |slot| options.voters[slot].address);
@@ -94,7 +97,7 @@
 /// # Errors
 /// A voter without a file; what the system does not give: a thread, a pipe, a poller. An address that is taken is
 /// waited for.
-pub fn start(options: &FleetOptions, start: Start, log: &Logger) -> io::Result<Option<Running>> {
+pub fn start(options: &FleetSettings, start: Start, log: &Logger) -> io::Result<Option<Running>> {
     let name = start.name.clone();
     let (Some((settings, slot)), Some(listen)) =
         (settings(options, start).map_err(io::Error::other)?, options.listen)
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -23,7 +23,7 @@
 use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
 use crate::fleet::file::{put, VoterFile};
-use crate::options::{Options, MOST_MACHINES};
+use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
 use crate::shortage::{is_shortage, may_pass, retry, START_PATIENCE};
 
 /// Between two looks at the register. One has time to fail and another to do well before the knowledge is stale.
@@ -32,7 +32,7 @@
 /// How long an operator waits for a version's acceptance at most.
 pub(super) const ACCEPT: Duration = Duration::from_secs(5);
 /// Most connections: all that the control machine's part lets in, and its own to the others.
-const MOST: usize = MOST_GATEWAYS + 64 + MOST_MACHINES;
+const MOST: usize = MOST_GATEWAYS + 64 + MAX_CONTROL_SERVERS;
 /// Most connections taken in one turn.
 const ACCEPTS: usize = 64;
 /// So long nobody is let in once the system has refused a descriptor.
@@ -65,7 +65,8 @@
 
 impl control::Desk for Desk {
     fn check(&mut self, document: &[u8], before: Option<&Document>) -> Result<(), String> {
-        version::check(document, before.map(|before| &before.bytes()[..])).map_err(|fault| fault.what)
+        version::validate(document, before.map(|before| &before.bytes()[..]))
+            .map_err(|error| error.error.to_string())
     }
 
     fn store(&mut self, kept: &Keeping) -> bool {
@@ -96,18 +97,19 @@
 ///
 /// # Errors
 /// Settings that lack something, and what the system does not give, in words for the operator.
-pub fn run(options: &Options, start: Start, log: &Logger) -> Result<(), String> {
+pub fn run(options: &LocalSettings, start: Start, log: &Logger) -> Result<(), String> {
     let machines: Vec<Machine> =
         options.control.machines.iter().map(|(machine, _)| machine.clone()).collect();
     let place = machines.iter().position(|machine| machine.name == start.name);
     let place = place.ok_or(format!("{} is none of [control] machines", start.name))?;
     let own =
         driver::Start { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
-    let node = driver::settings(&options.fleet, own)?;
+    let node = driver::settings(&options.fleet, own).map_err(|error| error.to_string())?;
     let (Some((node, slot)), Some(hear)) = (node, options.fleet.listen) else {
         return Err("[fleet] name: missing".into());
     };
-    let voter = options.fleet.voter(&start.name)?.map(|(_, path)| VoterFile::at(path));
+    let voter = options.fleet.voter(&start.name).map_err(|error| error.to_string())?;
+    let voter = voter.map(|(_, path)| VoterFile::at(path));
     let keeping = kept(&start.file, log)?;
     let settings = Settings {
         fleet: node.fleet.clone(),
--- a/src/fleet/rollout/tool.rs
+++ b/src/fleet/rollout/tool.rs
@@ -13,10 +13,9 @@
 use serde::Serialize;
 
 use super::machine::ACCEPT;
-use crate::check;
 use crate::config::{line_of, version};
-use crate::fault::Fault;
-use crate::options::Options;
+use crate::settings_file::{LocalSettings, SettingsFile};
+use crate::text_file::{self, AtLine};
 
 /// How long a control machine may take to be reached, and to answer.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -102,7 +101,8 @@
     /// # Errors
     /// They name none, or cannot be read.
     pub fn of(settings: Option<&Path>) -> Result<Tool, String> {
-        let Options { fleet, control, .. } = check::options(settings)?;
+        let file = SettingsFile::load(settings).map_err(|error| error.to_string())?;
+        let LocalSettings { fleet, control, .. } = file.settings;
         match fleet.name {
             Some(fleet) if !control.machines.is_empty() => Ok(Tool { fleet, machines: control.machines }),
             _ => Err("[control] machines: none are named by --settings or GW_SETTINGS".into()),
@@ -114,12 +114,12 @@
     /// # Errors
     /// A fault in the file, or why no version came of it.
     pub fn put(&self, path: &Path) -> Result<String, Failed> {
-        let text = check::read(path)?;
-        let told = |fault: Fault| fault.of(&path.display().to_string());
-        let document = version::of(&text).map_err(told)?;
+        let text = text_file::read(path).map_err(|error| error.to_string())?;
+        let told = |line, why: String| AtLine::<String>::new(line, why).in_file(path).to_string();
+        let document = version::shared_part(&text).map_err(|error| error.in_file(path).to_string())?;
         if document.len() > LONGEST_DOCUMENT {
             let what = format!("{} bytes as a version, {LONGEST_DOCUMENT} at most", document.len());
-            return Err(told(Fault::at(0, what)).into());
+            return Err(told(0, what).into());
         }
         // One that is known to be awake: a document that waits at one that is stopped could become a version long after
         // the operator has tried again elsewhere. And one that has a majority, if there is any.
@@ -149,7 +149,7 @@
             Ok(Message::NotAccepted { why, uncertain }) => {
                 // What it says of a key is said of the line on which the operator has it.
                 let line = line_of(&text, &why);
-                let why = if line > 0 { told(Fault::at(line, why)) } else { why };
+                let why = if line > 0 { told(line, why) } else { why };
                 Err(Failed { why: format!("{name}: {why}"), uncertain })
             }
             Ok(_) => Err(uncertain("an answer without sense")),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -82,23 +82,24 @@
 mod api;
 mod balance;
 pub mod balancer;
-pub mod check;
 pub mod classes;
 pub mod cli;
 pub mod config;
-pub mod fault;
 pub mod fleet;
 pub mod http;
 pub mod logging;
 pub mod net;
 pub mod notice;
 pub mod ops;
-pub mod options;
 pub mod pg;
 pub mod request;
 pub mod settings;
+pub mod settings_file;
 pub mod shortage;
+pub mod startup;
+pub mod text_file;
 pub mod upgrade;
+pub mod validation;
 
 pub use api::*;
 pub use balance::Router;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -9,7 +9,7 @@
 use slog::{o, Drain, Level, Logger, Never, OwnedKVList, Record, SendSyncRefUnwindSafeDrain};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 
-use crate::cli::Form;
+use crate::cli::LogFormat;
 
 /// Most log lines in a second, of level debug and of all others; what is beyond is counted and dropped.
 const LINES_A_SECOND: u32 = 100;
@@ -17,13 +17,13 @@
 const QUEUE: usize = 512;
 
 /// Opens the log; it is flushed when the guard is dropped.
-pub fn open(name: String, form: Form, level: Level) -> (Logger, AsyncGuard) {
+pub fn open(name: String, form: LogFormat, level: Level) -> (Logger, AsyncGuard) {
     match form {
-        Form::Text => {
+        LogFormat::Text => {
             let plain = slog_term::PlainDecorator::new(stdout());
             queued(name, level, slog_term::FullFormat::new(plain).use_utc_timestamp().build())
         }
-        Form::Json => queued(name, level, Mutex::new(slog_json::Json::default(stdout()))),
+        LogFormat::Json => queued(name, level, Mutex::new(slog_json::Json::default(stdout()))),
     }
 }
 
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -41,15 +41,14 @@
 use super::pool::Pool;
 use crate::balancer::{Balancer, Due, Ticket, Verdict};
 use crate::classes::Classes;
-use crate::config::Taken;
-use crate::fault::Fault;
+use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::handover;
 use crate::fleet::status::Board;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::pg::statement::Statement;
 use crate::request::Ledger;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 use crate::upgrade::line::Inheritance;
 use crate::Micros;
@@ -106,7 +105,7 @@
     /// The hosts as last known.
     pub known: Listing,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
     /// The zones that the settings name.
     pub zones: Zones,
     /// The configuration's text, for the process that follows.
@@ -120,7 +119,8 @@
 }
 
 /// Takes a version of the configuration, or reads the file anew where there is none; with the zones that are known.
-pub type Reread = Box<dyn FnMut(Option<&Document>, &mut Zones) -> Result<(String, Taken), Fault> + Send>;
+pub type Reread =
+    Box<dyn FnMut(Option<&Document>, &mut Zones) -> ConfigResult<(String, LoadedConfig)> + Send>;
 
 /// What comes from outside while the gateway runs.
 pub struct Signals {
@@ -213,12 +213,12 @@
         let mut gateways: Vec<Gateway> = (0..count)
             .map(|me| {
                 let site = config.site.clone();
-                let watching = Watching::of(config.discovery, config.known.rev, &site.settings, config.seed);
+                let watching = Watching::of(config.discovery, config.known.rev, &site.router, config.seed);
                 let mut figures = Figures::default();
-                for class in &site.classes {
+                for class in &site.class_names {
                     figures.class(class);
                 }
-                let named = site.classes.into_iter().zip(site.settings.classes.clone());
+                let named = site.class_names.into_iter().zip(site.router.classes.clone());
                 let mut classes = Classes::default();
                 classes.adopt(Micros(0), named.collect(), |_| false);
                 Gateway {
@@ -234,9 +234,9 @@
                     timers: Timers::default(),
                     ready: VecDeque::new(),
                     scratch: vec![0; 16 * 1024],
-                    pool: Pool::new(hosts / count, site.settings.connection_idle_timeout),
+                    pool: Pool::new(hosts / count, site.router.connection_idle_timeout),
                     ledger: Ledger::default(),
-                    balancer: Balancer::new(site.settings, config.seed.wrapping_add(me as u64)),
+                    balancer: Balancer::new(site.router, config.seed.wrapping_add(me as u64)),
                     classes,
                     connect_timeout: site.connect_timeout.max(Micros::millis(10)),
                     directory: Directory::new(config.zones.clone()),
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -15,13 +15,14 @@
 use super::workers::WorkerMessage;
 use super::Gateway;
 use crate::balance::chance::unit;
-use crate::fault::Fault;
+use crate::config::{ConfigError, ConfigResult};
 use crate::fleet::rollout::handover;
 use crate::net::dial;
 use crate::net::discovery::{BadAnswer, Failed, Listing, Watch};
 use crate::pg::codec::Outbox;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use crate::shortage::is_shortage;
+use crate::text_file::AtLine;
 use crate::{Listed, Micros, Settings};
 
 /// How long a configuration that cannot be read at this moment is tried again, and the time between two tries: it counts
@@ -176,7 +177,7 @@
     pub(super) fn reload(&mut self, until: Instant) {
         match self.take_configuration(None) {
             Ok(discovery) => self.follow_discovery(discovery),
-            Err(why) if why.passes && Instant::now() < until => {
+            Err(why) if why.error.is_transient() && Instant::now() < until => {
                 self.set_timer(RELOAD_PAUSE, Timer::Reload(until));
             }
             Err(why) => {
@@ -197,36 +198,36 @@
                 }
                 offer.answer(Ok(()));
             }
-            Err(why) => offer.answer(Err(why.what)),
+            Err(why) => offer.answer(Err(why.error.to_string())),
         }
     }
 
     /// Takes a version, or the file anew: where discovery is from now on.
-    fn take_configuration(&mut self, version: Option<&Document>) -> Result<SocketAddr, Fault> {
+    fn take_configuration(&mut self, version: Option<&Document>) -> ConfigResult<SocketAddr> {
         let mut zones = self.directory.zones().clone();
-        let Some(signals) = &mut self.signals else { return Err(Fault::at(0, "not the first worker")) };
+        let Some(signals) = &mut self.signals else { return Err(AtLine::whole(ConfigError::NotFirstWorker)) };
         let (text, taken) = (signals.reread)(version, &mut zones).inspect_err(|why| {
-            self.figures.config_rejected += u64::from(!why.passes);
+            self.figures.config_rejected += u64::from(!why.error.is_transient());
         })?;
         let what =
             if version.is_some() { "configuration's version taken" } else { "configuration read anew" };
-        info!(self.log, "{}", what; "discovery" => %taken.discovery, "classes" => taken.site.classes.len());
-        let message = || WorkerMessage::Settings(Box::new(taken.site.clone()), zones.clone());
+        info!(self.log, "{}", what; "discovery" => %taken.discovery, "classes" => taken.settings.class_names.len());
+        let message = || WorkerMessage::Settings(Box::new(taken.settings.clone()), zones.clone());
         self.workers.deliver_others(self.me, message);
         self.directory.know_zones(zones);
         self.config = text;
         self.figures.config_applied += 1;
-        self.settle_in(taken.site);
+        self.settle_in(taken.settings);
         Ok(taken.discovery)
     }
 
     /// Goes on under new settings.
-    pub(super) fn settle_in(&mut self, site: Site) {
-        let mut settings = site.settings;
-        let names = site.classes.iter().cloned();
+    pub(super) fn settle_in(&mut self, site: SiteSettings) {
+        let mut settings = site.router;
+        let names = site.class_names.iter().cloned();
         let new = names.zip(std::mem::take(&mut settings.classes)).collect();
         settings.classes = self.classes.adopt(self.now, new, |class| self.balancer.bears(class));
-        for class in &site.classes {
+        for class in &site.class_names {
             self.figures.class(class);
         }
         self.pool.keep_for(settings.connection_idle_timeout);
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -18,7 +18,7 @@
 use crate::ops::figures::Figures;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::{GroupId, Micros, SessionKey};
 
 /// Most requests that lie in one worker's post: some milliseconds of its work, so that one that finds it full
@@ -76,7 +76,7 @@
     /// To all: a list, or the one known at the start.
     List(Box<Listing>, bool),
     /// To all: new settings.
-    Settings(Box<Site>, Zones),
+    Settings(Box<SiteSettings>, Zones),
     /// To all: operators put a host down, or back up; the call that waits for it, if one does.
     SetDown { host: String, down: bool, call: Option<Key> },
     /// To the admin interface: it holds here.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,192 +1,95 @@
-//! The settings object: the same JSON in the simulator's first message and in a gateway's
-//! configuration, read here once for both programs.
+//! The settings object: the same JSON in the simulator's first message and in a gateway's configuration, mapped here once
+//! for both programs.
+//!
+//! | key | field |
+//! | --- | --- |
+//! | `Balancers` | [`Settings::gateways`] |
+//! | `Classes[].Name` | [`SiteSettings::class_names`] |
+//! | `Classes[].AimMs`, `DeadlineMs` | [`Class::latency_objective`], [`Class::deadline`] |
+//! | `Classes[].Value`, `LateWorth` | [`Class::priority_weight`], [`Class::late_weight`] |
+//! | `Classes[].Effect`, `Group`, `RepeatWindowMs` | [`Class::idempotency`] |
+//! | `Clients.MarksRetry` | [`Settings::clients_mark_retries`] |
+//! | `RegistryMode` | [`Settings::watch_required`] |
+//! | `Specifics.CountedFromMs` | [`SiteSettings::positions_from`] |
+//! | `Specifics.NeedsByClass`, `LagAllowedMs` | [`Class::consistency`] |
+//! | `Specifics.ServerChecks` | [`Settings::replica_checks`] |
+//! | `Specifics.SessionMarks` | [`Settings::session_tokens`] |
+//! | `OverShareWorth` | [`Settings::over_quota_weight`] |
+//! | `Permissions.Cancelling`, `Probing`, `Peers` | [`Settings::cancels`], [`Settings::health_checks`], [`Settings::peers`] |
+//! | `Permissions.ParallelTries` | [`Settings::hedging`] |
+//! | `Permissions.RetryAfter`, `MaxRetryAfterMs` | [`Settings::retry_after`], [`Settings::max_retry_after`] |
+//! | `Permissions.ConnIdleMs` | [`Settings::connection_idle_timeout`] |
+//! | `Permissions.ConnectTimeoutMs` | [`SiteSettings::connect_timeout`] |
+//! | `Permissions.SendCap` | [`Settings::max_attempts`] |
+//! | `Deductions.CrossZone`, `Handshake`, `Probe` | [`Settings::cross_zone_price`], [`Settings::handshake_price`], [`Settings::health_check_price`] |
+//! | `Safety.ColdFrom`, `ColdMs` | [`Settings::slow_start_initial`], [`Settings::slow_start_window`] |
+//! | `Safety.TipMultiple`, `FallMs` | [`Settings::overload_multiple`], [`Settings::overload_window`] |
+//! | `Safety.StopSendingWithinMs`, `DrainBindsAlone` | [`Settings::drain_grace`], [`Settings::removed_may_serve`] |
+//! | `Tenants[].Name` | [`SiteSettings::tenant_names`] |
+//! | `Tenants[].QuotaPerS` | [`Tenant::quota_per_s`] |
+//! | `TickMs` | [`Settings::tick`] |
+//! | `WorthBy` | [`Settings::weight_basis`] |
+//! | `Zone` | [`Settings::zone`] |
 
-use serde::Deserialize;
-use serde::Serialize;
+use serde::{Deserialize, Serialize};
 
 use crate::api::*;
 
-/// A length of time on the wire, in milliseconds.
-#[derive(Clone, Copy, Default, Deserialize, Serialize)]
-#[serde(transparent)]
-pub struct Ms(pub f64);
+mod document;
 
-impl From<Ms> for Micros {
-    fn from(ms: Ms) -> Micros {
-        Micros((ms.0 * 1000.0).round().max(0.0) as u64)
-    }
-}
-
-impl From<Micros> for Ms {
-    fn from(micros: Micros) -> Ms {
-        Ms(micros.0 as f64 / 1000.0)
-    }
-}
-
-/// The settings object as it stands in JSON.
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Params {
-    balancers: u32,
-    classes: Vec<WireClass>,
-    #[serde(default)]
-    clients: Clients,
-    registry_mode: RegistryMode,
-    specifics: Specifics,
-    #[serde(default)]
-    over_share_worth: f64,
-    permissions: Permissions,
-    #[serde(default)]
-    deductions: Deductions,
-    safety: Safety,
-    #[serde(default)]
-    tenants: Vec<WireTenant>,
-    tick_ms: Ms,
-    #[serde(default)]
-    worth_by: WireWorthBy,
-    zone: String,
-}
-
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase", default)]
-struct Clients {
-    marks_retry: bool,
-}
-
-#[derive(Clone, Copy, Default, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum WireWorthBy {
-    #[default]
-    Request,
-    Work,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-struct WireClass {
-    name: String,
-    aim_ms: Ms,
-    deadline_ms: Ms,
-    value: f64,
-    #[serde(default)]
-    late_worth: f64,
-    effect: WireEffect,
-    #[serde(default)]
-    group: WireScope,
-    #[serde(default)]
-    repeat_window_ms: Ms,
-}
-
-#[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum WireEffect {
-    ReadLike,
-    IdempotencyKey,
-    NonIdempotent,
-}
-
-#[derive(Clone, Copy, Default, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum WireScope {
-    #[default]
-    All,
-    Zone,
-    Cell,
-}
-
-#[derive(Clone, Copy, Default, Deserialize, PartialEq)]
-#[serde(rename_all = "snake_case")]
-enum RegistryMode {
-    #[default]
-    Pushed,
-    OnRequest,
-}
-
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-struct Specifics {
-    counted_from_ms: Ms,
-    needs_by_class: Vec<WireNeed>,
-    #[serde(default)]
-    lag_allowed_ms: Vec<Ms>,
-    server_checks: ServerChecks,
-    session_marks: SessionMarks,
-}
-
-#[derive(Clone, Copy, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum WireNeed {
-    Update,
-    Latest,
-    OwnWrites,
-    Recent,
-    Loose,
-}
-
-#[derive(Clone, Copy, Default, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum ServerChecks {
-    #[default]
-    None,
-    Reject,
-    Hold,
-}
-
-#[derive(Clone, Copy, Default, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum SessionMarks {
-    #[default]
-    Client,
-    Router,
-}
-
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-struct Permissions {
-    #[serde(default)]
-    cancelling: bool,
-    #[serde(default)]
-    probing: bool,
-    #[serde(default)]
-    peers: bool,
-    #[serde(default)]
-    parallel_tries: bool,
-    #[serde(default)]
-    retry_after: bool,
-    #[serde(default)]
-    max_retry_after_ms: Ms,
-    #[serde(default)]
-    conn_idle_ms: Ms,
-    #[serde(default)]
-    connect_timeout_ms: Ms,
-    send_cap: u32,
-}
-
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase", default)]
-struct Deductions {
-    cross_zone: f64,
-    handshake: f64,
-    probe: f64,
-}
+use self::document::*;
+pub use self::document::{Ms, SettingsDocument};
 
-#[derive(Default, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-struct Safety {
-    cold_from: f64,
-    cold_ms: Ms,
-    fall_ms: Ms,
-    stop_sending_within_ms: Ms,
-    tip_multiple: f64,
-    #[serde(default)]
-    drain_binds_alone: bool,
+/// Why settings cannot be used. Each text begins with the key, behind the class if it is one's.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// A key's value is out of its range.
+    #[error("{key}: {source}")]
+    Key {
+        /// The key.
+        key: &'static str,
+        /// What is wrong with its value.
+        source: RangeError,
+    },
+    /// A key of a class has a value out of its range.
+    #[error("{class}: {key}: {source}")]
+    Class {
+        /// The class's name.
+        class: String,
+        /// The key.
+        key: &'static str,
+        /// What is wrong with its value.
+        source: RangeError,
+    },
+    /// Two classes have one name.
+    #[error("{class}: named twice")]
+    DuplicateClass {
+        /// The name.
+        class: String,
+    },
+    /// The lists of classes and of their needs differ in length.
+    #[error("NeedsByClass: not one for each of Classes")]
+    NeedsOfOtherClasses,
+    /// A class may lag behind by a bound that is not there.
+    #[error("LagAllowedMs: lacks the bound of a class")]
+    MissingLagBound,
 }
 
-#[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-struct WireTenant {
-    name: String,
-    quota_per_s: f64,
+/// Why a value is out of its range.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RangeError {
+    /// A list that needs an entry has none.
+    #[error("empty")]
+    Empty,
+    /// Zero, or less.
+    #[error("not positive")]
+    NotPositive,
+    /// Less than zero.
+    #[error("negative")]
+    Negative,
+    /// Less than zero, or more than one.
+    #[error("not within 0 to 1")]
+    NotAFraction,
 }
 
 /// Zone names and the numbers given to them.
@@ -194,7 +97,7 @@
 pub struct Zones(Vec<String>);
 
 impl Zones {
-    /// The zone's number; a name not met before gets the next one.
+    /// The zone's number; a name that is not known yet gets the next one.
     pub fn id(&mut self, name: String) -> ZoneId {
         let known = self.0.iter().position(|zone| *zone == name);
         ZoneId(known.unwrap_or_else(|| {
@@ -204,110 +107,87 @@
     }
 }
 
-/// What the settings object says, in the module's terms, and the names that it gives.
+/// What the settings object says: the router's settings, and what only those around the router need.
 #[derive(Clone)]
-pub struct Site {
-    /// For the module.
-    pub settings: Settings,
+pub struct SiteSettings {
+    /// The router's settings.
+    pub router: Settings,
     /// Names of the classes, in the order of [`ClassId`].
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the tenants, in the order of [`TenantId`].
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Point on the simulator's clock from which its positions count.
-    pub counted_from: Micros,
-    /// A connection that has not come up by then counts as failed.
+    pub positions_from: Micros,
+    /// A connection that is not established by then counts as failed.
     pub connect_timeout: Micros,
 }
 
-impl Params {
-    /// Translates the object; an error names the field at fault.
-    pub fn site(self, zones: &mut Zones) -> Result<Site, String> {
-        let needs = &self.specifics.needs_by_class;
+impl SettingsDocument {
+    /// Checks the object and maps it to the code's terms.
+    ///
+    /// # Errors
+    /// A value cannot be used.
+    pub fn into_site_settings(self, zones: &mut Zones) -> Result<SiteSettings, SettingsError> {
+        self.check()?;
+        let classes = self.router_classes()?;
+        Ok(SiteSettings {
+            class_names: self.classes.iter().map(|class| class.name.clone()).collect(),
+            tenant_names: self.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+            positions_from: self.specifics.counted_from_ms.into(),
+            connect_timeout: self.permissions.connect_timeout_ms.into(),
+            router: self.into_router_settings(classes, zones),
+        })
+    }
+
+    /// Checks all values but those of single classes.
+    fn check(&self) -> Result<(), SettingsError> {
+        let fail = |key, source| Err(SettingsError::Key { key, source });
         if self.classes.is_empty() {
-            return Err("Classes: empty".into());
+            return fail("Classes", RangeError::Empty);
         }
-        if needs.len() != self.classes.len() {
-            return Err("NeedsByClass: not one for each of Classes".into());
+        if self.specifics.needs_by_class.len() != self.classes.len() {
+            return Err(SettingsError::NeedsOfOtherClasses);
         }
         if self.permissions.send_cap == 0 {
-            return Err("SendCap: not positive".into());
+            return fail("SendCap", RangeError::NotPositive);
         }
         if self.balancers == 0 {
-            return Err("Balancers: not positive".into());
+            return fail("Balancers", RangeError::NotPositive);
         }
-        if !(0.0..=1.0).contains(&self.safety.cold_from) {
-            return Err("Safety.ColdFrom: not within 0 to 1".into());
+        if !is_fraction(self.safety.cold_from) {
+            return fail("Safety.ColdFrom", RangeError::NotAFraction);
         }
-        // At nothing a cold member would never be sent what warms it.
+        // At zero a cold member would never be sent what warms it.
         if self.safety.tip_multiple <= 0.0 {
-            return Err("Safety.TipMultiple: not positive".into());
+            return fail("Safety.TipMultiple", RangeError::NotPositive);
         }
+        Ok(())
+    }
+
+    fn router_classes(&self) -> Result<Vec<Class>, SettingsError> {
         let mut classes = Vec::new();
         for (index, class) in self.classes.iter().enumerate() {
-            let need = &needs[index];
-            for (key, time) in [("AimMs", class.aim_ms), ("DeadlineMs", class.deadline_ms)] {
-                if Micros::from(time) == Micros(0) {
-                    return Err(format!("{}: {key}: not positive", class.name));
-                }
-            }
-            if class.value < 0.0 {
-                return Err(format!("{}: Value: negative", class.name));
-            }
-            if !(0.0..=1.0).contains(&class.late_worth) {
-                return Err(format!("{}: LateWorth: not within 0 to 1", class.name));
-            }
+            class.check()?;
             if self.classes[..index].iter().any(|other| other.name == class.name) {
-                return Err(format!("{}: named twice", class.name));
+                return Err(SettingsError::DuplicateClass { class: class.name.clone() });
             }
-            let bound = self.specifics.lag_allowed_ms.get(index);
-            classes.push(Class {
-                latency_objective: class.aim_ms.into(),
-                deadline: class.deadline_ms.into(),
-                priority_weight: class.value,
-                late_weight: class.late_worth,
-                idempotency: match class.effect {
-                    WireEffect::ReadLike => Idempotency::Idempotent,
-                    WireEffect::NonIdempotent => Idempotency::NonIdempotent,
-                    WireEffect::IdempotencyKey => Idempotency::IdempotencyKey {
-                        scope: match class.group {
-                            WireScope::All => DeduplicationScope::All,
-                            WireScope::Zone => DeduplicationScope::Zone,
-                            WireScope::Cell => DeduplicationScope::Group,
-                        },
-                        window: class.repeat_window_ms.into(),
-                    },
-                },
-                consistency: match need {
-                    WireNeed::Update => Consistency::Write,
-                    WireNeed::Latest => Consistency::Strong,
-                    WireNeed::OwnWrites => Consistency::Session,
-                    WireNeed::Loose => Consistency::Eventual,
-                    WireNeed::Recent => Consistency::BoundedStaleness(
-                        (*bound.ok_or("LagAllowedMs: lacks the bound of a class")?).into(),
-                    ),
-                },
-            });
+            classes.push(class.to_router_class(self.specifics.consistency(index)?));
         }
-        let settings = Settings {
+        Ok(classes)
+    }
+
+    fn into_router_settings(self, classes: Vec<Class>, zones: &mut Zones) -> Settings {
+        Settings {
             classes,
-            tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
+            tenants: self.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
             over_quota_weight: self.over_share_worth,
-            weight_basis: match self.worth_by {
-                WireWorthBy::Request => WeightBasis::Request,
-                WireWorthBy::Work => WeightBasis::Work,
-            },
+            weight_basis: self.worth_by.into(),
             zone: zones.id(self.zone),
             gateways: self.balancers,
             tick: self.tick_ms.into(),
             watch_required: self.registry_mode == RegistryMode::OnRequest,
-            replica_checks: match self.specifics.server_checks {
-                ServerChecks::None => ReplicaChecks::None,
-                ServerChecks::Reject | ServerChecks::Hold => ReplicaChecks::Reject,
-            },
-            session_tokens: match self.specifics.session_marks {
-                SessionMarks::Client => SessionTokens::Carried,
-                SessionMarks::Router => SessionTokens::Remembered,
-            },
+            replica_checks: self.specifics.server_checks.into(),
+            session_tokens: self.specifics.session_marks.into(),
             health_checks: self.permissions.probing,
             cancels: self.permissions.cancelling,
             peers: self.permissions.peers,
@@ -326,13 +206,103 @@
             slow_start_window: self.safety.cold_ms.into(),
             overload_multiple: self.safety.tip_multiple,
             overload_window: self.safety.fall_ms.into(),
-        };
-        Ok(Site {
-            settings,
-            classes: self.classes.into_iter().map(|c| c.name).collect(),
-            tenants: self.tenants.into_iter().map(|t| t.name).collect(),
-            counted_from: self.specifics.counted_from_ms.into(),
-            connect_timeout: self.permissions.connect_timeout_ms.into(),
+        }
+    }
+}
+
+impl ClassDocument {
+    fn check(&self) -> Result<(), SettingsError> {
+        let fail = |key, source| Err(SettingsError::Class { class: self.name.clone(), key, source });
+        if Micros::from(self.aim_ms) == Micros(0) {
+            return fail("AimMs", RangeError::NotPositive);
+        }
+        if Micros::from(self.deadline_ms) == Micros(0) {
+            return fail("DeadlineMs", RangeError::NotPositive);
+        }
+        if self.value < 0.0 {
+            return fail("Value", RangeError::Negative);
+        }
+        if !is_fraction(self.late_worth) {
+            return fail("LateWorth", RangeError::NotAFraction);
+        }
+        Ok(())
+    }
+
+    fn to_router_class(&self, consistency: Consistency) -> Class {
+        Class {
+            latency_objective: self.aim_ms.into(),
+            deadline: self.deadline_ms.into(),
+            priority_weight: self.value,
+            late_weight: self.late_worth,
+            idempotency: self.idempotency(),
+            consistency,
+        }
+    }
+
+    fn idempotency(&self) -> Idempotency {
+        match self.effect {
+            EffectDocument::ReadLike => Idempotency::Idempotent,
+            EffectDocument::NonIdempotent => Idempotency::NonIdempotent,
+            EffectDocument::IdempotencyKey => {
+                Idempotency::IdempotencyKey { scope: self.group.into(), window: self.repeat_window_ms.into() }
+            }
+        }
+    }
+}
+
+impl SpecificsDocument {
+    /// The consistency that the class at this index needs.
+    fn consistency(&self, index: usize) -> Result<Consistency, SettingsError> {
+        Ok(match self.needs_by_class[index] {
+            NeedDocument::Update => Consistency::Write,
+            NeedDocument::Latest => Consistency::Strong,
+            NeedDocument::OwnWrites => Consistency::Session,
+            NeedDocument::Loose => Consistency::Eventual,
+            NeedDocument::Recent => {
+                let bound = self.lag_allowed_ms.get(index).ok_or(SettingsError::MissingLagBound)?;
+                Consistency::BoundedStaleness((*bound).into())
+            }
         })
     }
 }
+
+impl From<ScopeDocument> for DeduplicationScope {
+    fn from(scope: ScopeDocument) -> DeduplicationScope {
+        match scope {
+            ScopeDocument::All => DeduplicationScope::All,
+            ScopeDocument::Zone => DeduplicationScope::Zone,
+            ScopeDocument::Cell => DeduplicationScope::Group,
+        }
+    }
+}
+
+impl From<WorthByDocument> for WeightBasis {
+    fn from(worth_by: WorthByDocument) -> WeightBasis {
+        match worth_by {
+            WorthByDocument::Request => WeightBasis::Request,
+            WorthByDocument::Work => WeightBasis::Work,
+        }
+    }
+}
+
+impl From<ServerChecks> for ReplicaChecks {
+    fn from(checks: ServerChecks) -> ReplicaChecks {
+        match checks {
+            ServerChecks::None => ReplicaChecks::None,
+            ServerChecks::Reject | ServerChecks::Hold => ReplicaChecks::Reject,
+        }
+    }
+}
+
+impl From<SessionMarks> for SessionTokens {
+    fn from(marks: SessionMarks) -> SessionTokens {
+        match marks {
+            SessionMarks::Client => SessionTokens::Carried,
+            SessionMarks::Router => SessionTokens::Remembered,
+        }
+    }
+}
+
+fn is_fraction(value: f64) -> bool {
+    (0.0..=1.0).contains(&value)
+}
--- /dev/null
+++ b/src/startup/initial_config.rs
@@ -0,0 +1,136 @@
+//! The configuration that a process starts with.
+
+use std::path::Path;
+
+use dunemount_rollout::version::Document;
+
+use super::StartError;
+use crate::config::version::overlay;
+use crate::config::{ActiveConfig, ConfigError, ConfigFile, ConfigResult, LoadedConfig};
+use crate::fleet::rollout::gateway;
+use crate::settings::Zones;
+use crate::text_file::{AtLine, ReadError};
+use crate::upgrade::line::Inheritance;
+
+/// The configuration that a process starts with, and where it comes from: the gateway's own file, under the version
+/// that it has persisted if that can be used; where the file cannot be used, what the process before runs on.
+pub struct InitialConfig {
+    /// The configuration.
+    pub loaded: LoadedConfig,
+    /// Its text, as what is in force.
+    pub active: ActiveConfig,
+    /// The zones that the settings name.
+    pub zones: Zones,
+    /// The text of the gateway's own file.
+    pub own_text: String,
+    /// The version that lies over it.
+    pub version: Option<Document>,
+    /// Why the persisted version is not used: the newest one comes from the control servers again.
+    pub unusable_version: Option<UnusableVersion>,
+}
+
+/// Why a persisted version is not used.
+#[derive(Debug, thiserror::Error)]
+pub enum UnusableVersion {
+    /// Its file cannot be read, or holds no version.
+    #[error("{0}")]
+    File(String),
+    /// Over the gateway's own file it makes no usable configuration.
+    #[error("version {number}: {source}")]
+    Config {
+        /// Its number.
+        number: u64,
+        /// What is wrong with it.
+        source: AtLine<ConfigError>,
+    },
+}
+
+impl InitialConfig {
+    /// Loads the configuration of a file with this text.
+    ///
+    /// # Errors
+    /// The file cannot be used, and there is no process before.
+    pub fn load(
+        path: &Path,
+        text: Result<String, ReadError>,
+        predecessor: Option<&Inheritance>,
+        version_file: Option<&Path>,
+    ) -> Result<InitialConfig, StartError> {
+        let mut loader = Loader::default();
+        let fallback = predecessor.and_then(|predecessor| loader.load_from(predecessor));
+        let version = version_file.and_then(|file| loader.read_version(file));
+        match (loader.load_file(path, text, version), fallback) {
+            (Ok((loaded, own_text, version)), _) => Ok(loader.into_initial(loaded, own_text, version)),
+            // The process before has rejected the file as well.
+            (Err(_), Some(loaded)) => {
+                let own_text = loader.active.text().to_string();
+                Ok(loader.into_initial(loaded, own_text, None))
+            }
+            (Err(error), None) => Err(error),
+        }
+    }
+}
+
+/// The name of the gateway that a configuration's text is for; none unless that can be read.
+pub fn configured_name(text: &str) -> Option<String> {
+    serde_json::from_str::<ConfigFile>(text).ok().map(|file| file.name)
+}
+
+#[derive(Default)]
+struct Loader {
+    active: ActiveConfig,
+    zones: Zones,
+    unusable_version: Option<UnusableVersion>,
+}
+
+impl Loader {
+    /// What the process before runs on.
+    fn load_from(&mut self, predecessor: &Inheritance) -> Option<LoadedConfig> {
+        self.zones = predecessor.snapshot.directory.zones().clone();
+        self.active.replace(predecessor.snapshot.config.clone(), &mut self.zones).ok()
+    }
+
+    /// The persisted version.
+    fn read_version(&mut self, file: &Path) -> Option<Document> {
+        gateway::kept(file).unwrap_or_else(|error| {
+            self.unusable_version = Some(UnusableVersion::File(error));
+            None
+        })
+    }
+
+    /// The gateway's own file, its text, and the version that lies over it.
+    fn load_file(
+        &mut self,
+        path: &Path,
+        text: Result<String, ReadError>,
+        version: Option<Document>,
+    ) -> Result<(LoadedConfig, String, Option<Document>), StartError> {
+        let own_text = text?;
+        if let Some(document) = version {
+            match self.load_version(&own_text, &document) {
+                Ok(loaded) => return Ok((loaded, own_text, Some(document))),
+                Err(source) => {
+                    let number = document.version().number;
+                    self.unusable_version = Some(UnusableVersion::Config { number, source });
+                }
+            }
+        }
+        let loaded = self.active.replace(own_text.clone(), &mut self.zones);
+        Ok((loaded.map_err(|error| error.in_file(path))?, own_text, None))
+    }
+
+    fn load_version(&mut self, own_text: &str, document: &Document) -> ConfigResult<LoadedConfig> {
+        let text = overlay(own_text, document.bytes())?;
+        self.active.replace(text, &mut self.zones)
+    }
+
+    fn into_initial(
+        self,
+        loaded: LoadedConfig,
+        own_text: String,
+        version: Option<Document>,
+    ) -> InitialConfig {
+        let Loader { active, zones, unusable_version } = self;
+        InitialConfig { loaded, active, zones, own_text, version, unusable_version }
+    }
+}
--- /dev/null
+++ b/src/startup/signals.rs
@@ -0,0 +1,53 @@
+//! Signals: a pipe wakes whoever waits for one, and a flag tells it also where the pipe could not be written.
+
+use std::io;
+use std::os::unix::net::UnixStream;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+use std::time::Instant;
+
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+
+use crate::fleet::rollout::handover;
+use crate::net::event_loop::{Reread, Signals};
+use crate::shortage::{is_shortage, retry, START_PATIENCE};
+
+type Signal = libc::c_int;
+
+const TERMINATION: [Signal; 2] = [SIGTERM, SIGINT];
+const RELOAD: [Signal; 1] = [SIGHUP];
+
+/// Watches for all signals that an event loop handles.
+///
+/// # Errors
+/// The system does not give a pipe.
+pub fn watch(versions: Option<handover::Inbox>, reread: Reread) -> io::Result<Signals> {
+    let told = [flag(&TERMINATION)?, flag(&RELOAD)?];
+    Ok(Signals { end: termination()?, reload: pipe(&RELOAD)?, told, versions, reread })
+}
+
+/// A pipe that becomes readable when the process is to end.
+///
+/// # Errors
+/// The system does not give one.
+pub fn termination() -> io::Result<UnixStream> {
+    pipe(&TERMINATION)
+}
+
+/// A flag that is set when one of the signals arrives.
+fn flag(signals: &[Signal]) -> io::Result<Arc<AtomicBool>> {
+    let flag = Arc::new(AtomicBool::new(false));
+    for signal in signals {
+        signal_hook::flag::register(*signal, flag.clone())?;
+    }
+    Ok(flag)
+}
+
+/// A pipe that becomes readable when one of the signals arrives.
+fn pipe(signals: &[Signal]) -> io::Result<UnixStream> {
+    let (writer, reader) = retry(Instant::now() + START_PATIENCE, is_shortage, UnixStream::pair)?;
+    for signal in signals {
+        signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
+    }
+    Ok(reader)
+}
--- /dev/null
+++ b/src/validation.rs
@@ -0,0 +1,98 @@
+//! Validation of the files that a gateway is started with, and the creation of a voter's file.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use dunemount_fleet::register::Slot;
+
+use crate::cli::FileArgs;
+use crate::config::{ActiveConfig, ConfigError, LoadedConfig};
+use crate::fleet::file::VoterFile;
+use crate::settings::Zones;
+use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
+use crate::text_file::{self, InFile, ReadError};
+
+/// Why files cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ValidationError {
+    /// No configuration is named.
+    #[error("--config or GW_CONFIG must name the configuration")]
+    NoConfig,
+    /// The configuration cannot be read.
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] InFile<ConfigError>),
+    /// The settings cannot be loaded.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// The settings lack what this gateway needs.
+    #[error(transparent)]
+    Settings(#[from] InFile<SettingsFileError>),
+    /// The settings lack what this voter needs.
+    #[error(transparent)]
+    Voter(#[from] SettingsFileError),
+    /// A file was to be created for a gateway without a vote.
+    #[error("{name} is none of the voters that [fleet] names")]
+    NotAVoter {
+        /// Its name.
+        name: String,
+    },
+    /// A voter's file cannot be created.
+    #[error("cannot lay out {}: {source}", path.display())]
+    CreateVoterFile {
+        /// The file.
+        path: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+}
+
+/// Reads both files as a start would and changes nothing: one line on what they hold.
+///
+/// # Errors
+/// The first fault.
+pub fn validate(files: &FileArgs) -> Result<String, ValidationError> {
+    let path = files.config.as_deref().ok_or(ValidationError::NoConfig)?;
+    let text = text_file::read(path)?;
+    let LoadedConfig { file, settings: site, .. } = load_config(path, text.clone())?;
+    file.check_listen_addresses(&text).map_err(|error| error.in_file(path))?;
+    let settings_file = SettingsFile::load(files.settings.as_deref())?;
+    settings_file.settings.fleet.voter(&file.name)?;
+    settings_file.follower()?;
+    settings_file.check_gateway_name(&file.name)?;
+    let (classes, hosts) = (site.class_names.len(), file.known.len());
+    let cores = settings_file.settings.cores;
+    Ok(format!("usable: {classes} classes, {hosts} hosts known, {cores} cores"))
+}
+
+/// Creates the file of a voter of a new fleet, whose name the configuration gives unless it is given here: one line on
+/// what was done.
+///
+/// # Errors
+/// There is no such voter, or its file cannot be created.
+pub fn create_voter_file(files: &FileArgs, name: Option<&str>) -> Result<String, ValidationError> {
+    let name = match name {
+        Some(name) => name.to_string(),
+        None => configured_name(files)?,
+    };
+    let fleet = SettingsFile::load(files.settings.as_deref())?.settings.fleet;
+    let (index, path) = match fleet.voter(&name)? {
+        Some(voter) => voter,
+        None => return Err(ValidationError::NotAVoter { name }),
+    };
+    let created = VoterFile::at(path).found(Slot(index as u8));
+    created.map_err(|source| ValidationError::CreateVoterFile { path: path.to_path_buf(), source })?;
+    Ok(format!("{}: laid out for voter {index} of a new fleet", path.display()))
+}
+
+fn configured_name(files: &FileArgs) -> Result<String, ValidationError> {
+    let path = files.config.as_deref().ok_or(ValidationError::NoConfig)?;
+    let loaded = load_config(path, text_file::read(path)?)?;
+    Ok(std::env::var("GW_NAME").unwrap_or(loaded.file.name))
+}
+
+fn load_config(path: &Path, text: String) -> Result<LoadedConfig, InFile<ConfigError>> {
+    ActiveConfig::default().replace(text, &mut Zones::default()).map_err(|error| error.in_file(path))
+}
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use dunemount::options::Options;
+use dunemount::settings_file::LocalSettings;
 
 fn example() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("examples/config.json")
@@ -58,16 +58,16 @@
         ("[control]\nmachine = z/a@127.0.0.1:1", 2, "no such key"),
         ("[cores]\n[control]\nmachines = z/a@127.0.0.1:1", 2, "[fleet] name is missing"),
     ] {
-        let fault = Options::read(text).expect_err(text);
+        let fault = LocalSettings::parse(text).expect_err(text);
         assert_eq!(fault.line, line, "{text:?}: {fault}");
-        assert!(fault.what.contains(word), "{text:?}: {fault}");
+        assert!(fault.error.to_string().contains(word), "{text:?}: {fault}");
     }
     let text = "[fleet]\nname = shop\nlisten = 127.0.0.1:1\nvoters = a@127.0.0.1:1";
-    let fleet = Options::read(text).expect("whole but for the file").fleet;
-    assert!(fleet.voter("a").is_err_and(|why| why.contains("file: missing")));
+    let fleet = LocalSettings::parse(text).expect("whole but for the file").fleet;
+    assert!(fleet.voter("a").is_err_and(|why| why.to_string().contains("file: missing")));
     assert_eq!(fleet.voter("b"), Ok(None), "no vote, no file");
     for text in ["", "[cores]", "# a word\n[cores]\n  count : 1  \n"] {
-        assert_eq!(Options::read(text), Ok(Options::default()), "{text:?}");
+        assert_eq!(LocalSettings::parse(text), Ok(LocalSettings::default()), "{text:?}");
     }
 }
 
@@ -124,7 +124,7 @@
 #[test]
 fn the_shipped_settings_are_the_defaults() {
     let shipped = include_str!("../deploy/dunemount.ini");
-    assert_eq!(Options::read(shipped), Ok(Options::default()));
+    assert_eq!(LocalSettings::parse(shipped), Ok(LocalSettings::default()));
     for key in ["[cores]", "count = ", "[control]", "machines = ", "zone = "] {
         assert!(shipped.contains(key), "{key} is shown");
     }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -4,8 +4,8 @@
 
 use std::sync::Arc;
 
-use dunemount::config::version::{check, of, overlay, Source};
-use dunemount::config::InForce;
+use dunemount::config::version::{overlay, shared_part, validate, ConfigSource};
+use dunemount::config::ActiveConfig;
 use dunemount::settings::Zones;
 use dunemount_rollout::version::{Digest, Document, Version};
 use serde_json::{json, Value};
@@ -32,13 +32,17 @@
 fn a_version_is_what_all_gateways_share() {
     let whole = own("gw").to_string();
     let shared = json!({"discovery": "127.0.0.1:3", "settings": shared_settings()});
-    assert_eq!(read(&of(&whole).expect("usable")), shared);
-    assert_eq!(read(&of(&shared.to_string()).expect("usable")), shared);
+    assert_eq!(read(&shared_part(&whole).expect("usable")), shared);
+    assert_eq!(read(&shared_part(&shared.to_string()).expect("usable")), shared);
     let settings = json!({"settings": shared_settings()});
-    assert_eq!(read(&of(&settings.to_string()).expect("usable")), settings, "discovery need not be in it");
-    assert_eq!(of("{").expect_err("cut off").line, 1);
+    assert_eq!(
+        read(&shared_part(&settings.to_string()).expect("usable")),
+        settings,
+        "discovery need not be in it"
+    );
+    assert_eq!(shared_part("{").expect_err("cut off").line, 1);
     for bad in ["{}", "[]", "1", "", "{\"settings\": {}}", "{\"name\": \"gw\"}"] {
-        assert!(of(bad).is_err(), "{bad}");
+        assert!(shared_part(bad).is_err(), "{bad}");
     }
 }
 
@@ -59,13 +63,13 @@
             let text = format!("\n{bad:#}\n\n");
             let key = format!("\"{}\":", pointer.rsplit('/').next().expect("a key"));
             let line = text.lines().position(|line| line.contains(&key)).expect("there") + 1;
-            assert_eq!(of(&text).expect_err(pointer).line, line, "{pointer}");
+            assert_eq!(shared_part(&text).expect_err(pointer).line, line, "{pointer}");
         }
     }
     let mut bad = own("gw");
     bad["admin_addr"] = json!("nowhere");
-    let fault = of(&format!("{bad:#}")).expect_err("no address");
-    assert_eq!((fault.line, fault.what.contains("admin_addr")), (2, true), "{fault}");
+    let fault = shared_part(&format!("{bad:#}")).expect_err("no address");
+    assert_eq!((fault.line, fault.error.to_string().contains("admin_addr")), (2, true), "{fault}");
 }
 
 /// Guards the control machine's check: gateways' own keys, keys that vanish, and what cannot be used are refused; one that
@@ -76,7 +80,7 @@
     let with = json!({"discovery": "127.0.0.1:3", "settings": shared_settings()});
     let (settings, with) = (settings.to_string(), with.to_string());
     let judge = |document: &str, before: Option<&str>| {
-        check(document.as_bytes(), before.map(str::as_bytes)).map_err(|fault| fault.what)
+        validate(document.as_bytes(), before.map(str::as_bytes)).map_err(|fault| fault.error.to_string())
     };
     assert_eq!(judge(&settings, None), Ok(()));
     assert_eq!(judge(&with, Some(&settings)), Ok(()));
@@ -89,7 +93,7 @@
     let why = judge(&shorter.to_string(), Some(&settings)).expect_err("a key has vanished");
     assert_eq!(why, "settings.Safety.ColdMs: missing");
     assert!(judge("{}", Some(&settings)).is_err() && judge("[]", None).is_err());
-    assert!(check(b"\xff", None).is_err());
+    assert!(validate(b"\xff", None).is_err());
     assert_eq!(judge(&settings, Some("{}")), Ok(()));
 }
 
@@ -121,10 +125,17 @@
     let path = folder.join("own.json");
     let text = own("gw").to_string();
     std::fs::write(&path, &text).expect("written");
-    let (mut in_force, mut zones) = (InForce::default(), Zones::default());
-    let named = in_force.take(text.clone(), &mut zones).expect("usable").discovery;
+    let (mut in_force, mut zones) = (ActiveConfig::default(), Zones::default());
+    let named = in_force.replace(text.clone(), &mut zones).expect("usable").discovery;
     let used = "127.0.0.1:77".parse().expect("an address");
-    let mut source = Source { path: path.clone(), own: text.clone(), in_force, version: None, named, used };
+    let mut source = ConfigSource {
+        path: path.clone(),
+        own_text: text.clone(),
+        active: in_force,
+        version: None,
+        configured_discovery: named,
+        discovery: used,
+    };
     let version = |number: u64, document: Value| {
         let bytes: Arc<[u8]> = document.to_string().into_bytes().into();
         Document::of(Version { number, digest: Digest::of(&bytes) }, bytes).expect("it fits")
@@ -132,20 +143,20 @@
     let mut settings = harness::settings();
     settings["Permissions"]["SendCap"] = json!(9);
     let (_, taken) =
-        source.take(Some(&version(1, json!({ "settings": settings }))), &mut zones).expect("usable");
+        source.reload(Some(&version(1, json!({ "settings": settings }))), &mut zones).expect("usable");
     assert_eq!(taken.discovery, used, "it does not move");
     // The file is of no concern to a version, and what is wrong with it is told at the SIGHUP.
     std::fs::write(&path, "{").expect("written");
-    assert!(source.take(None, &mut zones).is_err());
+    assert!(source.reload(None, &mut zones).is_err());
     let bad = version(2, json!({"settings": {}}));
-    assert!(source.take(Some(&bad), &mut zones).is_err());
+    assert!(source.reload(Some(&bad), &mut zones).is_err());
     assert_eq!(source.version.as_ref().map(|version| version.version().number), Some(1));
     std::fs::write(&path, &text).expect("written");
-    let (whole, taken) = source.take(None, &mut zones).expect("usable");
+    let (whole, taken) = source.reload(None, &mut zones).expect("usable");
     assert_eq!(read(whole.as_bytes())["settings"], settings, "the version's, not the file's");
     assert_eq!(taken.discovery, named, "the file is the latest word");
     let moved = version(3, json!({"settings": settings, "discovery": "127.0.0.1:8"}));
-    let (_, taken) = source.take(Some(&moved), &mut zones).expect("usable");
+    let (_, taken) = source.reload(Some(&moved), &mut zones).expect("usable");
     assert_eq!(taken.discovery.port(), 8);
     std::fs::remove_dir_all(folder).expect("its own");
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 
 use dunemount::balancer::Balancer;
-use dunemount::config::InForce;
+use dunemount::config::ActiveConfig;
 use dunemount::net::clock::{Clock, Reading};
 use dunemount::net::discovery::Directory;
 use dunemount::ops::call::{Call, Status};
@@ -64,8 +64,9 @@
     directory.take(known, &Clock::start());
     let configuration = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
         "limits": {"sockets": 200, "memory_mb": 48}, "known": harness::listing(&[]), "settings": harness::settings()});
-    let taken =
-        InForce::default().take(configuration.to_string(), &mut Zones::default()).expect("a configuration");
+    let taken = ActiveConfig::default()
+        .replace(configuration.to_string(), &mut Zones::default())
+        .expect("a configuration");
     Snapshot {
         clock: 1_764_000_000_000_000,
         reading: Some(Reading { clock: Micros(86_400_000_123), unix: 1_764_086_400_000_124 }),
@@ -74,7 +75,7 @@
         rev: Some(41),
         directory,
         classes: BTreeMap::from([("look".to_string(), ClassId(0)), ("store".to_string(), ClassId(3))]),
-        balancer: Balancer::new(taken.site.settings, 7).snapshot(),
+        balancer: Balancer::new(taken.settings.router, 7).snapshot(),
         down: BTreeSet::from(["db-1".to_string(), "db-7".to_string()]),
         open: vec![("r-1".to_string(), Micros(86_401_000_000))],
         clients: 17,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -15,7 +15,7 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use dunemount::config::InForce;
+use dunemount::config::ActiveConfig;
 use dunemount::net::event_loop::{Config, Gateway, Signals};
 use dunemount::pg::codec::{self, Frame, Inbox};
 use dunemount::settings::Zones;
@@ -251,12 +251,12 @@
         let (stop, end) = UnixStream::pair().expect("a pair");
         let (reload, anew) = UnixStream::pair().expect("a pair");
         let (file, read) = sync_channel(0);
-        let (mut in_force, mut zones) = (InForce::default(), Zones::default());
+        let (mut in_force, mut zones) = (ActiveConfig::default(), Zones::default());
         let text = json!({"name": "n", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
             "discovery": discovery.local_addr().expect("bound").to_string(), "seed": "1f",
             "limits": {"sockets": limit, "memory_mb": 48}, "known": known, "settings": settings()})
         .to_string();
-        let taken = in_force.take(text.clone(), &mut zones).expect("a configuration");
+        let taken = in_force.replace(text.clone(), &mut zones).expect("a configuration");
         let config = Config {
             listen: "127.0.0.1:0".parse().expect("an address"),
             admin: Some("127.0.0.1:0".parse().expect("an address")),
@@ -265,7 +265,7 @@
             sockets: limit,
             memory_mb: 48,
             known: taken.file.known,
-            site: taken.site,
+            site: taken.settings,
             zones,
             text: text.clone(),
             line,
@@ -274,7 +274,7 @@
         };
         let reread = Box::new(move |_: Option<&Document>, zones: &mut Zones| {
             let text: String = read.recv().expect("a file");
-            in_force.take(text.clone(), zones).map(|taken| (text, taken))
+            in_force.replace(text.clone(), zones).map(|taken| (text, taken))
         });
         let signals = Signals { end, reload: anew, told: Default::default(), versions: None, reread };
         let log = slog::Logger::root(slog::Discard, slog::o!());
--- a/tests/input_files.rs
+++ b/tests/input_files.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 
-use dunemount::config::InForce;
-use dunemount::options::{ControlOptions, FleetOptions, Options, Place};
+use dunemount::config::ActiveConfig;
 use dunemount::settings::Zones;
+use dunemount::settings_file::{ControlSettings, FleetSettings, LocalSettings, NamedAddress};
 use dunemount::*;
 use dunemount_rollout::follower::Machine;
 use serde_json::{json, Value};
@@ -46,8 +46,8 @@
     let mut zones = Zones::default();
     zones.id("a".to_string());
     let text = fixture("configuration-v1.json");
-    let mut in_force = InForce::default();
-    let taken = in_force.take(text.clone(), &mut zones).expect("usable");
+    let mut in_force = ActiveConfig::default();
+    let taken = in_force.replace(text.clone(), &mut zones).expect("usable");
     assert_eq!(in_force.text(), text);
     let file = &taken.file;
     assert_eq!((file.name.as_str(), file.listen.as_str()), ("gw-a-1", "127.0.0.1:6432"));
@@ -59,10 +59,10 @@
     assert_eq!((file.limits.sockets, file.limits.memory_mb), (200, 48));
     assert_eq!((file.known.len(), file.known.groups().collect::<Vec<_>>()), (3, vec![1, 1, 2]));
 
-    let site = &taken.site;
-    assert_eq!(site.classes, ["any", "fresh", "own", "recent", "store"]);
-    assert_eq!(site.tenants, ["t-1", "t-2"]);
-    assert_eq!((site.counted_from, site.connect_timeout), (ms(16.0), ms(21.0)));
+    let site = &taken.settings;
+    assert_eq!(site.class_names, ["any", "fresh", "own", "recent", "store"]);
+    assert_eq!(site.tenant_names, ["t-1", "t-2"]);
+    assert_eq!((site.positions_from, site.connect_timeout), (ms(16.0), ms(21.0)));
     let wanted = Settings {
         classes: vec![
             class([1.5, 2.0], 1.25, 0.0, Idempotency::Idempotent, Consistency::Eventual),
@@ -105,16 +105,16 @@
         overload_multiple: 30.5,
         overload_window: ms(28.0),
     };
-    assert_eq!(format!("{:?}", site.settings), format!("{wanted:?}"));
+    assert_eq!(format!("{:?}", site.router), format!("{wanted:?}"));
 }
 
 /// Guards what holds where a key may be missing and is.
 #[test]
 fn a_key_that_may_be_missing_has_its_default() {
     let text = fixture("configuration-least-v1.json");
-    let taken = InForce::default().take(text, &mut Zones::default()).expect("usable");
+    let taken = ActiveConfig::default().replace(text, &mut Zones::default()).expect("usable");
     assert_eq!((taken.file.admin_addr, taken.file.limits.memory_mb), (None, 0));
-    assert_eq!((taken.site.counted_from, taken.site.connect_timeout), (Micros(0), Micros(0)));
+    assert_eq!((taken.settings.positions_from, taken.settings.connect_timeout), (Micros(0), Micros(0)));
     let wanted = Settings {
         classes: vec![class([1.0, 2.0], 1.0, 0.0, Idempotency::Idempotent, Consistency::Eventual)],
         tenants: Vec::new(),
@@ -145,13 +145,13 @@
         overload_multiple: 2.0,
         overload_window: ms(7.0),
     };
-    assert_eq!(format!("{:?}", taken.site.settings), format!("{wanted:?}"));
+    assert_eq!(format!("{:?}", taken.settings.router), format!("{wanted:?}"));
 }
 
 /// Guards the meaning of every key of the project's own settings, and of a file without any.
 #[test]
 fn each_key_of_the_settings_goes_where_it_belongs() {
-    let place = |name: &str, address: &str| Place {
+    let place = |name: &str, address: &str| NamedAddress {
         name: name.to_string(),
         address: address.parse().expect("an address"),
     };
@@ -159,7 +159,7 @@
         let machine = Machine { name: name.to_string(), zone: zone.to_string() };
         (machine, address.parse().expect("an address"))
     };
-    let fleet = FleetOptions {
+    let fleet = FleetSettings {
         name: Some("shop".to_string()),
         listen: Some("127.0.0.1:7100".parse().expect("an address")),
         voters: vec![
@@ -173,16 +173,19 @@
         probe_ms: 600,
         file: Some("/var/lib/dunemount/voter".into()),
     };
-    let control = ControlOptions {
+    let control = ControlSettings {
         machines: vec![machine("a", "cm-1", "10.0.1.1:7200"), machine("b", "cm-2", "10.0.1.2:7200")],
         zone: Some("a".to_string()),
         file: Some("/var/lib/dunemount/version".into()),
         line: 15,
     };
-    assert_eq!(Options::read(&fixture("settings-v1.ini")), Ok(Options { cores: 8, fleet, control }));
-    let none = Options::read("").expect("usable");
+    assert_eq!(
+        LocalSettings::parse(&fixture("settings-v1.ini")),
+        Ok(LocalSettings { cores: 8, fleet, control })
+    );
+    let none = LocalSettings::parse("").expect("usable");
     assert_eq!((none.cores, none.fleet.size, none.fleet.lease_ms, none.fleet.probe_ms), (1, 3, 3_000, 500));
-    assert_eq!(none, Options::default());
+    assert_eq!(none, LocalSettings::default());
 }
 
 /// Settings that cannot be used, of which each says something else.
@@ -226,8 +229,9 @@
     let machines: Vec<String> = (0..17).map(|n| format!("a/m{n}@127.0.0.1:{}", n + 1)).collect();
     let many = format!("[control]\nmachines = {}\n", machines.join(","));
     let all = BAD_SETTINGS.into_iter().chain([long.as_str(), many.as_str()]);
-    let faults: Vec<String> =
-        all.map(|text| Options::read(text).expect_err("unusable").of("FILE") + "\n").collect();
+    let faults: Vec<String> = all
+        .map(|text| LocalSettings::parse(text).expect_err("unusable").in_file("FILE").to_string() + "\n")
+        .collect();
     assert_eq!(faults.concat(), fixture("settings-faults-v1.txt"));
 }
 
@@ -236,14 +240,20 @@
 fn faults_of_a_gateway_with_control_machines_keep_their_words() {
     let fleet = "[fleet]\nname = shop\nlisten = 127.0.0.1:1\nvoters = gw-1@127.0.0.1:1\n";
     let options = |rest: &str| {
-        Options::read(&format!("{fleet}[control]\nmachines = a/cm-1@127.0.0.1:2\n{rest}")).expect("usable")
+        LocalSettings::parse(&format!("{fleet}[control]\nmachines = a/cm-1@127.0.0.1:2\n{rest}"))
+            .expect("usable")
     };
     let faults = [
-        options("").control.follows().expect_err("no zone").of("FILE"),
-        options("zone = a\n").control.follows().expect_err("no file").of("FILE"),
-        options("").control.kept().expect_err("no file").of("FILE"),
-        options("").control.takes("").expect_err("no name").of("FILE"),
-        options("").control.takes(&"x".repeat(65)).expect_err("too long").of("FILE"),
+        options("").control.follower().expect_err("no zone").in_file("FILE").to_string(),
+        options("zone = a\n").control.follower().expect_err("no file").in_file("FILE").to_string(),
+        options("").control.version_file().expect_err("no file").in_file("FILE").to_string(),
+        options("").control.check_gateway_name("").expect_err("no name").in_file("FILE").to_string(),
+        options("")
+            .control
+            .check_gateway_name(&"x".repeat(65))
+            .expect_err("too long")
+            .in_file("FILE")
+            .to_string(),
         options("").fleet.voter("gw-1").expect_err("no file").to_string(),
     ];
     assert_eq!(faults.join("\n") + "\n", fixture("control-faults-v1.txt"));
@@ -287,12 +297,14 @@
         without("/settings/Safety", "ColdMs"),
     ];
     let fault = |text: &String| {
-        let fault = InForce::default().take(text.clone(), &mut Zones::default()).err().expect("unusable");
-        format!("{}\n{fault}\n", fault.of("FILE"))
+        let fault =
+            ActiveConfig::default().replace(text.clone(), &mut Zones::default()).err().expect("unusable");
+        let alone = fault.to_string();
+        format!("{}\n{alone}\n", fault.in_file("FILE"))
     };
     let mut faults: Vec<String> = texts.iter().map(fault).collect();
-    let mut in_force = InForce::default();
-    in_force.take(format!("{good:#}"), &mut Zones::default()).expect("usable");
+    let mut in_force = ActiveConfig::default();
+    in_force.replace(format!("{good:#}"), &mut Zones::default()).expect("usable");
     let fewer = [
         without("", "admin_addr"),
         without("/settings/Clients", "MarksRetry"),
@@ -300,8 +312,8 @@
         without("/settings/Tenants/0", "QuotaPerS"),
     ];
     for text in fewer {
-        let fault = in_force.take(text, &mut Zones::default()).err().expect("a key has vanished");
-        faults.push(fault.of("FILE") + "\n");
+        let fault = in_force.replace(text, &mut Zones::default()).err().expect("a key has vanished");
+        faults.push(fault.in_file("FILE").to_string() + "\n");
     }
     assert_eq!(faults.concat(), fixture("configuration-faults-v1.txt"));
 }
