--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -23,7 +23,7 @@
 use crate::settings::SiteSettings;
 use crate::shortage::is_shortage;
 use crate::text_file::AtLine;
-use crate::{Listed, Micros, Settings};
+use crate::{EndpointState, Micros, Settings};
 
 /// How long a configuration that cannot be read at this moment is tried again, and the time between two tries: it counts
 /// as told 4 s after the signal.
@@ -266,7 +266,7 @@
         entries.retain_mut(|entry| {
             let own = workers.home(entry.group) == me;
             if !own {
-                entry.listed = Listed::Gone;
+                entry.state = EndpointState::Removed;
             }
             own || balancer.lists(entry.member)
         });
