--- a/src/lib.rs
+++ b/src/lib.rs
@@ -87,6 +87,7 @@
 pub mod cli;
 pub mod config;
 pub mod fleet;
+pub mod hot_restart;
 pub mod http;
 pub mod logging;
 pub mod net;
@@ -99,7 +100,6 @@
 pub mod shortage;
 pub mod startup;
 pub mod text_file;
-pub mod upgrade;
 pub mod validation;
 
 pub use api::*;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -44,13 +44,13 @@
 use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::handover;
 use crate::fleet::status::Board;
+use crate::hot_restart::handover_socket::HandoverState;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequests;
 use crate::settings::{SiteSettings, Zones};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
-use crate::upgrade::line::Inheritance;
 use crate::{Micros, RequestId};
 
 const LISTENER: usize = usize::MAX - 1;
@@ -111,9 +111,9 @@
     /// The configuration's text, for the process that follows.
     pub text: String,
     /// Where this process waits for the one that follows.
-    pub line: Option<PathBuf>,
+    pub handover_path: Option<PathBuf>,
     /// What the process before hands over.
-    pub inherited: Option<Inheritance>,
+    pub predecessor: Option<HandoverState>,
     /// Where the state of the fleet is put, if the gateway is in one.
     pub fleet: Option<Board>,
 }
@@ -200,10 +200,10 @@
         let pollers = pollers?;
         let listen = |address, shared| retry(until, passes, || listen(address, shared));
         let workers = Arc::new(Workers::of(&pollers));
-        let (line, snapshot, listener, (clock, error)) = match config.inherited {
-            Some(Inheritance { line, snapshot, listener, asked }) => {
-                let clock = Clock::resume(snapshot.clock, snapshot.reading, asked);
-                (Some(line), Some(snapshot), listener.into(), clock)
+        let (line, snapshot, listener, (clock, error)) = match config.predecessor {
+            Some(HandoverState { socket, snapshot, listener, requested_at }) => {
+                let clock = Clock::resume(snapshot.position_reference, snapshot.clock_reading, requested_at);
+                (Some(socket), Some(snapshot), listener.into(), clock)
             }
             None => (None, None, listen(config.listen, true)?, (Clock::start(), Micros(0))),
         };
@@ -287,7 +287,7 @@
         }
         (first.clients.listener, first.admin.listener, first.admin.fleet) =
             (Some(listener), admin, config.fleet);
-        (first.signals, first.config, first.line.path) = (Some(signals), config.text, config.line);
+        (first.signals, first.config, first.line.path) = (Some(signals), config.text, config.handover_path);
         match (line, snapshot) {
             (Some(line), Some(snapshot)) => {
                 gateways.iter_mut().for_each(|worker| worker.take_part(&snapshot, error));
--- a/src/net/event_loop/succession.rs
+++ b/src/net/event_loop/succession.rs
@@ -15,11 +15,11 @@
 use super::workers::{Commit, WorkerMessage};
 use super::{Gateway, Phase, PEERS, SUCCESSORS};
 use crate::balancer;
+use crate::hot_restart::handover_socket::{self, HandoverSocket};
+use crate::hot_restart::message::{GatewaySnapshot, Message};
 use crate::net::discovery::Watch;
 use crate::pg::client::{Client, Handover};
 use crate::pg::codec::CancelKey;
-use crate::upgrade::line::{self, Line};
-use crate::upgrade::message::{Message, Snapshot};
 use crate::Micros;
 
 /// Descriptors that the other process takes for itself while there are two.
@@ -34,7 +34,7 @@
 
 /// Another process of this gateway.
 pub(super) struct Peer {
-    line: Line,
+    line: HandoverSocket,
     /// It follows this one.
     follows: bool,
     /// Clients that the process before still holds.
@@ -58,7 +58,7 @@
 
 /// The snapshot for a process that has called, until all workers have told theirs.
 struct Gathering {
-    line: Line,
+    line: HandoverSocket,
     waits: usize,
     known: balancer::Snapshot,
     open: Vec<(String, Micros)>,
@@ -70,7 +70,7 @@
     /// Waits for the process that follows, where there is a path for it.
     pub(super) fn await_successors(&mut self) {
         let Some(path) = &self.line.path else { return };
-        let waits = line::listen(path).and_then(|at| {
+        let waits = handover_socket::listen(path).and_then(|at| {
             self.poller.add_with_mode(&at, Event::readable(SUCCESSORS), PollMode::Level)?;
             Ok(at)
         });
@@ -82,7 +82,7 @@
 
     /// A process that follows has come: it gets the snapshot of all workers and a copy of the listener.
     pub(super) fn on_successor(&mut self) {
-        let Some(Ok(line)) = self.line.successors.as_ref().map(Line::accept) else { return };
+        let Some(Ok(line)) = self.line.successors.as_ref().map(HandoverSocket::accept) else { return };
         // One at a time: another that calls meanwhile starts alone.
         if self.line.gathering.is_some() {
             return;
@@ -117,19 +117,19 @@
         let Some(listener) = listener else { return self.relink() };
         let Gathering { line, known, open, after, .. } = gathering;
         info!(self.log, "upgrade: state handed over"; "clients" => self.workers.clients(), "owed" => open.len());
-        let snapshot = Snapshot {
-            clock: self.clock.reference(),
-            reading: Some(self.clock.reading()),
+        let snapshot = GatewaySnapshot {
+            position_reference: self.clock.reference(),
+            clock_reading: Some(self.clock.reading()),
             config: self.config.clone(),
             discovery: self.watching.address,
-            rev: self.watching.watch.known(),
+            list_revision: self.watching.watch.known(),
             directory: self.directory.clone(),
-            classes: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
+            class_ids: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
             balancer: known,
-            down: self.admin.down.clone(),
-            open,
-            clients: self.workers.clients(),
-            cancels: true,
+            administratively_down: self.admin.down.clone(),
+            in_flight: open,
+            open_clients: self.workers.clients(),
+            accepts_cancel: true,
         };
         if let Some(peer) = self.meet(line, true, 0, false) {
             self.tell(peer, &Message::Snapshot(Box::new(snapshot)), Some(listener.into()));
@@ -147,14 +147,20 @@
     }
 
     /// Takes up a line.
-    pub(super) fn meet(&mut self, line: Line, follows: bool, holding: usize, cancels: bool) -> Option<usize> {
+    pub(super) fn meet(
+        &mut self,
+        line: HandoverSocket,
+        follows: bool,
+        holding: usize,
+        cancels: bool,
+    ) -> Option<usize> {
         let index = self.line.peers.vacant_key();
         let added = self.poller.add_with_mode(&line, Event::readable(PEERS + index), PollMode::Level);
         added.ok().map(|()| self.line.peers.insert(Peer { line, follows, holding, cancels, interest: false }))
     }
 
     /// The process before has handed over: this one takes clients, and says so.
-    pub(super) fn succeed(&mut self, line: Line, holding: usize, cancels: bool) {
+    pub(super) fn succeed(&mut self, line: HandoverSocket, holding: usize, cancels: bool) {
         if let Some(peer) = self.meet(line, false, holding, cancels) {
             self.tell(peer, &Message::Ready, None);
         }
@@ -162,27 +168,28 @@
     }
 
     /// Takes over what the process before knew of this worker's families.
-    pub(super) fn take_part(&mut self, snapshot: &Snapshot, error: Micros) {
+    pub(super) fn take_part(&mut self, snapshot: &GatewaySnapshot, error: Micros) {
         let mut directory = snapshot.directory.clone();
         // Zones that only the new settings name have got their numbers by now.
         directory.know_zones(self.directory.zones().clone());
         self.directory = directory;
         let place = |class| {
             let (name, _) = self.classes.names().find(|(_, id)| *id == class)?;
-            snapshot.classes.get(name).copied()
+            snapshot.class_ids.get(name).copied()
         };
         let (workers, me) = (&self.workers, self.me);
         let part = snapshot.balancer.clone().for_groups(|group| workers.home(group) == me);
         self.balancer.restore(part, place, error);
-        self.requests.add_elsewhere(snapshot.open.iter().cloned());
+        self.requests.add_elsewhere(snapshot.in_flight.iter().cloned());
     }
 
     /// Takes over the lead from the process before.
-    pub(super) fn take_lead(&mut self, line: Line, snapshot: Snapshot) {
-        self.admin.down = snapshot.down;
+    pub(super) fn take_lead(&mut self, line: HandoverSocket, snapshot: GatewaySnapshot) {
+        self.admin.down = snapshot.administratively_down;
         self.watching.address = snapshot.discovery;
-        self.watching.watch = Watch::from(snapshot.rev);
-        let (clients, rev, cancels) = (snapshot.clients, snapshot.rev.unwrap_or(0), snapshot.cancels);
+        self.watching.watch = Watch::from(snapshot.list_revision);
+        let (clients, rev, cancels) =
+            (snapshot.open_clients, snapshot.list_revision.unwrap_or(0), snapshot.accepts_cancel);
         info!(self.log, "upgrade: state taken over"; "clients" => clients, "rev" => rev);
         self.workers.linked.store(true, Ordering::SeqCst);
         self.succeed(line, clients, cancels);
@@ -226,7 +233,7 @@
     /// After something was sent on a line: asks the poller for what it needs, or gives it up.
     fn tend(&mut self, index: usize, sent: io::Result<()>) {
         let Some(peer) = self.line.peers.get_mut(index) else { return };
-        let behind = peer.line.is_behind();
+        let behind = peer.line.has_pending_output();
         let interest = Event { key: PEERS + index, readable: true, writable: behind };
         let armed = sent.and_then(|()| match std::mem::replace(&mut peer.interest, behind) == behind {
             true => Ok(()),
@@ -289,16 +296,16 @@
                 self.share_budget();
                 self.pass_clients();
             }
-            Message::Client { greeted, asked, bytes, key, arrivals } => {
+            Message::Client { greeted, has_queried, bytes, key, arrivals } => {
                 if let Some(peer) = self.line.peers.get_mut(index) {
                     peer.holding = peer.holding.saturating_sub(1);
                 }
                 if let Some(socket) = with {
                     let left = Handover { key, greeted, bytes, arrivals };
-                    self.adopt(Passed { socket: socket.into(), asked, left });
+                    self.adopt(Passed { socket: socket.into(), asked: has_queried, left });
                 }
             }
-            Message::Holding { clients } => {
+            Message::RemainingClients { clients } => {
                 if let Some(peer) = self.line.peers.get_mut(index) {
                     peer.holding = clients;
                 }
@@ -365,7 +372,7 @@
         match self.line.successor {
             Some(successor) => {
                 let Passed { socket, asked, left: Handover { key, greeted, bytes, arrivals } } = client;
-                let message = Message::Client { greeted, asked, bytes, key, arrivals };
+                let message = Message::Client { greeted, has_queried: asked, bytes, key, arrivals };
                 self.tell(successor, &message, Some(socket.into()));
             }
             None => self.adopt(client),
@@ -380,7 +387,7 @@
             self.pass_on(key);
         }
         if let Some(successor) = self.line.successor {
-            self.tell(successor, &Message::Holding { clients: self.workers.clients() }, None);
+            self.tell(successor, &Message::RemainingClients { clients: self.workers.clients() }, None);
         }
     }
 
@@ -409,6 +416,6 @@
 
     /// Whether something is still on its way to another process.
     pub(super) fn is_telling(&self) -> bool {
-        self.line.peers.iter().any(|(_, peer)| peer.line.is_behind())
+        self.line.peers.iter().any(|(_, peer)| peer.line.has_pending_output())
     }
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -185,8 +185,8 @@
             site: loaded.settings,
             zones,
             text: active.text().to_string(),
-            line: self.takeover.socket_path,
-            inherited: self.takeover.state,
+            handover_path: self.takeover.socket_path,
+            predecessor: self.takeover.state,
             fleet,
         };
         let source = ConfigSource {
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -8,9 +8,9 @@
 use crate::config::version::overlay;
 use crate::config::{ActiveConfig, ConfigError, ConfigFile, ConfigResult, LoadedConfig};
 use crate::fleet::rollout::gateway;
+use crate::hot_restart::handover_socket::HandoverState;
 use crate::settings::Zones;
 use crate::text_file::{AtLine, ReadError};
-use crate::upgrade::line::Inheritance;
 
 /// The configuration that a process starts with, and where it comes from: the gateway's own file, under the version
 /// that it has persisted if that can be used; where the file cannot be used, what the process before runs on.
@@ -53,7 +53,7 @@
     pub fn load(
         path: &Path,
         text: Result<String, ReadError>,
-        predecessor: Option<&Inheritance>,
+        predecessor: Option<&HandoverState>,
         version_file: Option<&Path>,
     ) -> Result<InitialConfig, StartError> {
         let mut loader = Loader::default();
@@ -85,7 +85,7 @@
 
 impl Loader {
     /// What the process before runs on.
-    fn load_from(&mut self, predecessor: &Inheritance) -> Option<LoadedConfig> {
+    fn load_from(&mut self, predecessor: &HandoverState) -> Option<LoadedConfig> {
         self.zones = predecessor.snapshot.directory.zones().clone();
         self.active.replace(predecessor.snapshot.config.clone(), &mut self.zones).ok()
     }
--- a/src/startup/takeover.rs
+++ b/src/startup/takeover.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+use crate::hot_restart::handover_socket::{take_over, HandoverState};
 use crate::shortage::{is_shortage, retry};
-use crate::upgrade::line::{self, Inheritance};
 
 /// How long the process before may take to hand over.
 const HANDOVER_PATIENCE: Duration = Duration::from_secs(3);
@@ -16,7 +16,7 @@
     /// Where processes of this gateway meet; none without a folder that they share.
     pub socket_path: Option<PathBuf>,
     /// What the process before has handed over.
-    pub state: Option<Inheritance>,
+    pub state: Option<HandoverState>,
     /// Why a process that is there has handed nothing over.
     pub error: Option<io::Error>,
 }
@@ -26,7 +26,7 @@
     pub fn attempt(name: Option<&str>) -> Takeover {
         let Some(path) = name.and_then(socket_path) else { return Takeover::default() };
         let until = Instant::now() + HANDOVER_PATIENCE;
-        let (state, error) = match retry(until, is_shortage, || line::inherit(&path, HANDOVER_PATIENCE)) {
+        let (state, error) = match retry(until, is_shortage, || take_over(&path, HANDOVER_PATIENCE)) {
             Ok(state) => (Some(state), None),
             Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => (None, None),
             Err(e) => (None, Some(e)),
--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use dunemount::upgrade::line;
+use dunemount::hot_restart::handover_socket;
 use harness::{figure, get, name, order, read, write, Harness, Talk};
 
 /// The value of an answer's row.
@@ -226,7 +226,7 @@
         let mut held = old.client();
         held.ask(&read("held"));
         while !old.heard.recv().expect("heard").contains("'held'") {}
-        let inherited = line::inherit(&at, Duration::from_secs(60)).expect("handed over");
+        let inherited = handover_socket::take_over(&at, Duration::from_secs(60)).expect("handed over");
         let new = Harness::with_cores(300, Some(at.clone()), Some(inherited), after);
         assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
         for round in 0..200 {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -12,6 +12,8 @@
 
 use dunemount::balancer::Balancer;
 use dunemount::config::ActiveConfig;
+use dunemount::hot_restart::handover_socket::{self, HandoverSocket};
+use dunemount::hot_restart::message::{GatewaySnapshot, Message};
 use dunemount::net::clock::{Clock, Reading};
 use dunemount::net::discovery::Directory;
 use dunemount::ops::call::{Call, Status};
@@ -20,8 +22,6 @@
 use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
 use dunemount::pg::timed_inbox::Arrival;
 use dunemount::settings::Zones;
-use dunemount::upgrade::line::{self, Line};
-use dunemount::upgrade::message::{Message, Snapshot};
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
 use harness::{call, get, order, read, write, Harness, Talk};
@@ -56,7 +56,7 @@
 }
 
 /// A state in which every field differs from its default, but for the decision module's own.
-fn state() -> Snapshot {
+fn state() -> GatewaySnapshot {
     let mut zones = Zones::default();
     zones.id("a".to_string());
     let mut directory = Directory::new(zones);
@@ -67,19 +67,19 @@
     let taken = ActiveConfig::default()
         .replace(configuration.to_string(), &mut Zones::default())
         .expect("a configuration");
-    Snapshot {
-        clock: 1_764_000_000_000_000,
-        reading: Some(Reading { clock: Micros(86_400_000_123), unix: 1_764_086_400_000_124 }),
+    GatewaySnapshot {
+        position_reference: 1_764_000_000_000_000,
+        clock_reading: Some(Reading { clock: Micros(86_400_000_123), unix: 1_764_086_400_000_124 }),
         config: "{\"name\": \"n\"}\n".to_string(),
         discovery: "10.0.0.9:7000".parse().expect("an address"),
-        rev: Some(41),
+        list_revision: Some(41),
         directory,
-        classes: BTreeMap::from([("look".to_string(), ClassId(0)), ("store".to_string(), ClassId(3))]),
+        class_ids: BTreeMap::from([("look".to_string(), ClassId(0)), ("store".to_string(), ClassId(3))]),
         balancer: Balancer::new(taken.settings.router, 7).snapshot(),
-        down: BTreeSet::from(["db-1".to_string(), "db-7".to_string()]),
-        open: vec![("r-1".to_string(), Micros(86_401_000_000))],
-        clients: 17,
-        cancels: true,
+        administratively_down: BTreeSet::from(["db-1".to_string(), "db-7".to_string()]),
+        in_flight: vec![("r-1".to_string(), Micros(86_401_000_000))],
+        open_clients: 17,
+        accepts_cancel: true,
     }
 }
 
@@ -88,20 +88,20 @@
 fn the_handover_state_keeps_its_form() {
     assert_message("handover-estate-v1.json", &Message::Snapshot(Box::new(state())));
     let Message::Snapshot(read) = message("handover-estate-v1.json") else { panic!("another message") };
-    assert_eq!(read.clock, 1_764_000_000_000_000);
-    let reading = read.reading.expect("told");
+    assert_eq!(read.position_reference, 1_764_000_000_000_000);
+    let reading = read.clock_reading.expect("told");
     assert_eq!((reading.clock, reading.unix), (Micros(86_400_000_123), 1_764_086_400_000_124));
     assert_eq!(read.config, "{\"name\": \"n\"}\n");
     assert_eq!(read.discovery, SocketAddr::from(([10, 0, 0, 9], 7000)));
-    assert_eq!(read.rev, Some(41));
+    assert_eq!(read.list_revision, Some(41));
     let host = read.directory.member("s-0").expect("known");
     assert_eq!(read.directory.address(host), Some(SocketAddr::from(([10, 0, 0, 5], 5432))));
     assert_eq!((read.directory.name(host), read.directory.member("s-1")), ("s-0", None));
     assert_eq!(read.directory.zones().clone().id("b".to_string()).0, 1, "one zone is known");
-    assert_eq!(read.classes.get("store"), Some(&ClassId(3)));
-    assert_eq!(read.down.iter().map(String::as_str).collect::<Vec<_>>(), ["db-1", "db-7"]);
-    assert_eq!(read.open, [("r-1".to_string(), Micros(86_401_000_000))]);
-    assert_eq!((read.clients, read.cancels), (17, true));
+    assert_eq!(read.class_ids.get("store"), Some(&ClassId(3)));
+    assert_eq!(read.administratively_down.iter().map(String::as_str).collect::<Vec<_>>(), ["db-1", "db-7"]);
+    assert_eq!(read.in_flight, [("r-1".to_string(), Micros(86_401_000_000))]);
+    assert_eq!((read.open_clients, read.accepts_cancel), (17, true));
     assert_message("handover-estate-v1.json", &Message::Snapshot(read));
 }
 
@@ -109,8 +109,8 @@
 #[test]
 fn an_earlier_handover_state_is_read() {
     let Message::Snapshot(read) = message("handover-estate-v0.json") else { panic!("another message") };
-    assert!(read.reading.is_none() && !read.cancels);
-    assert_eq!((read.clients, read.rev), (17, Some(41)));
+    assert!(read.clock_reading.is_none() && !read.accepts_cancel);
+    assert_eq!((read.open_clients, read.list_revision), (17, Some(41)));
 }
 
 /// Guards the other messages of the handover, each as it stands in its file.
@@ -123,24 +123,24 @@
     let bytes = b"S\0\0\0\x04\xff".to_vec();
     let sent = Message::Client {
         greeted: true,
-        asked: false,
+        has_queried: false,
         bytes: bytes.clone(),
         key: KEY,
         arrivals: arrivals.clone(),
     };
     assert_message("handover-client-v1.json", &sent);
-    let Message::Client { greeted, asked, bytes: read, key, arrivals: told } =
+    let Message::Client { greeted, has_queried, bytes: read, key, arrivals: told } =
         message("handover-client-v1.json")
     else {
         panic!("another message")
     };
-    assert!(greeted && !asked && read == bytes && key == KEY && told == arrivals);
+    assert!(greeted && !has_queried && read == bytes && key == KEY && told == arrivals);
 
     assert_message("handover-cancel-v1.json", &Message::Cancel(KEY));
     assert!(matches!(message("handover-cancel-v1.json"), Message::Cancel(KEY)));
 
-    assert_message("handover-holding-v1.json", &Message::Holding { clients: 203 });
-    assert!(matches!(message("handover-holding-v1.json"), Message::Holding { clients: 203 }));
+    assert_message("handover-holding-v1.json", &Message::RemainingClients { clients: 203 });
+    assert!(matches!(message("handover-holding-v1.json"), Message::RemainingClients { clients: 203 }));
 
     let (group, session, commit) = (GroupId(12), SessionKey(u64::MAX - 1), Micros(86_400_777_000));
     assert_message("handover-commit-v1.json", &Message::Commit { group, session, commit });
@@ -160,10 +160,13 @@
 /// Guards clients that a process of an earlier version passes on, without a key and without arrivals.
 #[test]
 fn an_earlier_handover_client_is_read() {
-    let Message::Client { greeted, asked, bytes, key, arrivals } = message("handover-client-v0.json") else {
+    let Message::Client { greeted, has_queried, bytes, key, arrivals } = message("handover-client-v0.json")
+    else {
         panic!("another message")
     };
-    assert!(greeted && asked && bytes == b"Q\0\0" && key == CancelKey::default() && arrivals.is_empty());
+    assert!(
+        greeted && has_queried && bytes == b"Q\0\0" && key == CancelKey::default() && arrivals.is_empty()
+    );
 }
 
 /// The next packet on a handover socket.
@@ -178,11 +181,11 @@
 #[test]
 fn handover_packets_keep_their_form() {
     let path = temporary("packets");
-    let listener = line::listen(&path).expect("a free path");
+    let listener = handover_socket::listen(&path).expect("a free path");
     let socket = rustix::net::socket(AddressFamily::UNIX, SocketType::SEQPACKET, None).expect("a socket");
     rustix::net::connect(&socket, &SocketAddrUnix::new(&path).expect("a path")).expect("accepted");
-    let mut line = Line::accept(&listener).expect("a caller");
-    line.send(&Message::Holding { clients: 203 }, None).expect("sent");
+    let mut line = HandoverSocket::accept(&listener).expect("a caller");
+    line.send(&Message::RemainingClients { clients: 203 }, None).expect("sent");
     assert_bytes("handover-packet-v1.bin", &packet(&socket));
 
     let text = serde_json::to_vec(&long_message()).expect("JSON");
@@ -201,7 +204,7 @@
 
 fn long_message() -> Message {
     let bytes = vec![7; 20_000];
-    Message::Client { greeted: true, asked: true, bytes, key: KEY, arrivals: Vec::new() }
+    Message::Client { greeted: true, has_queried: true, bytes, key: KEY, arrivals: Vec::new() }
 }
 
 /// Guards the file of the hosts that operators have put down: it is read at the start and written anew with each order.
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -16,10 +16,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use dunemount::config::ActiveConfig;
+use dunemount::hot_restart::handover_socket::HandoverState;
 use dunemount::net::event_loop::{Config, Gateway, Signals};
 use dunemount::pg::codec::{self, Frame, Inbox};
 use dunemount::settings::Zones;
-use dunemount::upgrade::line::Inheritance;
 use dunemount_rollout::version::Document;
 use serde_json::{json, Value};
 
@@ -211,7 +211,7 @@
     }
 
     /// A gateway that waits at this path for the one that follows, and may follow one itself.
-    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<Inheritance>) -> Harness {
+    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<HandoverState>) -> Harness {
         Harness::with_cores(limit, line, inherited, 1)
     }
 
@@ -224,7 +224,7 @@
     pub fn with_cores(
         limit: usize,
         line: Option<PathBuf>,
-        inherited: Option<Inheritance>,
+        inherited: Option<HandoverState>,
         cores: usize,
     ) -> Harness {
         let (sender, heard) = channel();
@@ -241,7 +241,7 @@
     fn open(
         limit: usize,
         line: Option<PathBuf>,
-        inherited: Option<Inheritance>,
+        inherited: Option<HandoverState>,
         cores: usize,
         known: Value,
         heard: Receiver<String>,
@@ -268,8 +268,8 @@
             site: taken.settings,
             zones,
             text: text.clone(),
-            line,
-            inherited,
+            handover_path: line,
+            predecessor: inherited,
             fleet: None,
         };
         let reread = Box::new(move |_: Option<&Document>, zones: &mut Zones| {
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use dunemount::upgrade::line;
 use harness::stage::{answer, gateway, Host};
 use harness::{figure, get, name, read, Harness, Talk};
 
@@ -178,7 +178,7 @@
             while !old.heard.recv().expect("heard").contains("'held'") {}
         }
         let patience = Duration::from_secs(60);
-        let inherited = line::inherit(&at, patience).expect("handed over");
+        let inherited = handover_socket::take_over(&at, patience).expect("handed over");
         let new = Harness::with_cores(200, Some(at), Some(inherited), cores);
         assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         // Once the idle client is served over there, the old process passes its clients on.
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use dunemount::upgrade::line;
 use harness::process::{Process, PAUSE};
 use harness::stage::{answer, call, Host};
 use harness::{figure, listens, listing, local, read, tell, Talk};
@@ -71,7 +71,7 @@
             let name = format!("start{index}");
             let folder = std::env::temp_dir().join(format!("dunemount-{name}-{}", std::process::id()));
             std::fs::create_dir_all(&folder).expect("a folder");
-            line::listen(&folder.join(format!("dunemount-{name}.line"))).expect("a line")
+            handover_socket::listen(&folder.join(format!("dunemount-{name}.line"))).expect("a line")
         })
         .collect();
     let known = listing(&[host.address()]);
@@ -87,7 +87,7 @@
         let mut client = gateway.client();
         client.ask("");
         assert_eq!(client.answer()[0].tag, b'I');
-        assert!(line::Line::accept(line).is_ok(), "it has called the process before it");
+        assert!(handover_socket::HandoverSocket::accept(line).is_ok(), "it has called the process before it");
     }
     drop(discovery);
 }
@@ -224,11 +224,11 @@
     let place = discovery.local_addr().expect("bound");
     let folder = std::env::temp_dir().join(format!("dunemount-early-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let before = line::listen(&folder.join("dunemount-early.line")).expect("a line");
+    let before = handover_socket::listen(&folder.join("dunemount-early.line")).expect("a line");
     let mut gateway = Process::spawn("early", 200, place, &listing(&[host.address()]));
     // It has called the process before it, and waits.
     let line = loop {
-        if let Ok(line) = line::Line::accept(&before) {
+        if let Ok(line) = handover_socket::HandoverSocket::accept(&before) {
             break line;
         }
         std::thread::sleep(PAUSE);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -9,10 +9,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use dunemount::hot_restart::handover_socket::{self, HandoverSocket};
+use dunemount::hot_restart::message::Message;
 use dunemount::pg::codec::CancelKey;
 use dunemount::pg::timed_inbox::Arrival;
-use dunemount::upgrade::line::{self, Line};
-use dunemount::upgrade::message::Message;
 use dunemount::{GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
 use harness::{figure, get, order, read, write, Harness};
@@ -26,7 +26,11 @@
 }
 
 fn follow(path: &Path) -> Harness {
-    Harness::beside(200, Some(path.to_path_buf()), Some(line::inherit(path, LONG).expect("handed over")))
+    Harness::beside(
+        200,
+        Some(path.to_path_buf()),
+        Some(handover_socket::take_over(path, LONG).expect("handed over")),
+    )
 }
 
 /// Guards clients through an upgrade: one that was idle goes on at the next process on the same
@@ -106,14 +110,14 @@
                 rustix::net::connect(&socket, &place).expect("it waits there");
                 None
             }
-            _ => Some(line::inherit(&at, LONG).expect("handed over")),
+            _ => Some(handover_socket::take_over(&at, LONG).expect("handed over")),
         };
         if let Some(mut next) = stand_in {
             // It stands still: clients are served meanwhile.
             client.ask(&read("k"));
             assert_eq!(client.answer().len(), 4, "{message}");
             if message == 2 {
-                next.line.send(&Message::Ready, None).expect("told");
+                next.socket.send(&Message::Ready, None).expect("told");
                 // Its death is told on the line behind that word.
             }
         }
@@ -161,7 +165,7 @@
 fn a_process_that_follows_may_fail_and_another_come() {
     let at = path("row");
     let first = Harness::beside(200, Some(at.clone()), None);
-    let failed = line::inherit(&at, LONG).expect("handed over");
+    let failed = handover_socket::take_over(&at, LONG).expect("handed over");
     drop(failed);
     let second = follow(&at);
     second.end();
@@ -170,7 +174,7 @@
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
     let third = loop {
-        match line::inherit(&at, LONG) {
+        match handover_socket::take_over(&at, LONG) {
             Ok(inherited) => break Harness::beside(200, Some(at.clone()), Some(inherited)),
             Err(_) => std::thread::yield_now(),
         }
@@ -187,18 +191,18 @@
 fn a_missing_or_broken_peer_stops_no_start() {
     let at = path("alone");
     let soon = Duration::from_millis(50);
-    assert!(line::inherit(&at, soon).is_err(), "nobody");
-    drop(line::listen(&at).expect("a path"));
-    assert!(line::inherit(&at, soon).is_err(), "left behind by a process that died");
-    let silent = line::listen(&at).expect("the path is taken over");
-    assert!(line::inherit(&at, soon).is_err(), "silent");
+    assert!(handover_socket::take_over(&at, soon).is_err(), "nobody");
+    drop(handover_socket::listen(&at).expect("a path"));
+    assert!(handover_socket::take_over(&at, soon).is_err(), "left behind by a process that died");
+    let silent = handover_socket::listen(&at).expect("the path is taken over");
+    assert!(handover_socket::take_over(&at, soon).is_err(), "silent");
     let (called, ended) = std::sync::mpsc::channel();
     let caller = at.clone();
-    std::thread::spawn(move || called.send(line::inherit(&caller, LONG).is_err()));
+    std::thread::spawn(move || called.send(handover_socket::take_over(&caller, LONG).is_err()));
     // The silent call still waits in front.
     for _ in 0..2 {
         let mut line = loop {
-            match Line::accept(&silent) {
+            match HandoverSocket::accept(&silent) {
                 Ok(line) => break line,
                 Err(_) => std::thread::yield_now(),
             }
@@ -218,7 +222,7 @@
         Client { greeted: bool, asked: bool, bytes: Vec<u8> },
     }
     let told = r#"{"Client":{"greeted":true,"asked":false,"bytes":[81]}}"#;
-    let Ok(Message::Client { greeted: true, asked: false, bytes, key, arrivals }) =
+    let Ok(Message::Client { greeted: true, has_queried: false, bytes, key, arrivals }) =
         serde_json::from_str(told)
     else {
         panic!("an earlier version's client is not understood")
@@ -226,7 +230,7 @@
     assert_eq!((bytes, key, arrivals), (vec![81], CancelKey::default(), Vec::new()));
     let arrivals = vec![Arrival(Micros(7), 2), Arrival(Micros(9), 1)];
     let key = CancelKey { process: 3, secret: 4 };
-    let message = Message::Client { greeted: true, asked: true, bytes: vec![81, 0], key, arrivals };
+    let message = Message::Client { greeted: true, has_queried: true, bytes: vec![81, 0], key, arrivals };
     let told = serde_json::to_string(&message).expect("text");
     let Earlier::Client { greeted, asked, bytes } =
         serde_json::from_str(&told).expect("understood by an earlier version");
@@ -240,11 +244,11 @@
 #[test]
 fn a_line_keeps_messages_whole_and_in_order() {
     let at = path("order");
-    let waits = line::listen(&at).expect("a path");
+    let waits = handover_socket::listen(&at).expect("a path");
     let (caller, long) = (at.clone(), "x".repeat(300_000));
-    let reader = std::thread::spawn(move || line::inherit(&caller, LONG).err());
+    let reader = std::thread::spawn(move || handover_socket::take_over(&caller, LONG).err());
     let mut line = loop {
-        match Line::accept(&waits) {
+        match HandoverSocket::accept(&waits) {
             Ok(line) => break line,
             Err(_) => std::thread::yield_now(),
         }
@@ -254,7 +258,7 @@
     let down = Message::SetDown { host: long, down: true };
     line.send(&down, Some(OwnedFd::from(socket))).expect("sent");
     let commit = Message::Commit { group: GroupId(1), session: SessionKey(u64::MAX), commit: Micros(7) };
-    while line.send(&commit, None).is_ok() && line.is_behind() {
+    while line.send(&commit, None).is_ok() && line.has_pending_output() {
         line.flush().unwrap_or_default();
     }
     assert!(reader.join().expect("it returns").is_some());
