--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use dunemount::fleet::file::VoterFile;
-use dunemount::options::{FleetOptions, Place};
+use dunemount::settings_file::{FleetSettings, NamedAddress};
 use dunemount_fleet::register::AcceptorSlot;
 use dunemount_rollout::settings::ControlServerInfo;
 use rand_core::{RngCore, SeedableRng};
@@ -37,7 +37,7 @@
     /// Admin interfaces of the gateways that are processes.
     admin: Vec<SocketAddr>,
     machines: Machines,
-    acceptors: Vec<Place>,
+    acceptors: Vec<NamedAddress>,
     discovery: Discovery,
 }
 
@@ -68,8 +68,8 @@
         Ok(Some(file))
     }
 
-    fn fleet_options(&self, listen: SocketAddr, file: Option<PathBuf>) -> FleetOptions {
-        FleetOptions {
+    fn fleet_options(&self, listen: SocketAddr, file: Option<PathBuf>) -> FleetSettings {
+        FleetSettings {
             name: Some(FLEET.into()),
             listen: Some(listen),
             voters: self.acceptors.clone(),
@@ -180,10 +180,10 @@
 }
 
 /// Acceptors are the first control servers, or the first gateways where there are none.
-fn acceptor(plan: &Plan, fleet: &[SocketAddr], index: usize) -> Place {
+fn acceptor(plan: &Plan, fleet: &[SocketAddr], index: usize) -> NamedAddress {
     match plan.control {
-        0 => Place { name: gateway_name(index), address: fleet[index] },
-        _ => Place { name: control_name(index), address: fleet[plan.gateways() + index] },
+        0 => NamedAddress { name: gateway_name(index), address: fleet[index] },
+        _ => NamedAddress { name: control_name(index), address: fleet[plan.gateways() + index] },
     }
 }
 
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -41,17 +41,16 @@
 use super::pool::Pool;
 use crate::balancer::{Balancer, Output, RoutingDecision};
 use crate::classes::Classes;
-use crate::config::Taken;
-use crate::fault::Fault;
+use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::handover;
 use crate::fleet::status::Board;
+use crate::hot_restart::handover_socket::HandoverState;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequests;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
-use crate::upgrade::line::Inheritance;
 use crate::{Micros, RequestId};
 
 const LISTENER: usize = usize::MAX - 1;
@@ -106,21 +105,22 @@
     /// The hosts as last known.
     pub known: Listing,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
     /// The zones that the settings name.
     pub zones: Zones,
     /// The configuration's text, for the process that follows.
     pub text: String,
     /// Where this process waits for the one that follows.
-    pub line: Option<PathBuf>,
+    pub handover_path: Option<PathBuf>,
     /// What the process before hands over.
-    pub inherited: Option<Inheritance>,
+    pub predecessor: Option<HandoverState>,
     /// Where the state of the fleet is put, if the gateway is in one.
     pub fleet: Option<Board>,
 }
 
 /// Takes a version of the configuration, or reads the file anew where there is none; with the zones that are known.
-pub type Reread = Box<dyn FnMut(Option<&Document>, &mut Zones) -> Result<(String, Taken), Fault> + Send>;
+pub type Reread =
+    Box<dyn FnMut(Option<&Document>, &mut Zones) -> ConfigResult<(String, LoadedConfig)> + Send>;
 
 /// What comes from outside while the gateway runs.
 pub struct Signals {
@@ -200,10 +200,10 @@
         let pollers = pollers?;
         let listen = |address, shared| retry(until, passes, || listen(address, shared));
         let workers = Arc::new(Workers::of(&pollers));
-        let (line, snapshot, listener, (clock, error)) = match config.inherited {
-            Some(Inheritance { line, snapshot, listener, asked }) => {
-                let clock = Clock::resume(snapshot.clock, snapshot.reading, asked);
-                (Some(line), Some(snapshot), listener.into(), clock)
+        let (line, snapshot, listener, (clock, error)) = match config.predecessor {
+            Some(HandoverState { socket, snapshot, listener, requested_at }) => {
+                let clock = Clock::resume(snapshot.position_reference, snapshot.clock_reading, requested_at);
+                (Some(socket), Some(snapshot), listener.into(), clock)
             }
             None => (None, None, listen(config.listen, true)?, (Clock::start(), Micros(0))),
         };
@@ -213,12 +213,12 @@
         let mut gateways: Vec<Gateway> = (0..count)
             .map(|me| {
                 let site = config.site.clone();
-                let watching = Watching::of(config.discovery, config.known.rev, &site.settings, config.seed);
+                let watching = Watching::of(config.discovery, config.known.rev, &site.router, config.seed);
                 let mut figures = Figures::default();
-                for class in &site.classes {
+                for class in &site.class_names {
                     figures.class(class);
                 }
-                let named = site.classes.into_iter().zip(site.settings.classes.clone());
+                let named = site.class_names.into_iter().zip(site.router.classes.clone());
                 let mut classes = Classes::default();
                 classes.adopt(Micros(0), named.collect(), |_| false);
                 Gateway {
@@ -234,9 +234,9 @@
                     timers: Timers::default(),
                     ready: VecDeque::new(),
                     scratch: vec![0; 16 * 1024],
-                    pool: Pool::new(hosts / count, site.settings.connection_idle_timeout),
+                    pool: Pool::new(hosts / count, site.router.connection_idle_timeout),
                     requests: InFlightRequests::default(),
-                    balancer: Balancer::new(site.settings, config.seed.wrapping_add(me as u64)),
+                    balancer: Balancer::new(site.router, config.seed.wrapping_add(me as u64)),
                     classes,
                     connect_timeout: site.connect_timeout.max(Micros::millis(10)),
                     directory: Directory::new(config.zones.clone()),
@@ -287,7 +287,7 @@
         }
         (first.clients.listener, first.admin.listener, first.admin.fleet) =
             (Some(listener), admin, config.fleet);
-        (first.signals, first.config, first.line.path) = (Some(signals), config.text, config.line);
+        (first.signals, first.config, first.line.path) = (Some(signals), config.text, config.handover_path);
         match (line, snapshot) {
             (Some(line), Some(snapshot)) => {
                 gateways.iter_mut().for_each(|worker| worker.take_part(&snapshot, error));
