--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,490 +1,381 @@
-//! A role of the fleet and who holds it: at most one process at a time, under an epoch that only rises.
+//! Leases on the roles of a fleet (Gray and Cheriton, "Leases"): at most one process holds a role at a time, under an epoch
+//! that only rises.
 //!
-//! The register of a role holds a [`Tenure`]. Time decides only when somebody may *try* to take the role: a contender
-//! waits until a beat has stood still for a lease's length by its own clock. What keeps an owner that wakes up
-//! late from doing harm is the epoch on whatever it orders ([`crate::fencing`]), never a clock.
+//! The register of a role holds a [`LeaseRecord`]. It contains no time: a contender waits until it has seen the record
+//! unchanged for a lease's duration by its own monotonic clock, and the holder counts its lease from before it asked for the
+//! renewal, less the bound on clock drift. So time decides only when somebody may *try* to acquire the lease. What keeps a
+//! former holder that wakes up late from doing harm is the epoch on its orders, a fencing token ([`crate::fencing`]).
+//!
+//! Unlike a lock service's lease this one moves to the best candidate: one that has been first in the ranking for some
+//! leases asks the holder to hand over.
 
 use std::time::Duration;
 
 use rand_core::RngCore;
-use serde::{Deserialize, Serialize};
 
+use crate::acceptor_knowledge::AcceptorKnowledge;
 use crate::messages::{AcceptorReply, AcceptorRequest};
 use crate::node_id::NodeId;
-use crate::proposer::{ProposerRound, RoundEvent, StoreCounts};
-use crate::register::{AcceptorSet, AcceptorSlot, Ballot, Key, Value};
-
-/// What the register of a role holds.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tenure {
-    /// Rises with each change of the owner, and never falls.
-    pub epoch: u64,
-    /// Who holds the role; nobody after it was given back.
-    pub owner: Option<NodeId>,
-    /// Rises with each renewal.
-    pub beat: u64,
-    /// Who has asked the owner to hand it over.
-    pub wanted: Option<NodeId>,
-}
-
-impl Tenure {
-    /// What the register holds; an unreadable value, of a later version say, is nobody's and its epoch unknown.
-    pub fn read(value: &[u8]) -> Option<Tenure> {
-        postcard::from_bytes(value).ok()
-    }
-
-    /// The order of tenures: a renewal that only some voters have accepted is told by some majorities and not by
-    /// others, and must not look like one new beat after the other.
-    fn age(&self) -> (u64, u64) {
-        (self.epoch, self.beat)
-    }
-
-    /// What the register is to hold.
-    pub fn write(&self) -> Value {
-        postcard::to_stdvec(self).unwrap_or_default()
-    }
-}
-
-/// How long a lease lasts, and how far clocks may run apart.
+use crate::proposer::RoundEvent;
+use crate::register::{AcceptorSlot, Key, Value};
+use crate::round_driver::RoundDriver;
+
+mod record;
+
+pub use record::{next_record, LeaseChange, LeaseRecord};
+
+/// For so many lease durations a process has to be the first candidate before it asks a holder to hand over.
+const LEASES_BEFORE_HANDOVER_REQUEST: u32 = 4;
+/// A holder renews after this part of the lease's duration.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// A contender reads the record this often.
+const READS_PER_LEASE: u32 = 6;
+/// How much longer a candidate waits for each one that is ranked before it, as a part of the lease's duration.
+const RANK_DELAY: f64 = 0.1;
+/// Candidates ranked after this one wait no longer.
+const MAX_DELAYED_RANK: u32 = 8;
+
+/// How long a lease lasts.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// From the moment before a renewal was asked for.
-    pub length: Duration,
-    /// The most by which two monotonic clocks run at different speeds, as a part.
-    pub drift: f64,
-    /// Calls without an answer are sent again after this; a round ends after four times as long.
-    pub resend: Duration,
+pub struct LeaseSettings {
+    /// From the moment before a renewal is asked for.
+    pub duration: Duration,
+    /// The most by which the speeds of two monotonic clocks differ, as a part.
+    pub max_clock_drift: f64,
+    /// Requests without a reply are sent again after this; a round ends after four times as long.
+    pub resend_interval: Duration,
 }
 
-impl Terms {
-    fn held(&self) -> Duration {
-        self.length.mul_f64(1.0 - self.drift)
+impl LeaseSettings {
+    /// For how long a holder may rely on a renewal.
+    fn holder_duration(&self) -> Duration {
+        self.duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
-    fn waited(&self) -> Duration {
-        self.length.mul_f64(1.0 + self.drift)
+    /// How long a contender waits for a record to change.
+    fn contender_wait(&self) -> Duration {
+        self.duration.mul_f64(1.0 + self.max_clock_drift)
     }
 }
 
-/// For so many leases a process has to be the first candidate before it asks for a role that another has.
-const SETTLED: u32 = 4;
-
-/// What all seats of a process share about the voters.
-#[derive(Clone, Debug, Default)]
-pub struct Electorate {
-    /// Number of places.
-    pub voters: u8,
-    /// The newest view heard of.
-    pub view: AcceptorSet,
-    /// How often each has stored.
-    pub stamps: StoreCounts,
-    /// Places whose voter goes by an older view.
-    pub older: Vec<AcceptorSlot>,
-    /// Voters that have lost their file and want to be let in.
-    pub blank: Vec<(AcceptorSlot, u64)>,
-    /// Replies of voters that came back with an older copy or cannot store.
-    pub unfit: u64,
-    nonce: u64,
-}
-
-impl Electorate {
-    /// Voters in so many places. `salt` is drawn at random, so that no reply to an earlier start of this process is
-    /// taken for one to this.
-    pub fn of(voters: u8, salt: u64) -> Electorate {
-        Electorate { voters, nonce: salt, ..Electorate::default() }
-    }
-
-    /// A number that no other round of this process has.
-    pub fn nonce(&mut self) -> u64 {
-        self.nonce = self.nonce.wrapping_add(1);
-        self.nonce
-    }
-
-    /// Notes what an event says of the voters.
-    pub fn note(&mut self, event: &RoundEvent) {
-        match event {
-            RoundEvent::NewerAcceptorSet(view) => self.view = self.view.join(view),
-            RoundEvent::OutdatedAcceptor(slot) if !self.older.contains(slot) => self.older.push(*slot),
-            RoundEvent::UninitializedAcceptor(slot, generation)
-                if !self.blank.contains(&(*slot, *generation)) =>
-            {
-                self.blank.retain(|(at, _)| at != slot);
-                self.blank.push((*slot, *generation));
-            }
-            RoundEvent::UnfitAcceptor(_) => self.unfit += 1,
-            _ => {}
-        }
-    }
-}
-
-/// Why a role ended.
+/// Why a lease is not held any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// No majority has renewed it in time.
-    NotRenewed,
-    /// Somebody else has it.
-    Taken,
-    /// It was given back, or handed over.
-    GivenBack,
+pub enum LeaseLoss {
+    /// No majority has accepted a renewal in time.
+    Expired,
+    /// Another process holds it.
+    TakenOver,
+    /// It was released, or handed over.
+    Released,
 }
 
-/// A change that whoever has the seat hears of.
+/// What the owner of a [`LeaseContender`] has to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// This process holds the role from now on.
-    Took {
+pub enum LeaseEvent {
+    /// The local process holds the lease from now on.
+    Acquired {
         /// Under this epoch.
         epoch: u64,
     },
-    /// It does not any more.
-    Ended {
+    /// It does not hold it any more.
+    Lost {
         /// The epoch that is over.
         epoch: u64,
         /// Why.
-        why: Ended,
+        reason: LeaseLoss,
     },
 }
 
-/// What a change of a role's register is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Purpose {
-    /// To hold the role under a new epoch.
-    Take,
-    /// To hold it longer.
-    Renew,
-    /// To leave it to others.
-    GiveBack,
-    /// To ask its owner for it.
-    Want,
-}
-
-/// What the register is to hold, if the change still makes sense now that a majority has told what it holds. `seen` is
-/// the tenure that stood still for a lease's length. The one place where an epoch rises.
-pub fn proposal(purpose: Purpose, me: NodeId, known: &Tenure, seen: Option<&Tenure>) -> Option<Tenure> {
-    let mine = known.owner == Some(me);
-    match purpose {
-        Purpose::Take if mine => Some(Tenure { beat: known.beat + 1, ..known.clone() }),
-        // Only if no later beat than the one seen is there: any shows an owner that lives.
-        Purpose::Take if known.owner.is_none() || seen.is_some_and(|seen| known.age() <= seen.age()) => {
-            Some(Tenure { epoch: known.epoch + 1, owner: Some(me), beat: 0, wanted: None })
-        }
-        Purpose::Renew if mine && known.wanted.is_some_and(|by| by != me) => {
-            Some(Tenure { owner: None, beat: known.beat + 1, ..known.clone() })
-        }
-        Purpose::Renew if mine => Some(Tenure { beat: known.beat + 1, ..known.clone() }),
-        Purpose::GiveBack if mine => Some(Tenure { owner: None, beat: known.beat + 1, ..known.clone() }),
-        Purpose::Want if known.owner.is_some() && !mine && known.wanted.is_none() => {
-            Some(Tenure { wanted: Some(me), ..known.clone() })
-        }
-        _ => None,
-    }
+#[derive(Clone, Copy, Debug)]
+struct HeldLease {
+    epoch: u64,
+    until: Duration,
 }
 
 #[derive(Clone, Debug)]
-enum Doing {
-    Nothing,
-    /// A change for a purpose, or a look for none.
-    Round(ProposerRound, Option<Purpose>),
+struct ObservedRecord {
+    record: LeaseRecord,
+    /// Since when it has stood unchanged.
+    since: Duration,
 }
 
-/// One process's part in one role.
+/// One process's part in one role: holds its lease, or contends for it.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    me: NodeId,
-    key: Key,
-    terms: Terms,
-    doing: Doing,
-    /// When the round or look under way began, when its calls are sent again.
-    asked: Duration,
-    resend: Duration,
-    /// The highest ballot heard of.
-    highest: u64,
-    /// The tenure seen last, and since when it has stood like this.
-    seen: Option<(Tenure, Duration)>,
-    /// The epoch held, and until when.
-    held: Option<(u64, Duration)>,
-    next: Duration,
-    /// It gives the role back at the next occasion.
-    leaving: bool,
-    /// Since when this process is the first candidate.
-    first: Option<Duration>,
+pub struct LeaseContender {
+    node: NodeId,
+    settings: LeaseSettings,
+    /// The purpose of a round is a change, or none for a read.
+    rounds: RoundDriver<Option<LeaseChange>>,
+    observed: Option<ObservedRecord>,
+    held: Option<HeldLease>,
+    next_round_at: Duration,
+    /// It releases the lease with the next round, and gives no orders any more.
+    is_releasing: bool,
+    /// Since when the local process is the first candidate.
+    first_candidate_since: Option<Duration>,
 }
 
-impl Seat {
-    /// A seat that knows nothing yet.
-    pub fn new(me: NodeId, key: Key, terms: Terms) -> Seat {
-        Seat {
-            me,
-            key,
-            terms,
-            doing: Doing::Nothing,
-            asked: Duration::ZERO,
-            resend: Duration::ZERO,
-            highest: 0,
-            seen: None,
+impl LeaseContender {
+    /// A contender that knows nothing of the role yet.
+    pub fn new(node: NodeId, role: Key, settings: LeaseSettings) -> LeaseContender {
+        LeaseContender {
+            node,
+            settings,
+            rounds: RoundDriver::new(node, role, settings.resend_interval),
+            observed: None,
             held: None,
-            next: Duration::ZERO,
-            leaving: false,
-            first: None,
+            next_round_at: Duration::ZERO,
+            is_releasing: false,
+            first_candidate_since: None,
         }
     }
 
-    /// The highest round of a ballot that it has used or heard of.
-    pub fn highest(&self) -> u64 {
-        self.highest
+    /// The highest ballot counter used or seen.
+    pub fn highest_counter(&self) -> u64 {
+        self.rounds.highest_counter()
     }
 
-    /// A seat that goes on above a round: one that begins anew in the same process would use its ballots again.
+    /// Goes on above a ballot counter: a contender that is created again in the same process would use its ballots twice.
     #[must_use]
-    pub fn above(self, highest: u64) -> Seat {
-        Seat { highest, ..self }
+    pub fn with_counters_above(mut self, highest: u64) -> LeaseContender {
+        self.rounds.skip_counters(highest);
+        self
     }
 
-    /// The epoch under which this process may order at this moment. To be asked right before each order, and
-    /// again after whatever may have taken time.
-    pub fn order(&self, now: Duration) -> Option<u64> {
-        self.held.filter(|(_, until)| now < *until && !self.leaving).map(|(epoch, _)| epoch)
+    /// The epoch under which the local process may give orders at this moment: their fencing token. To be asked right before
+    /// each order, and again after anything that may have taken time.
+    pub fn valid_epoch(&self, now: Duration) -> Option<u64> {
+        self.held.filter(|held| now < held.until && !self.is_releasing).map(|held| held.epoch)
     }
 
-    /// Whether the role is held, or was until just now.
-    pub fn is_held(&self) -> bool {
+    /// Whether the lease is held, or was until just now.
+    pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The tenure seen last: the owner may have changed since.
-    pub fn seen(&self) -> Option<&Tenure> {
-        self.seen.as_ref().map(|(tenure, _)| tenure)
+    /// The record seen last; it may have changed since.
+    pub fn last_seen(&self) -> Option<&LeaseRecord> {
+        self.observed.as_ref().map(|observed| &observed.record)
     }
 
-    /// Gives the role back; nothing is ordered any more from now on.
-    pub fn give_back(&mut self) {
-        self.leaving = self.held.is_some();
-        self.next = Duration::ZERO;
+    /// Releases the lease; from now on no orders may be given.
+    pub fn release(&mut self) {
+        self.is_releasing = self.held.is_some();
+        self.next_round_at = Duration::ZERO;
     }
 
-    /// When [`Seat::tick`] has something to do next.
-    pub fn due(&self) -> Duration {
-        let round = match self.doing {
-            Doing::Nothing => self.next,
-            _ => self.resend,
-        };
-        self.held.map_or(round, |(_, until)| round.min(until))
+    /// When [`LeaseContender::tick`] is to be called next.
+    pub fn next_deadline(&self) -> Duration {
+        let round = if self.rounds.is_active() { self.rounds.resend_at() } else { self.next_round_at };
+        self.held.map_or(round, |held| round.min(held.until))
     }
 
-    /// Lets time act. `rank` is this process's place among the candidates for the role, none if it is no candidate;
-    /// those behind try later, so that they need not outbid each other.
+    /// Handles what has become due. `rank` is the local process's place among the candidates for the role, none if it is no
+    /// candidate; those ranked later try later, so that they do not preempt each other.
     pub fn tick(
         &mut self,
         now: Duration,
         rank: Option<u32>,
-        electorate: &mut Electorate,
-        dice: &mut impl RngCore,
+        knowledge: &mut AcceptorKnowledge,
+        rng: &mut impl RngCore,
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
-    ) -> Option<Change> {
-        let mut change = None;
-        self.first = self.first.or(Some(now)).filter(|_| rank == Some(0));
-        if let Some((epoch, until)) = self.held {
-            if now >= until {
-                (self.held, self.leaving) = (None, false);
-                change = Some(Change::Ended { epoch, why: Ended::NotRenewed });
-            }
-        }
-        if !matches!(self.doing, Doing::Nothing) && now >= self.asked + self.terms.resend * 4 {
-            self.stop(now, dice);
+    ) -> Option<LeaseEvent> {
+        self.first_candidate_since = self.first_candidate_since.or(Some(now)).filter(|_| rank == Some(0));
+        let expired = self.expire(now);
+        if self.rounds.is_active() && now >= self.rounds.deadline() {
+            self.back_off(now, rng);
         }
-        match &self.doing {
-            Doing::Nothing if now >= self.next => self.begin(now, rank, electorate, dice, out),
-            Doing::Nothing => {}
-            _ if now >= self.resend => self.send(now, out),
-            _ => {}
+        if !self.rounds.is_active() {
+            if now >= self.next_round_at {
+                self.start_round(now, rank, knowledge, rng, out);
+            }
+        } else if now >= self.rounds.resend_at() {
+            self.rounds.send(now, out);
         }
-        change
+        expired
     }
 
-    /// Ends what is under way, and rests for a drawn while.
-    fn stop(&mut self, now: Duration, dice: &mut impl RngCore) {
-        self.doing = Doing::Nothing;
-        let part = f64::from(dice.next_u32()) / f64::from(u32::MAX);
-        self.next = now + self.terms.resend.mul_f64(0.25 + part);
+    fn expire(&mut self, now: Duration) -> Option<LeaseEvent> {
+        let HeldLease { epoch, .. } = self.held.take_if(|held| now >= held.until)?;
+        self.is_releasing = false;
+        Some(LeaseEvent::Lost { epoch, reason: LeaseLoss::Expired })
     }
 
-    fn begin(
+    fn back_off(&mut self, now: Duration, rng: &mut impl RngCore) {
+        self.next_round_at = self.rounds.back_off(now, rng);
+    }
+
+    fn start_round(
         &mut self,
         now: Duration,
         rank: Option<u32>,
-        electorate: &mut Electorate,
-        dice: &mut impl RngCore,
+        knowledge: &mut AcceptorKnowledge,
+        rng: &mut impl RngCore,
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) {
-        let purpose = match (&self.held, &self.seen, rank) {
-            (Some(_), ..) if self.leaving => Some(Purpose::GiveBack),
-            (Some(_), ..) => Some(Purpose::Renew),
-            (None, Some((tenure, since)), Some(rank)) if self.may_take(now, tenure, *since, rank) => {
-                Some(Purpose::Take)
-            }
-            (None, Some((tenure, _)), Some(0)) if self.may_want(now, tenure) => {
-                self.first = Some(now);
-                Some(Purpose::Want)
-            }
-            _ => None,
-        };
-        self.asked = now;
-        let (key, nonce, voters) = (self.key.clone(), electorate.nonce(), electorate.voters);
-        let (view, stamps) = (electorate.view.clone(), electorate.stamps.clone());
-        let round = match purpose {
-            None => ProposerRound::read(key, view, nonce, voters, stamps),
-            Some(_) => {
-                self.highest += 1 + u64::from(dice.next_u32() % 2);
-                let ballot = Ballot { counter: self.highest, proposer: self.me };
-                ProposerRound::change(key, ballot, view, nonce, voters, stamps)
-            }
-        };
-        self.doing = Doing::Round(round, purpose);
-        self.send(now, out);
+        let change = self.next_change(now, rank);
+        if change == Some(LeaseChange::RequestHandover) {
+            self.first_candidate_since = Some(now);
+        }
+        match change {
+            None => self.rounds.start_read(now, None, knowledge, out),
+            Some(_) => self.rounds.start_change(now, change, knowledge, rng, out),
+        }
     }
 
-    /// Whether the owner is to be asked to hand over: this process has been the first candidate for long enough, so that
-    /// a member which comes and goes moves no roles.
-    fn may_want(&self, now: Duration, tenure: &Tenure) -> bool {
-        let settled = self.first.is_some_and(|since| now >= since + self.terms.length * SETTLED);
-        settled && tenure.owner.is_some() && tenure.wanted.is_none()
+    /// What the next round is for; none for a read.
+    fn next_change(&self, now: Duration, rank: Option<u32>) -> Option<LeaseChange> {
+        if self.held.is_some() {
+            return Some(if self.is_releasing { LeaseChange::Release } else { LeaseChange::Renew });
+        }
+        let (observed, rank) = (self.observed.as_ref()?, rank?);
+        if self.may_acquire(now, observed, rank) {
+            Some(LeaseChange::Acquire)
+        } else if rank == 0 && self.may_request_handover(now, &observed.record) {
+            Some(LeaseChange::RequestHandover)
+        } else {
+            None
+        }
     }
 
-    /// Whether a tenure is free, or has stood still for a lease's length.
-    fn may_take(&self, now: Duration, tenure: &Tenure, since: Duration, rank: u32) -> bool {
-        let behind = self.terms.length.mul_f64(0.1) * rank.min(8);
-        match (tenure.owner, tenure.wanted) {
-            (Some(owner), _) if owner == self.me => true,
-            (Some(_), _) => now >= since + self.terms.waited() + behind,
-            (None, Some(wanted)) if wanted == self.me => true,
-            (None, Some(_)) => now >= since + self.terms.length / 2 + behind,
-            (None, None) => now >= since + behind,
-        }
+    /// Whether the holder is to be asked to hand over: the local process has been the first candidate for long enough, so
+    /// that a member that comes and goes moves no leases.
+    fn may_request_handover(&self, now: Duration, record: &LeaseRecord) -> bool {
+        let settled = self.settings.duration * LEASES_BEFORE_HANDOVER_REQUEST;
+        let is_settled = self.first_candidate_since.is_some_and(|since| now >= since + settled);
+        is_settled && record.holder.is_some() && record.requested_by.is_none()
     }
 
-    fn send(&mut self, now: Duration, out: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
-        self.resend = now + self.terms.resend;
-        if let Doing::Round(round, _) = &self.doing {
-            out.extend(round.pending_requests());
+    /// Whether the lease is free, or its record has stood unchanged for a lease's duration.
+    fn may_acquire(&self, now: Duration, observed: &ObservedRecord, rank: u32) -> bool {
+        let ObservedRecord { record, since } = observed;
+        let rank_delay = self.settings.duration.mul_f64(RANK_DELAY) * rank.min(MAX_DELAYED_RANK);
+        match (record.holder, record.requested_by) {
+            (Some(holder), _) if holder == self.node => true,
+            (Some(_), _) => now >= *since + self.settings.contender_wait() + rank_delay,
+            (None, Some(requester)) if requester == self.node => true,
+            // It is the requester's turn first.
+            (None, Some(_)) => now >= *since + self.settings.duration / 2 + rank_delay,
+            (None, None) => now >= *since + rank_delay,
         }
     }
 
-    /// Takes a voter's reply.
-    pub fn hear(
+    /// Handles an acceptor's reply.
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         reply: &AcceptorReply,
-        electorate: &mut Electorate,
-        dice: &mut impl RngCore,
+        knowledge: &mut AcceptorKnowledge,
+        rng: &mut impl RngCore,
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
-    ) -> Option<Change> {
-        let Doing::Round(round, purpose) = &mut self.doing else { return None };
-        if reply.nonce != round.nonce() {
-            return None;
-        }
-        let (event, purpose) = (round.handle_reply(reply), *purpose);
-        electorate.note(&event);
-        electorate.stamps.record(&electorate.view, reply);
-        match (event, purpose) {
-            (RoundEvent::Read { ballot, value, .. }, _) => self.looked(now, ballot, value.as_deref()),
-            (RoundEvent::Prepared(value), Some(purpose)) => self.prepared(now, value, purpose, dice, out),
-            (RoundEvent::Chosen(value), Some(purpose)) => self.chosen(now, &value, purpose),
-            (RoundEvent::Preempted(by), _) => {
-                self.highest = self.highest.max(by.counter);
-                self.stop(now, dice);
+    ) -> Option<LeaseEvent> {
+        match self.rounds.handle_reply(reply, knowledge)? {
+            (RoundEvent::Read { value, .. }, _) => {
+                self.handle_read(now, value.as_deref());
                 None
             }
-            (RoundEvent::NewerAcceptorSet(_), _) => {
-                self.stop(now, dice);
+            (RoundEvent::Prepared(value), Some(change)) => self.handle_prepared(now, value, change, rng, out),
+            (RoundEvent::Chosen(value), Some(change)) => self.handle_chosen(now, &value, change),
+            (RoundEvent::Preempted(_) | RoundEvent::NewerAcceptorSet(_), _) => {
+                self.back_off(now, rng);
                 None
             }
             _ => None,
         }
     }
 
-    /// A look has ended. The latest that a majority has accepted need not be chosen; to see that nobody renews, it does.
-    fn looked(&mut self, now: Duration, ballot: Ballot, value: Option<&[u8]>) -> Option<Change> {
-        self.highest = self.highest.max(ballot.counter);
-        self.doing = Doing::Nothing;
-        self.next = now + self.terms.length / 6;
-        let tenure = value.map_or(Some(Tenure::default()), Tenure::read)?;
-        if tenure.owner.is_none() {
-            self.next = now + self.terms.resend / 4;
-        } else if tenure.wanted == Some(self.me) {
-            // Its owner hands it over at its next renewal, and nobody has it until this process takes it.
-            self.next = now + self.terms.resend / 2;
+    /// The latest value that a majority has accepted need not be chosen; to see that nobody renews, it will do.
+    fn handle_read(&mut self, now: Duration, value: Option<&[u8]>) {
+        self.next_round_at = now + self.settings.duration / READS_PER_LEASE;
+        let Some(record) = decode_or_default(value) else { return };
+        if record.holder.is_none() {
+            self.next_round_at = now + self.settings.resend_interval / 4;
+        } else if record.requested_by == Some(self.node) {
+            // Its holder releases it at its next renewal, and nobody has it until this process acquires it.
+            self.next_round_at = now + self.settings.resend_interval / 2;
         }
-        self.saw(now, tenure);
-        None
+        self.observe(now, record);
     }
 
-    /// Books a tenure that was seen. Only a later one begins the wait anew.
-    fn saw(&mut self, now: Duration, tenure: Tenure) {
-        let since = match &self.seen {
-            Some((known, _)) if tenure.age() < known.age() => return,
-            Some((known, since)) if tenure.age() == known.age() => *since,
+    /// Only a later record begins the wait anew.
+    fn observe(&mut self, now: Duration, record: LeaseRecord) {
+        let since = match &self.observed {
+            Some(observed) if record.version() < observed.record.version() => return,
+            Some(observed) if record.version() == observed.record.version() => observed.since,
             _ => now,
         };
-        self.seen = Some((tenure, since));
+        self.observed = Some(ObservedRecord { record, since });
     }
 
-    /// A majority has promised: what the register becomes, or that this process has no business with it.
-    fn prepared(
+    /// A majority has promised: proposes the next record, unless the change makes no sense any more.
+    fn handle_prepared(
         &mut self,
         now: Duration,
         value: Option<Value>,
-        purpose: Purpose,
-        dice: &mut impl RngCore,
+        change: LeaseChange,
+        rng: &mut impl RngCore,
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
-    ) -> Option<Change> {
-        let known = match value.as_deref().map_or(Some(Tenure::default()), Tenure::read) {
-            Some(known) => known,
-            // Not this version's to read, and not to be written over.
-            None => {
-                self.stop(now, dice);
-                return None;
-            }
+    ) -> Option<LeaseEvent> {
+        let Some(current) = decode_or_default(value.as_deref()) else {
+            // Of a later version: not to be overwritten.
+            self.back_off(now, rng);
+            return None;
         };
-        let mine = known.owner == Some(self.me);
-        let next = proposal(purpose, self.me, &known, self.seen());
-        // An owner that is asked to hand over orders nothing more from here on.
-        self.leaving |= purpose == Purpose::Renew && next.as_ref().is_some_and(|next| next.owner.is_none());
-        match next {
-            Some(tenure) => {
-                if let Doing::Round(round, _) = &mut self.doing {
-                    round.propose(tenure.write());
-                }
-                self.send(now, out);
-                None
-            }
-            None => {
-                // What was prepared stands; whoever holds it writes under a higher ballot.
-                self.saw(now, known);
-                self.stop(now, dice);
-                let over = self.held.take().filter(|_| !mine);
-                self.leaving &= over.is_none();
-                over.map(|(epoch, _)| Change::Ended { epoch, why: Ended::Taken })
-            }
-        }
+        let Some(next) = next_record(change, self.node, &current, self.last_seen()) else {
+            return self.withdraw(now, current, rng);
+        };
+        // A holder that is asked to hand over gives no orders from here on.
+        self.is_releasing |= change == LeaseChange::Renew && next.holder.is_none();
+        self.rounds.propose(now, next.encode(), out);
+        None
+    }
+
+    /// Proposes nothing: the current record stands.
+    fn withdraw(
+        &mut self,
+        now: Duration,
+        current: LeaseRecord,
+        rng: &mut impl RngCore,
+    ) -> Option<LeaseEvent> {
+        let is_holder = current.holder == Some(self.node);
+        self.observe(now, current);
+        self.back_off(now, rng);
+        let lost = self.held.take().filter(|_| !is_holder);
+        self.is_releasing &= lost.is_none();
+        lost.map(|held| LeaseEvent::Lost { epoch: held.epoch, reason: LeaseLoss::TakenOver })
     }
 
-    /// The register holds what this process proposed.
-    fn chosen(&mut self, now: Duration, value: &[u8], purpose: Purpose) -> Option<Change> {
-        self.doing = Doing::Nothing;
-        let tenure = Tenure::read(value)?;
-        let mine = tenure.owner == Some(self.me);
-        let epoch = tenure.epoch;
-        self.saw(now, tenure);
-        if mine {
-            let before = self.held.replace((epoch, self.asked + self.terms.held()));
-            self.leaving &= purpose != Purpose::Take;
-            // Whoever was told to give the role back while it was renewed does so at once.
-            self.next = if self.leaving { now } else { self.asked + self.terms.length / 3 };
-            return before.is_none().then_some(Change::Took { epoch });
+    /// The register holds what the local process has proposed.
+    fn handle_chosen(&mut self, now: Duration, value: &[u8], change: LeaseChange) -> Option<LeaseEvent> {
+        let record = LeaseRecord::decode(value)?;
+        let (epoch, is_holder) = (record.epoch, record.holder == Some(self.node));
+        self.observe(now, record);
+        if is_holder {
+            return self.hold(now, epoch, change);
         }
-        self.next = now + self.terms.resend;
-        let over = self.held.take();
-        self.leaving = false;
-        over.map(|(epoch, _)| Change::Ended { epoch, why: Ended::GivenBack })
+        self.next_round_at = now + self.settings.resend_interval;
+        self.is_releasing = false;
+        let released = self.held.take()?;
+        Some(LeaseEvent::Lost { epoch: released.epoch, reason: LeaseLoss::Released })
+    }
+
+    /// Holds the lease, counted from before the round began.
+    fn hold(&mut self, now: Duration, epoch: u64, change: LeaseChange) -> Option<LeaseEvent> {
+        let started_at = self.rounds.started_at();
+        let until = started_at + self.settings.holder_duration();
+        let before = self.held.replace(HeldLease { epoch, until });
+        self.is_releasing &= change != LeaseChange::Acquire;
+        self.next_round_at = if self.is_releasing {
+            // It was asked to release while it renewed.
+            now
+        } else {
+            started_at + self.settings.duration / RENEWALS_PER_LEASE
+        };
+        before.is_none().then_some(LeaseEvent::Acquired { epoch })
     }
 }
+
+/// The record in a register's value; that of a register that holds nothing is of epoch 0, without a holder.
+fn decode_or_default(value: Option<&[u8]>) -> Option<LeaseRecord> {
+    value.map_or(Some(LeaseRecord::default()), LeaseRecord::decode)
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,6 +11,7 @@
 //! - [`node`]: all of these as one process of the fleet.
 
 pub mod acceptor;
+pub mod acceptor_knowledge;
 pub mod fencing;
 pub mod frame;
 mod hash;
@@ -21,5 +22,6 @@
 pub mod node_id;
 pub mod proposer;
 pub mod reconfiguration;
-pub mod record;
 pub mod register;
+pub mod register_client;
+mod round_driver;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -10,15 +10,16 @@
 use serde::Serialize;
 
 use crate::acceptor::{Acceptor, RequestOutcome};
+use crate::acceptor_knowledge::AcceptorKnowledge;
 use crate::fencing::{FencingError, FencingGuard};
 use crate::frame::{self, FrameError, MessageKind};
-use crate::lease::{Change, Electorate, Seat, Terms};
+use crate::lease::{LeaseContender, LeaseEvent, LeaseSettings};
 use crate::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
 use crate::messages::{AcceptorReply, AcceptorRequest, Operation, Order};
 use crate::proposer::RoundEvent;
 use crate::reconfiguration::Reconfiguration;
-use crate::record::{Outcome, Record};
 use crate::register::{AcceptorSlot, Key, Value, MAX_KEY_BYTES, MAX_VALUE_BYTES};
+use crate::register_client::{RegisterClient, RegisterOutcome};
 
 /// So many members, by rank, look after a role; the others leave the voters alone.
 const CANDIDATES: usize = 3;
@@ -28,7 +29,7 @@
 pub const LONGEST_ORDER: usize = 1_024;
 
 /// What is told of a look or a change that does not begin.
-const NOT_BEGUN: Outcome = Outcome::Failed { proposed: false, no_majority: false };
+const NOT_BEGUN: RegisterOutcome = RegisterOutcome::Failed { proposed: false, no_majority: false };
 
 /// What a process is told at its start.
 #[derive(Clone, Debug)]
@@ -46,7 +47,7 @@
     /// The roles that somebody is to hold.
     pub roles: Vec<Key>,
     /// Leases.
-    pub terms: Terms,
+    pub terms: LeaseSettings,
     /// Membership.
     pub pace: MembershipTimeouts,
     /// For random numbers: drawn anew at each start.
@@ -65,7 +66,7 @@
     /// A member came, went, or this process is not one any more.
     Member(MembershipChange),
     /// This process took a role, or does not hold it any more.
-    Role(Key, Change),
+    Role(Key, LeaseEvent),
     /// An owner's order, not refused; `true` with the first one under its epoch.
     Order(Order, bool),
     /// An order under an epoch that has been succeeded: without effect.
@@ -73,7 +74,7 @@
     /// This process's voter has been let in.
     VoterIn,
     /// What a look at a register, or a change of it, has come to.
-    Record(Key, Outcome),
+    Record(Key, RegisterOutcome),
 }
 
 /// How often something was dropped.
@@ -96,12 +97,12 @@
     dice: Pcg64Mcg,
     members: Membership,
     voter: Option<Acceptor>,
-    seats: BTreeMap<Key, Seat>,
+    seats: BTreeMap<Key, LeaseContender>,
     /// Per role that it has looked after, and does not now, the highest round of a ballot: none is used again.
     rounds: BTreeMap<Key, u64>,
     /// Registers that are no role's. None goes before the process does, so that no ballot is used again.
-    records: BTreeMap<Key, Record>,
-    electorate: Electorate,
+    records: BTreeMap<Key, RegisterClient>,
+    electorate: AcceptorKnowledge,
     admission: Option<(Reconfiguration, Duration)>,
     fence: FencingGuard,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -119,7 +120,7 @@
         let me = settings.me.clone();
         let (seeds, voters) = (settings.seeds.clone(), settings.voters.len() as u8);
         let members = Membership::new(me, seeds, settings.size, settings.pace, draw(&mut dice));
-        let electorate = Electorate::of(voters, draw(&mut dice));
+        let electorate = AcceptorKnowledge::new(voters, draw(&mut dice));
         Node {
             tag: frame::fleet_tag(&settings.fleet),
             dice,
@@ -159,7 +160,7 @@
     }
 
     /// What the voters are known to be.
-    pub fn electorate(&self) -> &Electorate {
+    pub fn electorate(&self) -> &AcceptorKnowledge {
         &self.electorate
     }
 
@@ -174,13 +175,13 @@
     }
 
     /// The role's seat, if this process looks after it.
-    pub fn seat(&self, role: &str) -> Option<&Seat> {
+    pub fn seat(&self, role: &str) -> Option<&LeaseContender> {
         self.seats.get(role)
     }
 
     /// The roles that this process may order in now.
     pub fn roles(&self, now: Duration) -> impl Iterator<Item = (&Key, u64)> {
-        self.seats.iter().filter_map(move |(role, seat)| Some((role, seat.order(now)?)))
+        self.seats.iter().filter_map(move |(role, seat)| Some((role, seat.valid_epoch(now)?)))
     }
 
     /// The next datagram and where it goes.
@@ -195,8 +196,8 @@
 
     /// When [`Node::tick`] has something to do next.
     pub fn due(&self) -> Duration {
-        let seats = self.seats.values().map(Seat::due);
-        let records = self.records.values().filter_map(Record::due);
+        let seats = self.seats.values().map(LeaseContender::next_deadline);
+        let records = self.records.values().filter_map(RegisterClient::next_deadline);
         let admission = self.admission.iter().map(|(_, at)| *at);
         seats.chain(records).chain(admission).fold(self.members.next_deadline(), Duration::min)
     }
@@ -204,7 +205,7 @@
     /// Orders something in a role, at this moment. False if this process may not (any more): whoever has taken time
     /// since it decided has to look again.
     pub fn order(&mut self, now: Duration, role: &str, to: SocketAddr, body: Vec<u8>) -> bool {
-        let Some(epoch) = self.seats.get(role).and_then(|seat| seat.order(now)) else { return false };
+        let Some(epoch) = self.seats.get(role).and_then(|seat| seat.valid_epoch(now)) else { return false };
         if body.len() > LONGEST_ORDER {
             self.dropped.too_long += 1;
             return false;
@@ -218,7 +219,7 @@
     /// way. Told at once to have failed: of a role's register, of more than [`MOST_RECORDS`], and while leaving.
     pub fn look(&mut self, now: Duration, key: &str) {
         if let Some(record) = self.record(key) {
-            record.look();
+            record.read();
             self.carry_records(now);
         }
     }
@@ -227,12 +228,12 @@
     /// once to have failed where [`Node::look`] is.
     pub fn change(&mut self, now: Duration, key: &str) {
         if let Some(record) = self.record(key) {
-            record.change();
+            record.begin_change();
             self.carry_records(now);
         }
     }
 
-    /// After [`Outcome::Promised`]: what the register is to hold, or none to leave it as it is. A value of more than
+    /// After [`RegisterOutcome::Prepared`]: what the register is to hold, or none to leave it as it is. A value of more than
     /// [`MAX_VALUE_BYTES`] bytes is none, and told to have failed.
     pub fn propose(&mut self, now: Duration, key: &str, value: Option<Value>) {
         let Some(record) = self.records.get_mut(key) else { return };
@@ -246,7 +247,7 @@
     }
 
     /// A register's record, if one may be begun.
-    fn record(&mut self, key: &str) -> Option<&mut Record> {
+    fn record(&mut self, key: &str) -> Option<&mut RegisterClient> {
         // A seat and a record of one process would use the same ballots in a role's register.
         let role = self.settings.roles.iter().any(|role| role == key) || self.seats.contains_key(key);
         let full = self.records.len() >= MOST_RECORDS && !self.records.contains_key(key);
@@ -255,14 +256,18 @@
             return None;
         }
         let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
-        Some(self.records.entry(key.to_string()).or_insert_with(|| Record::new(me, key.to_string(), terms)))
+        Some(
+            self.records
+                .entry(key.to_string())
+                .or_insert_with(|| RegisterClient::new(me, key.to_string(), terms.resend_interval)),
+        )
     }
 
     /// Lets time act on the records.
     fn carry_records(&mut self, now: Duration) {
         let (mut calls, mut events) = (Vec::new(), Vec::new());
         for (key, record) in &mut self.records {
-            if record.due().is_some_and(|due| due <= now) {
+            if record.next_deadline().is_some_and(|due| due <= now) {
                 let outcome = record.tick(now, &mut self.electorate, &mut self.dice, &mut calls);
                 events.extend(outcome.map(|outcome| Event::Record(key.clone(), outcome)));
             }
@@ -282,12 +287,12 @@
     /// Gives all roles back, and takes none any more: a process that is no member looks after nothing.
     fn retire(&mut self) {
         self.leaving = true;
-        self.seats.values_mut().for_each(Seat::give_back);
+        self.seats.values_mut().for_each(LeaseContender::release);
     }
 
     /// Whether no role is held any more.
     pub fn has_left(&self) -> bool {
-        self.seats.values().all(|seat| !seat.is_held())
+        self.seats.values().all(|seat| !seat.is_holder())
     }
 
     fn post<T: Serialize>(&mut self, to: SocketAddr, kind: MessageKind, message: &T) {
@@ -384,12 +389,12 @@
         let mut calls = Vec::new();
         if let Some((admission, _)) = self.admission.as_mut().filter(|(a, _)| a.nonce() == reply.nonce) {
             let told = admission.handle_reply(reply);
-            self.electorate.note(&RoundEvent::NewerAcceptorSet(admission.acceptors().clone()));
-            self.electorate.note(&told);
+            self.electorate.record_event(&RoundEvent::NewerAcceptorSet(admission.acceptors().clone()));
+            self.electorate.record_event(&told);
             let over = admission.is_done() || told != RoundEvent::None;
             if admission.is_done() {
                 let slot = reply.slot;
-                self.electorate.blank.retain(|(at, _)| *at != slot);
+                self.electorate.uninitialized.retain(|(at, _)| *at != slot);
             }
             // The next part is asked for at once.
             calls.extend(
@@ -401,11 +406,11 @@
         }
         let mut events = Vec::new();
         for (role, seat) in &mut self.seats {
-            let change = seat.hear(now, reply, &mut self.electorate, &mut self.dice, &mut calls);
+            let change = seat.handle_reply(now, reply, &mut self.electorate, &mut self.dice, &mut calls);
             events.extend(change.map(|change| Event::Role(role.clone(), change)));
         }
         for (key, record) in &mut self.records {
-            let outcome = record.hear(now, reply, &mut self.electorate, &mut self.dice, &mut calls);
+            let outcome = record.handle_reply(now, reply, &mut self.electorate, &mut self.dice, &mut calls);
             events.extend(outcome.map(|outcome| Event::Record(key.clone(), outcome)));
         }
         self.events.extend(events);
@@ -423,15 +428,18 @@
             let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
             if rank.is_some() && !self.seats.contains_key(&role) {
                 let highest = self.rounds.remove(&role).unwrap_or_default();
-                self.seats.insert(role.clone(), Seat::new(me, role.clone(), terms).above(highest));
+                self.seats.insert(
+                    role.clone(),
+                    LeaseContender::new(me, role.clone(), terms).with_counters_above(highest),
+                );
             }
             let Some(seat) = self.seats.get_mut(&role) else { continue };
-            if seat.due() <= now {
+            if seat.next_deadline() <= now {
                 let change = seat.tick(now, rank, &mut self.electorate, &mut self.dice, &mut calls);
                 self.events.extend(change.map(|change| Event::Role(role.clone(), change)));
             }
-            if rank.is_none() && !seat.is_held() {
-                self.rounds.insert(role.clone(), seat.highest());
+            if rank.is_none() && !seat.is_holder() {
+                self.rounds.insert(role.clone(), seat.highest_counter());
                 self.seats.remove(&role);
             }
         }
@@ -451,8 +459,8 @@
 
     /// Voters that lag are told of the view, one that has lost its file is let in: by whoever notices.
     fn help(&mut self, now: Duration, calls: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
-        for slot in std::mem::take(&mut self.electorate.older) {
-            let (nonce, view) = (self.electorate.nonce(), self.electorate.view.clone());
+        for slot in std::mem::take(&mut self.electorate.outdated) {
+            let (nonce, view) = (self.electorate.next_nonce(), self.electorate.acceptors.clone());
             calls.push((
                 slot,
                 AcceptorRequest {
@@ -462,22 +470,24 @@
                 },
             ));
         }
-        match (&mut self.admission, self.electorate.blank.first().copied()) {
+        match (&mut self.admission, self.electorate.uninitialized.first().copied()) {
             (Some((admission, at)), _) if *at <= now => {
-                *at = now + self.settings.terms.resend;
+                *at = now + self.settings.terms.resend_interval;
                 calls.extend(admission.pending_requests());
             }
-            (None, Some((slot, generation))) if generation >= self.electorate.view.generation(slot) => {
+            (None, Some((slot, generation))) if generation >= self.electorate.acceptors.generation(slot) => {
                 // If somebody has begun to let this very file in, this process does only if nobody ends it.
-                let begun = generation == self.electorate.view.generation(slot);
-                let wait = if begun { self.settings.terms.length } else { Duration::ZERO };
-                let nonce = self.electorate.nonce();
-                let Electorate { view, stamps, voters, .. } = &self.electorate;
+                let begun = generation == self.electorate.acceptors.generation(slot);
+                let wait = if begun { self.settings.terms.duration } else { Duration::ZERO };
+                let nonce = self.electorate.next_nonce();
+                let AcceptorKnowledge {
+                    acceptors: view, store_counts: stamps, acceptor_count: voters, ..
+                } = &self.electorate;
                 let admission = Reconfiguration::new(slot, generation, view, nonce, *voters, stamps.clone());
                 self.admission = Some((admission, now + wait));
             }
             // It has an older number than one that was let in: it takes a higher one when it hears of the view.
-            (None, Some(_)) => drop(self.electorate.blank.remove(0)),
+            (None, Some(_)) => drop(self.electorate.uninitialized.remove(0)),
             _ => {}
         }
     }
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -7,7 +7,7 @@
 
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
-use dunemount_fleet::lease::{Tenure, Terms};
+use dunemount_fleet::lease::{LeaseRecord, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
 use dunemount_fleet::messages::*;
 use dunemount_fleet::node::{Disk, Event, Node, Settings};
@@ -42,15 +42,20 @@
     AcceptorSet::default().with(AcceptorSlot(2), OTHER_FILE)
 }
 
-fn owned() -> Tenure {
-    Tenure { epoch: 300, owner: Some(NodeId(0xfeed_0001)), beat: 70_000, wanted: Some(NodeId(5)) }
+fn owned() -> LeaseRecord {
+    LeaseRecord {
+        epoch: 300,
+        holder: Some(NodeId(0xfeed_0001)),
+        renewal: 70_000,
+        requested_by: Some(NodeId(5)),
+    }
 }
 
 fn registers() -> BTreeMap<Key, RegisterState> {
     let chosen = RegisterState {
         promised: ballot(5, 9),
         accepted: ballot(4, 0xfeed_0001),
-        value: Some(owned().write()),
+        value: Some(owned().encode()),
     };
     let promised = RegisterState { promised: ballot(200, 3), accepted: Ballot::default(), value: None };
     BTreeMap::from([(CONFIGURATION.to_string(), promised), (ROLE.to_string(), chosen)])
@@ -70,7 +75,7 @@
     let operations = [
         Operation::Reconfigure { after: Key::new() },
         Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) },
-        Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+        Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().encode() },
         Operation::Prepare { key: role(), ballot: ballot(5, 9) },
         Operation::Prepare { key: CONFIGURATION.to_string(), ballot: ballot(200, 3) },
     ];
@@ -109,13 +114,13 @@
 fn the_value_of_a_roles_register() {
     for (name, tenure) in [("role-register-owned-v1.bin", owned()), ("role-register-free-v1.bin", free())] {
         let kept = fixture(name);
-        assert_eq!(Tenure::read(&kept), Some(tenure.clone()), "{name}");
-        assert_eq!(tenure.write(), kept, "{name}");
+        assert_eq!(LeaseRecord::decode(&kept), Some(tenure.clone()), "{name}");
+        assert_eq!(tenure.encode(), kept, "{name}");
     }
 }
 
-fn free() -> Tenure {
-    Tenure { epoch: 2, owner: None, beat: 3, wanted: None }
+fn free() -> LeaseRecord {
+    LeaseRecord { epoch: 2, holder: None, renewal: 3, requested_by: None }
 }
 
 fn calls() -> Vec<(&'static str, AcceptorRequest)> {
@@ -124,7 +129,7 @@
         ("call-prepare", Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) }),
         (
             "call-accept",
-            Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().write() },
+            Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().encode() },
         ),
         ("call-read", Operation::Read { key: role() }),
         ("call-admit", Operation::Reconfigure { after: CONFIGURATION.to_string() }),
@@ -136,7 +141,10 @@
 
 fn replies() -> Vec<(&'static str, AcceptorReply)> {
     let answers = [
-        ("reply-promise", Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(owned().write()) }),
+        (
+            "reply-promise",
+            Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(owned().encode()) },
+        ),
         ("reply-promise-empty", Answer::Promise { accepted: Ballot::default(), value: None }),
         ("reply-accepted", Answer::Accepted),
         (
@@ -219,7 +227,11 @@
         voters,
         size: 3,
         roles: Vec::new(),
-        terms: Terms { length: Duration::from_secs(3), drift: 0.05, resend: Duration::from_millis(150) },
+        terms: LeaseSettings {
+            duration: Duration::from_secs(3),
+            max_clock_drift: 0.05,
+            resend_interval: Duration::from_millis(150),
+        },
         pace: timeouts(),
         seed: 1,
     };
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
-use dunemount_fleet::lease::{proposal, Purpose, Tenure};
+use dunemount_fleet::lease::{next_record, LeaseChange, LeaseRecord};
 use dunemount_fleet::messages::*;
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::proposer::{ProposerRound, RoundEvent, StoreCounts};
@@ -100,22 +100,25 @@
         let Some(round) = contender.round.as_mut() else { return };
         match round.handle_reply(reply) {
             RoundEvent::Prepared(value) => {
-                let known = value.map_or(Tenure::default(), |value| Tenure::read(&value).expect("a tenure"));
+                let known = value
+                    .map_or(LeaseRecord::default(), |value| LeaseRecord::decode(&value).expect("a tenure"));
                 // Time is left out: whoever tries may have waited for long enough.
                 let next = match self.blind {
-                    true => Some(Tenure { epoch: 1, owner: Some(id(to)), beat: 0, wanted: None }),
-                    false => proposal(Purpose::Take, id(to), &known, Some(&known)),
+                    true => {
+                        Some(LeaseRecord { epoch: 1, holder: Some(id(to)), renewal: 0, requested_by: None })
+                    }
+                    false => next_record(LeaseChange::Acquire, id(to), &known, Some(&known)),
                 };
                 if let Some(next) = next {
-                    round.propose(next.write());
+                    round.propose(next.encode());
                     let calls = round.pending_requests();
                     Self::post(state, to, calls);
                 }
             }
             RoundEvent::Chosen(value) => {
-                let tenure = Tenure::read(&value).expect("a tenure");
+                let tenure = LeaseRecord::decode(&value).expect("a tenure");
                 contender.round = None;
-                if let Some(owner) = tenure.owner {
+                if let Some(owner) = tenure.holder {
                     state.owners.entry(tenure.epoch).or_default().insert(owner);
                 }
             }
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -8,7 +8,7 @@
 
 use dunemount_fleet::acceptor::Acceptor;
 use dunemount_fleet::frame::{self, MessageKind};
-use dunemount_fleet::lease::{Change, Terms};
+use dunemount_fleet::lease::{LeaseEvent, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::messages::{AcceptorRequest, Operation};
 use dunemount_fleet::node::{Disk, Event, Node, Settings};
@@ -103,7 +103,11 @@
             voters,
             size: self.nodes.len() as u32,
             roles: (0..self.roles).map(|role| format!("survey/{role}")).collect(),
-            terms: Terms { length: LEASE, drift: 0.05, resend: Duration::from_millis(150) },
+            terms: LeaseSettings {
+                duration: LEASE,
+                max_clock_drift: 0.05,
+                resend_interval: Duration::from_millis(150),
+            },
             pace: MembershipTimeouts {
                 probe_interval: Duration::from_millis(500),
                 probe_timeout: Duration::from_millis(150),
@@ -178,7 +182,7 @@
         }
         while let Some(event) = self.nodes[index].as_mut().and_then(Node::event) {
             match event {
-                Event::Role(role, Change::Took { epoch }) => {
+                Event::Role(role, LeaseEvent::Acquired { epoch }) => {
                     self.owners.entry((role, epoch)).or_default().insert(index);
                 }
                 Event::Order(order, _) => self.obeyed.push((index, order.role, order.epoch)),
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -7,21 +7,25 @@
 use std::time::Duration;
 
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
-use dunemount_fleet::lease::{Electorate, Terms};
+use dunemount_fleet::acceptor_knowledge::AcceptorKnowledge;
+use dunemount_fleet::lease::LeaseSettings;
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::messages::*;
 use dunemount_fleet::node::{Disk, Event, Node, Settings, MOST_RECORDS};
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::proposer::{ProposerRound, RoundEvent, StoreCounts};
-use dunemount_fleet::record::{Outcome, Record};
 use dunemount_fleet::register::*;
+use dunemount_fleet::register_client::{RegisterClient, RegisterOutcome};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const KEY: &str = "config/version";
 const STEP: Duration = Duration::from_millis(5);
-const TERMS: Terms =
-    Terms { length: Duration::from_secs(3), drift: 0.05, resend: Duration::from_millis(150) };
+const TERMS: LeaseSettings = LeaseSettings {
+    duration: Duration::from_secs(3),
+    max_clock_drift: 0.05,
+    resend_interval: Duration::from_millis(150),
+};
 
 enum Post {
     Ask { from: usize, call: AcceptorRequest, voter: usize },
@@ -29,8 +33,8 @@
 }
 
 struct Process {
-    record: Record,
-    electorate: Electorate,
+    record: RegisterClient,
+    electorate: AcceptorKnowledge,
     /// A look that trusts the latest that a majority has accepted, when it began, and when it is given up.
     trusting: Option<(ProposerRound, Duration)>,
     /// A change that it wants: a number that no other has, and whether it was proposed.
@@ -58,15 +62,15 @@
     loss: f64,
     dice: Pcg64Mcg,
     words: Vec<Word>,
-    outcomes: Vec<(usize, Outcome)>,
+    outcomes: Vec<(usize, RegisterOutcome)>,
     changes: u8,
 }
 
 impl World {
     fn new(count: usize, seed: u64) -> World {
         let process = |index: usize| Process {
-            record: Record::new(NodeId(index as u64 + 1), KEY.to_string(), TERMS),
-            electorate: Electorate::of(3, (index as u64 + 1) << 32),
+            record: RegisterClient::new(NodeId(index as u64 + 1), KEY.to_string(), TERMS.resend_interval),
+            electorate: AcceptorKnowledge::new(3, (index as u64 + 1) << 32),
             trusting: None,
             wants: None,
             proposed: Duration::ZERO,
@@ -111,31 +115,31 @@
         let now = self.now;
         let process = &mut self.processes[index];
         if trusting {
-            let (nonce, view) = (process.electorate.nonce(), process.electorate.view.clone());
+            let (nonce, view) = (process.electorate.next_nonce(), process.electorate.acceptors.clone());
             let round = ProposerRound::read(KEY.to_string(), view, nonce, 3, StoreCounts::default());
             let calls = round.pending_requests();
             process.trusting = Some((round, now));
             return self.send(index, calls);
         }
-        process.record.look();
+        process.record.read();
     }
 
     fn change(&mut self, index: usize) {
         self.changes += 1;
         self.processes[index].wants = Some(self.changes);
-        self.processes[index].record.change();
+        self.processes[index].record.begin_change();
     }
 
-    fn told(&mut self, index: usize, outcome: Outcome) {
+    fn told(&mut self, index: usize, outcome: RegisterOutcome) {
         self.outcomes.push((index, outcome.clone()));
         let now = self.now;
         let process = &mut self.processes[index];
         match outcome {
-            Outcome::Holds(value, asked) => {
+            RegisterOutcome::Read { value, started_at: asked } => {
                 process.busy = false;
                 self.words.push(Word { asked, told: now, value: value.unwrap_or_default() });
             }
-            Outcome::Promised(value) => {
+            RegisterOutcome::Prepared(value) => {
                 let mut value = value.unwrap_or_default();
                 let wants = process.wants.expect("a change");
                 if !value.contains(&wants) {
@@ -146,18 +150,18 @@
                 process.record.propose(now, Some(value), &mut calls);
                 self.send(index, calls);
             }
-            Outcome::Chosen(value) => {
+            RegisterOutcome::Chosen(value) => {
                 process.busy = false;
                 process.wants = None;
                 // It was chosen some time since.
                 let asked = process.proposed;
                 self.words.push(Word { asked, told: now, value });
             }
-            Outcome::Failed { .. } => {
+            RegisterOutcome::Failed { .. } => {
                 process.busy = false;
                 if process.wants.is_some() {
                     process.busy = true;
-                    process.record.change();
+                    process.record.begin_change();
                 }
             }
         }
@@ -183,10 +187,14 @@
             }
             for index in 0..self.processes.len() {
                 let process = &mut self.processes[index];
-                if process.trusting.as_ref().is_some_and(|(_, asked)| self.now >= *asked + TERMS.resend * 4) {
+                if process
+                    .trusting
+                    .as_ref()
+                    .is_some_and(|(_, asked)| self.now >= *asked + TERMS.resend_interval * 4)
+                {
                     (process.trusting, process.busy) = (None, false);
                 }
-                if process.record.due().is_some_and(|due| due <= self.now) {
+                if process.record.next_deadline().is_some_and(|due| due <= self.now) {
                     let mut calls = Vec::new();
                     let Process { record, electorate, .. } = process;
                     let outcome = record.tick(self.now, electorate, &mut self.dice, &mut calls);
@@ -209,7 +217,7 @@
         }
         let mut calls = Vec::new();
         let Process { record, electorate, .. } = &mut self.processes[index];
-        let outcome = record.hear(now, reply, electorate, &mut self.dice, &mut calls);
+        let outcome = record.handle_reply(now, reply, electorate, &mut self.dice, &mut calls);
         self.send(index, calls);
         outcome.into_iter().for_each(|outcome| self.told(index, outcome));
     }
@@ -276,9 +284,13 @@
         let last = &world.words[world.words.len() - 1].value;
         assert_eq!(last.len(), usize::from(world.changes), "seed {seed}: every change is there");
         for (_, outcome) in &world.outcomes[world.outcomes.len() - 4..] {
-            assert!(matches!(outcome, Outcome::Holds(Some(value), _) if value == last), "seed {seed}");
+            assert!(
+                matches!(outcome, RegisterOutcome::Read { value: Some(value), .. } if value == last),
+                "seed {seed}"
+            );
         }
-        looks += world.outcomes.iter().filter(|(_, told)| matches!(told, Outcome::Holds(..))).count();
+        looks +=
+            world.outcomes.iter().filter(|(_, told)| matches!(told, RegisterOutcome::Read { .. })).count();
         changes += last.len();
     }
     println!("{looks} looks, {changes} changes");
@@ -298,9 +310,9 @@
     let mut world = World::new(3, 3);
     world.change(0);
     world.run(Duration::from_secs(1));
-    assert!(matches!(world.outcomes.last(), Some((0, Outcome::Chosen(value))) if *value == [1]));
+    assert!(matches!(world.outcomes.last(), Some((0, RegisterOutcome::Chosen(value))) if *value == [1]));
     world.change(0);
-    while !matches!(world.outcomes.last(), Some((0, Outcome::Promised(_)))) {
+    while !matches!(world.outcomes.last(), Some((0, RegisterOutcome::Prepared(_)))) {
         world.run(STEP);
     }
     // Its proposal is on its way to all; that to the first one arrives.
@@ -310,7 +322,7 @@
     }
     world.processes[0].wants = None;
     world.run(Duration::from_secs(2));
-    let failed = Outcome::Failed { proposed: true, no_majority: true };
+    let failed = RegisterOutcome::Failed { proposed: true, no_majority: true };
     assert_eq!(world.outcomes.last(), Some(&(0, failed)), "it may still be chosen");
     world
 }
@@ -324,7 +336,8 @@
     let began = world.now;
     world.look(1, false);
     world.run(Duration::from_secs(1));
-    let Some((1, Outcome::Holds(Some(value), at))) = world.outcomes.last() else {
+    let Some((1, RegisterOutcome::Read { value: Some(value), started_at: at })) = world.outcomes.last()
+    else {
         panic!("{:?}", world.outcomes)
     };
     assert_eq!(*value, [1, 2]);
@@ -332,13 +345,17 @@
     world.cut.insert((2, 0));
     world.look(2, false);
     world.run(Duration::from_secs(1));
-    assert!(matches!(world.outcomes.last(), Some((2, Outcome::Holds(Some(value), _))) if *value == [1, 2]));
+    assert!(
+        matches!(world.outcomes.last(), Some((2, RegisterOutcome::Read { value: Some(value), .. })) if *value == [1, 2])
+    );
 
     let mut world = minority();
     world.cut.insert((2, 0));
     world.look(2, false);
     world.run(Duration::from_secs(1));
-    assert!(matches!(world.outcomes.last(), Some((2, Outcome::Holds(Some(value), _))) if *value == [1]));
+    assert!(
+        matches!(world.outcomes.last(), Some((2, RegisterOutcome::Read { value: Some(value), .. })) if *value == [1])
+    );
     assert_eq!(world.fault(), None);
 }
 
@@ -352,7 +369,7 @@
         world.change(1);
         world.run(Duration::from_secs(10));
         let chosen = world.outcomes.iter().filter_map(|(index, told)| match told {
-            Outcome::Chosen(value) => Some((*index, value.clone())),
+            RegisterOutcome::Chosen(value) => Some((*index, value.clone())),
             _ => None,
         });
         let chosen: Vec<_> = chosen.collect();
@@ -369,17 +386,17 @@
 fn without_a_majority_nothing_is_told_and_it_says_so() {
     let mut world = World::new(1, 5);
     world.cut.extend([(0, 1), (0, 2)]);
-    let failed = |proposed| (0, Outcome::Failed { proposed, no_majority: true });
+    let failed = |proposed| (0, RegisterOutcome::Failed { proposed, no_majority: true });
     world.look(0, false);
     world.run(Duration::from_secs(1));
     assert_eq!(world.outcomes, [failed(false)]);
-    world.processes[0].record.change();
+    world.processes[0].record.begin_change();
     world.run(Duration::from_secs(1));
     assert_eq!(world.outcomes.last(), Some(&failed(false)));
     world.cut.clear();
     world.look(0, false);
     world.run(Duration::from_secs(1));
-    assert!(matches!(world.outcomes.last(), Some((0, Outcome::Holds(None, _)))));
+    assert!(matches!(world.outcomes.last(), Some((0, RegisterOutcome::Read { value: None, .. }))));
 }
 
 /// Guards a change whose owner never says what the register is to hold: it ends, and not for want of a majority.
@@ -387,7 +404,7 @@
 fn a_promise_that_nobody_uses_ends() {
     let mut world = World::new(1, 6);
     let process = &mut world.processes[0];
-    process.record.change();
+    process.record.begin_change();
     let (mut calls, mut now) = (Vec::new(), STEP);
     let Process { record, electorate, .. } = process;
     assert_eq!(record.tick(now, electorate, &mut world.dice, &mut calls), None);
@@ -397,14 +414,14 @@
             RequestOutcome::Reply(reply) => reply,
             RequestOutcome::Store(pending) => pending.stored(),
         };
-        told.extend(record.hear(now, &reply, electorate, &mut world.dice, &mut Vec::new()));
+        told.extend(record.handle_reply(now, &reply, electorate, &mut world.dice, &mut Vec::new()));
     }
-    assert_eq!(told, [Outcome::Promised(None)], "once");
-    while let Some(due) = record.due() {
+    assert_eq!(told, [RegisterOutcome::Prepared(None)], "once");
+    while let Some(due) = record.next_deadline() {
         now = due;
         told.extend(record.tick(now, electorate, &mut world.dice, &mut Vec::new()));
     }
-    assert_eq!(told[1..], [Outcome::Failed { proposed: false, no_majority: false }]);
+    assert_eq!(told[1..], [RegisterOutcome::Failed { proposed: false, no_majority: false }]);
     let mut calls = Vec::new();
     record.propose(now, Some(vec![1]), &mut calls);
     assert!(calls.is_empty(), "too late");
@@ -449,7 +466,7 @@
 }
 
 /// Carries datagrams, and lets time act; what was told of registers meanwhile.
-fn carry(nodes: &mut [Node], now: &mut Duration, lasts: Duration) -> Vec<(usize, Key, Outcome)> {
+fn carry(nodes: &mut [Node], now: &mut Duration, lasts: Duration) -> Vec<(usize, Key, RegisterOutcome)> {
     let (until, mut told) = (*now + lasts, Vec::new());
     while *now < until {
         *now += STEP;
@@ -479,18 +496,24 @@
     let second = Duration::from_secs(1);
     nodes[0].look(now, KEY);
     let told = carry(&mut nodes, &mut now, second);
-    assert!(matches!(&told[..], [(0, key, Outcome::Holds(None, _))] if key == KEY), "{told:?}");
+    assert!(
+        matches!(&told[..], [(0, key, RegisterOutcome::Read { value: None, .. })] if key == KEY),
+        "{told:?}"
+    );
     nodes[0].look(now, KEY);
     nodes[0].change(now, KEY);
     let told = carry(&mut nodes, &mut now, second / 10);
-    assert!(matches!(&told[..], [(0, _, Outcome::Promised(None))]), "the look is given up: {told:?}");
+    assert!(matches!(&told[..], [(0, _, RegisterOutcome::Prepared(None))]), "the look is given up: {told:?}");
     nodes[0].propose(now, KEY, Some(b"one".to_vec()));
     let told = carry(&mut nodes, &mut now, second);
-    assert_eq!(told, [(0, KEY.to_string(), Outcome::Chosen(b"one".to_vec()))]);
+    assert_eq!(told, [(0, KEY.to_string(), RegisterOutcome::Chosen(b"one".to_vec()))]);
     let began = now;
     nodes[2].look(now, KEY);
     let told = carry(&mut nodes, &mut now, second);
-    assert_eq!(told, [(2, KEY.to_string(), Outcome::Holds(Some(b"one".to_vec()), began))]);
+    assert_eq!(
+        told,
+        [(2, KEY.to_string(), RegisterOutcome::Read { value: Some(b"one".to_vec()), started_at: began })]
+    );
 
     // Withdrawn: nothing is told, and others go on.
     nodes[1].change(now, KEY);
@@ -500,7 +523,7 @@
     nodes[0].look(now, KEY);
     assert_eq!(carry(&mut nodes, &mut now, second).len(), 1);
 
-    let not_begun = Outcome::Failed { proposed: false, no_majority: false };
+    let not_begun = RegisterOutcome::Failed { proposed: false, no_majority: false };
     nodes[1].change(now, KEY);
     carry(&mut nodes, &mut now, second / 10);
     nodes[1].propose(now, KEY, Some(vec![0; MAX_VALUE_BYTES + 1]));
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
+use dunemount_fleet::acceptor_knowledge::AcceptorKnowledge;
 use dunemount_fleet::fencing::FencingGuard;
-use dunemount_fleet::lease::{Change, Electorate, Seat, Terms};
+use dunemount_fleet::lease::{LeaseContender, LeaseEvent, LeaseSettings};
 use dunemount_fleet::messages::*;
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::reconfiguration::Reconfiguration;
@@ -99,8 +100,8 @@
     up: bool,
     stalled: bool,
     cut: bool,
-    seat: Seat,
-    electorate: Electorate,
+    seat: LeaseContender,
+    electorate: AcceptorKnowledge,
     admission: Option<Reconfiguration>,
 }
 
@@ -155,9 +156,9 @@
     pub seen: Seen,
 }
 
-fn terms(broken: Broken) -> Terms {
+fn terms(broken: Broken) -> LeaseSettings {
     let drift = if broken == Broken::Impatient { -0.9 } else { 0.05 };
-    Terms { length: LEASE, drift, resend: Duration::from_millis(150) }
+    LeaseSettings { duration: LEASE, max_clock_drift: drift, resend_interval: Duration::from_millis(150) }
 }
 
 impl World {
@@ -202,8 +203,8 @@
             up: true,
             stalled: false,
             cut: false,
-            seat: Seat::new(id, ROLE.to_string(), terms(self.broken)),
-            electorate: Electorate::of(voters as u8, self.ids << 32),
+            seat: LeaseContender::new(id, ROLE.to_string(), terms(self.broken)),
+            electorate: AcceptorKnowledge::new(voters as u8, self.ids << 32),
             admission: None,
         }
     }
@@ -268,7 +269,7 @@
     /// Whoever may order now.
     pub fn owners(&self) -> Vec<NodeId> {
         let may = |node: &&Node| {
-            node.up && !node.stalled && node.seat.order(self.now.mul_f64(node.speed)).is_some()
+            node.up && !node.stalled && node.seat.valid_epoch(self.now.mul_f64(node.speed)).is_some()
         };
         self.nodes.iter().filter(may).map(|node| node.id).collect()
     }
@@ -357,16 +358,16 @@
         if let Some(admission) = node.admission.as_mut().filter(|admission| admission.nonce() == reply.nonce)
         {
             let event = admission.handle_reply(reply);
-            node.electorate.note(&event);
+            node.electorate.record_event(&event);
             if admission.is_done() {
-                node.electorate.blank.clear();
+                node.electorate.uninitialized.clear();
                 self.seen.admitted += 1;
                 node.admission = None;
             } else if event != dunemount_fleet::proposer::RoundEvent::None {
                 node.admission = None;
             }
         }
-        let change = node.seat.hear(now, reply, &mut node.electorate, &mut self.dice, &mut out);
+        let change = node.seat.handle_reply(now, reply, &mut node.electorate, &mut self.dice, &mut out);
         self.note(to, change);
         self.send(to, out);
     }
@@ -384,20 +385,21 @@
         let change = node.seat.tick(now, rank, &mut node.electorate, &mut self.dice, &mut out);
         let electorate = &mut node.electorate;
         // Voters that lag or have lost their file are helped by whoever notices.
-        for slot in std::mem::take(&mut electorate.older) {
-            let nonce = electorate.nonce();
+        for slot in std::mem::take(&mut electorate.outdated) {
+            let nonce = electorate.next_nonce();
             out.push((
                 slot,
                 AcceptorRequest {
-                    acceptors: electorate.view.clone(),
+                    acceptors: electorate.acceptors.clone(),
                     nonce,
                     operation: Operation::Reconfigure { after: Key::new() },
                 },
             ));
         }
-        if let (None, Some((slot, generation))) = (&node.admission, electorate.blank.first().copied()) {
-            let (nonce, voters) = (electorate.nonce(), electorate.voters);
-            let (view, stamps) = (electorate.view.clone(), electorate.stamps.clone());
+        if let (None, Some((slot, generation))) = (&node.admission, electorate.uninitialized.first().copied())
+        {
+            let (nonce, voters) = (electorate.next_nonce(), electorate.acceptor_count);
+            let (view, stamps) = (electorate.acceptors.clone(), electorate.store_counts.clone());
             node.admission = Some(Reconfiguration::new(slot, generation, &view, nonce, voters, stamps));
         }
         if let Some(admission) = node.admission.as_ref().filter(|_| self.serial % 4 == 0) {
@@ -414,7 +416,7 @@
             }));
         }
         // An owner orders; between its own look at the lease and the order's way it may be stopped.
-        let order = node.seat.order(now);
+        let order = node.seat.valid_epoch(now);
         let (id, cut) = (node.id, node.cut);
         self.note(index, change);
         self.send(index, out);
@@ -438,8 +440,8 @@
         }
     }
 
-    fn note(&mut self, index: usize, change: Option<Change>) {
-        if let Some(Change::Took { epoch }) = change {
+    fn note(&mut self, index: usize, change: Option<LeaseEvent>) {
+        if let Some(LeaseEvent::Acquired { epoch }) = change {
             self.seen.owners.entry(epoch).or_default().insert(self.nodes[index].id);
         }
     }
--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -6,7 +6,7 @@
 use dunemount::fleet::file::VoterFile;
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
-use dunemount_fleet::lease::Tenure;
+use dunemount_fleet::lease::LeaseRecord;
 use dunemount_fleet::messages::{AcceptorReply, AcceptorRequest, Operation};
 use dunemount_fleet::node::Disk;
 use dunemount_fleet::node_id::NodeId;
@@ -43,7 +43,7 @@
 fn renewal(register: usize, beat: u64) -> [AcceptorRequest; 2] {
     let owner = NodeId::from_start(&format!("gw-{register}"), 0);
     let (key, ballot) = (format!("survey/{register}"), Ballot { counter: 1_000 + beat, proposer: owner });
-    let value = Tenure { epoch: 7, owner: Some(owner), beat, wanted: None }.write();
+    let value = LeaseRecord { epoch: 7, holder: Some(owner), renewal: beat, requested_by: None }.encode();
     let call =
         |operation| AcceptorRequest { acceptors: AcceptorSet::default(), nonce: owner.0 ^ beat, operation };
     [call(Operation::Prepare { key: key.clone(), ballot }), call(Operation::Accept { key, ballot, value })]
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use dunemount_fleet::fencing::FencingError;
-use dunemount_fleet::lease::{Change, Terms};
+use dunemount_fleet::lease::{LeaseEvent, LeaseLoss, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, MembershipChange, MembershipTimeouts};
 use dunemount_fleet::node::{Event, Settings};
 use polling::{Event as Poll, PollMode, Poller};
@@ -83,7 +83,7 @@
         seeds,
         size: options.size,
         roles: start.roles,
-        terms: Terms { length: lease, drift: DRIFT, resend: lease / 20 },
+        terms: LeaseSettings { duration: lease, max_clock_drift: DRIFT, resend_interval: lease / 20 },
         pace: MembershipTimeouts {
             probe_interval: probe,
             probe_timeout: probe / 3,
@@ -211,6 +211,15 @@
     }
 }
 
+/// A loss in the words of the operators' pages.
+fn loss_reason(loss: LeaseLoss) -> &'static str {
+    match loss {
+        LeaseLoss::Expired => "NotRenewed",
+        LeaseLoss::TakenOver => "Taken",
+        LeaseLoss::Released => "GivenBack",
+    }
+}
+
 /// A rejection in the words of the operators' pages.
 fn fencing_reason(error: FencingError) -> String {
     match error {
@@ -231,11 +240,11 @@
         Event::Member(MembershipChange::Superseded) => {
             warn!(log, "fleet: a process with this name has started later, this one is no member any more");
         }
-        Event::Role(role, Change::Took { epoch }) => {
+        Event::Role(role, LeaseEvent::Acquired { epoch }) => {
             info!(log, "fleet: role taken"; "epoch" => epoch, "role" => role);
         }
-        Event::Role(role, Change::Ended { epoch, why }) => {
-            info!(log, "fleet: role ended"; "why" => ?why, "epoch" => epoch, "role" => role);
+        Event::Role(role, LeaseEvent::Lost { epoch, reason }) => {
+            info!(log, "fleet: role ended"; "why" => loss_reason(reason), "epoch" => epoch, "role" => role);
         }
         Event::Order(order, first) => {
             info!(log, "fleet: order"; "first" => first, "epoch" => order.epoch, "role" => order.role);
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use dunemount_fleet::node::{Event, Node};
-use dunemount_fleet::record::Outcome;
+use dunemount_fleet::register_client::RegisterOutcome;
 use dunemount_rollout::control::{self, Control, Keeping, Out, Settings, Told, REGISTER};
 use dunemount_rollout::follower::{Machine, Pace};
 use dunemount_rollout::version::Document;
@@ -287,12 +287,12 @@
     }
 }
 
-fn told(outcome: Outcome) -> Told {
+fn told(outcome: RegisterOutcome) -> Told {
     match outcome {
-        Outcome::Holds(value, began) => Told::Holds(value, began),
-        Outcome::Promised(value) => Told::Promised(value),
-        Outcome::Chosen(value) => Told::Chosen(value),
-        Outcome::Failed { proposed, no_majority } => Told::Failed { proposed, no_majority },
+        RegisterOutcome::Read { value, started_at: began } => Told::Holds(value, began),
+        RegisterOutcome::Prepared(value) => Told::Promised(value),
+        RegisterOutcome::Chosen(value) => Told::Chosen(value),
+        RegisterOutcome::Failed { proposed, no_majority } => Told::Failed { proposed, no_majority },
     }
 }
 
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -187,14 +187,14 @@
         };
         let seat = |role: &String| {
             let seat = node.seat(role)?;
-            let (seen, held) = (seat.seen(), seat.order(now));
-            let owner = seen.and_then(|tenure| tenure.owner).and_then(named);
+            let (seen, held) = (seat.last_seen(), seat.valid_epoch(now));
+            let owner = seen.and_then(|tenure| tenure.holder).and_then(named);
             let epoch = seen.map_or(0, |tenure| tenure.epoch);
             Some(Role { name: role.clone(), epoch, owner, held: held.is_some() })
         };
         let voter = |(slot, voter): (usize, &MemberIdentity)| Voter {
             name: voter.name.clone(),
-            generation: node.electorate().view.generation(AcceptorSlot(slot as u8)),
+            generation: node.electorate().acceptors.generation(AcceptorSlot(slot as u8)),
             present: members.members().chain([me]).any(|peer| peer.name == voter.name),
         };
         let dropped = node.dropped();
@@ -211,7 +211,7 @@
             senseless: dropped.senseless + members.rejected_messages(),
             refused: dropped.orders,
             too_long: dropped.too_long,
-            unfit: node.electorate().unfit,
+            unfit: node.electorate().unfit_replies,
             configuration: None,
         }
     }
