--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! Agreement and leases between the gateways of a fleet, without input, output, clock or threads: bytes, the time and
-//! a seeded generator are passed in, what is to be sent or stored is handed out.
+//! Membership, agreement and leases between the gateways of a fleet, without I/O, clock or threads: bytes, the time and a
+//! seeded random number generator are passed in; what is to be sent or stored is handed out.
 //!
-//! - [`frame`] and [`membership`]: datagrams, and who is there (SWIM);
-//! - [`register`] and [`voter`]: a few registers, kept by a small, fixed number of voters; a change needs a majority
-//!   (compare-and-swap on ballots, one round of promises and one of acceptance, as in the published CASPaxos);
-//! - [`round`]: one change as its proposer drives it, and how a voter that has lost its file is let in again;
+//! - [`frame`]: the frame around each datagram; [`messages`]: what is in it;
+//! - [`membership`]: who is there (SWIM);
+//! - [`register`], [`acceptor`] and [`proposer`]: a few registers, kept by a small, fixed number of acceptors; a change
+//!   needs a majority of them (CASPaxos);
+//! - [`reconfiguration`]: how an acceptor that has lost its file is admitted again;
+//! - [`register_client`]: reads and changes of a register;
 //! - [`lease`]: a role in a register, held by one process at a time under an epoch that only rises;
-//! - [`record`]: a register that is no role's: looks that tell only what was chosen, and changes of it;
-//! - [`fencing`]: what a receiver of orders keeps, so that an owner that wakes up late does no harm;
+//! - [`fencing`]: how receivers reject the orders of a former lease holder;
 //! - [`node`]: all of these as one process of the fleet.
 
 pub mod acceptor;
--- /dev/null
+++ b/crates/fleet/src/node/acceptors.rs
@@ -0,0 +1,144 @@
+//! A process's talk with acceptors: requests to its own, replies of all, and help for those that lag or have lost their
+//! file.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use super::{AcceptorStorage, Node, NodeEvent};
+use crate::acceptor::{Acceptor, RequestOutcome};
+use crate::frame::MessageKind;
+use crate::messages::{AcceptorReply, AcceptorRequest, Operation};
+use crate::proposer::RoundEvent;
+use crate::reconfiguration::Reconfiguration;
+use crate::register::{AcceptorSlot, Key};
+
+/// A reconfiguration, and when its requests are sent next.
+pub(super) struct ActiveReconfiguration {
+    reconfiguration: Reconfiguration,
+    send_at: Duration,
+}
+
+impl ActiveReconfiguration {
+    pub(super) fn next_deadline(&self) -> Duration {
+        self.send_at
+    }
+}
+
+impl Node {
+    pub(super) fn handle_request(
+        &mut self,
+        from: SocketAddr,
+        request: AcceptorRequest,
+        storage: &mut impl AcceptorStorage,
+    ) {
+        let Some(acceptor) = &mut self.acceptor else {
+            self.drop_counts.malformed_messages += 1;
+            return;
+        };
+        let was_uninitialized = acceptor.is_uninitialized();
+        let reply = store_and_reply(acceptor, request, storage);
+        if was_uninitialized && !acceptor.is_uninitialized() {
+            self.events.push_back(NodeEvent::AcceptorAdmitted);
+        }
+        self.send_message(from, MessageKind::AcceptorReply, &reply);
+    }
+
+    pub(super) fn handle_reply(&mut self, now: Duration, reply: &AcceptorReply) {
+        let mut requests = Vec::new();
+        self.handle_reconfiguration_reply(reply, &mut requests);
+        for (role, lease) in &mut self.leases {
+            let event = lease.handle_reply(now, reply, &mut self.knowledge, &mut self.rng, &mut requests);
+            self.events.extend(event.map(|event| NodeEvent::Lease { role: role.clone(), event }));
+        }
+        for (key, client) in &mut self.registers {
+            let outcome = client.handle_reply(now, reply, &mut self.knowledge, &mut self.rng, &mut requests);
+            let event = outcome.map(|outcome| NodeEvent::Register { key: key.clone(), outcome });
+            self.events.extend(event);
+        }
+        self.send_requests(requests);
+    }
+
+    fn handle_reconfiguration_reply(
+        &mut self,
+        reply: &AcceptorReply,
+        requests: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
+    ) {
+        let Some(ActiveReconfiguration { reconfiguration, .. }) = &mut self.reconfiguration else { return };
+        if reconfiguration.nonce() != reply.nonce {
+            return;
+        }
+        let event = reconfiguration.handle_reply(reply);
+        let acceptors = reconfiguration.acceptors().clone();
+        self.knowledge.record_event(&RoundEvent::NewerAcceptorSet(acceptors));
+        self.knowledge.record_event(&event);
+        if reconfiguration.is_done() {
+            self.knowledge.forget_uninitialized(reply.slot);
+        }
+        if reconfiguration.is_done() || event != RoundEvent::None {
+            self.reconfiguration = None;
+            return;
+        }
+        // The acceptors that are asked next need not wait for the next time that requests are sent.
+        let pending = reconfiguration.pending_requests().into_iter();
+        requests.extend(pending.filter(|(slot, _)| *slot != reply.slot));
+    }
+
+    /// Whoever notices brings acceptors that lag up to the newest set, and admits one that has lost its file.
+    pub(super) fn help_acceptors(
+        &mut self,
+        now: Duration,
+        requests: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
+    ) {
+        for slot in std::mem::take(&mut self.knowledge.outdated) {
+            let (nonce, acceptors) = (self.knowledge.next_nonce(), self.knowledge.acceptors.clone());
+            let operation = Operation::Reconfigure { after: Key::new() };
+            requests.push((slot, AcceptorRequest { acceptors, nonce, operation }));
+        }
+        match &mut self.reconfiguration {
+            Some(active) if active.send_at <= now => {
+                active.send_at = now + self.settings.lease.resend_interval;
+                requests.extend(active.reconfiguration.pending_requests());
+            }
+            Some(_) => {}
+            None => self.start_reconfiguration(now),
+        }
+    }
+
+    fn start_reconfiguration(&mut self, now: Duration) {
+        let Some((slot, generation)) = self.knowledge.uninitialized.first().copied() else { return };
+        let known_generation = self.knowledge.acceptors.generation(slot);
+        if generation < known_generation {
+            // Another file has been admitted: the acceptor takes a higher generation when it learns of the set.
+            self.knowledge.uninitialized.remove(0);
+            return;
+        }
+        // If another process has begun to admit this very file, this one continues only if that does not finish.
+        let has_begun = generation == known_generation;
+        let delay = if has_begun { self.settings.lease.duration } else { Duration::ZERO };
+        let nonce = self.knowledge.next_nonce();
+        let reconfiguration = Reconfiguration::new(
+            slot,
+            generation,
+            &self.knowledge.acceptors,
+            nonce,
+            self.knowledge.acceptor_count,
+            self.knowledge.store_counts.clone(),
+        );
+        self.reconfiguration = Some(ActiveReconfiguration { reconfiguration, send_at: now + delay });
+    }
+}
+
+/// The acceptor's reply, once what it needs is stored.
+fn store_and_reply(
+    acceptor: &mut Acceptor,
+    request: AcceptorRequest,
+    storage: &mut impl AcceptorStorage,
+) -> AcceptorReply {
+    match acceptor.handle_request(request) {
+        RequestOutcome::Reply(reply) => reply,
+        RequestOutcome::Store(pending) => match storage.store(&pending.file_bytes()) {
+            true => pending.stored(),
+            false => pending.failed(),
+        },
+    }
+}
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -10,7 +10,7 @@
 use dunemount_fleet::lease::{LeaseRecord, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
 use dunemount_fleet::messages::*;
-use dunemount_fleet::node::{Disk, Event, Node, Settings};
+use dunemount_fleet::node::{AcceptorStorage, Node, NodeEvent, NodeSettings};
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::*;
 use serde::{de::DeserializeOwned, Serialize};
@@ -202,7 +202,7 @@
 /// A disk that forgets.
 struct Nowhere;
 
-impl Disk for Nowhere {
+impl AcceptorStorage for Nowhere {
     fn store(&mut self, _: &[u8]) -> bool {
         true
     }
@@ -220,20 +220,20 @@
 fn node(voter: Option<Acceptor>) -> Node {
     let voters: Vec<MemberIdentity> =
         (0..3).map(|index| MemberIdentity::with_address(&peer(index, 0).name, address(index))).collect();
-    let settings = Settings {
+    let settings = NodeSettings {
         fleet: FLEET.into(),
-        me: peer(1, 7),
+        local: peer(1, 7),
         seeds: voters.clone(),
-        voters,
-        size: 3,
+        acceptors: voters,
+        fleet_size: 3,
         roles: Vec::new(),
-        terms: LeaseSettings {
+        lease: LeaseSettings {
             duration: Duration::from_secs(3),
             max_clock_drift: 0.05,
             resend_interval: Duration::from_millis(150),
         },
-        pace: timeouts(),
-        seed: 1,
+        membership: timeouts(),
+        rng_seed: 1,
     };
     Node::new(settings, voter)
 }
@@ -245,13 +245,13 @@
         node(Some(Acceptor::from_file(AcceptorSlot(1), &fixture("voter-file-v1.bin")).expect("whole")));
     for name in ["read", "prepare", "accept"] {
         let call = fixture(&format!("datagram-call-{name}-v1.bin"));
-        node.hear(Duration::ZERO, address(2), &call, &mut Nowhere).expect("this fleet's");
+        node.handle_datagram(Duration::ZERO, address(2), &call, &mut Nowhere).expect("this fleet's");
         let answer = fixture(&format!("datagram-node-answers-{name}-v1.bin"));
-        assert_eq!(node.send(), Some((address(2), answer)), "{name}");
+        assert_eq!(node.next_datagram(), Some((address(2), answer)), "{name}");
     }
     let kept = fixture("datagram-order-v1.bin");
-    node.hear(Duration::ZERO, address(0), &kept, &mut Nowhere).expect("this fleet's");
-    assert_eq!(node.event(), Some(Event::Order(order(), true)));
+    node.handle_datagram(Duration::ZERO, address(0), &kept, &mut Nowhere).expect("this fleet's");
+    assert_eq!(node.next_event(), Some(NodeEvent::Order { order: order(), is_first_of_epoch: true }));
 }
 
 /// Guards membership between versions: how a process announces itself, and how one is told of a later start.
@@ -261,7 +261,7 @@
     // A process without a voter announces itself first of all.
     let mut announcing = node(None);
     announcing.tick(Duration::ZERO);
-    assert_eq!(announcing.send(), Some((address(0), announce.clone())));
+    assert_eq!(announcing.next_datagram(), Some((address(0), announce.clone())));
     let (kind, message) = frame::decode(frame::fleet_tag(FLEET), &announce).expect("this fleet's");
     assert_eq!(kind, MessageKind::Membership);
     let mut seed = Membership::new(peer(0, 3), Vec::new(), 3, timeouts(), 2);
@@ -281,6 +281,6 @@
     let (_, message) = frame::decode(frame::fleet_tag(FLEET), &later).expect("this fleet's");
     let namesake: MemberIdentity = postcard::from_bytes(&message[1..]).expect("a peer");
     assert_eq!((message[0], namesake), (1, MemberIdentity { incarnation: 4, ..peer(1, 8) }));
-    announcing.hear(Duration::ZERO, address(1), &later, &mut Nowhere).expect("this fleet's");
-    assert_eq!(announcing.event(), Some(Event::Member(MembershipChange::Superseded)));
+    announcing.handle_datagram(Duration::ZERO, address(1), &later, &mut Nowhere).expect("this fleet's");
+    assert_eq!(announcing.next_event(), Some(NodeEvent::Membership(MembershipChange::Superseded)));
 }
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -11,7 +11,7 @@
 use dunemount_fleet::lease::{LeaseEvent, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::messages::{AcceptorRequest, Operation};
-use dunemount_fleet::node::{Disk, Event, Node, Settings};
+use dunemount_fleet::node::{AcceptorStorage, Node, NodeEvent, NodeSettings};
 use dunemount_fleet::register::{AcceptorSlot, Ballot, Key};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct File(Option<Vec<u8>>);
 
-impl Disk for File {
+impl AcceptorStorage for File {
     fn store(&mut self, file: &[u8]) -> bool {
         self.0 = Some(file.to_vec());
         true
@@ -96,25 +96,25 @@
         let voters: Vec<MemberIdentity> = (0..self.voters)
             .map(|slot| MemberIdentity::with_address(&peer(slot, 0).name, peer(slot, 0).address))
             .collect();
-        let settings = Settings {
+        let settings = NodeSettings {
             fleet: "test".into(),
-            me: peer(index, self.starts),
+            local: peer(index, self.starts),
             seeds: voters.clone(),
-            voters,
-            size: self.nodes.len() as u32,
+            acceptors: voters,
+            fleet_size: self.nodes.len() as u32,
             roles: (0..self.roles).map(|role| format!("survey/{role}")).collect(),
-            terms: LeaseSettings {
+            lease: LeaseSettings {
                 duration: LEASE,
                 max_clock_drift: 0.05,
                 resend_interval: Duration::from_millis(150),
             },
-            pace: MembershipTimeouts {
+            membership: MembershipTimeouts {
                 probe_interval: Duration::from_millis(500),
                 probe_timeout: Duration::from_millis(150),
                 suspicion_timeout: Duration::from_millis(1_500),
                 down_retention: Duration::from_secs(60),
             },
-            seed: self.dice.next_u64(),
+            rng_seed: self.dice.next_u64(),
         };
         let slot = AcceptorSlot(index as u8);
         let voter = (index < self.voters).then(|| match &self.files[index].0 {
@@ -138,7 +138,8 @@
                     // It waits in the socket's buffer.
                     self.post(from, to, datagram, Duration::from_millis(50));
                 } else if let Some(node) = &mut self.nodes[index] {
-                    node.hear(self.now, from, &datagram, &mut self.files[index]).expect("this fleet's");
+                    node.handle_datagram(self.now, from, &datagram, &mut self.files[index])
+                        .expect("this fleet's");
                 }
                 self.carry(index);
             }
@@ -147,7 +148,7 @@
                     continue;
                 }
                 if let Some(node) = &mut self.nodes[index] {
-                    if node.due() <= self.now {
+                    if node.next_deadline() <= self.now {
                         node.tick(self.now);
                     }
                 }
@@ -162,7 +163,7 @@
     }
 
     fn carry(&mut self, index: usize) {
-        while let Some((to, datagram)) = self.nodes[index].as_mut().and_then(Node::send) {
+        while let Some((to, datagram)) = self.nodes[index].as_mut().and_then(Node::next_datagram) {
             let sent = format!("{} {:?} {index} {to} {datagram:?}", self.digest, self.now);
             self.digest = frame::fleet_tag(&sent);
             if let Ok((MessageKind::AcceptorRequest, message)) =
@@ -180,15 +181,15 @@
             let delay = Duration::from_micros(200 + u64::from(self.dice.next_u32() % 5_000));
             self.post(peer(index, 0).address, to, datagram, delay);
         }
-        while let Some(event) = self.nodes[index].as_mut().and_then(Node::event) {
+        while let Some(event) = self.nodes[index].as_mut().and_then(Node::next_event) {
             match event {
-                Event::Role(role, LeaseEvent::Acquired { epoch }) => {
+                NodeEvent::Lease { role, event: LeaseEvent::Acquired { epoch } } => {
                     self.owners.entry((role, epoch)).or_default().insert(index);
                 }
-                Event::Order(order, _) => self.obeyed.push((index, order.role, order.epoch)),
-                Event::Refused(..) => self.refused += 1,
-                Event::VoterIn => self.let_in += 1,
-                Event::Role(..) | Event::Member(_) | Event::Record(..) => {}
+                NodeEvent::Order { order, .. } => self.obeyed.push((index, order.role, order.epoch)),
+                NodeEvent::OrderRejected { .. } => self.refused += 1,
+                NodeEvent::AcceptorAdmitted => self.let_in += 1,
+                NodeEvent::Lease { .. } | NodeEvent::Membership(_) | NodeEvent::Register { .. } => {}
             }
         }
     }
@@ -197,7 +198,7 @@
     fn owners_of(&self, role: &str) -> Vec<usize> {
         let owns = |index: &usize| {
             let node = self.nodes[*index].as_ref();
-            node.is_some_and(|node| node.roles(self.now).any(|(held, _)| held == role))
+            node.is_some_and(|node| node.held_roles(self.now).any(|(held, _)| held == role))
         };
         (0..self.nodes.len()).filter(owns).collect()
     }
@@ -270,20 +271,20 @@
         // It decides to order and is stopped before the datagram leaves.
         let now = fleet.now;
         let node = fleet.nodes[old].as_mut().expect("there");
-        assert!(node.order(now, role, address, b"late".to_vec()));
-        let late: Vec<_> = std::iter::from_fn(|| node.send()).collect();
+        assert!(node.send_order(now, role, address, b"late".to_vec()));
+        let late: Vec<_> = std::iter::from_fn(|| node.next_datagram()).collect();
         fleet.stopped.insert(old);
         fleet.run(LEASE * 3);
         let new = fleet.owners_of(role);
         assert_eq!(new.len(), 1, "seed {seed}: somebody else has it");
         assert_ne!(new[0], old);
         let now = fleet.now;
-        assert!(fleet.nodes[new[0]].as_mut().expect("there").order(now, role, address, b"new".to_vec()));
+        assert!(fleet.nodes[new[0]].as_mut().expect("there").send_order(now, role, address, b"new".to_vec()));
         fleet.carry(new[0]);
         fleet.run(STEP * 10);
         let obeyed = fleet.obeyed.len();
         fleet.stopped.remove(&old);
-        assert!(!fleet.nodes[old].as_mut().expect("there").order(now, role, address, b"again".to_vec()));
+        assert!(!fleet.nodes[old].as_mut().expect("there").send_order(now, role, address, b"again".to_vec()));
         for (to, datagram) in late {
             fleet.post(peer(old, 0).address, to, datagram, STEP);
         }
@@ -417,8 +418,8 @@
             let (index, now) = (fleet.dice.next_u32() as usize % 7, fleet.now);
             let key = format!("config/{}", round % 3);
             match (round % 6, &mut fleet.nodes[index]) {
-                (0, Some(node)) => node.look(now, &key),
-                (1 | 4, Some(node)) => node.change(now, &key),
+                (0, Some(node)) => node.read_register(now, &key),
+                (1 | 4, Some(node)) => node.begin_change(now, &key),
                 (2, _) => {
                     fleet.nodes[index] = None;
                     fleet.files[index] = File::default();
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -11,7 +11,7 @@
 use dunemount_fleet::lease::LeaseSettings;
 use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
 use dunemount_fleet::messages::*;
-use dunemount_fleet::node::{Disk, Event, Node, Settings, MOST_RECORDS};
+use dunemount_fleet::node::{AcceptorStorage, Node, NodeEvent, NodeSettings, MAX_REGISTER_CLIENTS};
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::proposer::{ProposerRound, RoundEvent, StoreCounts};
 use dunemount_fleet::register::*;
@@ -430,7 +430,7 @@
 /// A disk that forgets.
 struct Nowhere;
 
-impl Disk for Nowhere {
+impl AcceptorStorage for Nowhere {
     fn store(&mut self, _: &[u8]) -> bool {
         true
     }
@@ -444,21 +444,21 @@
     let voters: Vec<MemberIdentity> =
         (0..3).map(|index| MemberIdentity::with_address(&format!("gw-{index}"), address(index))).collect();
     let node = |index: usize| {
-        let settings = Settings {
+        let settings = NodeSettings {
             fleet: "test".into(),
-            me: MemberIdentity { start: 1, ..voters[index].clone() },
+            local: MemberIdentity { start: 1, ..voters[index].clone() },
             seeds: voters.clone(),
-            voters: voters.clone(),
-            size: 3,
+            acceptors: voters.clone(),
+            fleet_size: 3,
             roles: vec!["survey/1".to_string()],
-            terms: TERMS,
-            pace: MembershipTimeouts {
+            lease: TERMS,
+            membership: MembershipTimeouts {
                 probe_interval: Duration::from_millis(500),
                 probe_timeout: Duration::from_millis(150),
                 suspicion_timeout: Duration::from_millis(1_500),
                 down_retention: Duration::from_secs(60),
             },
-            seed: index as u64 + 1,
+            rng_seed: index as u64 + 1,
         };
         Node::new(settings, Some(Acceptor::founding(AcceptorSlot(index as u8))))
     };
@@ -471,15 +471,17 @@
     while *now < until {
         *now += STEP;
         for index in 0..nodes.len() {
-            if nodes[index].due() <= *now {
+            if nodes[index].next_deadline() <= *now {
                 nodes[index].tick(*now);
             }
-            while let Some((to, datagram)) = nodes[index].send() {
+            while let Some((to, datagram)) = nodes[index].next_datagram() {
                 let Some(to) = (0..nodes.len()).find(|other| address(*other) == to) else { continue };
-                nodes[to].hear(*now, address(index), &datagram, &mut Nowhere).expect("this fleet's");
+                nodes[to]
+                    .handle_datagram(*now, address(index), &datagram, &mut Nowhere)
+                    .expect("this fleet's");
             }
-            while let Some(event) = nodes[index].event() {
-                if let Event::Record(key, outcome) = event {
+            while let Some(event) = nodes[index].next_event() {
+                if let NodeEvent::Register { key, outcome } = event {
                     told.push((index, key, outcome));
                 }
             }
@@ -494,21 +496,21 @@
     let (mut nodes, mut now) = (nodes(), Duration::ZERO);
     carry(&mut nodes, &mut now, Duration::from_secs(5));
     let second = Duration::from_secs(1);
-    nodes[0].look(now, KEY);
+    nodes[0].read_register(now, KEY);
     let told = carry(&mut nodes, &mut now, second);
     assert!(
         matches!(&told[..], [(0, key, RegisterOutcome::Read { value: None, .. })] if key == KEY),
         "{told:?}"
     );
-    nodes[0].look(now, KEY);
-    nodes[0].change(now, KEY);
+    nodes[0].read_register(now, KEY);
+    nodes[0].begin_change(now, KEY);
     let told = carry(&mut nodes, &mut now, second / 10);
     assert!(matches!(&told[..], [(0, _, RegisterOutcome::Prepared(None))]), "the look is given up: {told:?}");
     nodes[0].propose(now, KEY, Some(b"one".to_vec()));
     let told = carry(&mut nodes, &mut now, second);
     assert_eq!(told, [(0, KEY.to_string(), RegisterOutcome::Chosen(b"one".to_vec()))]);
     let began = now;
-    nodes[2].look(now, KEY);
+    nodes[2].read_register(now, KEY);
     let told = carry(&mut nodes, &mut now, second);
     assert_eq!(
         told,
@@ -516,32 +518,32 @@
     );
 
     // Withdrawn: nothing is told, and others go on.
-    nodes[1].change(now, KEY);
+    nodes[1].begin_change(now, KEY);
     carry(&mut nodes, &mut now, second / 10);
     nodes[1].propose(now, KEY, None);
     assert_eq!(carry(&mut nodes, &mut now, second), []);
-    nodes[0].look(now, KEY);
+    nodes[0].read_register(now, KEY);
     assert_eq!(carry(&mut nodes, &mut now, second).len(), 1);
 
     let not_begun = RegisterOutcome::Failed { proposed: false, no_majority: false };
-    nodes[1].change(now, KEY);
+    nodes[1].begin_change(now, KEY);
     carry(&mut nodes, &mut now, second / 10);
     nodes[1].propose(now, KEY, Some(vec![0; MAX_VALUE_BYTES + 1]));
     assert_eq!(carry(&mut nodes, &mut now, second), [(1, KEY.to_string(), not_begun.clone())], "too long");
-    nodes[1].look(now, "survey/1");
+    nodes[1].read_register(now, "survey/1");
     let told = carry(&mut nodes, &mut now, second);
     assert_eq!(
         told,
         [(1, "survey/1".to_string(), not_begun.clone())],
         "a role's register is its seat's alone"
     );
-    for register in 1..=MOST_RECORDS {
-        nodes[1].look(now, &format!("other/{register}"));
+    for register in 1..=MAX_REGISTER_CLIENTS {
+        nodes[1].read_register(now, &format!("other/{register}"));
         let told = carry(&mut nodes, &mut now, second);
-        assert_eq!(told[0].2 == not_begun, register == MOST_RECORDS, "bounded: {told:?}");
+        assert_eq!(told[0].2 == not_begun, register == MAX_REGISTER_CLIENTS, "bounded: {told:?}");
     }
     nodes[0].leave(now);
-    nodes[0].look(now, KEY);
+    nodes[0].read_register(now, KEY);
     let told = carry(&mut nodes, &mut now, second);
     assert_eq!(told, [(0, KEY.to_string(), not_begun)], "whoever leaves begins none");
 }
--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -8,7 +8,7 @@
 use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::LeaseRecord;
 use dunemount_fleet::messages::{AcceptorReply, AcceptorRequest, Operation};
-use dunemount_fleet::node::Disk;
+use dunemount_fleet::node::AcceptorStorage;
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::{AcceptorSet, AcceptorSlot, Ballot};
 use serde::Serialize;
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/hollow.rs
@@ -26,7 +26,7 @@
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::membership::MembershipChange;
-use dunemount_fleet::node::Event as Told;
+use dunemount_fleet::node::NodeEvent;
 use dunemount_rollout::follower::{self, Follower};
 use dunemount_rollout::version::Document;
 use polling::{Event, PollMode, Poller};
@@ -339,7 +339,7 @@
                 }
                 let Ready { heard, answered, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
-                if heard || gateway.carrier.node.due() <= now {
+                if heard || gateway.carrier.node.next_deadline() <= now {
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
@@ -374,7 +374,7 @@
                 Some(following) => following.carrier.due(),
                 None => Duration::MAX,
             };
-            gateway.carrier.node.due().min(list).min(control)
+            gateway.carrier.node.next_deadline().min(list).min(control)
         });
         due.min().unwrap_or(Duration::MAX)
     }
@@ -628,14 +628,14 @@
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
         carrier.turn(now, Counted { socket, counts, common, region: *region });
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             match event {
-                Told::Member(MembershipChange::Up(peer)) => {
+                NodeEvent::Membership(MembershipChange::Up(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.came(other, peer.start);
                     }
                 }
-                Told::Member(MembershipChange::Down(peer)) => {
+                NodeEvent::Membership(MembershipChange::Down(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.went(other, Some(peer.start));
                     }
--- a/src/fleet/carrier.rs
+++ b/src/fleet/carrier.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dunemount_fleet::frame;
-use dunemount_fleet::node::{Disk, Node, Settings};
+use dunemount_fleet::node::{AcceptorStorage, Node, NodeSettings};
 use dunemount_fleet::register::AcceptorSlot;
 use slog::{info, warn, Logger};
 
@@ -41,7 +41,7 @@
 /// For a node that is no voter: it never stores.
 struct NoDisk;
 
-impl Disk for NoDisk {
+impl AcceptorStorage for NoDisk {
     fn store(&mut self, _: &[u8]) -> bool {
         false
     }
@@ -73,8 +73,8 @@
 
 impl Carrier {
     /// A node by its settings; a voter with its place and its file, which is read now, or as soon as it can be.
-    pub fn new(settings: Settings, voter: Option<(usize, VoterFile)>, log: Logger) -> Carrier {
-        let salt = settings.seed as u32;
+    pub fn new(settings: NodeSettings, voter: Option<(usize, VoterFile)>, log: Logger) -> Carrier {
+        let salt = settings.rng_seed as u32;
         let (slot, file) = voter.unzip();
         let unread = slot.map(|slot| Unread {
             slot: AcceptorSlot(slot as u8),
@@ -97,7 +97,7 @@
     /// When something is to be done that the node does not know of.
     pub fn due(&self) -> Duration {
         let again = self.unread.as_ref().map_or(Duration::MAX, |unread| unread.again);
-        self.node.due().min(again)
+        self.node.next_deadline().min(again)
     }
 
     /// Reads the voter's file. One that cannot be read at this moment may hold promises: until it can be there is no
@@ -114,7 +114,7 @@
                 } else if !unread.why.is_empty() {
                     info!(self.log, "fleet: the voter's file is read");
                 }
-                self.node.set_voter(voter);
+                self.node.set_acceptor(voter);
                 self.unread = None;
             }
             Err(e) => {
@@ -136,7 +136,7 @@
 
     /// Sends what is to be sent.
     pub fn send(&mut self, mut wire: impl Wire) {
-        while let Some((to, datagram)) = self.node.send() {
+        while let Some((to, datagram)) = self.node.next_datagram() {
             wire.send(&datagram, to);
         }
     }
@@ -151,8 +151,8 @@
                 Err(_) => continue,
             };
             let heard = match &mut self.file {
-                Some(file) => self.node.hear(now, from, &bytes[..count], file),
-                None => self.node.hear(now, from, &bytes[..count], &mut NoDisk),
+                Some(file) => self.node.handle_datagram(now, from, &bytes[..count], file),
+                None => self.node.handle_datagram(now, from, &bytes[..count], &mut NoDisk),
             };
             if let Err(bad) = heard {
                 let count = self.refused.entry(bad).or_default();
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -12,7 +12,7 @@
 use dunemount_fleet::fencing::FencingError;
 use dunemount_fleet::lease::{LeaseEvent, LeaseLoss, LeaseSettings};
 use dunemount_fleet::membership::{MemberIdentity, MembershipChange, MembershipTimeouts};
-use dunemount_fleet::node::{Event, Settings};
+use dunemount_fleet::node::{NodeEvent, NodeSettings};
 use polling::{Event as Poll, PollMode, Poller};
 use slog::{error, info, warn, Logger};
 
@@ -66,7 +66,10 @@
 ///
 /// # Errors
 /// A voter without a file, in words for the operator.
-pub fn settings(options: &FleetOptions, start: Start) -> Result<Option<(Settings, Option<usize>)>, String> {
+pub fn settings(
+    options: &FleetOptions,
+    start: Start,
+) -> Result<Option<(NodeSettings, Option<usize>)>, String> {
     let (Some(fleet), Some(listen)) = (options.name.clone(), options.listen) else { return Ok(None) };
     let peer = |place: &Place| MemberIdentity::with_address(&place.name, place.address);
     let slot = options.voter(&start.name)?.map(|(slot, _)| slot);
@@ -76,21 +79,21 @@
     let seeds =
         if options.seeds.is_empty() { voters.clone() } else { options.seeds.iter().map(peer).collect() };
     let (lease, probe) = (Duration::from_millis(options.lease_ms), Duration::from_millis(options.probe_ms));
-    let settings = Settings {
+    let settings = NodeSettings {
         fleet,
-        me: MemberIdentity { name: start.name, start: start.start, incarnation: 0, address },
-        voters,
+        local: MemberIdentity { name: start.name, start: start.start, incarnation: 0, address },
+        acceptors: voters,
         seeds,
-        size: options.size,
+        fleet_size: options.size,
         roles: start.roles,
-        terms: LeaseSettings { duration: lease, max_clock_drift: DRIFT, resend_interval: lease / 20 },
-        pace: MembershipTimeouts {
+        lease: LeaseSettings { duration: lease, max_clock_drift: DRIFT, resend_interval: lease / 20 },
+        membership: MembershipTimeouts {
             probe_interval: probe,
             probe_timeout: probe / 3,
             suspicion_timeout: probe * 3,
             down_retention: probe * 120,
         },
-        seed: start.seed,
+        rng_seed: start.seed,
     };
     Ok(Some((settings, slot)))
 }
@@ -205,7 +208,7 @@
     }
 
     fn tell(&mut self) {
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             log_event(&self.log, event);
         }
     }
@@ -229,31 +232,31 @@
 }
 
 /// Tells operators of an event. What became of a register is told by whoever asked for it.
-pub(super) fn log_event(log: &Logger, event: Event) {
+pub(super) fn log_event(log: &Logger, event: NodeEvent) {
     match event {
-        Event::Member(MembershipChange::Up(peer)) => {
+        NodeEvent::Membership(MembershipChange::Up(peer)) => {
             info!(log, "fleet: member came"; "member" => &peer.name, "address" => %peer.address);
         }
-        Event::Member(MembershipChange::Down(peer)) => {
+        NodeEvent::Membership(MembershipChange::Down(peer)) => {
             info!(log, "fleet: member went"; "member" => &peer.name, "address" => %peer.address);
         }
-        Event::Member(MembershipChange::Superseded) => {
+        NodeEvent::Membership(MembershipChange::Superseded) => {
             warn!(log, "fleet: a process with this name has started later, this one is no member any more");
         }
-        Event::Role(role, LeaseEvent::Acquired { epoch }) => {
+        NodeEvent::Lease { role, event: LeaseEvent::Acquired { epoch } } => {
             info!(log, "fleet: role taken"; "epoch" => epoch, "role" => role);
         }
-        Event::Role(role, LeaseEvent::Lost { epoch, reason }) => {
+        NodeEvent::Lease { role, event: LeaseEvent::Lost { epoch, reason } } => {
             info!(log, "fleet: role ended"; "why" => loss_reason(reason), "epoch" => epoch, "role" => role);
         }
-        Event::Order(order, first) => {
-            info!(log, "fleet: order"; "first" => first, "epoch" => order.epoch, "role" => order.role);
+        NodeEvent::Order { order, is_first_of_epoch } => {
+            info!(log, "fleet: order"; "first" => is_first_of_epoch, "epoch" => order.epoch, "role" => order.role);
         }
-        Event::Refused(order, why) => {
-            let why = fencing_reason(why);
+        NodeEvent::OrderRejected { order, error } => {
+            let why = fencing_reason(error);
             warn!(log, "fleet: order refused"; "why" => why, "epoch" => order.epoch, "role" => order.role);
         }
-        Event::VoterIn => info!(log, "fleet: the voter is let in"),
-        Event::Record(..) => {}
+        NodeEvent::AcceptorAdmitted => info!(log, "fleet: the voter is let in"),
+        NodeEvent::Register { .. } => {}
     }
 }
--- a/src/fleet/file.rs
+++ b/src/fleet/file.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use dunemount_fleet::acceptor::Acceptor;
-use dunemount_fleet::node::Disk;
+use dunemount_fleet::node::AcceptorStorage;
 use dunemount_fleet::register::AcceptorSlot;
 
 /// A file that has arrived on the disk beside the one whose place it is to take.
@@ -103,7 +103,7 @@
     }
 }
 
-impl Disk for VoterFile {
+impl AcceptorStorage for VoterFile {
     fn store(&mut self, bytes: &[u8]) -> bool {
         self.failed = put(&self.path, bytes).err().map(|e| e.to_string());
         self.failed.is_none()
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dunemount_fleet::node::{Event, Node};
+use dunemount_fleet::node::{Node, NodeEvent};
 use dunemount_fleet::register_client::RegisterOutcome;
 use dunemount_rollout::control::{self, Control, Keeping, Out, Settings, Told, REGISTER};
 use dunemount_rollout::follower::{Machine, Pace};
@@ -258,8 +258,8 @@
                 },
                 Out::Send(link, bytes) => self.connections.send(link, bytes),
                 Out::Close(link) => self.connections.finish(link),
-                Out::Look => node.look(now, REGISTER),
-                Out::Change => node.change(now, REGISTER),
+                Out::Look => node.read_register(now, REGISTER),
+                Out::Change => node.begin_change(now, REGISTER),
                 Out::Propose(value) => node.propose(now, REGISTER, Some(value)),
                 Out::Withdraw => node.propose(now, REGISTER, None),
                 Out::Note(text) => info!(self.log, "{}", text),
@@ -269,14 +269,14 @@
             done = true;
             self.control.closed(now, link);
         }
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             done = true;
             match event {
-                Event::Record(key, outcome) if key == REGISTER => {
+                NodeEvent::Register { key, outcome } if key == REGISTER => {
                     self.control.told(now, told(outcome), &mut self.desk);
                 }
                 event => {
-                    if matches!(event, Event::Member(_)) {
+                    if matches!(event, NodeEvent::Membership(_)) {
                         self.control.members(members(&self.carrier.node));
                     }
                     driver::log_event(&self.log, event);
@@ -298,6 +298,6 @@
 
 /// The members that the node knows, itself among them.
 fn members(node: &Node) -> Vec<String> {
-    let members = node.members();
+    let members = node.membership();
     members.members().chain([members.local()]).map(|peer| peer.name.clone()).collect()
 }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -180,13 +180,13 @@
             address: peer.address.to_string(),
             start: peer.start,
         };
-        let (members, me) = (node.members(), node.members().local());
+        let (members, me) = (node.membership(), node.membership().local());
         let named = |id: NodeId| {
             let mut all = members.members().chain([me]);
             all.find(|peer| peer.node_id() == id).map(|peer| peer.name.clone())
         };
         let seat = |role: &String| {
-            let seat = node.seat(role)?;
+            let seat = node.lease(role)?;
             let (seen, held) = (seat.last_seen(), seat.valid_epoch(now));
             let owner = seen.and_then(|tenure| tenure.holder).and_then(named);
             let epoch = seen.map_or(0, |tenure| tenure.epoch);
@@ -194,24 +194,24 @@
         };
         let voter = |(slot, voter): (usize, &MemberIdentity)| Voter {
             name: voter.name.clone(),
-            generation: node.electorate().acceptors.generation(AcceptorSlot(slot as u8)),
+            generation: node.acceptor_knowledge().acceptors.generation(AcceptorSlot(slot as u8)),
             present: members.members().chain([me]).any(|peer| peer.name == voter.name),
         };
-        let dropped = node.dropped();
+        let dropped = node.drop_counts();
         Status {
             fleet: settings.fleet.clone(),
             me: member(me),
             members: members.members().map(member).collect(),
-            voters: settings.voters.iter().enumerate().map(voter).collect(),
-            voting: node.voter().map(|voter| !voter.is_uninitialized()),
-            registers: node.voter().map_or(0, |voter| voter.register_count()),
+            voters: settings.acceptors.iter().enumerate().map(voter).collect(),
+            voting: node.acceptor().map(|voter| !voter.is_uninitialized()),
+            registers: node.acceptor().map_or(0, |voter| voter.register_count()),
             unstored: None,
             roles: settings.roles.iter().filter_map(seat).collect(),
-            foreign: dropped.foreign,
-            senseless: dropped.senseless + members.rejected_messages(),
-            refused: dropped.orders,
-            too_long: dropped.too_long,
-            unfit: node.electorate().unfit_replies,
+            foreign: dropped.foreign_datagrams,
+            senseless: dropped.malformed_messages + members.rejected_messages(),
+            refused: dropped.rejected_orders,
+            too_long: dropped.oversized_messages,
+            unfit: node.acceptor_knowledge().unfit_replies,
             configuration: None,
         }
     }
