--- a/crates/loadtest/src/scale/run/versions.rs
+++ b/crates/loadtest/src/scale/run/versions.rs
@@ -105,7 +105,7 @@
                 None => run.start_control_server(index)?,
             }
             // They come back within a draw over this time.
-            let settle = run.plan.settle + run.plan.pace.home;
+            let settle = run.plan.settle + run.plan.timeouts.return_window;
             let found = run.wait_for_followers(began, &zone, settle, |server| server == index)?;
             let arrivals = Some(run.followed.most_in_a_second(index));
             Ok(PhaseResult { acted: Some(found), arrivals, ..PhaseResult::default() })
