--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -25,7 +25,7 @@
 use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
 use crate::fleet::file::{put, VoterFile};
-use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
+use crate::options::{Options, MOST_MACHINES};
 use crate::shortage::{is_shortage, may_pass, retry, START_PATIENCE};
 
 /// Between two looks at the register. One has time to fail and another to do well before the knowledge is stale.
@@ -34,7 +34,7 @@
 /// How long an operator waits for a version's acceptance at most.
 pub(super) const ACCEPT: Duration = Duration::from_secs(5);
 /// Most connections: all that the control machine's part lets in, and its own to the others.
-const MOST: usize = MAX_GATEWAYS + 64 + MAX_CONTROL_SERVERS;
+const MOST: usize = MAX_GATEWAYS + 64 + MOST_MACHINES;
 /// Most connections taken in one turn.
 const ACCEPTS: usize = 64;
 /// So long nobody is let in once the system has refused a descriptor.
@@ -67,8 +67,8 @@
 
 impl DocumentStore for Desk {
     fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument> {
-        version::validate(document, previous.map(|previous| &previous.bytes()[..]))
-            .map_err(|error| InvalidDocument(error.error.to_string()))
+        version::check(document, previous.map(|previous| &previous.bytes()[..]))
+            .map_err(|fault| InvalidDocument(fault.what))
     }
 
     fn store(&mut self, state: &PersistentState) -> bool {
@@ -99,19 +99,18 @@
 ///
 /// # Errors
 /// Settings that lack something, and what the system does not give, in words for the operator.
-pub fn run(options: &LocalSettings, start: Start, log: &Logger) -> Result<(), String> {
+pub fn run(options: &Options, start: Start, log: &Logger) -> Result<(), String> {
     let machines: Vec<ControlServerInfo> =
         options.control.machines.iter().map(|(machine, _)| machine.clone()).collect();
     let place = machines.iter().position(|machine| machine.name == start.name);
     let place = place.ok_or(format!("{} is none of [control] machines", start.name))?;
     let own =
         driver::Start { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
-    let node = driver::settings(&options.fleet, own).map_err(|error| error.to_string())?;
+    let node = driver::settings(&options.fleet, own)?;
     let (Some((node, slot)), Some(hear)) = (node, options.fleet.listen) else {
         return Err("[fleet] name: missing".into());
     };
-    let voter = options.fleet.voter(&start.name).map_err(|error| error.to_string())?;
-    let voter = voter.map(|(_, path)| VoterFile::at(path));
+    let voter = options.fleet.voter(&start.name)?.map(|(_, path)| VoterFile::at(path));
     let keeping = kept(&start.file, log)?;
     let settings = Settings {
         fleet: node.fleet.clone(),
@@ -293,9 +292,7 @@
 
 fn told(outcome: RegisterOutcome) -> RegisterEvent {
     match outcome {
-        RegisterOutcome::Read { value, started_at: began } => {
-            RegisterEvent::Read { value, started_at: began }
-        }
+        RegisterOutcome::Read { value, started_at } => RegisterEvent::Read { value, started_at },
         RegisterOutcome::Prepared(value) => RegisterEvent::Promised(value),
         RegisterOutcome::Chosen(value) => RegisterEvent::Chosen(value),
         RegisterOutcome::Failed { proposed, no_majority } => RegisterEvent::Failed { proposed, no_majority },
