--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -18,7 +18,8 @@
 use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
 use dunemount::fleet::file::{self, VoterFile};
-use dunemount::fleet::rollout::{self, links};
+use dunemount::fleet::rollout::follower_driver::FollowerDriver;
+use dunemount::fleet::rollout::gateway;
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
 use dunemount::options::FleetOptions;
@@ -260,7 +261,7 @@
 
 /// The part of a gateway that follows the control servers.
 struct Following {
-    carrier: links::Carrier,
+    carrier: FollowerDriver,
     /// Where the version in force is kept.
     kept: PathBuf,
     in_force: Option<Document>,
@@ -347,7 +348,7 @@
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
-                if following.is_some_and(|it| !control.is_empty() || it.carrier.due() <= now) {
+                if following.is_some_and(|it| !control.is_empty() || it.carrier.next_turn() <= now) {
                     gateway.follow(index, now, &control, reports);
                 }
                 // Who is left out is found ready, or due, in the next pass.
@@ -376,7 +377,7 @@
             let list = here + Duration::from_micros((gateway.listing.due() - now).0);
             let control = match &gateway.following {
                 Some(_) if gateway.is_offered() => Duration::ZERO,
-                Some(following) => following.carrier.due(),
+                Some(following) => following.carrier.next_turn(),
                 None => Duration::MAX,
             };
             gateway.carrier.node.due().min(list).min(control)
@@ -460,7 +461,7 @@
             let number = before.as_ref().map(Document::version);
             let follower = Follower::new(settings, number, self.began.elapsed());
             let (machines, key) = (self.common.machines.addresses(), datagrams(index) + CONTROL);
-            let carrier = links::Carrier::new(follower, machines, self.poller.clone(), key);
+            let carrier = FollowerDriver::new(follower, machines, self.poller.clone(), key);
             Some(Following { carrier, kept, in_force: before, offered: None, heard: None })
         };
         Ok(Gateway { region, carrier, socket, listing, following, progress, counts, frozen: false })
@@ -501,7 +502,7 @@
     /// Takes the version that was kept before its start.
     fn restore(&mut self, kept: &Path, common: &Common) -> Result<Option<Document>, String> {
         let place = kept.display().to_string();
-        let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
+        let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
             text.and_then(|text| self.take(text)).map_err(|fault| fault.of(&place))?;
@@ -624,7 +625,7 @@
             poller.modify_with_mode(&out.socket, answered(out.key), PollMode::Level)?;
         }
         match &mut self.following {
-            Some(following) => following.carrier.hold(frozen),
+            Some(following) => following.carrier.set_paused(frozen),
             None => Ok(()),
         }
     }
@@ -688,7 +689,7 @@
                 at: Instant::now(),
             });
         }
-        carrier.taken(began.elapsed(), version, taken.map_err(ApplyError));
+        carrier.handle_applied(began.elapsed(), version, taken.map_err(ApplyError));
         self.counts.control_cpu += thread_cpu() - before;
     }
 
--- a/src/fleet/rollout/connections.rs
+++ b/src/fleet/rollout/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of one thread, without waiting: what is to be sent is bounded, and so is what one turn reads.
+//! Non-blocking connections of one thread. What waits to be sent is bounded, and so is what is read in one turn.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -13,145 +13,145 @@
 
 use crate::net::dial;
 
-/// Most bytes that wait to be sent on one connection: a whole status, and two documents. Whoever reads no faster is let go,
-/// and comes back for the newest alone.
-const UNSENT: usize = MAX_FRAME_BYTES + 2 * MAX_DOCUMENT_BYTES;
-/// Bytes taken in one read, and most reads of a connection in one turn.
-const READ: usize = 64 * 1024;
-const READS: usize = 4;
+/// Most bytes that wait to be sent on one connection: the longest frame, and two documents. A receiver that is slower is
+/// disconnected, and reconnects for the newest version only.
+const MAX_UNSENT_BYTES: usize = MAX_FRAME_BYTES + 2 * MAX_DOCUMENT_BYTES;
+/// Bytes that one read takes at most.
+const READ_BYTES: usize = 64 * 1024;
+/// Most reads of a connection in one turn.
+const MAX_READS: usize = 4;
 
-/// What has happened to a connection; its end is told by [`Connections::lost`].
-pub(super) enum Heard<'a> {
-    /// It is up.
-    Opened,
-    /// Bytes have come.
-    Bytes(&'a [u8]),
+/// What has happened to a connection. Its end is reported by [`Connections::next_lost`].
+pub(super) enum ConnectionEvent<'a> {
+    Established,
+    Received(&'a [u8]),
 }
 
 struct Connection {
-    link: ConnectionId,
+    id: ConnectionId,
     socket: TcpStream,
-    /// It is not known yet whether it comes up.
-    connecting: bool,
-    /// Closed once all is sent; nothing is read any more.
-    finishing: bool,
+    is_connecting: bool,
+    /// It is closed once all is sent, and nothing more is read.
+    is_closing: bool,
     unsent: VecDeque<Arc<[u8]>>,
-    /// Bytes of the first one that are sent.
-    gone: usize,
-    /// Bytes of all of them that are not.
-    waiting: usize,
-    writable: bool,
+    /// Bytes of the first one that were sent.
+    sent_of_first: usize,
+    /// Bytes of all of them that were not sent.
+    unsent_bytes: usize,
+    /// The poller watches for the socket to become writable.
+    awaits_writable: bool,
 }
 
-/// The connections of one thread, under keys of its poller from the first one on.
+/// The connections of one thread. The poller's keys are the first key and those after it.
 pub(super) struct Connections {
     poller: Arc<Poller>,
     first_key: usize,
-    most: usize,
-    /// By place: the key is so far behind the first one.
+    max_connections: usize,
+    /// The index of a connection is the distance of its key from the first one.
     open: Slab<Connection>,
-    places: BTreeMap<ConnectionId, usize>,
-    /// Those that could not be made or kept, not told yet.
+    indices: BTreeMap<ConnectionId, usize>,
+    /// Connections that could not be established or have ended, and are not reported yet.
     lost: VecDeque<ConnectionId>,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
+    /// Bytes sent so far.
     pub(super) sent: u64,
+    /// Bytes received so far.
     pub(super) received: u64,
 }
 
 impl Connections {
-    /// No connections yet, and no more than `most`.
-    pub(super) fn new(poller: Arc<Poller>, first_key: usize, most: usize) -> Connections {
-        let scratch = vec![0; READ];
+    /// No connections yet, and at most `max_connections`.
+    pub(super) fn new(poller: Arc<Poller>, first_key: usize, max_connections: usize) -> Connections {
         Connections {
             poller,
             first_key,
-            most,
+            max_connections,
             open: Slab::new(),
-            places: BTreeMap::new(),
+            indices: BTreeMap::new(),
             lost: VecDeque::new(),
-            scratch,
+            read_buffer: vec![0; READ_BYTES],
             sent: 0,
             received: 0,
         }
     }
 
-    /// Begins a connection; it is told of once it is up, or cannot be made.
-    pub(super) fn connect(&mut self, link: ConnectionId, address: SocketAddr) {
-        let added = dial(address).and_then(|socket| self.insert(link, socket, true));
+    /// Opens a connection. An event reports that it is established, or [`Connections::next_lost`] that it could not be.
+    pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
+        let added = dial(address).and_then(|socket| self.insert(id, socket, true));
         if added.is_err() {
-            self.lost.push_back(link);
+            self.lost.push_back(id);
         }
     }
 
-    /// Takes in a connection that somebody else began.
-    pub(super) fn adopt(&mut self, link: ConnectionId, socket: TcpStream) {
+    /// Adds a connection that another process has opened.
+    pub(super) fn add_accepted(&mut self, id: ConnectionId, socket: TcpStream) {
         let set = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
-        if set.and_then(|()| self.insert(link, socket, false)).is_err() {
-            self.lost.push_back(link);
+        if set.and_then(|()| self.insert(id, socket, false)).is_err() {
+            self.lost.push_back(id);
         }
     }
 
-    fn insert(&mut self, link: ConnectionId, socket: TcpStream, connecting: bool) -> io::Result<()> {
-        if self.open.len() >= self.most {
+    fn insert(&mut self, id: ConnectionId, socket: TcpStream, is_connecting: bool) -> io::Result<()> {
+        if self.open.len() >= self.max_connections {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        let place = self.open.vacant_key();
-        let interest = Event { key: self.first_key + place, readable: true, writable: connecting };
+        let index = self.open.vacant_key();
+        let interest = Event { key: self.first_key + index, readable: true, writable: is_connecting };
         self.poller.add_with_mode(&socket, interest, PollMode::Level)?;
         let connection = Connection {
-            link,
+            id,
             socket,
-            connecting,
-            finishing: false,
+            is_connecting,
+            is_closing: false,
             unsent: VecDeque::new(),
-            gone: 0,
-            waiting: 0,
-            writable: connecting,
+            sent_of_first: 0,
+            unsent_bytes: 0,
+            awaits_writable: is_connecting,
         };
-        self.places.insert(link, place);
+        self.indices.insert(id, index);
         self.open.insert(connection);
         Ok(())
     }
 
-    /// Sends bytes, now or once there is room. One that holds too many back is closed.
-    pub(super) fn send(&mut self, link: ConnectionId, bytes: Arc<[u8]>) {
-        let Some(place) = self.places.get(&link).copied() else { return };
-        let Some(connection) = self.open.get_mut(place) else { return };
-        connection.waiting += bytes.len();
+    /// Sends bytes, now or when the socket is writable. A connection with too many unsent bytes is closed.
+    pub(super) fn send(&mut self, id: ConnectionId, bytes: Arc<[u8]>) {
+        let Some(index) = self.indices.get(&id).copied() else { return };
+        let Some(connection) = self.open.get_mut(index) else { return };
+        connection.unsent_bytes += bytes.len();
         connection.unsent.push_back(bytes);
-        if connection.waiting > UNSENT {
-            self.lose(place);
-        } else if !connection.connecting {
-            self.write(place);
+        if connection.unsent_bytes > MAX_UNSENT_BYTES {
+            self.lose(index);
+        } else if !connection.is_connecting {
+            self.write(index);
         }
     }
 
-    /// Closes a connection; nothing more is said of it.
-    pub(super) fn close(&mut self, link: ConnectionId) {
-        self.lost.retain(|lost| *lost != link);
-        if let Some(place) = self.places.get(&link).copied() {
-            self.remove(place);
+    /// Closes a connection. Nothing more is reported of it.
+    pub(super) fn close(&mut self, id: ConnectionId) {
+        self.lost.retain(|lost| *lost != id);
+        if let Some(index) = self.indices.get(&id).copied() {
+            self.remove(index);
         }
     }
 
-    /// Closes a connection once all is sent; nothing more is said of it.
-    pub(super) fn finish(&mut self, link: ConnectionId) {
-        let Some(place) = self.places.get(&link).copied() else { return self.close(link) };
-        if let Some(connection) = self.open.get_mut(place) {
-            connection.finishing = true;
+    /// Closes a connection once all is sent. Nothing more is reported of it.
+    pub(super) fn close_after_sending(&mut self, id: ConnectionId) {
+        let Some(index) = self.indices.get(&id).copied() else { return self.close(id) };
+        if let Some(connection) = self.open.get_mut(index) {
+            connection.is_closing = true;
         }
-        self.write(place);
+        self.write(index);
     }
 
-    /// Hears nothing of all that are open, so that what comes waits in the sockets, or hears them again.
-    pub(super) fn hold(&mut self, held: bool) -> io::Result<()> {
-        for (place, connection) in &self.open {
-            let key = self.first_key + place;
-            let interest = match held {
-                true => Event::none(key),
-                false => {
-                    Event { key, readable: true, writable: connection.connecting || connection.writable }
-                }
+    /// Stops receiving on all connections, so that what is sent to them waits in the sockets, or receives again.
+    pub(super) fn set_paused(&mut self, paused: bool) -> io::Result<()> {
+        for (index, connection) in &self.open {
+            let key = self.first_key + index;
+            let interest = if paused {
+                Event::none(key)
+            } else {
+                let writable = connection.is_connecting || connection.awaits_writable;
+                Event { key, readable: true, writable }
             };
             self.poller.modify_with_mode(&connection.socket, interest, PollMode::Level)?;
         }
@@ -160,108 +160,114 @@
 
     /// Closes all.
     pub(super) fn close_all(&mut self) {
-        for place in std::mem::take(&mut self.places).into_values() {
-            self.remove(place);
+        for index in std::mem::take(&mut self.indices).into_values() {
+            self.remove(index);
         }
     }
 
-    /// One that could not be made or kept.
-    pub(super) fn lost(&mut self) -> Option<ConnectionId> {
+    /// The next connection that could not be established or has ended.
+    pub(super) fn next_lost(&mut self) -> Option<ConnectionId> {
         self.lost.pop_front()
     }
 
-    fn remove(&mut self, place: usize) -> Option<ConnectionId> {
-        let connection = self.open.try_remove(place)?;
-        self.places.remove(&connection.link);
+    fn remove(&mut self, index: usize) -> Option<ConnectionId> {
+        let connection = self.open.try_remove(index)?;
+        self.indices.remove(&connection.id);
         let _ = self.poller.delete(&connection.socket);
-        (!connection.finishing).then_some(connection.link)
+        (!connection.is_closing).then_some(connection.id)
     }
 
-    fn lose(&mut self, place: usize) {
-        let link = self.remove(place);
-        self.lost.extend(link);
+    fn lose(&mut self, index: usize) {
+        let id = self.remove(index);
+        self.lost.extend(id);
     }
 
-    /// Writes what there is room for, and waits for more room if that is not all.
-    fn write(&mut self, place: usize) {
-        let Some(connection) = self.open.get_mut(place) else { return };
+    /// Writes what the socket takes, and waits until it is writable again if that is not all.
+    fn write(&mut self, index: usize) {
+        let Some(connection) = self.open.get_mut(index) else { return };
         while let Some(bytes) = connection.unsent.front() {
-            match connection.socket.write(&bytes[connection.gone..]) {
+            match connection.socket.write(&bytes[connection.sent_of_first..]) {
                 Ok(count) => {
                     self.sent += count as u64;
-                    connection.waiting -= count;
-                    connection.gone += count;
-                    if connection.gone >= bytes.len() {
+                    connection.unsent_bytes -= count;
+                    connection.sent_of_first += count;
+                    if connection.sent_of_first >= bytes.len() {
                         connection.unsent.pop_front();
-                        connection.gone = 0;
+                        connection.sent_of_first = 0;
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.lose(place),
+                Err(_) => return self.lose(index),
             }
         }
-        if connection.finishing && connection.unsent.is_empty() {
-            self.remove(place);
+        if connection.is_closing && connection.unsent.is_empty() {
+            self.remove(index);
             return;
         }
         let writable = !connection.unsent.is_empty();
-        if std::mem::replace(&mut connection.writable, writable) != writable {
-            let interest = Event { key: self.first_key + place, readable: true, writable };
+        if std::mem::replace(&mut connection.awaits_writable, writable) != writable {
+            let interest = Event { key: self.first_key + index, readable: true, writable };
             if self.poller.modify_with_mode(&connection.socket, interest, PollMode::Level).is_err() {
-                self.lose(place);
+                self.lose(index);
             }
         }
     }
 
-    /// Takes in what the poller has told: each happening goes to `tell`.
-    pub(super) fn turn(&mut self, ready: &[Event], mut tell: impl FnMut(ConnectionId, Heard)) {
+    /// Handles the poller's events.
+    pub(super) fn handle_ready(
+        &mut self,
+        ready: &[Event],
+        mut on_event: impl FnMut(ConnectionId, ConnectionEvent),
+    ) {
         for event in ready {
-            let Some(place) = event.key.checked_sub(self.first_key).filter(|place| *place < self.most) else {
+            let Some(index) =
+                event.key.checked_sub(self.first_key).filter(|index| *index < self.max_connections)
+            else {
                 continue;
             };
-            let Some(connection) = self.open.get_mut(place) else { continue };
-            if connection.connecting {
+            let Some(connection) = self.open.get_mut(index) else { continue };
+            if connection.is_connecting {
                 match (connection.socket.take_error(), connection.socket.peer_addr()) {
                     (Ok(None), Ok(_)) => {
-                        connection.connecting = false;
-                        tell(connection.link, Heard::Opened);
+                        connection.is_connecting = false;
+                        on_event(connection.id, ConnectionEvent::Established);
                     }
-                    // Not yet.
+                    // Neither established nor failed yet.
                     (Ok(None), Err(_)) if !event.readable => continue,
                     _ => {
-                        self.lose(place);
+                        self.lose(index);
                         continue;
                     }
                 }
             }
             if event.writable {
-                self.write(place);
+                self.write(index);
             }
             if event.readable {
-                self.read(place, &mut tell);
+                self.read(index, &mut on_event);
             }
         }
     }
 
-    fn read(&mut self, place: usize, tell: &mut impl FnMut(ConnectionId, Heard)) {
-        for _ in 0..READS {
-            let Some(connection) = self.open.get_mut(place) else { return };
-            match connection.socket.read(&mut self.scratch) {
-                Ok(0) => return self.lose(place),
+    fn read(&mut self, index: usize, on_event: &mut impl FnMut(ConnectionId, ConnectionEvent)) {
+        for _ in 0..MAX_READS {
+            let Some(connection) = self.open.get_mut(index) else { return };
+            match connection.socket.read(&mut self.read_buffer) {
+                Ok(0) => return self.lose(index),
                 Ok(count) => {
                     self.received += count as u64;
-                    // Who is let go has nothing to say any more.
-                    if !connection.finishing {
-                        tell(connection.link, Heard::Bytes(&self.scratch[..count]));
+                    // Nothing more is expected of a connection that is closing.
+                    if !connection.is_closing {
+                        on_event(connection.id, ConnectionEvent::Received(&self.read_buffer[..count]));
                     }
-                    if count < self.scratch.len() {
+                    if count < self.read_buffer.len() {
                         return;
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return self.lose(place),
+                Err(_) => return self.lose(index),
             }
         }
     }
--- /dev/null
+++ b/src/fleet/rollout/control_server/store.rs
@@ -0,0 +1,57 @@
+//! The file in which a control server stores its state.
+
+use std::fs;
+use std::io::ErrorKind;
+use std::path::{Path, PathBuf};
+use std::time::Instant;
+
+use dunemount_rollout::control::{DocumentStore, InvalidDocument, PersistentState};
+use dunemount_rollout::version::Document;
+use slog::{warn, Logger};
+
+use super::StartError;
+use crate::config::version;
+use crate::fleet::file::put;
+use crate::shortage::{may_pass, retry, START_PATIENCE};
+
+/// Validates documents, and stores the state in a file.
+pub(super) struct FileStore {
+    file: PathBuf,
+    log: Logger,
+}
+
+impl FileStore {
+    pub(super) fn new(file: PathBuf, log: Logger) -> FileStore {
+        FileStore { file, log }
+    }
+}
+
+impl DocumentStore for FileStore {
+    fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument> {
+        let previous = previous.map(|previous| &previous.bytes()[..]);
+        version::check(document, previous).map_err(|fault| InvalidDocument(fault.what))
+    }
+
+    fn store(&mut self, state: &PersistentState) -> bool {
+        let stored = put(&self.file, &state.to_file());
+        if let Err(e) = &stored {
+            warn!(self.log, "config: versions cannot be kept"; "error" => %e, "file" => %self.file.display());
+        }
+        stored.is_ok()
+    }
+}
+
+/// Reads the state that a control server has stored: empty if there is no file, or one that contains something else.
+///
+/// # Errors
+/// The file cannot be read, also after a while. It must not be overwritten, since its content may not be lost.
+pub(super) fn read_state(path: &Path, log: &Logger) -> Result<PersistentState, StartError> {
+    match retry(Instant::now() + START_PATIENCE, may_pass, || fs::read(path)) {
+        Ok(bytes) => Ok(PersistentState::from_file(&bytes).unwrap_or_else(|error| {
+            warn!(log, "config: what was kept cannot be used, the others have to give it"; "why" => %error);
+            PersistentState::default()
+        })),
+        Err(e) if e.kind() == ErrorKind::NotFound => Ok(PersistentState::default()),
+        Err(source) => Err(StartError::ReadState { path: path.to_path_buf(), source }),
+    }
+}
--- /dev/null
+++ b/src/fleet/rollout/gateway/installer.rs
@@ -0,0 +1,174 @@
+//! Installs a version at a gateway: it is stored beside the file, applied by the event loop, and put in the file's place.
+//! A disk that fails for a moment is tried again.
+
+use std::io;
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+use dunemount_rollout::follower::ApplyError;
+use dunemount_rollout::version::{Document, Version};
+use slog::{info, warn, Logger};
+
+use crate::fleet::file::{put, stage, Staged};
+use crate::fleet::rollout::version_channel::{ApplyResult, VersionSender};
+use crate::shortage::may_pass;
+
+/// Time between two attempts to store a version.
+pub(super) const STORE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Why a version could not be installed, in words for the operator.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum InstallError {
+    /// It could not be stored, and is not applied.
+    #[error("cannot be kept: {0}")]
+    Store(#[source] io::Error),
+    /// It is applied, and could not be put in the file's place.
+    #[error("in force until the next start, cannot be kept: {0}")]
+    Commit(#[source] io::Error),
+    /// The event loop could not apply it.
+    #[error(transparent)]
+    Apply(#[from] ApplyError),
+}
+
+impl From<InstallError> for ApplyError {
+    fn from(error: InstallError) -> ApplyError {
+        ApplyError(error.to_string())
+    }
+}
+
+/// A version that is installed, or could not be.
+pub(super) struct Installed {
+    pub(super) version: Version,
+    pub(super) result: Result<(), InstallError>,
+}
+
+/// How far the version that is being installed has come.
+enum Stage {
+    /// It is to be stored, at this time.
+    Store(Document, Duration),
+    /// It is stored beside the file, and the event loop is to apply it.
+    Apply(Document, Staged),
+    /// The event loop has applied it, and it is to be put in the file's place, at this time.
+    Commit(Document, Duration),
+}
+
+/// Installs one version at a time.
+pub(super) struct Installer {
+    file: PathBuf,
+    versions: VersionSender,
+    started_at: Instant,
+    stage: Option<Stage>,
+    /// Why the version could not be stored at the last attempt.
+    storage_error: Option<String>,
+    log: Logger,
+}
+
+impl Installer {
+    pub(super) fn new(file: PathBuf, versions: VersionSender, started_at: Instant, log: Logger) -> Installer {
+        Installer { file, versions, started_at, stage: None, storage_error: None, log }
+    }
+
+    /// Why the version could not be stored at the last attempt.
+    pub(super) fn storage_error(&self) -> Option<&str> {
+        self.storage_error.as_deref()
+    }
+
+    /// Stores a version, and sends it to the event loop.
+    pub(super) fn install(&mut self, document: Document) -> Option<Installed> {
+        match stage(&self.file, &document.to_file()) {
+            Ok(staged) => {
+                self.record_stored();
+                self.versions.send(document.clone());
+                self.stage = Some(Stage::Apply(document, staged));
+                None
+            }
+            Err(error) if may_pass(&error) => {
+                self.record_storage_error(&document, &error);
+                self.stage = Some(Stage::Store(document, self.next_attempt()));
+                None
+            }
+            Err(error) => {
+                let result = Err(InstallError::Store(error));
+                Some(Installed { version: document.version(), result })
+            }
+        }
+    }
+
+    /// Handles the event loop's result, if there is one.
+    pub(super) fn poll_result(&mut self) -> Option<Installed> {
+        let result = self.versions.try_result()?;
+        match self.stage.take() {
+            Some(Stage::Apply(document, staged)) => self.handle_result(document, staged, result),
+            other => {
+                self.stage = other;
+                None
+            }
+        }
+    }
+
+    fn handle_result(
+        &mut self,
+        document: Document,
+        staged: Staged,
+        result: ApplyResult,
+    ) -> Option<Installed> {
+        match result {
+            Ok(()) => {
+                let committed = staged.settle();
+                self.finish(document, committed)
+            }
+            Err(error) => {
+                staged.discard();
+                Some(Installed { version: document.version(), result: Err(error.into()) })
+            }
+        }
+    }
+
+    /// The version that the event loop has applied is in the file's place, or is to be written there again.
+    fn finish(&mut self, document: Document, committed: io::Result<()>) -> Option<Installed> {
+        match committed {
+            Err(error) if may_pass(&error) => {
+                self.record_storage_error(&document, &error);
+                self.stage = Some(Stage::Commit(document, self.next_attempt()));
+                None
+            }
+            committed => {
+                self.record_stored();
+                let result = committed.map_err(InstallError::Commit);
+                Some(Installed { version: document.version(), result })
+            }
+        }
+    }
+
+    /// Tries again to store what could not be stored.
+    pub(super) fn retry(&mut self, now: Duration) -> Option<Installed> {
+        match self.stage.take() {
+            Some(Stage::Store(document, at)) if now >= at => self.install(document),
+            Some(Stage::Commit(document, at)) if now >= at => {
+                let committed = put(&self.file, &document.to_file());
+                self.finish(document, committed)
+            }
+            other => {
+                self.stage = other;
+                None
+            }
+        }
+    }
+
+    fn next_attempt(&self) -> Duration {
+        self.started_at.elapsed() + STORE_INTERVAL
+    }
+
+    fn record_storage_error(&mut self, document: &Document, error: &io::Error) {
+        if self.storage_error.replace(error.to_string()).is_none() {
+            warn!(self.log, "config: a version cannot be stored, it is tried again"; "error" => %error,
+                "version" => document.version().number);
+        }
+    }
+
+    fn record_stored(&mut self) {
+        if self.storage_error.take().is_some() {
+            info!(self.log, "config: versions can be stored again");
+        }
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,8 +17,8 @@
 use dunemount::config::version::Source;
 use dunemount::config::{self, File, InForce, Taken};
 use dunemount::fleet::driver;
-use dunemount::fleet::rollout::tool::{Failed, Tool};
-use dunemount::fleet::rollout::{gateway, machine};
+use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
+use dunemount::fleet::rollout::{control_server, gateway};
 use dunemount::fleet::status::Status;
 use dunemount::logging;
 use dunemount::net::event_loop::{Config, Gateway, Signals};
@@ -36,6 +36,26 @@
 /// How long the process before may take to hand over.
 const HANDOVER_PATIENCE: Duration = Duration::from_secs(3);
 
+/// Why the program ends without success.
+struct Failed {
+    /// In words for the operator.
+    why: String,
+    /// The command may still take effect.
+    uncertain: bool,
+}
+
+impl From<String> for Failed {
+    fn from(why: String) -> Failed {
+        Failed { why, uncertain: false }
+    }
+}
+
+impl From<CommandError> for Failed {
+    fn from(error: CommandError) -> Failed {
+        Failed { why: error.to_string(), uncertain: error.is_uncertain() }
+    }
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let done = match cli.command {
@@ -65,16 +85,17 @@
         Fleet::Status { admin, json } => print_as(&Status::ask(admin)?, json),
         Fleet::Control { name, settings, log } => control(name, settings.settings.as_deref(), log)?,
         Fleet::Config(Version::Put { file, settings }) => {
-            println!("{}", Tool::of(settings.settings.as_deref())?.put(&file)?);
+            let accepted = ConfigCommand::from_settings(settings.settings.as_deref())?.put(&file)?;
+            println!("version {}, digest {}", accepted.number, accepted.digest);
         }
         Fleet::Config(Version::Show { number, settings }) => {
-            let document = Tool::of(settings.settings.as_deref())?.show(number)?;
+            let document = ConfigCommand::from_settings(settings.settings.as_deref())?.show(number)?;
             let shown = document.version();
             eprintln!("version {}, digest {}", shown.number, shown.digest);
             println!("{}", String::from_utf8_lossy(document.bytes()));
         }
         Fleet::Config(Version::Status { json, settings }) => {
-            print_as(&Tool::of(settings.settings.as_deref())?.status()?, json);
+            print_as(&ConfigCommand::from_settings(settings.settings.as_deref())?.status()?, json);
         }
     }
     Ok(())
@@ -93,15 +114,15 @@
     use signal_hook::consts::{SIGINT, SIGTERM};
     let options = check::options(settings)?;
     let file = check::kept(&options, settings)?.to_path_buf();
-    let start = machine::Start {
+    let start = control_server::Start {
         name: name.clone(),
         file,
         start: start_number(),
         seed: RandomState::new().hash_one(std::process::id()),
-        end: pipe_of(&[SIGTERM, SIGINT]).map_err(|e| format!("cannot watch for signals: {e}"))?,
+        shutdown: pipe_of(&[SIGTERM, SIGINT]).map_err(|e| format!("cannot watch for signals: {e}"))?,
     };
     let (log, _flushed_at_end) = logging::open(name, form, Level::Info);
-    machine::run(&options, start, &log)
+    control_server::run(&options, start, &log).map_err(|error| error.to_string())
 }
 
 /// Rises with each start.
@@ -140,8 +161,8 @@
     // A version that cannot be read or used is as none: the newest one comes from the control machines again.
     let mut unusable = None;
     let kept = follows.and_then(|(_, path)| {
-        gateway::kept(path).unwrap_or_else(|why| {
-            unusable = Some(why);
+        gateway::stored_version(path).unwrap_or_else(|error| {
+            unusable = Some(error.to_string());
             None
         })
     });
@@ -220,7 +241,7 @@
                     timeouts: Timeouts::default(),
                     seed: RandomState::new().hash_one(std::process::id()),
                 },
-                machines: options.control.machines.iter().map(|(_, address)| *address).collect(),
+                addresses: options.control.machines.iter().map(|(_, address)| *address).collect(),
                 file: file.to_path_buf(),
                 in_force: version.as_ref().map(Document::version),
                 board: fleet.board.clone(),
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -43,7 +43,7 @@
 use crate::classes::Classes;
 use crate::config::Taken;
 use crate::fault::Fault;
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::fleet::status::Board;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
@@ -132,7 +132,7 @@
     /// each sweep.
     pub told: [Arc<AtomicBool>; 2],
     /// Where versions of the configuration come from, if they do.
-    pub versions: Option<handover::Inbox>,
+    pub versions: Option<VersionReceiver>,
     /// Reads the configuration anew: its text and what it brings, or why it cannot be used.
     pub reread: Reread,
 }
@@ -277,7 +277,7 @@
             retry(until, passes, add)
         };
         watch(&listener, LISTENER)?;
-        let versions = signals.versions.as_ref().map(|inbox| (&inbox.pipe, VERSIONS));
+        let versions = signals.versions.as_ref().map(|receiver| (&receiver.pipe, VERSIONS));
         for (pipe, key) in [(&signals.end, SIGNALS), (&signals.reload, RELOAD)].into_iter().chain(versions) {
             pipe.set_nonblocking(true)?;
             watch(pipe, key)?;
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -5,6 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+use dunemount_rollout::follower::ApplyError;
 use dunemount_rollout::version::Document;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +17,7 @@
 use super::Gateway;
 use crate::balance::chance::unit;
 use crate::fault::Fault;
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::net::dial;
 use crate::net::discovery::{BadAnswer, Failed, Listing, Watch};
 use crate::pg::codec::Outbox;
@@ -189,7 +190,7 @@
     /// on a discovery that stays where it is goes on: at each version of all gateways it would ask for the whole list.
     pub(super) fn on_version(&mut self) {
         let versions = self.signals.as_mut().and_then(|signals| signals.versions.as_mut());
-        let Some(offer) = versions.and_then(handover::Inbox::take) else { return };
+        let Some(offer) = versions.and_then(VersionReceiver::try_receive) else { return };
         match self.take_configuration(Some(&offer.document)) {
             Ok(discovery) => {
                 if discovery != self.watching.address {
@@ -197,7 +198,7 @@
                 }
                 offer.answer(Ok(()));
             }
-            Err(why) => offer.answer(Err(why.what)),
+            Err(why) => offer.answer(Err(ApplyError(why.what))),
         }
     }
 
--- a/tests/config_status.rs
+++ b/tests/config_status.rs
@@ -3,14 +3,16 @@
 
 use std::path::Path;
 
-use dunemount::fleet::rollout::tool::{Found, Gateway, Report, Stands, Told};
+use dunemount::fleet::rollout::status_report::{
+    ControlServerEntry, GatewayEntry, GatewayState, StatusReport, VersionEntry,
+};
 
-fn version(number: u64) -> Option<Told> {
-    Some(Told { version: number, digest: format!("00112233445566{number:02x}") })
+fn version(number: u64) -> Option<VersionEntry> {
+    Some(VersionEntry { version: number, digest: format!("00112233445566{number:02x}") })
 }
 
-fn control_server(name: &str) -> Found {
-    Found {
+fn control_server(name: &str) -> ControlServerEntry {
+    ControlServerEntry {
         name: name.to_string(),
         zone: "zone-a".to_string(),
         reached: true,
@@ -23,12 +25,19 @@
     }
 }
 
-fn gateway(name: &str, stands: Stands, in_force: Option<Told>) -> Gateway {
-    Gateway { name: name.to_string(), zone: "zone-b".to_string(), stands, in_force, why: None, silent_ms: 40 }
+fn gateway(name: &str, state: GatewayState, in_force: Option<VersionEntry>) -> GatewayEntry {
+    GatewayEntry {
+        name: name.to_string(),
+        zone: "zone-b".to_string(),
+        state,
+        in_force,
+        why: None,
+        silent_ms: 40,
+    }
 }
 
-fn report() -> Report {
-    let unreached = Found {
+fn report() -> StatusReport {
+    let unreached = ControlServerEntry {
         reached: false,
         why: Some("connection refused (os error 111)".to_string()),
         fresh: false,
@@ -38,23 +47,25 @@
         gateways: 0,
         ..control_server("ctl-2")
     };
-    let refused =
-        Gateway { why: Some("line 3: port in use".to_string()), ..gateway("gw-3", Stands::Refused, None) };
-    Report {
+    let refused = GatewayEntry {
+        why: Some("line 3: port in use".to_string()),
+        ..gateway("gw-3", GatewayState::Rejected, None)
+    };
+    StatusReport {
         newest: version(12),
         machines: vec![
             control_server("ctl-1"),
             unreached,
-            Found { fresh: false, looked_ms: Some(9_000), ..control_server("ctl-3") },
-            Found { fresh: false, looked_ms: None, ..control_server("ctl-4") },
-            Found { has_document: false, ..control_server("ctl-5") },
+            ControlServerEntry { fresh: false, looked_ms: Some(9_000), ..control_server("ctl-3") },
+            ControlServerEntry { fresh: false, looked_ms: None, ..control_server("ctl-4") },
+            ControlServerEntry { has_document: false, ..control_server("ctl-5") },
         ],
         in_force: 1,
         gateways: vec![
-            gateway("gw-1", Stands::InForce, version(12)),
-            gateway("gw-2", Stands::Lags, version(11)),
+            gateway("gw-1", GatewayState::InForce, version(12)),
+            gateway("gw-2", GatewayState::Lagging, version(11)),
             refused,
-            Gateway { silent_ms: 70_000, ..gateway("gw-4", Stands::Silent, version(10)) },
+            GatewayEntry { silent_ms: 70_000, ..gateway("gw-4", GatewayState::Silent, version(10)) },
         ],
         unheard: vec!["gw-5".to_string()],
     }
