--- a/src/startup.rs
+++ b/src/startup.rs
@@ -17,7 +17,8 @@
 use crate::config::version::ConfigSource;
 use crate::config::{address, AddressError, ConfigError, LoadedConfig};
 use crate::fleet::driver;
-use crate::fleet::rollout::{gateway, handover};
+use crate::fleet::rollout::gateway::{self, FollowerThread};
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::fleet::status::Board;
 use crate::logging;
 use crate::net::event_loop::{Config, Gateway};
@@ -152,7 +153,7 @@
         &self,
         fleet: Option<&driver::Running>,
         log: &Logger,
-    ) -> Result<Option<(gateway::Running, handover::Inbox)>, StartError> {
+    ) -> Result<Option<(FollowerThread, VersionReceiver)>, StartError> {
         let (Some(own), Some(fleet)) = (self.settings_file.follower()?, fleet) else { return Ok(None) };
         let settings = &self.settings_file.settings;
         let start = gateway::Start {
@@ -164,7 +165,7 @@
                 timeouts: Timeouts::default(),
                 seed: random_seed(),
             },
-            machines: settings.control.machines.iter().map(|(_, address)| *address).collect(),
+            addresses: settings.control.machines.iter().map(|(_, address)| *address).collect(),
             file: own.file.to_path_buf(),
             in_force: self.initial.version.as_ref().map(Document::version),
             board: fleet.board.clone(),
@@ -228,7 +229,7 @@
 fn run_event_loop(
     config: Config,
     mut source: ConfigSource,
-    versions: Option<handover::Inbox>,
+    versions: Option<VersionReceiver>,
     cores: usize,
     log: &Logger,
 ) -> Result<(), StartError> {
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -8,7 +8,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::net::event_loop::{Reread, Signals};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// The system does not give a pipe.
-pub fn watch(versions: Option<handover::Inbox>, reread: Reread) -> io::Result<Signals> {
+pub fn watch(versions: Option<VersionReceiver>, reread: Reread) -> io::Result<Signals> {
     let told = [flag(&TERMINATION)?, flag(&RELOAD)?];
     Ok(Signals { end: termination()?, reload: pipe(&RELOAD)?, told, versions, reread })
 }
