--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -7,16 +7,18 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 
-use crate::fence::{Fence, Refused};
-use crate::frame::{self, Bad, Kind};
+use crate::acceptor::{Acceptor, RequestOutcome};
+use crate::fencing::{FencingError, FencingGuard};
+use crate::frame::{self, FrameError, MessageKind};
 use crate::lease::{Change, Electorate, Seat, Terms};
-use crate::member::{self, Membership, Pace, Peer};
+use crate::membership::{MemberIdentity, Membership, MembershipChange, MembershipTimeouts};
+use crate::messages::{AcceptorReply, AcceptorRequest, Operation, Order};
+use crate::proposer::RoundEvent;
+use crate::reconfiguration::Reconfiguration;
 use crate::record::{Outcome, Record};
-use crate::register::*;
-use crate::round::{Admission, Event as Told};
-use crate::voter::{Step, Voter};
+use crate::register::{AcceptorSlot, Key, Value, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 /// So many members, by rank, look after a role; the others leave the voters alone.
 const CANDIDATES: usize = 3;
@@ -34,11 +36,11 @@
     /// The fleet's name.
     pub fleet: String,
     /// This process.
-    pub me: Peer,
+    pub me: MemberIdentity,
     /// The voters, by place: names and addresses.
-    pub voters: Vec<Peer>,
+    pub voters: Vec<MemberIdentity>,
     /// Whom to call to find the others.
-    pub seeds: Vec<Peer>,
+    pub seeds: Vec<MemberIdentity>,
     /// About how many members there are.
     pub size: u32,
     /// The roles that somebody is to hold.
@@ -46,7 +48,7 @@
     /// Leases.
     pub terms: Terms,
     /// Membership.
-    pub pace: Pace,
+    pub pace: MembershipTimeouts,
     /// For random numbers: drawn anew at each start.
     pub seed: u64,
 }
@@ -57,30 +59,17 @@
     fn store(&mut self, file: &[u8]) -> bool;
 }
 
-/// What an owner tells a member on behalf of the fleet.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
-    /// In which role.
-    pub role: Key,
-    /// Under which epoch.
-    pub epoch: u64,
-    /// Who orders.
-    pub from: NodeId,
-    /// What about.
-    pub body: Vec<u8>,
-}
-
 /// What has happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member came, went, or this process is not one any more.
-    Member(member::Change),
+    Member(MembershipChange),
     /// This process took a role, or does not hold it any more.
     Role(Key, Change),
     /// An owner's order, not refused; `true` with the first one under its epoch.
     Order(Order, bool),
     /// An order under an epoch that has been succeeded: without effect.
-    Refused(Order, Refused),
+    Refused(Order, FencingError),
     /// This process's voter has been let in.
     VoterIn,
     /// What a look at a register, or a change of it, has come to.
@@ -106,15 +95,15 @@
     tag: u64,
     dice: Pcg64Mcg,
     members: Membership,
-    voter: Option<Voter>,
+    voter: Option<Acceptor>,
     seats: BTreeMap<Key, Seat>,
     /// Per role that it has looked after, and does not now, the highest round of a ballot: none is used again.
     rounds: BTreeMap<Key, u64>,
     /// Registers that are no role's. None goes before the process does, so that no ballot is used again.
     records: BTreeMap<Key, Record>,
     electorate: Electorate,
-    admission: Option<(Admission, Duration)>,
-    fence: Fence,
+    admission: Option<(Reconfiguration, Duration)>,
+    fence: FencingGuard,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     events: VecDeque<Event>,
     dropped: Dropped,
@@ -125,24 +114,24 @@
 
 impl Node {
     /// A process with its voter, if it is one.
-    pub fn new(settings: Settings, voter: Option<Voter>) -> Node {
+    pub fn new(settings: Settings, voter: Option<Acceptor>) -> Node {
         let mut dice = Pcg64Mcg::seed_from_u64(settings.seed);
         let me = settings.me.clone();
         let (seeds, voters) = (settings.seeds.clone(), settings.voters.len() as u8);
         let members = Membership::new(me, seeds, settings.size, settings.pace, draw(&mut dice));
         let electorate = Electorate::of(voters, draw(&mut dice));
         Node {
-            tag: frame::tag(&settings.fleet),
+            tag: frame::fleet_tag(&settings.fleet),
             dice,
             members,
-            was_blank: voter.as_ref().is_some_and(Voter::is_blank),
+            was_blank: voter.as_ref().is_some_and(Acceptor::is_uninitialized),
             voter,
             seats: BTreeMap::new(),
             rounds: BTreeMap::new(),
             records: BTreeMap::new(),
             electorate,
             admission: None,
-            fence: Fence::default(),
+            fence: FencingGuard::default(),
             out: VecDeque::new(),
             events: VecDeque::new(),
             dropped: Dropped::default(),
@@ -152,9 +141,9 @@
     }
 
     /// Its voter, once its file could be read; not while it has one.
-    pub fn set_voter(&mut self, voter: Voter) {
+    pub fn set_voter(&mut self, voter: Acceptor) {
         if self.voter.is_none() {
-            self.was_blank = voter.is_blank();
+            self.was_blank = voter.is_uninitialized();
             self.voter = Some(voter);
         }
     }
@@ -165,7 +154,7 @@
     }
 
     /// This process's voter.
-    pub fn voter(&self) -> Option<&Voter> {
+    pub fn voter(&self) -> Option<&Acceptor> {
         self.voter.as_ref()
     }
 
@@ -209,7 +198,7 @@
         let seats = self.seats.values().map(Seat::due);
         let records = self.records.values().filter_map(Record::due);
         let admission = self.admission.iter().map(|(_, at)| *at);
-        seats.chain(records).chain(admission).fold(self.members.due(), Duration::min)
+        seats.chain(records).chain(admission).fold(self.members.next_deadline(), Duration::min)
     }
 
     /// Orders something in a role, at this moment. False if this process may not (any more): whoever has taken time
@@ -220,8 +209,8 @@
             self.dropped.too_long += 1;
             return false;
         }
-        let order = Order { role: role.to_string(), epoch, from: self.settings.me.node(), body };
-        self.post(to, Kind::Order, &order);
+        let order = Order { role: role.to_string(), epoch, from: self.settings.me.node_id(), body };
+        self.post(to, MessageKind::Order, &order);
         true
     }
 
@@ -244,11 +233,11 @@
     }
 
     /// After [`Outcome::Promised`]: what the register is to hold, or none to leave it as it is. A value of more than
-    /// [`LONGEST_VALUE`] bytes is none, and told to have failed.
+    /// [`MAX_VALUE_BYTES`] bytes is none, and told to have failed.
     pub fn propose(&mut self, now: Duration, key: &str, value: Option<Value>) {
         let Some(record) = self.records.get_mut(key) else { return };
         let mut calls = Vec::new();
-        let too_long = value.as_ref().is_some_and(|value| value.len() > LONGEST_VALUE);
+        let too_long = value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES);
         record.propose(now, value.filter(|_| !too_long), &mut calls);
         if too_long {
             self.events.push_back(Event::Record(key.to_string(), NOT_BEGUN));
@@ -261,11 +250,11 @@
         // A seat and a record of one process would use the same ballots in a role's register.
         let role = self.settings.roles.iter().any(|role| role == key) || self.seats.contains_key(key);
         let full = self.records.len() >= MOST_RECORDS && !self.records.contains_key(key);
-        if role || full || self.leaving || key.len() > LONGEST_KEY {
+        if role || full || self.leaving || key.len() > MAX_KEY_BYTES {
             self.events.push_back(Event::Record(key.to_string(), NOT_BEGUN));
             return None;
         }
-        let (me, terms) = (self.settings.me.node(), self.settings.terms);
+        let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
         Some(self.records.entry(key.to_string()).or_insert_with(|| Record::new(me, key.to_string(), terms)))
     }
 
@@ -301,33 +290,33 @@
         self.seats.values().all(|seat| !seat.is_held())
     }
 
-    fn post<T: Serialize>(&mut self, to: SocketAddr, kind: Kind, message: &T) {
+    fn post<T: Serialize>(&mut self, to: SocketAddr, kind: MessageKind, message: &T) {
         let message = postcard::to_stdvec(message).ok();
-        match message.and_then(|message| frame::wrap(self.tag, kind, &message)) {
+        match message.and_then(|message| frame::encode(self.tag, kind, &message)) {
             Some(datagram) => self.out.push_back((to, datagram)),
             None => self.dropped.too_long += 1,
         }
     }
 
     fn carry_members(&mut self) {
-        while let Some((to, message)) = self.members.send() {
-            match frame::wrap(self.tag, Kind::Member, &message) {
+        while let Some((to, message)) = self.members.next_message() {
+            match frame::encode(self.tag, MessageKind::Membership, &message) {
                 Some(datagram) => self.out.push_back((to, datagram)),
                 None => self.dropped.too_long += 1,
             }
         }
-        while let Some(change) = self.members.change() {
-            if change == member::Change::Superseded {
+        while let Some(change) = self.members.next_change() {
+            if change == MembershipChange::Superseded {
                 self.retire();
             }
             self.events.push_back(Event::Member(change));
         }
     }
 
-    fn call(&mut self, calls: Vec<(Slot, Call)>) {
+    fn call(&mut self, calls: Vec<(AcceptorSlot, AcceptorRequest)>) {
         for (slot, call) in calls {
             if let Some(voter) = self.settings.voters.get(usize::from(slot.0)) {
-                self.post(voter.address, Kind::Call, &call);
+                self.post(voter.address, MessageKind::AcceptorRequest, &call);
             }
         }
     }
@@ -342,22 +331,22 @@
         from: SocketAddr,
         datagram: &[u8],
         disk: &mut impl Disk,
-    ) -> Result<(), Bad> {
-        let (kind, message) = frame::open(self.tag, datagram).inspect_err(|_| self.dropped.foreign += 1)?;
+    ) -> Result<(), FrameError> {
+        let (kind, message) = frame::decode(self.tag, datagram).inspect_err(|_| self.dropped.foreign += 1)?;
         match kind {
-            Kind::Member => {
-                self.members.hear(now, message);
+            MessageKind::Membership => {
+                self.members.handle_message(now, message);
                 self.carry_members();
             }
-            Kind::Call => match postcard::from_bytes(message) {
+            MessageKind::AcceptorRequest => match postcard::from_bytes(message) {
                 Ok(call) => self.vote(from, call, disk),
                 Err(_) => self.dropped.senseless += 1,
             },
-            Kind::Reply => match postcard::from_bytes(message) {
+            MessageKind::AcceptorReply => match postcard::from_bytes(message) {
                 Ok(reply) => self.told(now, &reply),
                 Err(_) => self.dropped.senseless += 1,
             },
-            Kind::Order => match postcard::from_bytes::<Order>(message) {
+            MessageKind::Order => match postcard::from_bytes::<Order>(message) {
                 Ok(order) => match self.fence.admit(&order.role, order.epoch) {
                     Ok(first) => self.events.push_back(Event::Order(order, first)),
                     Err(why) => {
@@ -371,39 +360,41 @@
         Ok(())
     }
 
-    fn vote(&mut self, from: SocketAddr, call: Call, disk: &mut impl Disk) {
+    fn vote(&mut self, from: SocketAddr, call: AcceptorRequest, disk: &mut impl Disk) {
         let Some(voter) = &mut self.voter else {
             self.dropped.senseless += 1;
             return;
         };
-        let reply = match voter.ask(call) {
-            Step::Reply(reply) => reply,
-            Step::Store(pending) => match disk.store(&pending.bytes()) {
+        let reply = match voter.handle_request(call) {
+            RequestOutcome::Reply(reply) => reply,
+            RequestOutcome::Store(pending) => match disk.store(&pending.file_bytes()) {
                 true => pending.stored(),
                 false => pending.failed(),
             },
         };
-        if std::mem::replace(&mut self.was_blank, self.voter.as_ref().is_some_and(Voter::is_blank))
+        if std::mem::replace(&mut self.was_blank, self.voter.as_ref().is_some_and(Acceptor::is_uninitialized))
             && !self.was_blank
         {
             self.events.push_back(Event::VoterIn);
         }
-        self.post(from, Kind::Reply, &reply);
+        self.post(from, MessageKind::AcceptorReply, &reply);
     }
 
-    fn told(&mut self, now: Duration, reply: &Reply) {
+    fn told(&mut self, now: Duration, reply: &AcceptorReply) {
         let mut calls = Vec::new();
         if let Some((admission, _)) = self.admission.as_mut().filter(|(a, _)| a.nonce() == reply.nonce) {
-            let told = admission.hear(reply);
-            self.electorate.note(&Told::Newer(admission.view().clone()));
+            let told = admission.handle_reply(reply);
+            self.electorate.note(&RoundEvent::NewerAcceptorSet(admission.acceptors().clone()));
             self.electorate.note(&told);
-            let over = admission.is_done() || told != Told::None;
+            let over = admission.is_done() || told != RoundEvent::None;
             if admission.is_done() {
                 let slot = reply.slot;
                 self.electorate.blank.retain(|(at, _)| *at != slot);
             }
             // The next part is asked for at once.
-            calls.extend(admission.calls().into_iter().filter(|(slot, _)| !over && *slot != reply.slot));
+            calls.extend(
+                admission.pending_requests().into_iter().filter(|(slot, _)| !over && *slot != reply.slot),
+            );
             if over {
                 self.admission = None;
             }
@@ -429,7 +420,7 @@
         let mut calls = Vec::new();
         let ranks: Vec<Option<u32>> = self.settings.roles.iter().map(|role| self.rank(role)).collect();
         for (role, rank) in self.settings.roles.clone().into_iter().zip(ranks) {
-            let (me, terms) = (self.settings.me.node(), self.settings.terms);
+            let (me, terms) = (self.settings.me.node_id(), self.settings.terms);
             if rank.is_some() && !self.seats.contains_key(&role) {
                 let highest = self.rounds.remove(&role).unwrap_or_default();
                 self.seats.insert(role.clone(), Seat::new(me, role.clone(), terms).above(highest));
@@ -451,22 +442,30 @@
     /// This process's place among those that look after a role: each role has an order of its own over the members,
     /// which a member that comes or goes changes for few roles only.
     fn rank(&self, role: &str) -> Option<u32> {
-        let weight = |name: &str| frame::tag(&format!("{name}/{role}")).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let weight =
+            |name: &str| frame::fleet_tag(&format!("{name}/{role}")).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mine = (weight(&self.settings.me.name), &self.settings.me.name);
-        let before = self.members.present().filter(|peer| (weight(&peer.name), &peer.name) > mine).count();
+        let before = self.members.members().filter(|peer| (weight(&peer.name), &peer.name) > mine).count();
         (before < CANDIDATES && !self.leaving).then_some(before as u32)
     }
 
     /// Voters that lag are told of the view, one that has lost its file is let in: by whoever notices.
-    fn help(&mut self, now: Duration, calls: &mut Vec<(Slot, Call)>) {
+    fn help(&mut self, now: Duration, calls: &mut Vec<(AcceptorSlot, AcceptorRequest)>) {
         for slot in std::mem::take(&mut self.electorate.older) {
             let (nonce, view) = (self.electorate.nonce(), self.electorate.view.clone());
-            calls.push((slot, Call { view, nonce, request: Request::Admit { after: Key::new() } }));
+            calls.push((
+                slot,
+                AcceptorRequest {
+                    acceptors: view,
+                    nonce,
+                    operation: Operation::Reconfigure { after: Key::new() },
+                },
+            ));
         }
         match (&mut self.admission, self.electorate.blank.first().copied()) {
             (Some((admission, at)), _) if *at <= now => {
                 *at = now + self.settings.terms.resend;
-                calls.extend(admission.calls());
+                calls.extend(admission.pending_requests());
             }
             (None, Some((slot, generation))) if generation >= self.electorate.view.generation(slot) => {
                 // If somebody has begun to let this very file in, this process does only if nobody ends it.
@@ -474,7 +473,7 @@
                 let wait = if begun { self.settings.terms.length } else { Duration::ZERO };
                 let nonce = self.electorate.nonce();
                 let Electorate { view, stamps, voters, .. } = &self.electorate;
-                let admission = Admission::begin(slot, generation, view, nonce, *voters, stamps.clone());
+                let admission = Reconfiguration::new(slot, generation, view, nonce, *voters, stamps.clone());
                 self.admission = Some((admission, now + wait));
             }
             // It has an older number than one that was let in: it takes a higher one when it hears of the view.
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -6,21 +6,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dunemount_fleet::frame::{self, Kind};
+use dunemount_fleet::acceptor::Acceptor;
+use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::{Change, Terms};
-use dunemount_fleet::member::{Pace, Peer};
+use dunemount_fleet::membership::{MemberIdentity, MembershipTimeouts};
+use dunemount_fleet::messages::{AcceptorRequest, Operation};
 use dunemount_fleet::node::{Disk, Event, Node, Settings};
-use dunemount_fleet::register::{Ballot, Call, Key, Request, Slot};
-use dunemount_fleet::voter::Voter;
+use dunemount_fleet::register::{AcceptorSlot, Ballot, Key};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const LEASE: Duration = Duration::from_millis(3_000);
 const STEP: Duration = Duration::from_millis(10);
 
-fn peer(index: usize, start: u64) -> Peer {
+fn peer(index: usize, start: u64) -> MemberIdentity {
     let address: SocketAddr = format!("127.0.0.{}:7400", index + 1).parse().expect("one");
-    Peer { name: format!("gw-{index}"), start, life: 0, address }
+    MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address }
 }
 
 /// A file in memory.
@@ -84,7 +85,7 @@
             digest: 0,
         };
         for slot in 0..fleet.voters {
-            fleet.files[slot].0 = Voter::founding(Slot(slot as u8)).file();
+            fleet.files[slot].0 = Acceptor::founding(AcceptorSlot(slot as u8)).file_bytes();
         }
         (0..count).for_each(|index| fleet.start(index));
         fleet
@@ -92,8 +93,9 @@
 
     fn start(&mut self, index: usize) {
         self.starts += 1;
-        let voters: Vec<Peer> =
-            (0..self.voters).map(|slot| Peer::at(&peer(slot, 0).name, peer(slot, 0).address)).collect();
+        let voters: Vec<MemberIdentity> = (0..self.voters)
+            .map(|slot| MemberIdentity::with_address(&peer(slot, 0).name, peer(slot, 0).address))
+            .collect();
         let settings = Settings {
             fleet: "test".into(),
             me: peer(index, self.starts),
@@ -102,18 +104,18 @@
             size: self.nodes.len() as u32,
             roles: (0..self.roles).map(|role| format!("survey/{role}")).collect(),
             terms: Terms { length: LEASE, drift: 0.05, resend: Duration::from_millis(150) },
-            pace: Pace {
-                probe: Duration::from_millis(500),
-                answer: Duration::from_millis(150),
-                suspicion: Duration::from_millis(1_500),
-                remembered: Duration::from_secs(60),
+            pace: MembershipTimeouts {
+                probe_interval: Duration::from_millis(500),
+                probe_timeout: Duration::from_millis(150),
+                suspicion_timeout: Duration::from_millis(1_500),
+                down_retention: Duration::from_secs(60),
             },
             seed: self.dice.next_u64(),
         };
-        let slot = Slot(index as u8);
+        let slot = AcceptorSlot(index as u8);
         let voter = (index < self.voters).then(|| match &self.files[index].0 {
-            Some(file) => Voter::resume(slot, file).expect("a whole file"),
-            None => Voter::blank(slot, self.starts as u32),
+            Some(file) => Acceptor::from_file(slot, file).expect("a whole file"),
+            None => Acceptor::uninitialized(slot, self.starts as u32),
         });
         self.nodes[index] = Some(Node::new(settings, voter));
     }
@@ -158,14 +160,16 @@
     fn carry(&mut self, index: usize) {
         while let Some((to, datagram)) = self.nodes[index].as_mut().and_then(Node::send) {
             let sent = format!("{} {:?} {index} {to} {datagram:?}", self.digest, self.now);
-            self.digest = frame::tag(&sent);
-            if let Ok((Kind::Call, message)) = frame::open(frame::tag("test"), &datagram) {
+            self.digest = frame::fleet_tag(&sent);
+            if let Ok((MessageKind::AcceptorRequest, message)) =
+                frame::decode(frame::fleet_tag("test"), &datagram)
+            {
                 let deaf = |voter: &usize| peer(*voter, 0).address == to;
                 if self.mute.contains(&index) || self.deaf.iter().any(deaf) {
                     continue;
                 }
-                let call: Call = postcard::from_bytes(message).expect("a call");
-                if let Request::Prepare { key, ballot } = call.request {
+                let call: AcceptorRequest = postcard::from_bytes(message).expect("a call");
+                if let Operation::Prepare { key, ballot } = call.operation {
                     self.ballots.entry((key, ballot)).or_default().insert(call.nonce);
                 }
             }
--- a/crates/loadtest/src/scale/count.rs
+++ b/crates/loadtest/src/scale/count.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::Duration;
 
-use dunemount_fleet::frame::Kind;
+use dunemount_fleet::frame::MessageKind;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
@@ -34,9 +34,9 @@
 /// Everything that is counted at a gateway since its start; a start anew goes on with the counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent, by [`Kind::ALL`].
+    /// Datagrams sent, by [`MessageKind::ALL`].
     pub sent: [Flow; 4],
-    /// Datagrams received, by [`Kind::ALL`].
+    /// Datagrams received, by [`MessageKind::ALL`].
     pub received: [Flow; 4],
     /// Datagrams that the cut between regions held back.
     pub held: u64,
@@ -46,15 +46,15 @@
     pub lists: Flow,
     /// Other answers of discovery, and their bytes: of a wait that was over without news, and of calls that failed.
     pub idle: Flow,
-    /// Bytes sent to control machines.
+    /// Bytes sent to control servers.
     pub control_sent: u64,
-    /// Bytes received from control machines.
+    /// Bytes received from control servers.
     pub control_received: u64,
     /// Processor time of the fleet's part.
     pub fleet_cpu: Duration,
     /// Processor time of the list's part: the watch, the directory, the balancer.
     pub list_cpu: Duration,
-    /// Processor time of the part that follows the control machines, versions taken in it.
+    /// Processor time of the part that follows the control servers, versions taken in it.
     pub control_cpu: Duration,
     /// Others taken for gone.
     pub losses: u64,
@@ -64,7 +64,7 @@
 
 impl Counts {
     /// Books a datagram by its kind; one of no kind is the gateway's to refuse.
-    pub fn book(flows: &mut [Flow; 4], kind: Option<Kind>, bytes: usize) {
+    pub fn book(flows: &mut [Flow; 4], kind: Option<MessageKind>, bytes: usize) {
         if let Some(flow) = kind.and_then(|kind| flows.get_mut(kind as usize - 1)) {
             flow.add(bytes);
         }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Bytes sent and received, of datagrams, of discovery and of control machines.
+    /// Bytes sent and received, of datagrams, of discovery and of control servers.
     pub fn bytes(&self) -> u64 {
         let datagrams = self.sent.iter().chain(&self.received).map(|flow| flow.bytes).sum::<u64>();
         let control = self.control_sent + self.control_received;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -80,25 +80,27 @@
 //! ```
 
 mod api;
+pub mod attempt;
 mod balance;
 pub mod balancer;
-pub mod check;
 pub mod classes;
 pub mod cli;
 pub mod config;
-pub mod fault;
 pub mod fleet;
+pub mod hot_restart;
 pub mod http;
 pub mod logging;
 pub mod net;
 pub mod notice;
 pub mod ops;
-pub mod options;
 pub mod pg;
 pub mod request;
 pub mod settings;
+pub mod settings_file;
 pub mod shortage;
-pub mod upgrade;
+pub mod startup;
+pub mod text_file;
+pub mod validation;
 
 pub use api::*;
 pub use balance::Router;
