--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use dunemount_rollout::follower::Machine;
+use dunemount_rollout::settings::ControlServerInfo;
 use ini::Ini;
 
 use crate::shortage::START_PATIENCE;
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlSettings {
     /// `machines`: the control servers and where they listen (TCP), in the same order everywhere.
-    pub machines: Vec<(Machine, SocketAddr)>,
+    pub machines: Vec<(ControlServerInfo, SocketAddr)>,
     /// `zone`: a gateway's.
     pub zone: Option<String>,
     /// `file`: where a gateway persists the version in force, and a control server its state.
--- a/src/settings_file/values.rs
+++ b/src/settings_file/values.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use dunemount_rollout::follower::Machine;
+use dunemount_rollout::settings::ControlServerInfo;
 
 use super::{NamedAddress, MAX_CONTROL_SERVERS};
 
@@ -120,7 +120,7 @@
 }
 
 /// `ZONE/NAME@ADDRESS:PORT`, separated by commas.
-pub fn control_servers(text: &str) -> Result<Vec<(Machine, SocketAddr)>, ValueError> {
+pub fn control_servers(text: &str) -> Result<Vec<(ControlServerInfo, SocketAddr)>, ValueError> {
     let parts: Vec<&str> = text.split(',').map(str::trim).collect();
     if parts.len() > MAX_CONTROL_SERVERS {
         return Err(ValueError::TooManyControlServers(parts.len()));
@@ -133,5 +133,7 @@
         without_zones.push(rest);
     }
     let servers = named_addresses(&without_zones.join(","))?.into_iter().zip(zones);
-    Ok(servers.map(|(NamedAddress { name, address }, zone)| (Machine { name, zone }, address)).collect())
+    Ok(servers
+        .map(|(NamedAddress { name, address }, zone)| (ControlServerInfo { name, zone }, address))
+        .collect())
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -9,6 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use dunemount_rollout::follower;
+use dunemount_rollout::settings::Timeouts;
 use dunemount_rollout::version::Document;
 use slog::{info, warn, Level, Logger};
 
@@ -159,8 +160,8 @@
                 fleet: settings.fleet.name.clone().unwrap_or_default(),
                 name: self.name.clone(),
                 zone: own.zone.to_string(),
-                machines: settings.control.machines.iter().map(|(machine, _)| machine.clone()).collect(),
-                pace: follower::Pace::default(),
+                servers: settings.control.machines.iter().map(|(server, _)| server.clone()).collect(),
+                timeouts: Timeouts::default(),
                 seed: random_seed(),
             },
             machines: settings.control.machines.iter().map(|(_, address)| *address).collect(),
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use dunemount_fleet::register::Slot;
+use dunemount_fleet::register::AcceptorSlot;
 
 use crate::cli::FileArgs;
 use crate::config::{ActiveConfig, ConfigError, LoadedConfig};
@@ -82,7 +82,7 @@
         Some(voter) => voter,
         None => return Err(ValidationError::NotAVoter { name }),
     };
-    let created = VoterFile::at(path).found(Slot(index as u8));
+    let created = VoterFile::at(path).found(AcceptorSlot(index as u8));
     created.map_err(|source| ValidationError::CreateVoterFile { path: path.to_path_buf(), source })?;
     Ok(format!("{}: laid out for voter {index} of a new fleet", path.display()))
 }
