--- a/src/lib.rs
+++ b/src/lib.rs
@@ -79,6 +79,7 @@
 //! )));
 //! ```
 
+pub mod admin;
 mod api;
 pub mod attempt;
 mod balance;
@@ -92,7 +93,6 @@
 pub mod logging;
 pub mod net;
 pub mod notice;
-pub mod ops;
 pub mod pg;
 pub mod request;
 pub mod settings;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::clock::Clock;
-use crate::http::{self, BadBody, Extent};
+use crate::http::{self, BodyError, BodyLength};
 use crate::settings::Zones;
 use crate::{Endpoint, EndpointState, GroupId, MemberId, Micros};
 
@@ -199,10 +199,10 @@
 }
 
 impl BadAnswer {
-    fn of(bad: BadBody, malformed: BadAnswer) -> BadAnswer {
+    fn of(bad: BodyError, malformed: BadAnswer) -> BadAnswer {
         match bad {
-            BadBody::Malformed => malformed,
-            BadBody::TooLong => BadAnswer::TooLong,
+            BodyError::Malformed => malformed,
+            BodyError::TooLong => BadAnswer::TooLong,
         }
     }
 }
@@ -345,13 +345,13 @@
     let status = response.code.unwrap_or_default();
     let body = &bytes[head..];
     let extent =
-        http::extent(response.headers, MAX_BODY).map_err(|bad| BadAnswer::of(bad, BadAnswer::Head))?;
+        http::body_length(response.headers, MAX_BODY).map_err(|bad| BadAnswer::of(bad, BadAnswer::Head))?;
     let whole = match extent {
-        Extent::Chunked => {
-            http::unchunk(body, MAX_BODY).map_err(|bad| BadAnswer::of(bad, BadAnswer::Body))?
+        BodyLength::Chunked => {
+            http::decode_chunked(body, MAX_BODY).map_err(|bad| BadAnswer::of(bad, BadAnswer::Body))?
         }
-        Extent::Length(length) => body.get(..length).map(<[u8]>::to_vec),
-        Extent::Unsaid => ended.then(|| body.to_vec()),
+        BodyLength::Known(length) => body.get(..length).map(<[u8]>::to_vec),
+        BodyLength::Unspecified => ended.then(|| body.to_vec()),
     };
     let Some(whole) = whole else {
         return match body.len() {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -39,13 +39,13 @@
 use super::clock::Clock;
 use super::discovery::{Directory, Listing};
 use super::pool::Pool;
+use crate::admin::metrics::Metrics;
 use crate::balancer::{Balancer, Output, RoutingDecision};
 use crate::classes::Classes;
 use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::handover;
 use crate::fleet::status::Board;
 use crate::hot_restart::handover_socket::HandoverState;
-use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequests;
@@ -169,7 +169,7 @@
     classes: Classes,
     connect_timeout: Micros,
     directory: Directory,
-    figures: Figures,
+    figures: Metrics,
     counts: Counts,
     signals: Option<Signals>,
     /// The text of the configuration in force.
@@ -214,9 +214,9 @@
             .map(|me| {
                 let site = config.site.clone();
                 let watching = Watching::of(config.discovery, config.known.rev, &site.router, config.seed);
-                let mut figures = Figures::default();
+                let mut figures = Metrics::default();
                 for class in &site.class_names {
-                    figures.class(class);
+                    figures.class_mut(class);
                 }
                 let named = site.class_names.into_iter().zip(site.router.classes.clone());
                 let mut classes = Classes::default();
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -12,9 +12,10 @@
 use super::timers::Timer;
 use super::workers::WorkerMessage;
 use super::{Gateway, Phase, ADMIN};
+use crate::admin::connection::AdminConnection;
+use crate::admin::metrics::Metrics;
+use crate::admin::request::{AdminRequest, HttpStatus};
 use crate::fleet::status::Board;
-use crate::ops::call::{Call, Order, Status};
-use crate::ops::figures::Figures;
 use crate::Micros;
 
 /// Most callers at a time.
@@ -33,14 +34,14 @@
 
 /// An operator's connection.
 pub(super) struct AdminLink {
-    pub(super) call: Call,
+    pub(super) call: AdminConnection,
     /// When it connected, or when it got its answer.
     since: Micros,
     /// Workers whose word the answer waits for, and what they have told so far.
     waits: usize,
     /// What an order is answered with.
     yes: &'static str,
-    gathered: Figures,
+    gathered: Metrics,
 }
 
 impl Gateway {
@@ -53,8 +54,9 @@
                 Err(_) => return self.watch_admin(false),
             };
             self.make_admin_room();
-            let gathered = Figures::default();
-            let link = AdminLink { call: Call::default(), since: self.now, waits: 0, yes: "", gathered };
+            let gathered = Metrics::default();
+            let link =
+                AdminLink { call: AdminConnection::default(), since: self.now, waits: 0, yes: "", gathered };
             let _ = socket.set_nodelay(true);
             let _ = socket.set_nonblocking(true);
             if let Ok(key) = self.insert(socket, Link::Caller(link), false) {
@@ -84,7 +86,7 @@
     /// Makes a place: whoever has its answer goes first, then whoever has waited longest with half a call.
     fn make_admin_room(&mut self) {
         if self.callers().count() >= CALLERS {
-            let rank = |(_, link): &(Key, &AdminLink)| (!link.call.is_answered(), link.since);
+            let rank = |(_, link): &(Key, &AdminLink)| (!link.call.has_responded(), link.since);
             if let Some(key) = self.callers().min_by_key(rank).map(|(key, _)| key) {
                 self.close(key);
             }
@@ -94,12 +96,14 @@
     /// The round over callers: half a call is told so in the end, an answer need not be waited with.
     pub(super) fn reap_admin_connections(&mut self) {
         let now = self.now;
-        let limit = |link: &AdminLink| if link.call.is_answered() { LINGER } else { PATIENCE };
+        let limit = |link: &AdminLink| if link.call.has_responded() { LINGER } else { PATIENCE };
         let late = self.callers().filter(|(_, link)| now - link.since >= limit(link));
         let late: Vec<Key> = late.map(|(key, _)| key).collect();
         for key in late {
             match self.caller(key) {
-                Some(link) if !link.call.is_answered() => self.reply(key, Status::TooLate, "no whole call\n"),
+                Some(link) if !link.call.has_responded() => {
+                    self.reply(key, HttpStatus::RequestTimeout, "no whole call\n")
+                }
                 _ => self.close(key),
             }
         }
@@ -126,20 +130,22 @@
         }
     }
 
-    fn obey(&mut self, key: Key, order: Order) {
+    fn obey(&mut self, key: Key, order: AdminRequest) {
         match order {
-            Order::Readiness if self.phase == Phase::Serving => self.reply(key, Status::Ok, "ready\n"),
-            Order::Readiness => self.reply(key, Status::Unavailable, "ending\n"),
-            Order::Stats => self.gather(key),
-            Order::Down(name) => self.order(key, &name, true),
-            Order::Up(name) => self.order(key, &name, false),
-            Order::Fleet => {
+            AdminRequest::Readiness if self.phase == Phase::Serving => {
+                self.reply(key, HttpStatus::Ok, "ready\n")
+            }
+            AdminRequest::Readiness => self.reply(key, HttpStatus::ServiceUnavailable, "ending\n"),
+            AdminRequest::Stats => self.gather(key),
+            AdminRequest::SetDown(name) => self.order(key, &name, true),
+            AdminRequest::SetUp(name) => self.order(key, &name, false),
+            AdminRequest::Fleet => {
                 match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
-                    Some(Ok(text)) => self.reply(key, Status::Ok, &text),
+                    Some(Ok(text)) => self.reply(key, HttpStatus::Ok, &text),
                     Some(Err(_)) => {
-                        self.reply(key, Status::Unavailable, "the fleet's state cannot be told\n")
+                        self.reply(key, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n")
                     }
-                    None => self.reply(key, Status::NotFound, "no fleet\n"),
+                    None => self.reply(key, HttpStatus::NotFound, "no fleet\n"),
                 }
             }
         }
@@ -149,25 +155,25 @@
     fn gather(&mut self, key: Key) {
         let (own, others) = (self.figures().clone(), self.workers.size() - 1);
         if let Some(link) = self.caller(key) {
-            (link.waits, link.gathered) = (others + 1, Figures::default());
+            (link.waits, link.gathered) = (others + 1, Metrics::default());
         }
         self.workers.deliver_others(self.me, || WorkerMessage::Stats(key));
         self.add_figures(key, &own);
     }
 
     /// One worker's figures for a call.
-    pub(super) fn add_figures(&mut self, key: Key, figures: &Figures) {
+    pub(super) fn add_figures(&mut self, key: Key, figures: &Metrics) {
         let Some(link) = self.caller(key) else { return };
         link.gathered.add(figures);
         link.waits = link.waits.saturating_sub(1);
         if link.waits == 0 {
             let text = link.gathered.to_string();
-            self.reply(key, Status::Ok, &text);
+            self.reply(key, HttpStatus::Ok, &text);
         }
     }
 
     /// The figures as they stand.
-    pub(super) fn figures(&mut self) -> &Figures {
+    pub(super) fn figures(&mut self) -> &Metrics {
         self.figures.active = self.requests.len();
         let counts = self.balancer.endpoint_counts();
         (self.figures.pool_size, self.figures.pool_ejected) = (counts.listed, counts.ejected);
@@ -178,7 +184,7 @@
     fn order(&mut self, key: Key, name: &str, down: bool) {
         if self.directory.member(name).is_none() {
             warn!(self.log, "operators name a host that nobody has"; "host" => name);
-            return self.reply(key, Status::NotFound, "no such database host\n");
+            return self.reply(key, HttpStatus::NotFound, "no such database host\n");
         }
         info!(self.log, "{}", if down { "host put down by hand" } else { "host put back up" }; "host" => name);
         let workers = self.workers.size();
@@ -206,7 +212,7 @@
         link.waits = link.waits.saturating_sub(1);
         if link.waits == 0 {
             let yes = link.yes;
-            self.reply(key, Status::Ok, yes);
+            self.reply(key, HttpStatus::Ok, yes);
         }
     }
 
@@ -245,10 +251,10 @@
         }
     }
 
-    fn reply(&mut self, key: Key, status: Status, text: &str) {
+    fn reply(&mut self, key: Key, status: HttpStatus, text: &str) {
         let now = self.now;
         if let Some(link) = self.caller(key) {
-            link.call.answer(status, text);
+            link.call.respond(status, text);
             link.since = now;
             self.write(key);
         }
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -394,7 +394,7 @@
             // Its home has more waiting than it can look at in time.
             self.counts.refused += 1;
             if self.classes.id(self.now, &class).is_some() {
-                self.figures.class(&class).shed += 1;
+                self.figures.class_mut(&class).shed += 1;
             }
             self.give(key, Final::Refused(None));
         }
@@ -413,7 +413,7 @@
         let time_left = until - now;
         if time_left == Micros(0) {
             self.counts.refused += 1;
-            self.figures.class(&statement.class).shed += 1;
+            self.figures.class_mut(&statement.class).shed += 1;
             return self.answer(owner, Final::Refused(None));
         }
         let request = RoutingRequest {
--- a/src/net/event_loop/flowing.rs
+++ b/src/net/event_loop/flowing.rs
@@ -82,7 +82,7 @@
     pub(super) fn cut_off(&mut self, request_id: RequestId) {
         let Some(request) = self.conclude(request_id) else { return };
         self.counts.failed += 1;
-        self.figures.class(&request.statement.class).errors += 1;
+        self.figures.class_mut(&request.statement.class).errors += 1;
         match request.owner.worker == self.me {
             true => self.cut(request.owner.key),
             false => self.workers.deliver(request.owner.worker, WorkerMessage::Cut(request.owner.key)),
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -33,7 +33,7 @@
     pub(super) fn finish(&mut self, request_id: RequestId, answer: Final) {
         self.drop_attempt(request_id);
         let Some(request) = self.conclude(request_id) else { return };
-        let tally = self.figures.class(&request.statement.class);
+        let tally = self.figures.class_mut(&request.statement.class);
         match answer {
             Final::Served(_) => tally.ok += 1,
             Final::Refused(_) => tally.shed += 1,
@@ -277,7 +277,7 @@
         }
         let member = host.member;
         if let Some(request) = self.requests.get(request_id) {
-            self.figures.class(&request.statement.class).tries += 1;
+            self.figures.class_mut(&request.statement.class).attempts += 1;
         }
         self.log_attempt(request_id, member);
         if !self.balancer.is_fresh_enough(self.clock.read(), request_id) {
--- a/src/net/event_loop/slots.rs
+++ b/src/net/event_loop/slots.rs
@@ -267,7 +267,7 @@
             Ok(true) => {
                 match &slot.link {
                     Link::Client(ClientLink { closing: true, .. }) => return self.hang_up(key),
-                    Link::Caller(caller) if caller.call.is_answered() => self.caller_served(key),
+                    Link::Caller(caller) if caller.call.has_responded() => self.caller_served(key),
                     Link::Host(_) => self.attempt_written(key),
                     _ => {}
                 }
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -228,7 +228,7 @@
         let new = names.zip(std::mem::take(&mut settings.classes)).collect();
         settings.classes = self.classes.adopt(self.now, new, |class| self.balancer.has_requests_of(class));
         for class in &site.class_names {
-            self.figures.class(class);
+            self.figures.class_mut(class);
         }
         self.pool.keep_for(settings.connection_idle_timeout);
         (self.watching.gateways, self.watching.drain_grace) = (settings.gateways, settings.drain_grace);
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -13,9 +13,9 @@
 use super::slots::Key;
 use super::succession::Passed;
 use super::{Gateway, Phase};
+use crate::admin::metrics::Metrics;
 use crate::balancer;
 use crate::net::discovery::Listing;
-use crate::ops::figures::Figures;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
 use crate::settings::{SiteSettings, Zones};
@@ -84,7 +84,7 @@
     /// To all: the figures are asked for by this call.
     Stats(Key),
     /// To the admin interface: the figures of one worker.
-    Figures(Key, Box<Figures>),
+    Figures(Key, Box<Metrics>),
     /// To the line: a request whose way to its home leads past what the other process has told.
     Via { home: usize, owner: Owner, statement: Box<Statement>, until: Micros },
     /// To the line: a commit that the other process hears of before its answer, if one is owed, goes out.
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,14 +10,15 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
 
+use dunemount::admin::connection::AdminConnection;
+use dunemount::admin::metrics::Metrics;
+use dunemount::admin::request::HttpStatus;
 use dunemount::balancer::Balancer;
 use dunemount::config::ActiveConfig;
 use dunemount::hot_restart::handover_socket::{self, HandoverSocket};
 use dunemount::hot_restart::message::{GatewaySnapshot, Message};
 use dunemount::net::clock::{Clock, Reading};
 use dunemount::net::discovery::Directory;
-use dunemount::ops::call::{Call, Status};
-use dunemount::ops::figures::Figures;
 use dunemount::pg::client::{Client, Demand};
 use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
 use dunemount::pg::timed_inbox::Arrival;
@@ -390,16 +391,16 @@
 #[test]
 fn admin_statuses_keep_their_bytes() {
     for (name, status) in [
-        ("admin-200-v1.txt", Status::Ok),
-        ("admin-400-v1.txt", Status::BadRequest),
-        ("admin-404-v1.txt", Status::NotFound),
-        ("admin-405-v1.txt", Status::WrongMethod),
-        ("admin-408-v1.txt", Status::TooLate),
-        ("admin-413-v1.txt", Status::TooLong),
-        ("admin-503-v1.txt", Status::Unavailable),
+        ("admin-200-v1.txt", HttpStatus::Ok),
+        ("admin-400-v1.txt", HttpStatus::BadRequest),
+        ("admin-404-v1.txt", HttpStatus::NotFound),
+        ("admin-405-v1.txt", HttpStatus::MethodNotAllowed),
+        ("admin-408-v1.txt", HttpStatus::RequestTimeout),
+        ("admin-413-v1.txt", HttpStatus::ContentTooLarge),
+        ("admin-503-v1.txt", HttpStatus::ServiceUnavailable),
     ] {
-        let mut call = Call::default();
-        call.answer(status, "body\n");
+        let mut call = AdminConnection::default();
+        call.respond(status, "body\n");
         assert_bytes(name, &call.out.bytes);
     }
 }
@@ -451,10 +452,10 @@
 /// Guards the text of the figures, with classes in the order of their names.
 #[test]
 fn figures_keep_their_text() {
-    let mut figures = Figures::default();
+    let mut figures = Metrics::default();
     for (class, first) in [("store", 10), ("look", 20)] {
-        let tally = figures.class(class);
-        (tally.ok, tally.shed, tally.errors, tally.tries) = (first, first + 1, first + 2, first + 3);
+        let tally = figures.class_mut(class);
+        (tally.ok, tally.shed, tally.errors, tally.attempts) = (first, first + 1, first + 2, first + 3);
     }
     (figures.active, figures.pool_size, figures.pool_ejected) = (31, 32, 33);
     (figures.config_applied, figures.config_rejected) = (41, 42);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -6,8 +6,9 @@
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
 
-use dunemount::ops::call::{Call, Order, Status};
-use dunemount::ops::figures::Figures;
+use dunemount::admin::connection::AdminConnection;
+use dunemount::admin::metrics::Metrics;
+use dunemount::admin::request::{AdminRequest, HttpStatus};
 use harness::{figure, get, order, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,15 +20,15 @@
     /// before the last byte, and whatever follows it is passed over.
     #[test]
     fn a_call_is_one_order_however_it_is_cut(cuts in prop::collection::vec(1usize..40, 1..60), which in 0usize..5) {
-        let down = Order::Down("s-1".into());
+        let down = AdminRequest::SetDown("s-1".into());
         let (text, wanted) = [
-            ("GET /ops/readiness HTTP/1.1\r\n\r\n", Ok(Order::Readiness)),
-            ("GET /ops/stats?all=1 HTTP/1.1\r\nHost: a\r\n\r\n", Ok(Order::Stats)),
+            ("GET /ops/readiness HTTP/1.1\r\n\r\n", Ok(AdminRequest::Readiness)),
+            ("GET /ops/stats?all=1 HTTP/1.1\r\nHost: a\r\n\r\n", Ok(AdminRequest::Stats)),
             ("POST /ops/database-hosts/down HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-1\r\n", Ok(down.clone())),
             ("POST /ops/database-hosts/down HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ns-\r\n1\r\n1\r\n0\r\n\r\n", Ok(down)),
-            ("GET /ops/database-hosts/up HTTP/1.1\r\n\r\n", Err(Status::WrongMethod)),
+            ("GET /ops/database-hosts/up HTTP/1.1\r\n\r\n", Err(HttpStatus::MethodNotAllowed)),
         ][which].clone();
-        let mut call = Call::default();
+        let mut call = AdminConnection::default();
         let (mut rest, mut said) = (text.as_bytes(), Vec::new());
         for cut in cuts.iter().cycle() {
             let (now, later) = rest.split_at((*cut).min(rest.len()));
@@ -39,8 +40,8 @@
             }
         }
         prop_assert_eq!(said, vec![wanted]);
-        call.answer(Status::Ok, "yes");
-        call.answer(Status::NotFound, "no");
+        call.respond(HttpStatus::Ok, "yes");
+        call.respond(HttpStatus::NotFound, "no");
         prop_assert_eq!(call.receive(text.as_bytes()), None);
         let out = String::from_utf8(call.out.bytes.clone()).expect("text");
         prop_assert!(out.starts_with("HTTP/1.1 200 OK\r\n") && out.ends_with("\r\n\r\nyes"));
@@ -49,7 +50,7 @@
     /// Guards the loop against callers that send anything at all: an order, a fault, or patience.
     #[test]
     fn nothing_read_from_a_caller_panics(bytes in prop::collection::vec(any::<u8>(), 0..20_000)) {
-        let mut call = Call::default();
+        let mut call = AdminConnection::default();
         let said = call.receive(&bytes);
         prop_assert!(bytes.len() <= 8 * 1024 || said.is_some(), "held without end");
     }
@@ -58,12 +59,12 @@
 /// Guards the form of the figures, which staff and their programs read line by line.
 #[test]
 fn figures_print_themselves() {
-    let mut figures = Figures::default();
+    let mut figures = Metrics::default();
     (figures.active, figures.pool_size, figures.pool_ejected, figures.config_applied) = (14, 9, 2, 3);
-    figures.class("own-read").ok = 812;
-    figures.class("own-read").tries = 820;
+    figures.class_mut("own-read").ok = 812;
+    figures.class_mut("own-read").attempts = 820;
     let wanted = "gw.responses.own-read.ok:812|c\ngw.responses.own-read.shed:0|c\n\
-        gw.responses.own-read.errors:0|c\ngw.responses.own-read.tries:820|c\ngw.active:14|g\n\
+        gw.responses.own-read.errors:0|c\ngw.responses.own-read.attempts:820|c\ngw.active:14|g\n\
         gw.pool_size:9|g\ngw.pool_ejected:2|g\ngw.config_applied:3|c\ngw.config_rejected:0|c\n";
     assert_eq!(figures.to_string(), wanted);
 }
@@ -84,7 +85,7 @@
     while !harness.heard.recv().expect("heard").contains("'held'") {}
     for (name, value) in [
         ("responses.look.ok", 1),
-        ("responses.look.tries", 2),
+        ("responses.look.attempts", 2),
         ("responses.store.ok", 1),
         ("responses.store.errors", 1),
         ("responses.store.shed", 0),
@@ -95,7 +96,7 @@
     ] {
         assert_eq!(figure(harness.admin, name), value, "{name}");
     }
-    assert!(figure(harness.admin, "responses.store.tries") >= 2);
+    assert!(figure(harness.admin, "responses.store.attempts") >= 2);
     harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
     harness.end();
