--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -64,7 +64,7 @@
     figures.class_mut("own-read").ok = 812;
     figures.class_mut("own-read").attempts = 820;
     let wanted = "gw.responses.own-read.ok:812|c\ngw.responses.own-read.shed:0|c\n\
-        gw.responses.own-read.errors:0|c\ngw.responses.own-read.attempts:820|c\ngw.active:14|g\n\
+        gw.responses.own-read.errors:0|c\ngw.responses.own-read.tries:820|c\ngw.active:14|g\n\
         gw.pool_size:9|g\ngw.pool_ejected:2|g\ngw.config_applied:3|c\ngw.config_rejected:0|c\n";
     assert_eq!(figures.to_string(), wanted);
 }
@@ -85,7 +85,7 @@
     while !harness.heard.recv().expect("heard").contains("'held'") {}
     for (name, value) in [
         ("responses.look.ok", 1),
-        ("responses.look.attempts", 2),
+        ("responses.look.tries", 2),
         ("responses.store.ok", 1),
         ("responses.store.errors", 1),
         ("responses.store.shed", 0),
@@ -96,7 +96,7 @@
     ] {
         assert_eq!(figure(harness.admin, name), value, "{name}");
     }
-    assert!(figure(harness.admin, "responses.store.attempts") >= 2);
+    assert!(figure(harness.admin, "responses.store.tries") >= 2);
     harness.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
     harness.end();
