--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dunemount_fleet::node::{Event, Node};
-use dunemount_fleet::record::Outcome;
+use dunemount_fleet::node::{Node, NodeEvent};
+use dunemount_fleet::register_client::RegisterOutcome;
 use dunemount_rollout::control::{
     ControlServer, DocumentStore, InvalidDocument, Output, PersistentState, RegisterEvent, Settings, REGISTER,
 };
@@ -262,8 +262,8 @@
                 },
                 Output::Send(link, bytes) => self.connections.send(link, bytes),
                 Output::Close(link) => self.connections.finish(link),
-                Output::ReadRegister => node.look(now, REGISTER),
-                Output::PrepareChange => node.change(now, REGISTER),
+                Output::ReadRegister => node.read_register(now, REGISTER),
+                Output::PrepareChange => node.begin_change(now, REGISTER),
                 Output::Propose(value) => node.propose(now, REGISTER, Some(value)),
                 Output::AbandonChange => node.propose(now, REGISTER, None),
                 Output::Log(text) => info!(self.log, "{}", text),
@@ -273,14 +273,14 @@
             done = true;
             self.control.handle_closed(now, link);
         }
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             done = true;
             match event {
-                Event::Record(key, outcome) if key == REGISTER => {
+                NodeEvent::Register { key, outcome } if key == REGISTER => {
                     self.control.handle_register_event(now, told(outcome), &mut self.desk);
                 }
                 event => {
-                    if matches!(event, Event::Member(_)) {
+                    if matches!(event, NodeEvent::Membership(_)) {
                         self.control.set_members(members(&self.carrier.node));
                     }
                     driver::log_event(&self.log, event);
@@ -291,17 +291,19 @@
     }
 }
 
-fn told(outcome: Outcome) -> RegisterEvent {
+fn told(outcome: RegisterOutcome) -> RegisterEvent {
     match outcome {
-        Outcome::Holds(value, began) => RegisterEvent::Read { value, started_at: began },
-        Outcome::Promised(value) => RegisterEvent::Promised(value),
-        Outcome::Chosen(value) => RegisterEvent::Chosen(value),
-        Outcome::Failed { proposed, no_majority } => RegisterEvent::Failed { proposed, no_majority },
+        RegisterOutcome::Read { value, started_at: began } => {
+            RegisterEvent::Read { value, started_at: began }
+        }
+        RegisterOutcome::Prepared(value) => RegisterEvent::Promised(value),
+        RegisterOutcome::Chosen(value) => RegisterEvent::Chosen(value),
+        RegisterOutcome::Failed { proposed, no_majority } => RegisterEvent::Failed { proposed, no_majority },
     }
 }
 
 /// The members that the node knows, itself among them.
 fn members(node: &Node) -> Vec<String> {
-    let members = node.members();
+    let members = node.membership();
     members.members().chain([members.local()]).map(|peer| peer.name.clone()).collect()
 }
