--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -1,9 +1,9 @@
-//! A voter's store: the bytes and the time of one promise or acceptance, put in place by the gateway's own `VoterFile` on
+//! A voter's store: the bytes and the time of one promise or acceptance, put in place by the gateway's own `AcceptorFile` on
 //! the disk that is named.
 
 use std::time::Instant;
 
-use dunemount::fleet::file::VoterFile;
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
 use dunemount_fleet::lease::LeaseRecord;
@@ -25,7 +25,7 @@
 fn ask(
     voter: &mut Acceptor,
     call: AcceptorRequest,
-    disk: Option<&mut VoterFile>,
+    disk: Option<&mut AcceptorFile>,
 ) -> Result<(AcceptorReply, usize), String> {
     match voter.handle_request(call) {
         RequestOutcome::Reply(reply) => Ok((reply, 0)),
@@ -79,7 +79,7 @@
             if voter.register_count() != registers {
                 return Err(format!("{} of {registers} registers", voter.register_count()));
             }
-            let mut disk = VoterFile::at(path);
+            let mut disk = AcceptorFile::new(path);
             let (mut took, mut file, mut datagrams) = (0.0, 0, 0);
             for beat in 0..RENEWALS {
                 for call in renewal(beat * registers / RENEWALS, 1_000_000 + beat as u64) {
--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use dunemount::fleet::file::VoterFile;
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::options::{FleetOptions, Place};
 use dunemount_fleet::register::AcceptorSlot;
 use dunemount_rollout::settings::ControlServerInfo;
@@ -64,7 +64,7 @@
             return Ok(None);
         }
         let file = self.folder.join(format!("voter-{index}"));
-        VoterFile::at(&file).found(AcceptorSlot(index as u8)).map_err(text)?;
+        AcceptorFile::new(&file).create(AcceptorSlot(index as u8)).map_err(text)?;
         Ok(Some(file))
     }
 
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -15,9 +15,10 @@
 use dunemount::balancer::Balancer;
 use dunemount::config::{version, InForce};
 use dunemount::fault::Fault;
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
-use dunemount::fleet::file::{self, VoterFile};
+use dunemount::fleet::durable_file;
 use dunemount::fleet::rollout::{self, links};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
@@ -437,7 +438,7 @@
         socket.set_nonblocking(true).map_err(said)?;
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
-        let voter = slot.zip(file.as_deref().map(VoterFile::at));
+        let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
         let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
@@ -524,9 +525,9 @@
     /// Takes a version and keeps it, as the program does.
     fn take_version(&mut self, document: &Document, kept: &Path, common: &Common) -> Result<(), String> {
         let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
-        let staged = file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
+        let staged = durable_file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
         match self.take(text) {
-            Ok(()) => staged.settle().map_err(|e| e.to_string()),
+            Ok(()) => staged.commit().map_err(|e| e.to_string()),
             Err(fault) => {
                 staged.discard();
                 Err(fault.to_string())
--- a/src/check.rs
+++ b/src/check.rs
@@ -8,7 +8,7 @@
 use crate::cli::Files;
 use crate::config::{self, InForce, Taken};
 use crate::fault::Fault;
-use crate::fleet::file::VoterFile;
+use crate::fleet::acceptor_file::AcceptorFile;
 use crate::options::Options;
 use crate::settings::Zones;
 use crate::shortage::{may_pass, retry, START_PATIENCE};
@@ -84,7 +84,7 @@
     let fleet = options(files.settings.as_deref())?.fleet;
     let voter = fleet.voter(&name)?;
     let (place, file) = voter.ok_or(format!("{name} is none of the voters that [fleet] names"))?;
-    let done = VoterFile::at(file).found(AcceptorSlot(place as u8));
+    let done = AcceptorFile::new(file).create(AcceptorSlot(place as u8));
     done.map_err(|e| format!("cannot lay out {}: {e}", file.display()))?;
     Ok(format!("{}: laid out for voter {place} of a new fleet", file.display()))
 }
--- a/src/fleet/carrier.rs
+++ b/src/fleet/carrier.rs
@@ -11,7 +11,7 @@
 use dunemount_fleet::register::AcceptorSlot;
 use slog::{info, warn, Logger};
 
-use super::file::VoterFile;
+use super::acceptor_file::AcceptorFile;
 
 /// Most datagrams taken in one turn.
 const DATAGRAMS: usize = 256;
@@ -63,7 +63,7 @@
 pub struct Carrier {
     /// The node: its driver looks at its state and takes its events.
     pub node: Node,
-    file: Option<VoterFile>,
+    file: Option<AcceptorFile>,
     unread: Option<Unread>,
     /// Operators have been told that the voter cannot store.
     told_unstored: bool,
@@ -73,7 +73,7 @@
 
 impl Carrier {
     /// A node by its settings; a voter with its place and its file, which is read now, or as soon as it can be.
-    pub fn new(settings: NodeSettings, voter: Option<(usize, VoterFile)>, log: Logger) -> Carrier {
+    pub fn new(settings: NodeSettings, voter: Option<(usize, AcceptorFile)>, log: Logger) -> Carrier {
         let salt = settings.rng_seed as u32;
         let (slot, file) = voter.unzip();
         let unread = slot.map(|slot| Unread {
@@ -89,9 +89,9 @@
     }
 
     /// Why the voter answers nothing new at present: its file cannot be read, or not be stored.
-    pub fn unstored(&self) -> Option<&str> {
+    pub fn unstored(&self) -> Option<String> {
         let unread = self.unread.as_ref().map(|unread| unread.why.as_str());
-        unread.or_else(|| self.file.as_ref()?.failed.as_deref())
+        unread.map(str::to_string).or_else(|| Some(self.file.as_ref()?.store_error()?.to_string()))
     }
 
     /// When something is to be done that the node does not know of.
@@ -107,10 +107,10 @@
         if now < unread.again {
             return;
         }
-        match file.voter(unread.slot, unread.salt) {
+        match file.load(unread.slot, unread.salt) {
             Ok((voter, unusable)) => {
                 if let Some(why) = unusable {
-                    warn!(self.log, "fleet: the voter's file cannot be used, the others have to let it in"; "why" => why);
+                    warn!(self.log, "fleet: the voter's file cannot be used, the others have to let it in"; "why" => %why);
                 } else if !unread.why.is_empty() {
                     info!(self.log, "fleet: the voter's file is read");
                 }
@@ -168,10 +168,10 @@
 
     /// Tells operators when the voter cannot store, and when it can again.
     fn tell_unstored(&mut self) {
-        let failed = self.file.as_ref().and_then(|file| file.failed.as_deref());
+        let failed = self.file.as_ref().and_then(|file| file.store_error());
         match failed {
             Some(e) if !self.told_unstored => {
-                warn!(self.log, "fleet: the voter cannot store, it answers nothing new until it can"; "error" => e);
+                warn!(self.log, "fleet: the voter cannot store, it answers nothing new until it can"; "error" => %e);
             }
             None if self.told_unstored => info!(self.log, "fleet: the voter stores again"),
             _ => {}
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -16,8 +16,8 @@
 use polling::{Event as Poll, PollMode, Poller};
 use slog::{error, info, warn, Logger};
 
+use super::acceptor_file::AcceptorFile;
 use super::carrier::Carrier;
-use super::file::VoterFile;
 use super::status::{Board, Status};
 use crate::options::{FleetOptions, Place};
 
@@ -112,7 +112,7 @@
     };
     let (end, told) = UnixStream::pair()?;
     told.set_nonblocking(true)?;
-    let file = options.voter(&name).map_err(io::Error::other)?.map(|(_, path)| VoterFile::at(path));
+    let file = options.voter(&name).map_err(io::Error::other)?.map(|(_, path)| AcceptorFile::new(path));
     let board = Board::default();
     let carrier = Carrier::new(settings, slot.zip(file), log.clone());
     let driver = Driver::new(carrier, told, board.clone(), log.clone())?;
@@ -168,7 +168,7 @@
             self.tell();
             if now >= self.next_board {
                 self.next_board = now + BOARD;
-                let unstored = self.carrier.unstored().map(str::to_string);
+                let unstored = self.carrier.unstored();
                 self.board.put(Status { unstored, ..Status::of(&self.carrier.node, now) });
             }
         }
--- a/src/fleet/rollout/gateway.rs
+++ b/src/fleet/rollout/gateway.rs
@@ -20,7 +20,7 @@
 
 use super::handover::{self, Answer, Inbox, Outbox};
 use super::links::Carrier;
-use crate::fleet::file::{put, stage, Staged};
+use crate::fleet::durable_file::{self, StagedFile};
 use crate::fleet::status::{Board, Configuration};
 use crate::shortage::{may_pass, retry};
 
@@ -205,7 +205,7 @@
     /// It is to be brought to the disk, at the next try.
     Storing(Document, Duration),
     /// It is on the disk beside the file, and the loop is to take it.
-    Offered(Document, Staged),
+    Offered(Document, StagedFile),
     /// The loop has taken it, and it is to be kept, at the next try.
     Keeping(Document, Duration),
 }
@@ -251,7 +251,7 @@
     /// Brings a version to the disk, and offers it to the loop. A disk that takes nothing for a while is tried again, as
     /// long as this version is the one to be taken.
     fn store(&mut self, document: Document) {
-        match stage(&self.file, &document.to_file()) {
+        match durable_file::stage(&self.file, &document.to_file()) {
             Ok(staged) => {
                 self.stored();
                 self.outbox.offer(document.clone());
@@ -276,7 +276,7 @@
         };
         match answer {
             Ok(()) => {
-                let settled = staged.settle();
+                let settled = staged.commit();
                 self.kept(document, settled);
             }
             Err(why) => {
@@ -307,7 +307,7 @@
         match self.taking.take() {
             Some(Taking::Storing(document, at)) if now >= at => self.store(document),
             Some(Taking::Keeping(document, at)) if now >= at => {
-                let result = put(&self.file, &document.to_file());
+                let result = durable_file::replace(&self.file, &document.to_file());
                 self.kept(document, result);
             }
             other => self.taking = other,
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -22,9 +22,10 @@
 
 use super::connections::{Connections, Heard};
 use crate::config::version;
+use crate::fleet::acceptor_file::AcceptorFile;
 use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
-use crate::fleet::file::{put, VoterFile};
+use crate::fleet::durable_file;
 use crate::options::{Options, MOST_MACHINES};
 use crate::shortage::{is_shortage, may_pass, retry, START_PATIENCE};
 
@@ -72,7 +73,7 @@
     }
 
     fn store(&mut self, state: &PersistentState) -> bool {
-        let done = put(&self.file, &state.to_file());
+        let done = durable_file::replace(&self.file, &state.to_file());
         if let Err(e) = &done {
             warn!(self.log, "config: versions cannot be kept"; "error" => %e, "file" => %self.file.display());
         }
@@ -110,7 +111,7 @@
     let (Some((node, slot)), Some(hear)) = (node, options.fleet.listen) else {
         return Err("[fleet] name: missing".into());
     };
-    let voter = options.fleet.voter(&start.name)?.map(|(_, path)| VoterFile::at(path));
+    let voter = options.fleet.voter(&start.name)?.map(|(_, path)| AcceptorFile::new(path));
     let keeping = kept(&start.file, log)?;
     let settings = Settings {
         fleet: node.fleet.clone(),
