--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -16,10 +16,10 @@
 use dunemount::config::{version, InForce};
 use dunemount::fault::Fault;
 use dunemount::fleet::acceptor_file::AcceptorFile;
-use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
 use dunemount::fleet::durable_file;
 use dunemount::fleet::rollout::{self, links};
+use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
 use dunemount::options::FleetOptions;
@@ -211,7 +211,7 @@
     region: usize,
 }
 
-impl Wire for Counted<'_> {
+impl DatagramSocket for Counted<'_> {
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
@@ -273,7 +273,7 @@
 
 struct Gateway {
     region: usize,
-    carrier: Carrier,
+    carrier: NodeTransport,
     socket: UdpSocket,
     listing: Listing,
     following: Option<Following>,
@@ -439,7 +439,7 @@
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
-        let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
+        let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
         let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
@@ -633,7 +633,7 @@
     fn turn(&mut self, now: Duration, common: &Common) {
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
-        carrier.turn(now, Counted { socket, counts, common, region: *region });
+        carrier.poll(now, Counted { socket, counts, common, region: *region });
         while let Some(event) = self.carrier.node.next_event() {
             match event {
                 NodeEvent::Membership(MembershipChange::Up(peer)) => {
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -17,8 +17,8 @@
 use slog::{error, info, warn, Logger};
 
 use super::acceptor_file::AcceptorFile;
-use super::carrier::Carrier;
 use super::status::{Board, Status};
+use super::transport::NodeTransport;
 use crate::options::{FleetOptions, Place};
 
 /// Clocks are taken to run apart by no more than this part.
@@ -114,8 +114,8 @@
     told.set_nonblocking(true)?;
     let file = options.voter(&name).map_err(io::Error::other)?.map(|(_, path)| AcceptorFile::new(path));
     let board = Board::default();
-    let carrier = Carrier::new(settings, slot.zip(file), log.clone());
-    let driver = Driver::new(carrier, told, board.clone(), log.clone())?;
+    let transport = NodeTransport::new(settings, slot.zip(file), log.clone());
+    let driver = Driver::new(transport, told, board.clone(), log.clone())?;
     let thread = std::thread::Builder::new().name("fleet".into());
     let log = log.clone();
     let thread = thread.spawn(move || {
@@ -128,7 +128,7 @@
 }
 
 struct Driver {
-    carrier: Carrier,
+    transport: NodeTransport,
     end: UnixStream,
     poller: Poller,
     began: Instant,
@@ -139,11 +139,11 @@
 }
 
 impl Driver {
-    fn new(carrier: Carrier, end: UnixStream, board: Board, log: Logger) -> io::Result<Driver> {
+    fn new(transport: NodeTransport, end: UnixStream, board: Board, log: Logger) -> io::Result<Driver> {
         let poller = Poller::new()?;
         poller.add_with_mode(&end, Poll::readable(END), PollMode::Level)?;
         let (began, next_board) = (Instant::now(), Duration::ZERO);
-        Ok(Driver { carrier, end, poller, began, board, next_board, log })
+        Ok(Driver { transport, end, poller, began, board, next_board, log })
     }
 
     fn run(mut self, listen: std::net::SocketAddr) {
@@ -155,21 +155,21 @@
         }
         info!(self.log, "fleet: joining"; "address" => %listen);
         let mut until = None;
-        while until.is_none_or(|until| self.now() < until && !self.carrier.node.has_left()) {
-            self.wait(self.carrier.due().min(self.next_board));
+        while until.is_none_or(|until| self.now() < until && !self.transport.node.has_left()) {
+            self.wait(self.transport.next_deadline().min(self.next_board));
             let now = self.now();
-            self.carrier.turn(now, &socket);
+            self.transport.poll(now, &socket);
             if until.is_none() && self.is_to_end() {
-                self.carrier.node.leave(now);
-                self.carrier.node.tick(now);
-                self.carrier.send(&socket);
+                self.transport.node.leave(now);
+                self.transport.node.tick(now);
+                self.transport.send_datagrams(&socket);
                 until = Some(now + LEAVE);
             }
             self.tell();
             if now >= self.next_board {
                 self.next_board = now + BOARD;
-                let unstored = self.carrier.unstored();
-                self.board.put(Status { unstored, ..Status::of(&self.carrier.node, now) });
+                let unstored = self.transport.storage_error();
+                self.board.put(Status { unstored, ..Status::of(&self.transport.node, now) });
             }
         }
         info!(self.log, "fleet: left");
@@ -208,7 +208,7 @@
     }
 
     fn tell(&mut self) {
-        while let Some(event) = self.carrier.node.next_event() {
+        while let Some(event) = self.transport.node.next_event() {
             log_event(&self.log, event);
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //! Without `[fleet]` in the settings nothing of it is started.
 
 pub mod acceptor_file;
-pub mod carrier;
 pub mod driver;
 pub mod durable_file;
 pub mod rollout;
 pub mod status;
+pub mod transport;
--- a/src/fleet/rollout/machine.rs
+++ b/src/fleet/rollout/machine.rs
@@ -23,9 +23,9 @@
 use super::connections::{Connections, Heard};
 use crate::config::version;
 use crate::fleet::acceptor_file::AcceptorFile;
-use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
 use crate::fleet::durable_file;
+use crate::fleet::transport::NodeTransport;
 use crate::options::{Options, MOST_MACHINES};
 use crate::shortage::{is_shortage, may_pass, retry, START_PATIENCE};
 
@@ -142,7 +142,7 @@
     let desk = Desk { file: start.file, log: log.clone() };
     let addresses = options.control.machines.iter().map(|(_, address)| *address).collect();
     let running = Running {
-        carrier: Carrier::new(node, slot.zip(voter), log.clone()),
+        carrier: NodeTransport::new(node, slot.zip(voter), log.clone()),
         control: ControlServer::new(settings, keeping, Duration::ZERO),
         connections: Connections::new(poller.clone(), 0, MOST),
         desk,
@@ -161,7 +161,7 @@
 }
 
 struct Running {
-    carrier: Carrier,
+    carrier: NodeTransport,
     control: ControlServer,
     connections: Connections,
     desk: Desk,
@@ -183,14 +183,14 @@
         let mut until: Option<Duration> = None;
         let mut more = true;
         while until.is_none_or(|until| self.now() < until && !self.carrier.node.has_left()) {
-            let due = self.carrier.due().min(self.control.next_tick());
+            let due = self.carrier.next_deadline().min(self.control.next_tick());
             let due = self.deaf_until.map_or(due, |until| due.min(until));
             let left = if more { Duration::ZERO } else { due.saturating_sub(self.now()) };
             ready.clear();
             // What comes of it is looked at whatever woke the thread.
             let _ = self.poller.wait(&mut ready, Some(left));
             let now = self.now();
-            self.carrier.turn(now, &self.socket);
+            self.carrier.poll(now, &self.socket);
             self.hear(now, &ready);
             self.control.tick(now);
             more = (0..STEPS).all(|_| self.carry_out(now));
@@ -200,7 +200,7 @@
                 self.carrier.node.tick(now);
                 until = Some(now + LEAVE);
             }
-            self.carrier.send(&self.socket);
+            self.carrier.send_datagrams(&self.socket);
         }
         self.connections.close_all();
         info!(self.log, "ended");
