--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -13,17 +13,17 @@
 use std::time::{Duration, Instant};
 
 use dunemount::balancer::Balancer;
-use dunemount::config::{version, InForce};
-use dunemount::fault::Fault;
+use dunemount::config::{version, ActiveConfig, ConfigResult};
 use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::fleet::driver;
 use dunemount::fleet::durable_file;
-use dunemount::fleet::rollout::{self, links};
+use dunemount::fleet::rollout::follower_driver::FollowerDriver;
+use dunemount::fleet::rollout::gateway;
 use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
-use dunemount::options::FleetOptions;
 use dunemount::settings::Zones;
+use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::membership::MembershipChange;
@@ -81,7 +81,7 @@
     /// Its region.
     pub region: usize,
     /// What `[fleet]` would say.
-    pub fleet: FleetOptions,
+    pub fleet: FleetSettings,
     /// A voter's file.
     pub file: Option<PathBuf>,
     /// Its zone.
@@ -254,14 +254,14 @@
     next: Micros,
     rng: Pcg64Mcg,
     directory: Directory,
-    in_force: InForce,
+    in_force: ActiveConfig,
     settings: Settings,
     balancer: Option<Balancer>,
 }
 
 /// The part of a gateway that follows the control servers.
 struct Following {
-    carrier: links::Carrier,
+    carrier: FollowerDriver,
     /// Where the version in force is kept.
     kept: PathBuf,
     in_force: Option<Document>,
@@ -348,7 +348,7 @@
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
-                if following.is_some_and(|it| !control.is_empty() || it.carrier.due() <= now) {
+                if following.is_some_and(|it| !control.is_empty() || it.carrier.next_turn() <= now) {
                     gateway.follow(index, now, &control, reports);
                 }
                 // Who is left out is found ready, or due, in the next pass.
@@ -377,7 +377,7 @@
             let list = here + Duration::from_micros((gateway.listing.due() - now).0);
             let control = match &gateway.following {
                 Some(_) if gateway.is_offered() => Duration::ZERO,
-                Some(following) => following.carrier.due(),
+                Some(following) => following.carrier.next_turn(),
                 None => Duration::MAX,
             };
             gateway.carrier.node.next_deadline().min(list).min(control)
@@ -437,7 +437,8 @@
         let socket = UdpSocket::bind(listen).map_err(said)?;
         socket.set_nonblocking(true).map_err(said)?;
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
-        let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
+        let (settings, slot) =
+            driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
         let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
@@ -461,7 +462,7 @@
             let number = before.as_ref().map(Document::version);
             let follower = Follower::new(settings, number, self.began.elapsed());
             let (machines, key) = (self.common.machines.addresses(), datagrams(index) + CONTROL);
-            let carrier = links::Carrier::new(follower, machines, self.poller.clone(), key);
+            let carrier = FollowerDriver::new(follower, machines, self.poller.clone(), key);
             Some(Following { carrier, kept, in_force: before, offered: None, heard: None })
         };
         Ok(Gateway { region, carrier, socket, listing, following, progress, counts, frozen: false })
@@ -483,9 +484,9 @@
 impl Listing {
     fn new(common: &Common, seed: u64) -> Result<Listing, String> {
         let mut zones = Zones::default();
-        let mut in_force = InForce::default();
-        let taken = in_force.take(common.configuration.clone(), &mut zones);
-        let settings = taken.map_err(|fault| fault.of("configuration"))?.site.settings;
+        let mut in_force = ActiveConfig::default();
+        let taken = in_force.replace(common.configuration.clone(), &mut zones);
+        let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(Listing {
             watch: Watch::from(None),
             call: None,
@@ -502,18 +503,18 @@
     /// Takes the version that was kept before its start.
     fn restore(&mut self, kept: &Path, common: &Common) -> Result<Option<Document>, String> {
         let place = kept.display().to_string();
-        let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
+        let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
-            text.and_then(|text| self.take(text)).map_err(|fault| fault.of(&place))?;
+            text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
         }
         Ok(document)
     }
 
     /// Takes a configuration, all of it or nothing.
-    fn take(&mut self, text: String) -> Result<(), Fault> {
+    fn take(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
-        let settings = self.in_force.take(text, &mut zones)?.site.settings;
+        let settings = self.in_force.replace(text, &mut zones)?.settings.router;
         self.directory.know_zones(zones);
         if let Some(balancer) = &mut self.balancer {
             balancer.update_settings(settings.clone());
@@ -625,7 +626,7 @@
             poller.modify_with_mode(&out.socket, answered(out.key), PollMode::Level)?;
         }
         match &mut self.following {
-            Some(following) => following.carrier.hold(frozen),
+            Some(following) => following.carrier.set_paused(frozen),
             None => Ok(()),
         }
     }
@@ -689,7 +690,7 @@
                 at: Instant::now(),
             });
         }
-        carrier.taken(began.elapsed(), version, taken.map_err(ApplyError));
+        carrier.handle_applied(began.elapsed(), version, taken.map_err(ApplyError));
         self.counts.control_cpu += thread_cpu() - before;
     }
 
@@ -777,7 +778,8 @@
             Some(document) => version::overlay(text, document.bytes()),
             None => Ok(text.to_string()),
         };
-        text.and_then(|text| self.listing.take(text)).map_err(|fault| fault.of("configuration"))?;
+        text.and_then(|text| self.listing.take(text))
+            .map_err(|fault| fault.in_file("configuration").to_string())?;
         self.progress.configuration_read();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
