--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -21,8 +21,8 @@
 use self::setup::{node_with_voter, settings, Sockets};
 use self::store::{read_state, FileStore};
 use super::connections::{ConnectionEvent, Connections};
-use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
+use crate::fleet::transport::NodeTransport;
 use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
 
 /// Time between two reads of the register: one may fail, and the next succeed, before the last is no longer fresh.
@@ -114,7 +114,7 @@
     let settings = settings(options, &start, &node.fleet);
     let Sockets { socket, listener, poller } = Sockets::open(datagrams, listen, &start.shutdown)?;
     let process = Process {
-        transport: Carrier::new(node, voter, log.clone()),
+        transport: NodeTransport::new(node, voter, log.clone()),
         control: ControlServer::new(settings, state, Duration::ZERO),
         connections: Connections::new(poller.clone(), 0, MAX_CONNECTIONS),
         store: FileStore::new(start.file, log.clone()),
@@ -134,7 +134,7 @@
 
 /// A control server that runs.
 struct Process {
-    transport: Carrier,
+    transport: NodeTransport,
     control: ControlServer,
     connections: Connections,
     store: FileStore,
@@ -168,7 +168,7 @@
                 self.transport.node.tick(now);
                 leave_until = Some(now + LEAVE);
             }
-            self.transport.send(&self.socket);
+            self.transport.send_datagrams(&self.socket);
         }
         self.connections.close_all();
         info!(self.log, "ended");
@@ -179,13 +179,13 @@
     }
 
     fn next_turn(&self) -> Duration {
-        let next = self.transport.due().min(self.control.next_tick());
+        let next = self.transport.next_deadline().min(self.control.next_tick());
         self.accept_again_at.map_or(next, |at| next.min(at))
     }
 
     /// Handles the poller's events and the timers. Whether outputs are left for the next turn.
     fn turn(&mut self, now: Duration, ready: &[PollEvent]) -> bool {
-        self.transport.turn(now, &self.socket);
+        self.transport.poll(now, &self.socket);
         self.handle_ready(now, ready);
         self.accept(now);
         self.control.tick(now);
--- a/src/fleet/rollout/gateway/installer.rs
+++ b/src/fleet/rollout/gateway/installer.rs
@@ -9,7 +9,7 @@
 use dunemount_rollout::version::{Document, Version};
 use slog::{info, warn, Logger};
 
-use crate::fleet::file::{put, stage, Staged};
+use crate::fleet::durable_file::{self, StagedFile};
 use crate::fleet::rollout::version_channel::{ApplyResult, VersionSender};
 use crate::shortage::may_pass;
 
@@ -47,7 +47,7 @@
     /// It is to be stored, at this time.
     Store(Document, Duration),
     /// It is stored beside the file, and the event loop is to apply it.
-    Apply(Document, Staged),
+    Apply(Document, StagedFile),
     /// The event loop has applied it, and it is to be put in the file's place, at this time.
     Commit(Document, Duration),
 }
@@ -75,7 +75,7 @@
 
     /// Stores a version, and sends it to the event loop.
     pub(super) fn install(&mut self, document: Document) -> Option<Installed> {
-        match stage(&self.file, &document.to_file()) {
+        match durable_file::stage(&self.file, &document.to_file()) {
             Ok(staged) => {
                 self.record_stored();
                 self.versions.send(document.clone());
@@ -109,12 +109,12 @@
     fn handle_result(
         &mut self,
         document: Document,
-        staged: Staged,
+        staged: StagedFile,
         result: ApplyResult,
     ) -> Option<Installed> {
         match result {
             Ok(()) => {
-                let committed = staged.settle();
+                let committed = staged.commit();
                 self.finish(document, committed)
             }
             Err(error) => {
@@ -145,7 +145,7 @@
         match self.stage.take() {
             Some(Stage::Store(document, at)) if now >= at => self.install(document),
             Some(Stage::Commit(document, at)) if now >= at => {
-                let committed = put(&self.file, &document.to_file());
+                let committed = durable_file::replace(&self.file, &document.to_file());
                 self.finish(document, committed)
             }
             other => {
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -7,7 +7,7 @@
 
 use crate::cli::FileArgs;
 use crate::config::{ActiveConfig, ConfigError, LoadedConfig};
-use crate::fleet::file::VoterFile;
+use crate::fleet::acceptor_file::AcceptorFile;
 use crate::settings::Zones;
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
 use crate::text_file::{self, InFile, ReadError};
@@ -82,7 +82,7 @@
         Some(voter) => voter,
         None => return Err(ValidationError::NotAVoter { name }),
     };
-    let created = VoterFile::at(path).found(AcceptorSlot(index as u8));
+    let created = AcceptorFile::new(path).create(AcceptorSlot(index as u8));
     created.map_err(|source| ValidationError::CreateVoterFile { path: path.to_path_buf(), source })?;
     Ok(format!("{}: laid out for voter {index} of a new fleet", path.display()))
 }
