--- a/crates/loadtest/src/capacity/measure/lists.rs
+++ b/crates/loadtest/src/capacity/measure/lists.rs
@@ -38,7 +38,7 @@
     balancer: &mut Balancer,
     clock: &Clock,
 ) -> Result<(), String> {
-    let mut watch = Watch::from(None);
+    let mut watch = Watch::from_version(None);
     let from = Instant::now();
     // As the event loop reads: so many bytes at a time.
     let mut listing: Option<Listing> = None;
@@ -48,7 +48,7 @@
     let listing = listing.ok_or("list: not whole")?;
     let read = Instant::now();
     let all = listing.all;
-    let (entries, unread) = directory.take(listing, clock);
+    let (entries, unread) = directory.update(listing, clock);
     let taken = Instant::now();
     balancer.update_endpoints(clock.read(), all, entries);
     let done = Instant::now();
--- a/crates/loadtest/src/capacity/measure/pools.rs
+++ b/crates/loadtest/src/capacity/measure/pools.rs
@@ -153,7 +153,7 @@
             Output::Cancel(request_id) => {
                 // As the gateway does: the connection goes with the attempt.
                 if let Some((member, key)) = self.out.remove(&request_id) {
-                    self.pool.closed(member, key);
+                    self.pool.on_closed(member, key);
                 }
             }
             Output::HealthCheck(member) => {
@@ -163,7 +163,7 @@
             }
             Output::CloseIdle(member) => {
                 for key in self.pool.idle_to(member) {
-                    self.pool.closed(member, key);
+                    self.pool.on_closed(member, key);
                 }
             }
             Output::Notice(_) => {}
@@ -176,7 +176,7 @@
             return (key, Micros(0));
         }
         self.serial += 1;
-        self.pool.opened();
+        self.pool.on_opened();
         self.counts.handshakes += 1;
         self.counts.returning += u64::from((member.0 - 1) % 6 == 0);
         (self.serial, HANDSHAKE)
@@ -230,7 +230,7 @@
                 let stale: std::collections::BTreeSet<u64> = stale.into_iter().collect();
                 for member in self.hosts.iter().map(|host| host.member).collect::<Vec<_>>() {
                     for key in self.pool.idle_to(member).into_iter().filter(|key| stale.contains(key)) {
-                        self.pool.closed(member, key);
+                        self.pool.on_closed(member, key);
                     }
                 }
                 self.after(Micros::millis(250), Step::Stale);
--- a/crates/loadtest/src/scale/hollow.rs
+++ b/crates/loadtest/src/scale/hollow.rs
@@ -20,7 +20,7 @@
 use dunemount::fleet::file::{self, VoterFile};
 use dunemount::fleet::rollout::{self, links};
 use dunemount::net::clock::Clock;
-use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
+use dunemount::net::discovery::{BadAnswer, CallFailure, Directory, Watch};
 use dunemount::options::FleetOptions;
 use dunemount::settings::Zones;
 use dunemount::{Micros, Settings};
@@ -481,7 +481,7 @@
         let taken = in_force.take(common.configuration.clone(), &mut zones);
         let settings = taken.map_err(|fault| fault.of("configuration"))?.site.settings;
         Ok(Listing {
-            watch: Watch::from(None),
+            watch: Watch::from_version(None),
             call: None,
             silent: None,
             next: Micros(0),
@@ -508,7 +508,7 @@
     fn take(&mut self, text: String) -> Result<(), Fault> {
         let mut zones = self.directory.zones().clone();
         let settings = self.in_force.take(text, &mut zones)?.site.settings;
-        self.directory.know_zones(zones);
+        self.directory.set_zones(zones);
         if let Some(balancer) = &mut self.balancer {
             balancer.update_settings(settings.clone());
         }
@@ -554,7 +554,7 @@
             if self.silent.as_ref().is_some_and(|silent| silent.key == first) { first + 1 } else { first };
         poller.add_with_mode(&socket, Event::writable(key), PollMode::Level)?;
         let until = now + self.watch.timeout();
-        let text = self.watch.call(&common.discovery.to_string()).into_bytes();
+        let text = self.watch.next_request(&common.discovery.to_string()).into_bytes();
         let length = text.len();
         self.call = Some(Call { socket, text, sent: 0, heard: 0, key, began: now, until });
         Ok(length)
@@ -568,19 +568,19 @@
 
     /// The latest call has had its time: whether it stays out beside the next is the watch's to say.
     fn overdue(&mut self, now: Micros, poller: &Poller) {
-        match self.watch.overdue() {
-            Failed::Silent => {
+        match self.watch.on_timeout() {
+            CallFailure::Silent => {
                 self.end_call(true, poller);
                 self.silent = self.call.take();
                 let spent = self.silent.as_ref().map_or(Micros(0), |call| now - call.began);
-                self.call_again(Failed::Silent, spent, now);
+                self.call_again(CallFailure::Silent, spent, now);
             }
             how => self.failed(how, false, now, poller),
         }
     }
 
     /// A call has failed. One that fell silent before was booked then.
-    fn failed(&mut self, how: Failed, late: bool, now: Micros, poller: &Poller) {
+    fn failed(&mut self, how: CallFailure, late: bool, now: Micros, poller: &Poller) {
         let spent = self.end_call(late, poller).map_or(Micros(0), |call| now - call.began);
         if !late {
             self.call_again(how, spent, now);
@@ -588,10 +588,10 @@
     }
 
     /// When the next call goes out is the watch's to say.
-    fn call_again(&mut self, how: Failed, spent: Micros, now: Micros) {
+    fn call_again(&mut self, how: CallFailure, spent: Micros, now: Micros) {
         let draw = f64::from(self.dice.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let Settings { gateways, drain_grace, .. } = self.settings;
-        self.next = now + self.watch.failed(how, gateways, drain_grace, spent, draw);
+        self.next = now + self.watch.on_call_failed(how, gateways, drain_grace, spent, draw);
     }
 }
 
@@ -692,7 +692,7 @@
         if self.listing.call.is_none() && self.listing.next <= now {
             match self.listing.dial(index, now, common, poller) {
                 Ok(length) => self.counts.calls.add(length),
-                Err(_) => self.listing.failed(Failed::Empty, false, now, poller),
+                Err(_) => self.listing.failed(CallFailure::Rejected, false, now, poller),
             }
         }
         self.counts.list_cpu += thread_cpu() - before;
@@ -705,12 +705,12 @@
             match out.socket.write(&out.text[out.sent..]) {
                 Ok(count) => out.sent += count,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return listing.failed(Failed::Empty, late, now, poller),
+                Err(_) => return listing.failed(CallFailure::Rejected, late, now, poller),
             }
             if out.sent == out.text.len() {
                 let changed = poller.modify_with_mode(&out.socket, Event::readable(out.key), PollMode::Level);
                 if changed.is_err() {
-                    listing.failed(Failed::Lost, late, now, poller);
+                    listing.failed(CallFailure::Lost, late, now, poller);
                 }
             }
             return;
@@ -723,11 +723,11 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) => {
                     self.counts.idle.add(out.heard);
-                    return listing.failed(Failed::Lost, late, now, poller);
+                    return listing.failed(CallFailure::Lost, late, now, poller);
                 }
             };
             out.heard += count;
-            let (heard, known) = (out.heard, listing.watch.known());
+            let (heard, known) = (out.heard, listing.watch.version());
             let answer = match late {
                 true => listing.watch.receive_late(&bytes[..count], count == 0),
                 false => listing.watch.receive(&bytes[..count], count == 0),
@@ -736,7 +736,7 @@
                 Ok(None) if count > 0 => continue,
                 Ok(Some(list)) => {
                     let (version, all) = (list.rev, list.all);
-                    let (entries, unread) = listing.directory.take(list, clock);
+                    let (entries, unread) = listing.directory.update(list, clock);
                     if let Some(balancer) = &mut listing.balancer {
                         balancer.update_endpoints(now, all && unread == 0, entries);
                     }
@@ -747,8 +747,8 @@
                     listing.next = now;
                     return;
                 }
-                Err(BadAnswer::Status(_)) => Failed::Empty,
-                Ok(None) | Err(_) => Failed::Lost,
+                Err(BadAnswer::Status(_)) => CallFailure::Rejected,
+                Ok(None) | Err(_) => CallFailure::Lost,
             };
             self.counts.idle.add(heard);
             return listing.failed(how, late, now, poller);
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The gateway's clock: whole microseconds on the monotonic clock, read once a turn of the loop.
+//! The gateway's clock: whole microseconds on the monotonic clock, read once in each iteration of the event loop.
 //!
 //! The machine's time of day may be off, or be stepped, at any moment. It gives positions, which are Unix times of the
 //! databases, a place among whole microseconds, and nothing else: how they stand to this clock the decision module learns
@@ -39,9 +39,9 @@
         Clock { start: Instant::now(), base: BASE, reference: unix_now() - BASE.0 as i64 }
     }
 
-    /// Goes on with the clock of another process on this machine. It read it after `asked`, and the time of day tells how
-    /// long ago, unless that was stepped meanwhile: then it was as long ago as it may have been, and no span that this
-    /// process has to keep is longer than it was meant to be. A process of an earlier version tells no reading.
+    /// Continues the clock of another process on this machine. That process read it after `asked`, and the time of day
+    /// shows how long ago, unless that was stepped meanwhile: then it was as long ago as it may have been, and no span
+    /// that this process has to keep is longer than it was meant to be. A process of an earlier version gives no reading.
     ///
     /// Also gives by how much it may differ from the other one, either way.
     pub fn resume(reference: i64, reading: Option<Reading>, asked: Instant) -> (Self, Micros) {
@@ -51,7 +51,7 @@
             clock: Micros(now.saturating_sub(reference).max(BASE.0 as i64) as u64),
             unix: now,
         });
-        let base = reading.clock + passed(reading.unix, now, start.saturating_duration_since(asked));
+        let base = reading.clock + elapsed_between(reading.unix, now, start.saturating_duration_since(asked));
         (Clock { start, base, reference }, error)
     }
 
@@ -81,11 +81,11 @@
     }
 }
 
-/// Time from one reading of the time of day to another that was taken within `most` of it.
-fn passed(before: i64, after: i64, most: Duration) -> Micros {
-    let most = Micros(most.as_micros() as u64);
-    let told = u64::try_from(after.saturating_sub(before)).map(Micros);
-    told.ok().filter(|told| *told <= most).unwrap_or(most)
+/// Time from one reading of the time of day to another that was taken within `longest` of it.
+fn elapsed_between(before: i64, after: i64, longest: Duration) -> Micros {
+    let longest = Micros(longest.as_micros() as u64);
+    let elapsed = u64::try_from(after.saturating_sub(before)).map(Micros).ok();
+    elapsed.filter(|elapsed| *elapsed <= longest).unwrap_or(longest)
 }
 
 fn unix_now() -> i64 {
--- /dev/null
+++ b/src/net/discovery/directory.rs
@@ -0,0 +1,87 @@
+//! Names, numbers and addresses of the hosts that endpoint lists have named.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use serde::{Deserialize, Serialize};
+
+use super::listing::{Listing, Target, TargetState};
+use crate::net::clock::Clock;
+use crate::settings::Zones;
+use crate::{Entry, GroupId, Listed, MemberId, Micros};
+
+/// What the list calls the role of a primary.
+const PRIMARY: &str = "master";
+
+/// Names, numbers and addresses of the hosts.
+#[derive(Clone, Default, Deserialize, Serialize)]
+pub struct Directory {
+    numbers: BTreeMap<String, MemberId>,
+    hosts: BTreeMap<MemberId, (SocketAddr, String)>,
+    zones: Zones,
+}
+
+impl Directory {
+    /// A directory that shares the settings' zone names.
+    pub fn new(zones: Zones) -> Self {
+        Directory { zones, ..Directory::default() }
+    }
+
+    /// The names of the zones.
+    pub fn zones(&self) -> &Zones {
+        &self.zones
+    }
+
+    /// Takes on the numbers of more zones.
+    pub fn set_zones(&mut self, zones: Zones) {
+        self.zones = zones;
+    }
+
+    /// The host of this name; a name not met before gets the next number.
+    pub fn number(&mut self, name: &str) -> MemberId {
+        let next = MemberId(self.numbers.len() as u64 + 1);
+        *self.numbers.entry(name.to_string()).or_insert(next)
+    }
+
+    /// Where a host listens.
+    pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
+        self.hosts.get(&member).map(|(address, _)| *address)
+    }
+
+    /// The host of this name, if a list has ever named it.
+    pub fn member(&self, name: &str) -> Option<MemberId> {
+        self.numbers.get(name).copied()
+    }
+
+    /// The host's name in the list.
+    pub fn name(&self, member: MemberId) -> &str {
+        self.hosts.get(&member).map_or("?", |(_, name)| name)
+    }
+
+    /// Takes an endpoint list in. Returns its entries, and the number of those that cannot be read and are passed over.
+    pub fn update(&mut self, listing: Listing, clock: &Clock) -> (Vec<Entry>, usize) {
+        let count = listing.len();
+        let targets = listing.into_targets().flatten();
+        let entries: Vec<Entry> = targets.map(|target| self.entry(target, clock)).collect();
+        let unreadable = count - entries.len();
+        (entries, unreadable)
+    }
+
+    fn entry(&mut self, target: Target, clock: &Clock) -> Entry {
+        let member = self.number(&target.uid);
+        self.hosts.insert(member, (target.endpoint, target.uid));
+        Entry {
+            member,
+            group: GroupId(target.pod_group),
+            zone: self.zones.id(target.az),
+            listed: match target.state {
+                TargetState::Ready => Listed::Ready,
+                TargetState::Terminating => Listed::Draining,
+                TargetState::Gone => Listed::Gone,
+            },
+            weight: target.capacity_hint.unwrap_or(1.0),
+            started: if target.boot_ms > 0.0 { clock.at_unix_ms(target.boot_ms) } else { Micros(0) },
+            primary: target.part == PRIMARY,
+        }
+    }
+}
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -322,7 +322,7 @@
         if self.log.is_debug_enabled() {
             self.balancer.enable_request_notices();
         }
-        info!(self.log, "ready"; "clients" => self.clients.most, "hosts" => self.pool.most());
+        info!(self.log, "ready"; "clients" => self.clients.most, "hosts" => self.pool.max_open());
         while self.phase != Phase::Closing
             || self.clients.listener.is_some()
             || self.workers.clients() + self.clients.lingering > 0
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -53,7 +53,7 @@
 impl Gateway {
     pub(super) fn connect(&mut self, member: MemberId) -> Result<Key, FailureCause> {
         let address = self.directory.address(member).ok_or(FailureCause::NotAttempted)?;
-        if !self.pool.has_room() {
+        if !self.pool.has_capacity() {
             match self.pool.oldest() {
                 Some(idle) => {
                     self.log_host_closed(idle, "room for another");
--- a/src/net/event_loop/slots.rs
+++ b/src/net/event_loop/slots.rs
@@ -117,7 +117,7 @@
         }
         match link {
             Link::Client(_) => self.clients.open += 1,
-            Link::Host(_) => self.pool.opened(),
+            Link::Host(_) => self.pool.on_opened(),
             Link::Lingering(_) => self.clients.lingering += 1,
             Link::Discovery(_) | Link::Caller(_) => {}
         }
@@ -195,7 +195,7 @@
                 self.clients.open -= 1;
                 self.workers.count(self.me).fetch_sub(1, Ordering::Relaxed);
             }
-            Link::Host(host) => self.pool.closed(host.member, key),
+            Link::Host(host) => self.pool.on_closed(host.member, key),
             Link::Lingering(_) => self.clients.lingering -= 1,
             Link::Discovery(_) | Link::Caller(_) => {}
         }
--- a/src/net/event_loop/succession.rs
+++ b/src/net/event_loop/succession.rs
@@ -122,7 +122,7 @@
             reading: Some(self.clock.reading()),
             config: self.config.clone(),
             discovery: self.watching.address,
-            rev: self.watching.watch.known(),
+            rev: self.watching.watch.version(),
             directory: self.directory.clone(),
             classes: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
             balancer: known,
@@ -165,7 +165,7 @@
     pub(super) fn take_part(&mut self, snapshot: &Snapshot, error: Micros) {
         let mut directory = snapshot.directory.clone();
         // Zones that only the new settings name have got their numbers by now.
-        directory.know_zones(self.directory.zones().clone());
+        directory.set_zones(self.directory.zones().clone());
         self.directory = directory;
         let place = |class| {
             let (name, _) = self.classes.names().find(|(_, id)| *id == class)?;
@@ -181,7 +181,7 @@
     pub(super) fn take_lead(&mut self, line: Line, snapshot: Snapshot) {
         self.admin.down = snapshot.down;
         self.watching.address = snapshot.discovery;
-        self.watching.watch = Watch::from(snapshot.rev);
+        self.watching.watch = Watch::from_version(snapshot.rev);
         let (clients, rev, cancels) = (snapshot.clients, snapshot.rev.unwrap_or(0), snapshot.cancels);
         info!(self.log, "upgrade: state taken over"; "clients" => clients, "rev" => rev);
         self.workers.linked.store(true, Ordering::SeqCst);
@@ -198,7 +198,7 @@
     /// Shares this worker's connections to hosts with so many processes.
     pub(super) fn share_hosts(&mut self, parts: usize) {
         self.pool.share(parts);
-        while !self.pool.has_room() {
+        while !self.pool.has_capacity() {
             let Some(idle) = self.pool.oldest() else { break };
             self.close(idle);
         }
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -18,7 +18,7 @@
 use crate::fault::Fault;
 use crate::fleet::rollout::handover;
 use crate::net::dial;
-use crate::net::discovery::{BadAnswer, Failed, Listing, Watch};
+use crate::net::discovery::{BadAnswer, CallFailure, Listing, Watch};
 use crate::pg::codec::Outbox;
 use crate::settings::Site;
 use crate::shortage::is_shortage;
@@ -48,7 +48,7 @@
 impl Watching {
     /// A watch at this address that goes on from a version.
     pub(super) fn of(address: SocketAddr, rev: u64, settings: &Settings, seed: u64) -> Self {
-        let (watch, rng) = (Watch::from(Some(rev)), Pcg64Mcg::seed_from_u64(seed));
+        let (watch, rng) = (Watch::from_version(Some(rev)), Pcg64Mcg::seed_from_u64(seed));
         let (gateways, drain_grace) = (settings.gateways, settings.drain_grace);
         Watching {
             address,
@@ -71,7 +71,7 @@
         }
         self.watching.called = self.now;
         let timeout = self.watching.watch.timeout();
-        let call = self.watching.watch.call(&self.watching.address.to_string()).into_bytes();
+        let call = self.watching.watch.next_request(&self.watching.address.to_string()).into_bytes();
         let out = Outbox::with(call);
         let address = self.watching.address;
         let placed =
@@ -83,7 +83,7 @@
             }
             // Nothing was asked, and nothing is wrong with discovery.
             Err(e) if is_shortage(&e) => self.set_timer(SHORTAGE_PAUSE, Timer::Discovery),
-            Err(e) => self.call_again(&e.to_string(), Failed::Empty),
+            Err(e) => self.call_again(&e.to_string(), CallFailure::Rejected),
         }
     }
 
@@ -104,7 +104,7 @@
             }
             Err(BadAnswer::Status(status)) if !late => {
                 self.end_call(key);
-                self.call_again(&format!("turned away: {status}"), Failed::Empty)
+                self.call_again(&format!("turned away: {status}"), CallFailure::Rejected)
             }
             Err(bad) => self.discovery_failed(key, &format!("bad answer: {bad:?}")),
         }
@@ -115,7 +115,7 @@
         let late = self.watching.silent == Some(key);
         self.end_call(key);
         if !late {
-            self.call_again(why, Failed::Lost);
+            self.call_again(why, CallFailure::Lost);
         }
     }
 
@@ -124,24 +124,24 @@
         if self.watching.calling != Some(key) {
             return;
         }
-        match self.watching.watch.overdue() {
-            Failed::Silent => {
+        match self.watching.watch.on_timeout() {
+            CallFailure::Silent => {
                 self.watching.calling = None;
                 if let Some(before) = self.watching.silent.replace(key) {
                     self.close(before);
                 }
-                self.call_again("silent", Failed::Silent);
+                self.call_again("silent", CallFailure::Silent);
             }
             _ => self.discovery_failed(key, "no answer"),
         }
     }
 
     /// Another call follows after a backoff.
-    fn call_again(&mut self, why: &str, how: Failed) {
+    fn call_again(&mut self, why: &str, how: CallFailure) {
         let spent = self.now - self.watching.called;
         let Watching { watch, gateways, drain_grace, rng, .. } = &mut self.watching;
-        let backoff = watch.failed(how, *gateways, *drain_grace, spent, unit(rng));
-        let fails = watch.fails();
+        let backoff = watch.on_call_failed(how, *gateways, *drain_grace, spent, unit(rng));
+        let fails = watch.failures();
         // The first failure and every hundredth after it: one line in ten seconds at the most.
         if fails % 100 == 1 {
             warn!(self.log, "discovery failed"; "why" => why, "in a row" => fails);
@@ -213,7 +213,7 @@
         info!(self.log, "{}", what; "discovery" => %taken.discovery, "classes" => taken.site.classes.len());
         let message = || WorkerMessage::Settings(Box::new(taken.site.clone()), zones.clone());
         self.workers.deliver_others(self.me, message);
-        self.directory.know_zones(zones);
+        self.directory.set_zones(zones);
         self.config = text;
         self.figures.config_applied += 1;
         self.settle_in(taken.site);
@@ -229,7 +229,7 @@
         for class in &site.classes {
             self.figures.class(class);
         }
-        self.pool.keep_for(settings.connection_idle_timeout);
+        self.pool.set_idle_limit(settings.connection_idle_timeout);
         (self.watching.gateways, self.watching.drain_grace) = (settings.gateways, settings.drain_grace);
         self.connect_timeout = site.connect_timeout.max(Micros::millis(10));
         self.balancer.update_settings(settings);
@@ -239,7 +239,7 @@
     /// the one need mean nothing to the other.
     fn follow_discovery(&mut self, discovery: SocketAddr) {
         self.watching.address = discovery;
-        self.watching.watch = Watch::from(None);
+        self.watching.watch = Watch::from_version(None);
         self.end_calls();
         self.call_discovery();
     }
@@ -254,7 +254,7 @@
     /// of its own families, and whoever moved from them to another's is gone here.
     pub(super) fn take_list(&mut self, listing: Listing, known: bool) {
         let (rev, all) = (listing.rev, listing.all);
-        let (mut entries, unread) = self.directory.take(listing, &self.clock);
+        let (mut entries, unread) = self.directory.update(listing, &self.clock);
         if unread > 0 {
             warn!(self.log, "lines of the list cannot be read"; "rev" => rev, "lines" => unread);
         }
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -267,7 +267,7 @@
             WorkerMessage::Cut(key) => self.cut(key),
             WorkerMessage::List(listing, known) => self.take_list(*listing, known),
             WorkerMessage::Settings(site, zones) => {
-                self.directory.know_zones(zones);
+                self.directory.set_zones(zones);
                 self.settle_in(*site);
             }
             WorkerMessage::SetDown { host, down, call } => {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -61,7 +61,7 @@
     zones.id("a".to_string());
     let mut directory = Directory::new(zones);
     let known = serde_json::from_value(harness::listing(&[([10, 0, 0, 5], 5432).into()])).expect("a listing");
-    directory.take(known, &Clock::start());
+    directory.update(known, &Clock::start());
     let configuration = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
         "limits": {"sockets": 200, "memory_mb": 48}, "known": harness::listing(&[]), "settings": harness::settings()});
     let taken =
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-use dunemount::net::discovery::{self, BadAnswer, Directory, Failed, Listing, Watch};
+use dunemount::net::discovery::{self, BadAnswer, CallFailure, Directory, Listing, Watch};
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
@@ -318,18 +318,18 @@
             rest.len()
         ),
     ] {
-        let mut watch = Watch::from(None);
+        let mut watch = Watch::from_version(None);
         let last = answer.len() - 1;
         for byte in &answer.as_bytes()[..last] {
             assert!(watch.receive(&[*byte], false).expect("no fault so far").is_none());
         }
         let listing = watch.receive(&answer.as_bytes()[last..], false).expect("read").expect("whole");
         let mut directory = Directory::new(Zones::default());
-        let (entries, unread) = directory.take(listing, &dunemount::net::clock::Clock::start());
+        let (entries, unread) = directory.update(listing, &dunemount::net::clock::Clock::start());
         assert_eq!((entries.len(), unread), (1, 1));
-        assert!(watch.call("h").starts_with("GET /catalog/members?index=4&wait=2000 "));
+        assert!(watch.next_request("h").starts_with("GET /catalog/members?index=4&wait=2000 "));
     }
-    let receive = |text: &str| Watch::from(None).receive(text.as_bytes(), true).err();
+    let receive = |text: &str| Watch::from_version(None).receive(text.as_bytes(), true).err();
     assert_eq!(receive("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), Some(BadAnswer::Status(503)));
     assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), Some(BadAnswer::TooLong));
     assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"), Some(BadAnswer::Body));
@@ -537,12 +537,12 @@
         }
         late + calls.len() as u64
     };
-    let longest = discovery::REFUSED_GAP;
+    let longest = discovery::REJECTED_GAP;
     let fleet = |fails, draw| discovery::backoff(fails, 100, draw, longest).0 / 1_000;
     assert_eq!(late(&fleet), 0);
-    assert!(late(&|_, _| discovery::RETRY.0 / 1_000) > 20);
+    assert!(late(&|_, _| discovery::MIN_BACKOFF.0 / 1_000) > 20);
     for (gateways, draw) in [(0, 0.9), (1, 0.5), (3, 1.0)] {
-        assert_eq!(discovery::backoff(9, gateways, draw, longest), discovery::RETRY);
+        assert_eq!(discovery::backoff(9, gateways, draw, longest), discovery::MIN_BACKOFF);
     }
 }
 
@@ -560,43 +560,43 @@
 /// away.
 #[test]
 fn a_change_is_heard_within_six_seconds_where_calls_break() {
-    hear_in_time(|watch| watch.timeout().min(discovery::REFUSED_TIMEOUT));
+    hear_in_time(|watch| watch.timeout().min(discovery::REJECTED_TIMEOUT));
 }
 
 fn hear_in_time(longest: impl Fn(&Watch) -> Micros) {
-    use discovery::{ANSWER, RETRY, TOLD_WITHIN};
+    use discovery::{ANSWER_TIME, KNOWN_WITHIN, MIN_BACKOFF};
     let second = Micros::millis(1_000);
-    let ways = [Failed::Empty, Failed::Lost, Failed::Silent];
+    let ways = [CallFailure::Rejected, CallFailure::Lost, CallFailure::Silent];
     let way = |row: usize, call: u32| ways[row / 3usize.pow(call) % 3];
     for gateways in [0, 1, 3, 10, 100, 300, 3_000] {
         for grace in [Micros(0), second.scale(0.25), second.scale(2.0)] {
             for row in 0..81 {
                 for part in [0.0, 0.3, 0.9, 1.0] {
-                    let mut watch = Watch::from(Some(4));
+                    let mut watch = Watch::from_version(Some(4));
                     // Since when a change may be owed: the start of the call before the one that failed, or the end
                     // of one that was turned away.
                     let (mut now, mut owed) = (Micros(0), vec![Micros(0)]);
                     for call in 0..4 {
                         let (began, mut how, mut spent) = (now, way(row, call), longest(&watch).scale(part));
-                        if how == Failed::Silent {
-                            (spent, how) = (watch.timeout(), watch.overdue());
+                        if how == CallFailure::Silent {
+                            (spent, how) = (watch.timeout(), watch.on_timeout());
                         }
                         now = now + spent;
-                        let backoff = watch.failed(how, gateways, grace, spent, part);
+                        let backoff = watch.on_call_failed(how, gateways, grace, spent, part);
                         now = now + backoff;
                         match how {
-                            Failed::Lost | Failed::Silent => owed.push(began),
-                            Failed::Empty => owed = vec![now - backoff],
+                            CallFailure::Lost | CallFailure::Silent => owed.push(began),
+                            CallFailure::Rejected => owed = vec![now - backoff],
                         }
                         let from = owed[owed.len().saturating_sub(2)];
                         assert!(
-                            now + ANSWER - from <= TOLD_WITHIN,
+                            now + ANSWER_TIME - from <= KNOWN_WITHIN,
                             "{gateways}, {grace:?}, {row}, {part}, {call}"
                         );
-                        assert!(backoff >= RETRY);
+                        assert!(backoff >= MIN_BACKOFF);
                         // An answer that was lost may have told already: the next call comes within the grace.
-                        let lost = (0..=call).any(|call| way(row, call) != Failed::Empty);
-                        assert!(!lost || backoff <= grace.scale(0.5).max(RETRY));
+                        let lost = (0..=call).any(|call| way(row, call) != CallFailure::Rejected);
+                        assert!(!lost || backoff <= grace.scale(0.5).max(MIN_BACKOFF));
                     }
                 }
             }
@@ -608,18 +608,18 @@
 /// word is the change and not an older whole list, and only a silence that lasts asks for the whole list.
 #[test]
 fn a_silence_keeps_the_version_until_it_lasts() {
-    let mut watch = Watch::from(Some(4));
-    for silent in 1..=discovery::MOST_SILENT {
-        assert!(watch.call("h").starts_with("GET /catalog/members?index=4&wait="), "{silent}");
-        assert_eq!(watch.overdue(), Failed::Silent);
-        watch.failed(Failed::Silent, 3, Micros::millis(250), watch.timeout(), 0.5);
+    let mut watch = Watch::from_version(Some(4));
+    for silent in 1..=discovery::MAX_SILENT_CALLS {
+        assert!(watch.next_request("h").starts_with("GET /catalog/members?index=4&wait="), "{silent}");
+        assert_eq!(watch.on_timeout(), CallFailure::Silent);
+        watch.on_call_failed(CallFailure::Silent, 3, Micros::millis(250), watch.timeout(), 0.5);
     }
-    assert!(watch.call("h").starts_with("GET /catalog/members HTTP"));
-    assert_eq!(watch.overdue(), Failed::Lost, "a call for the whole list is given up");
+    assert!(watch.next_request("h").starts_with("GET /catalog/members HTTP"));
+    assert_eq!(watch.on_timeout(), CallFailure::Lost, "a call for the whole list is given up");
     // A call behind a refusal does not wait either.
-    let mut watch = Watch::from(Some(4));
-    watch.failed(Failed::Empty, 3, Micros::millis(250), Micros(0), 0.5);
-    assert_eq!(watch.overdue(), Failed::Lost);
+    let mut watch = Watch::from_version(Some(4));
+    watch.on_call_failed(CallFailure::Rejected, 3, Micros::millis(250), Micros(0), 0.5);
+    assert_eq!(watch.on_timeout(), CallFailure::Lost);
 }
 
 /// Guards what is known against a late answer of a watch that fell silent: it counts only where it is newer, whichever
@@ -632,13 +632,13 @@
     };
     for cut in [1, 20, 60] {
         for (rev, newer) in [(3, false), (4, false), (5, true)] {
-            let mut watch = Watch::from(Some(4));
-            watch.call("h");
+            let mut watch = Watch::from_version(Some(4));
+            watch.next_request("h");
             let late = text(rev);
             assert!(matches!(watch.receive(&late.as_bytes()[..cut], false), Ok(None)));
-            assert_eq!(watch.overdue(), Failed::Silent);
-            watch.failed(Failed::Silent, 3, Micros(0), watch.timeout(), 0.5);
-            watch.call("h");
+            assert_eq!(watch.on_timeout(), CallFailure::Silent);
+            watch.on_call_failed(CallFailure::Silent, 3, Micros(0), watch.timeout(), 0.5);
+            watch.next_request("h");
             assert!(matches!(watch.receive(&text(7).as_bytes()[..30], false), Ok(None)));
             match watch.receive_late(&late.as_bytes()[cut..], false) {
                 Ok(Some(listing)) => assert!(newer && listing.rev == 5),
@@ -646,10 +646,10 @@
                 Ok(None) => panic!("the answer is whole"),
             }
             if newer {
-                assert_eq!((watch.known(), watch.fails()), (Some(5), 0));
+                assert_eq!((watch.version(), watch.failures()), (Some(5), 0));
             } else {
                 let listing = watch.receive(&text(7).as_bytes()[30..], false).expect("read").expect("whole");
-                assert_eq!((listing.rev, watch.known()), (7, Some(7)));
+                assert_eq!((listing.rev, watch.version()), (7, Some(7)));
             }
         }
     }
@@ -660,17 +660,17 @@
 #[test]
 fn what_a_lost_answer_told_is_owed_until_a_list_has_come() {
     let second = Micros::millis(1_000);
-    assert!(discovery::WAIT < Watch::from(Some(4)).timeout());
-    let (grace, mut watch) = (second.scale(2.0), Watch::from(Some(4)));
-    for how in [Failed::Lost, Failed::Empty, Failed::Empty] {
-        assert_eq!(watch.failed(how, 300, grace, Micros(0), 1.0), second);
+    assert!(discovery::WATCH_WAIT < Watch::from_version(Some(4)).timeout());
+    let (grace, mut watch) = (second.scale(2.0), Watch::from_version(Some(4)));
+    for how in [CallFailure::Lost, CallFailure::Rejected, CallFailure::Rejected] {
+        assert_eq!(watch.on_call_failed(how, 300, grace, Micros(0), 1.0), second);
     }
-    assert_eq!(watch.known(), Some(4));
-    watch.failed(Failed::Lost, 300, grace, Micros(0), 1.0);
-    assert_eq!(watch.known(), None);
+    assert_eq!(watch.version(), Some(4));
+    watch.on_call_failed(CallFailure::Lost, 300, grace, Micros(0), 1.0);
+    assert_eq!(watch.version(), None);
     let body = r#"{"rev":9,"all":true,"targets":[]}"#;
     let list = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     assert!(matches!(watch.receive(list.as_bytes(), true), Ok(Some(_))));
-    assert_eq!((watch.known(), watch.fails()), (Some(9), 0));
-    assert_eq!(watch.failed(Failed::Empty, 300, grace, second, 1.0), discovery::REFUSED_GAP);
+    assert_eq!((watch.version(), watch.failures()), (Some(9), 0));
+    assert_eq!(watch.on_call_failed(CallFailure::Rejected, 300, grace, second, 1.0), discovery::REJECTED_GAP);
 }
