--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,6 +1,6 @@
 //! How an attempt at a database host ends: the response that came, or how far its request had come and what ended it.
 
-use crate::{Micros, Role, Status};
+use crate::{AttemptStatus, Micros, Role};
 
 /// How far an attempt's request had been written when the attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,19 +43,19 @@
         self.progress == AttemptProgress::FullyWritten
     }
 
-    fn status(self) -> Status {
+    fn status(self) -> AttemptStatus {
         if self.may_have_run() {
             return match self.cause {
-                FailureCause::TimedOut => Status::Timeout,
-                FailureCause::WrittenTooLate => Status::Withdrawn,
-                FailureCause::MalformedResponse => Status::Spoilt,
-                FailureCause::ConnectionLost | FailureCause::NotAttempted => Status::Reset,
+                FailureCause::TimedOut => AttemptStatus::Timeout,
+                FailureCause::WrittenTooLate => AttemptStatus::Withdrawn,
+                FailureCause::MalformedResponse => AttemptStatus::Malformed,
+                FailureCause::ConnectionLost | FailureCause::NotAttempted => AttemptStatus::Reset,
             };
         }
         match self.cause {
-            FailureCause::ConnectionLost | FailureCause::MalformedResponse => Status::ConnectFailed,
+            FailureCause::ConnectionLost | FailureCause::MalformedResponse => AttemptStatus::ConnectFailed,
             FailureCause::TimedOut | FailureCause::NotAttempted | FailureCause::WrittenTooLate => {
-                Status::Moot
+                AttemptStatus::NotSent
             }
         }
     }
@@ -75,12 +75,12 @@
 }
 
 impl ResponseStatus {
-    fn status(self) -> Status {
+    fn status(self) -> AttemptStatus {
         match self {
-            ResponseStatus::Served => Status::Ok,
-            ResponseStatus::Unsuitable => Status::Miss,
-            ResponseStatus::Rejected => Status::Full,
-            ResponseStatus::Failed => Status::Error,
+            ResponseStatus::Served => AttemptStatus::Ok,
+            ResponseStatus::Unsuitable => AttemptStatus::Unsuitable,
+            ResponseStatus::Rejected => AttemptStatus::Rejected,
+            ResponseStatus::Failed => AttemptStatus::Error,
         }
     }
 }
@@ -103,7 +103,7 @@
 
 impl AttemptOutcome {
     /// The status that the router learns of. The one place where an attempt's progress decides it.
-    pub(crate) fn status(self) -> Status {
+    pub(crate) fn status(self) -> AttemptStatus {
         match self {
             AttemptOutcome::Response { status, .. } => status.status(),
             AttemptOutcome::NoResponse(failed) => failed.status(),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -173,19 +173,19 @@
     }
 
     /// Takes in an endpoint list or changes to it.
-    pub fn update_endpoints(&mut self, now: Micros, is_full: bool, entries: Vec<Entry>) {
-        self.groups.extend(entries.iter().map(|entry| entry.group));
+    pub fn update_endpoints(&mut self, now: Micros, is_full: bool, endpoints: Vec<Endpoint>) {
+        self.groups.extend(endpoints.iter().map(|endpoint| endpoint.group));
         if is_full {
             self.listed.clear();
         }
-        for entry in &entries {
-            match entry.listed {
-                Listed::Ready | Listed::Draining => self.listed.insert(entry.member),
-                Listed::Gone => self.listed.remove(&entry.member),
+        for endpoint in &endpoints {
+            match endpoint.state {
+                EndpointState::Ready | EndpointState::Draining => self.listed.insert(endpoint.member),
+                EndpointState::Removed => self.listed.remove(&endpoint.member),
             };
         }
-        let kind = if is_full { ListKind::Full } else { ListKind::Changes };
-        self.drive(now, Event::Members { kind, entries });
+        let update = if is_full { EndpointUpdate::Full } else { EndpointUpdate::Incremental };
+        self.drive(now, Event::Endpoints { update, endpoints });
     }
 
     /// What is known, for the next process.
@@ -220,7 +220,7 @@
 
     /// Takes a member out of use on the operators' order, whatever the endpoint list says, or puts it back.
     pub fn set_administratively_down(&mut self, now: Micros, member: MemberId, down: bool) {
-        self.drive(now, Event::SetDown { member, down });
+        self.drive(now, Event::SetAdministrativelyDown { member, down });
     }
 
     /// Whether the endpoint list names a member.
@@ -336,7 +336,7 @@
     pub fn handle_client_gone(&mut self, now: Micros, request: RequestId) {
         self.outputs.retain(|output| !output.concerns(request));
         if self.requests.contains_key(&request) {
-            self.drive(now, Event::Gone(request));
+            self.drive(now, Event::ClientLeft(request));
             self.forget(now, request);
         }
     }
@@ -344,7 +344,7 @@
     /// Takes in how a health check ended and what the member reported.
     pub fn health_checked(&mut self, now: Micros, member: MemberId, outcome: AttemptOutcome) {
         let (role, position) = outcome.reported();
-        let report = Report { position, role };
+        let report = HealthReport { position, role };
         self.drive(now, Event::HealthChecked { member, status: outcome.status(), report });
     }
 
@@ -382,7 +382,7 @@
         &mut self,
         now: Micros,
         request: RequestId,
-        status: Status,
+        status: AttemptStatus,
         finished: bool,
         role: Option<Role>,
         position: Option<Micros>,
@@ -400,7 +400,7 @@
                 finished,
                 role,
                 position,
-                report: Report::default(),
+                report: HealthReport::default(),
             }),
         );
     }
@@ -412,7 +412,7 @@
     }
 
     fn cancel_attempt(&mut self, now: Micros, request: RequestId) {
-        self.end_attempt(now, request, Status::Cancelled, true, None, None);
+        self.end_attempt(now, request, AttemptStatus::Cancelled, true, None, None);
     }
 
     fn drive(&mut self, now: Micros, event: Event) {
@@ -426,7 +426,7 @@
     fn handle_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, member, timeout } => self.start_attempt(now, request, member, timeout),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.conclude(now, request, RoutingDecision::Reject { retry_after });
             }
             Action::Fail { request } => self.conclude(now, request, RoutingDecision::Fail),
@@ -443,7 +443,7 @@
             }
             Action::Notice(notice) => self.outputs.push_back(Output::Notice(notice)),
             // The endpoint list is always watched, and this driver has no way to other gateways.
-            Action::Watch | Action::TellPeers { .. } => {}
+            Action::Watch | Action::Gossip { .. } => {}
         }
     }
 
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -8,7 +8,7 @@
 use super::listing::{Listing, Target, TargetState};
 use crate::net::clock::Clock;
 use crate::settings::Zones;
-use crate::{Entry, GroupId, Listed, MemberId, Micros};
+use crate::{Endpoint, EndpointState, GroupId, MemberId, Micros};
 
 /// What the list calls the role of a primary.
 const PRIMARY: &str = "master";
@@ -58,26 +58,26 @@
         self.hosts.get(&member).map_or("?", |(_, name)| name)
     }
 
-    /// Takes an endpoint list in. Returns its entries, and the number of those that cannot be read and are passed over.
-    pub fn update(&mut self, listing: Listing, clock: &Clock) -> (Vec<Entry>, usize) {
+    /// Takes an endpoint list in. Returns its endpoints, and the number of entries that cannot be read and are passed over.
+    pub fn update(&mut self, listing: Listing, clock: &Clock) -> (Vec<Endpoint>, usize) {
         let count = listing.len();
         let targets = listing.into_targets().flatten();
-        let entries: Vec<Entry> = targets.map(|target| self.entry(target, clock)).collect();
-        let unreadable = count - entries.len();
-        (entries, unreadable)
+        let endpoints: Vec<Endpoint> = targets.map(|target| self.endpoint(target, clock)).collect();
+        let unreadable = count - endpoints.len();
+        (endpoints, unreadable)
     }
 
-    fn entry(&mut self, target: Target, clock: &Clock) -> Entry {
+    fn endpoint(&mut self, target: Target, clock: &Clock) -> Endpoint {
         let member = self.number(&target.uid);
         self.hosts.insert(member, (target.endpoint, target.uid));
-        Entry {
+        Endpoint {
             member,
             group: GroupId(target.pod_group),
             zone: self.zones.id(target.az),
-            listed: match target.state {
-                TargetState::Ready => Listed::Ready,
-                TargetState::Terminating => Listed::Draining,
-                TargetState::Gone => Listed::Gone,
+            state: match target.state {
+                TargetState::Ready => EndpointState::Ready,
+                TargetState::Terminating => EndpointState::Draining,
+                TargetState::Gone => EndpointState::Removed,
             },
             weight: target.capacity_hint.unwrap_or(1.0),
             started: if target.boot_ms > 0.0 { clock.at_unix_ms(target.boot_ms) } else { Micros(0) },
