--- a/src/main.rs
+++ b/src/main.rs
@@ -174,13 +174,13 @@
         admin: admin.map(|text| config::address("GW_ADMIN_ADDR", &text)).transpose()?,
         discovery: needed("GW_DISCOVERY", &file.discovery)?,
         seed,
-        sockets: file.limits.sockets,
-        memory_mb: file.limits.memory_mb,
-        known: file.known,
+        max_descriptors: file.limits.sockets,
+        memory_mib: file.limits.memory_mb,
+        endpoints: file.known,
         site,
         zones,
         text: in_force.text().to_string(),
-        line,
+        handover_path: line,
         inherited,
         fleet: None,
     };
@@ -196,7 +196,7 @@
         warn!(log, "config: the version kept cannot be used, starting without"; "why" => why);
     }
     let listen = config.listen;
-    let mut groups: Vec<u32> = config.known.groups().collect();
+    let mut groups: Vec<u32> = config.endpoints.groups().collect();
     groups.sort_unstable();
     groups.dedup();
     let start = driver::Start {
@@ -239,11 +239,12 @@
     let [told_to_end, told_to_reload] =
         told.map(|flag| flag.map_err(|e| format!("cannot watch for signals: {e}")));
     let signals = Signals {
-        end: pipe_of(&[SIGTERM, SIGINT]).map_err(|e| format!("cannot watch for signals: {e}"))?,
+        shutdown: pipe_of(&[SIGTERM, SIGINT]).map_err(|e| format!("cannot watch for signals: {e}"))?,
         reload: pipe_of(&[SIGHUP]).map_err(|e| format!("cannot watch for signals: {e}"))?,
-        told: [told_to_end?, told_to_reload?],
+        shutdown_requested: told_to_end?,
+        reload_requested: told_to_reload?,
         versions,
-        reread: Box::new(move |new, zones| source.take(new, zones)),
+        read_config: Box::new(move |new, zones| source.take(new, zones)),
     };
     let workers = Gateway::open_all(config, signals, log.clone(), options.cores)
         .map_err(|e| format!("cannot listen on {listen}: {e}"))?;
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -1,263 +1,244 @@
-//! The loop's part for operators: their listener and their calls. Callers have places of their own, so
-//! that neither clients keep them out nor they the clients, and those without a whole call go first.
+//! Operators: their listener, their calls, and the hosts that they take down. Their connections have descriptors of their
+//! own, so that neither clients keep them out nor they the clients, and those without a complete call go first.
 
 use std::collections::BTreeSet;
 use std::io;
 use std::net::{Shutdown, TcpListener};
+use std::path::Path;
 
 use polling::{Event, PollMode};
 use slog::{info, warn};
 
-use super::slots::{Key, Link, SHORTAGE_PAUSE};
+use super::admin_connection::AdminConnection;
+use super::connection_io::SHORTAGE_PAUSE;
+use super::connections::{ConnectionId, ConnectionKind};
+use super::mailboxes::WorkerMessage;
+use super::poll_keys::ADMIN_LISTENER;
 use super::timers::Timer;
-use super::workers::WorkerMessage;
-use super::{Gateway, Phase, ADMIN};
+use super::{Gateway, Phase};
 use crate::fleet::status::Board;
-use crate::ops::call::{Call, Order, Status};
+use crate::ops::call::{Order, Status};
 use crate::ops::figures::Figures;
-use crate::Micros;
 
-/// Most callers at a time.
-const CALLERS: usize = 12;
-/// How long a caller may take for its whole call, and how long for reading the answer.
-const PATIENCE: Micros = Micros::millis(5_000);
-const LINGER: Micros = Micros::millis(1_000);
+/// Most operators' connections at a time.
+const MAX_CONNECTIONS: usize = 12;
 
-/// What operators have: their listener, and the names of the hosts that they have put down.
-pub(super) struct Admin {
+/// The operators' listener, and what their orders have changed.
+#[derive(Default)]
+pub(super) struct AdminInterface {
     pub(super) listener: Option<TcpListener>,
+    /// Names of the hosts that are administratively down.
     pub(super) down: BTreeSet<String>,
     /// What is known of the fleet, if this gateway is in one.
     pub(super) fleet: Option<Board>,
 }
 
-/// An operator's connection.
-pub(super) struct AdminLink {
-    pub(super) call: Call,
-    /// When it connected, or when it got its answer.
-    since: Micros,
-    /// Workers whose word the answer waits for, and what they have told so far.
-    waits: usize,
-    /// What an order is answered with.
-    yes: &'static str,
-    gathered: Figures,
-}
-
 impl Gateway {
     /// Accepts operators' connections. A call that has come along is answered at once.
-    pub(super) fn accept_admin(&mut self) {
+    pub(super) fn accept_admins(&mut self) {
         while let Some(accepted) = self.admin.listener.as_ref().map(|listener| listener.accept()) {
             let socket = match accepted {
                 Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return self.watch_admin(false),
+                Err(_) => return self.set_admin_accepting(false),
             };
-            self.make_admin_room();
-            let gathered = Figures::default();
-            let link = AdminLink { call: Call::default(), since: self.now, waits: 0, yes: "", gathered };
+            self.evict_surplus_admin();
             let _ = socket.set_nodelay(true);
             let _ = socket.set_nonblocking(true);
-            if let Ok(key) = self.insert(socket, Link::Caller(link), false) {
-                self.read(key);
+            let kind = ConnectionKind::Admin(AdminConnection::new(self.now));
+            if let Ok(id) = self.add_connection(socket, kind, false) {
+                self.read(id);
             }
         }
     }
 
     /// Goes on accepting operators' connections, or pauses: while the system lacks something, whoever waits would wake the
     /// loop without end.
-    pub(super) fn watch_admin(&mut self, on: bool) {
+    pub(super) fn set_admin_accepting(&mut self, accepting: bool) {
         let Some(listener) = &self.admin.listener else { return };
-        let interest = Event { key: ADMIN, readable: on, writable: false };
-        let armed = self.poller.modify_with_mode(listener, interest, PollMode::Level);
-        if !on || armed.is_err() {
-            self.set_timer(SHORTAGE_PAUSE, Timer::Admin);
+        let interest = Event { key: ADMIN_LISTENER, readable: accepting, writable: false };
+        let result = self.poller.modify_with_mode(listener, interest, PollMode::Level);
+        if !accepting || result.is_err() {
+            self.set_timer(SHORTAGE_PAUSE, Timer::ResumeAdminAccepting);
         }
     }
 
-    fn callers(&self) -> impl Iterator<Item = (Key, &AdminLink)> {
-        self.slots.iter().filter_map(|(place, slot)| match &slot.link {
-            Link::Caller(link) => Some((Key { place, serial: slot.serial }, link)),
-            _ => None,
-        })
-    }
-
-    /// Makes a place: whoever has its answer goes first, then whoever has waited longest with half a call.
-    fn make_admin_room(&mut self) {
-        if self.callers().count() >= CALLERS {
-            let rank = |(_, link): &(Key, &AdminLink)| (!link.call.is_answered(), link.since);
-            if let Some(key) = self.callers().min_by_key(rank).map(|(key, _)| key) {
-                self.close(key);
-            }
+    /// Makes room for an operator: whoever has its answer goes first, then whoever has waited longest with an incomplete
+    /// call.
+    fn evict_surplus_admin(&mut self) {
+        if self.connections.admins().count() < MAX_CONNECTIONS {
+            return;
         }
+        let rank = |admin: &AdminConnection| (!admin.call.is_answered(), admin.since);
+        let first = self.connections.admins().min_by_key(|(_, admin)| rank(admin)).map(|(id, _)| id);
+        first.into_iter().for_each(|id| self.close(id));
     }
 
-    /// The round over callers: half a call is told so in the end, an answer need not be waited with.
-    pub(super) fn reap_admin_connections(&mut self) {
+    /// Whoever has not completed its call in time is told so; an answer is not waited with for its reader.
+    pub(super) fn evict_overdue_admins(&mut self) {
         let now = self.now;
-        let limit = |link: &AdminLink| if link.call.is_answered() { LINGER } else { PATIENCE };
-        let late = self.callers().filter(|(_, link)| now - link.since >= limit(link));
-        let late: Vec<Key> = late.map(|(key, _)| key).collect();
-        for key in late {
-            match self.caller(key) {
-                Some(link) if !link.call.is_answered() => self.reply(key, Status::TooLate, "no whole call\n"),
-                _ => self.close(key),
+        let overdue = self.connections.admins().filter(|(_, admin)| admin.is_overdue(now));
+        let overdue: Vec<ConnectionId> = overdue.map(|(id, _)| id).collect();
+        for id in overdue {
+            match self.connections.admin(id) {
+                Some(admin) if !admin.call.is_answered() => {
+                    self.reply(id, Status::TooLate, "no whole call\n");
+                }
+                _ => self.close(id),
             }
         }
     }
 
-    fn caller(&mut self, key: Key) -> Option<&mut AdminLink> {
-        match &mut self.slot(key)?.link {
-            Link::Caller(link) => Some(link),
-            _ => None,
+    /// Takes in bytes of an operator, or its end: one that got its answer has read it, one that did not will get none.
+    pub(super) fn handle_admin_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
+        let Some(admin) = self.connections.admin(id) else { return };
+        if has_ended && admin.call.out.is_empty() {
+            return self.close(id);
         }
-    }
-
-    /// Takes in bytes of a caller, or its end: one that got its answer has read it, one that did not
-    /// will get none.
-    pub(super) fn caller_says(&mut self, key: Key, bytes: &[u8], ended: bool) {
-        let Some(link) = self.caller(key) else { return };
-        if ended && link.call.out.is_empty() {
-            return self.close(key);
-        }
-        match link.call.receive(bytes) {
+        match admin.call.receive(bytes) {
             None => {}
-            Some(Ok(order)) => self.obey(key, order),
-            Some(Err(status)) => self.reply(key, status, "the call cannot be carried out\n"),
+            Some(Ok(order)) => self.handle_order(id, order),
+            Some(Err(status)) => self.reply(id, status, "the call cannot be carried out\n"),
         }
     }
 
-    fn obey(&mut self, key: Key, order: Order) {
+    fn handle_order(&mut self, id: ConnectionId, order: Order) {
         match order {
-            Order::Readiness if self.phase == Phase::Serving => self.reply(key, Status::Ok, "ready\n"),
-            Order::Readiness => self.reply(key, Status::Unavailable, "ending\n"),
-            Order::Stats => self.gather(key),
-            Order::Down(name) => self.order(key, &name, true),
-            Order::Up(name) => self.order(key, &name, false),
-            Order::Fleet => {
-                match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
-                    Some(Ok(text)) => self.reply(key, Status::Ok, &text),
-                    Some(Err(_)) => {
-                        self.reply(key, Status::Unavailable, "the fleet's state cannot be told\n")
-                    }
-                    None => self.reply(key, Status::NotFound, "no fleet\n"),
-                }
-            }
+            Order::Readiness if self.phase == Phase::Serving => self.reply(id, Status::Ok, "ready\n"),
+            Order::Readiness => self.reply(id, Status::Unavailable, "ending\n"),
+            Order::Stats => self.collect_figures(id),
+            Order::Down(name) => self.order_down(id, &name, true),
+            Order::Up(name) => self.order_down(id, &name, false),
+            Order::Fleet => self.reply_fleet(id),
         }
     }
 
-    /// The figures of all workers, once each has told its own.
-    fn gather(&mut self, key: Key) {
-        let (own, others) = (self.figures().clone(), self.workers.size() - 1);
-        if let Some(link) = self.caller(key) {
-            (link.waits, link.gathered) = (others + 1, Figures::default());
+    fn reply_fleet(&mut self, id: ConnectionId) {
+        match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
+            Some(Ok(text)) => self.reply(id, Status::Ok, &text),
+            Some(Err(_)) => self.reply(id, Status::Unavailable, "the fleet's state cannot be told\n"),
+            None => self.reply(id, Status::NotFound, "no fleet\n"),
         }
-        self.workers.deliver_others(self.me, || WorkerMessage::Stats(key));
-        self.add_figures(key, &own);
     }
 
-    /// One worker's figures for a call.
-    pub(super) fn add_figures(&mut self, key: Key, figures: &Figures) {
-        let Some(link) = self.caller(key) else { return };
-        link.gathered.add(figures);
-        link.waits = link.waits.saturating_sub(1);
-        if link.waits == 0 {
-            let text = link.gathered.to_string();
-            self.reply(key, Status::Ok, &text);
+    /// Collects the figures of all workers for a call.
+    fn collect_figures(&mut self, id: ConnectionId) {
+        let own = self.current_figures();
+        if let Some(admin) = self.connections.admin(id) {
+            (admin.awaited_workers, admin.figures) = (self.workers.count(), Figures::default());
+        }
+        self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectFigures(id));
+        self.add_figures(id, &own);
+    }
+
+    /// Adds one worker's figures for a call. It is answered once all have come.
+    pub(super) fn add_figures(&mut self, id: ConnectionId, figures: &Figures) {
+        let Some(admin) = self.connections.admin(id) else { return };
+        admin.figures.add(figures);
+        if admin.on_worker_reply() {
+            let text = admin.figures.to_string();
+            self.reply(id, Status::Ok, &text);
         }
     }
 
     /// The figures as they stand.
-    pub(super) fn figures(&mut self) -> &Figures {
+    pub(super) fn current_figures(&mut self) -> Figures {
         self.figures.active = self.requests.len();
-        let counts = self.balancer.endpoint_counts();
-        (self.figures.pool_size, self.figures.pool_ejected) = (counts.listed, counts.ejected);
-        &self.figures
+        let endpoints = self.balancer.endpoint_counts();
+        (self.figures.pool_size, self.figures.pool_ejected) = (endpoints.listed, endpoints.ejected);
+        self.figures.clone()
     }
 
-    /// Operators put a host down, or back up. They hear yes once it holds on every worker.
-    fn order(&mut self, key: Key, name: &str, down: bool) {
+    /// Operators take a host down, or put it back. They get the confirmation once that holds on every worker.
+    fn order_down(&mut self, id: ConnectionId, name: &str, down: bool) {
         if self.directory.member(name).is_none() {
             warn!(self.log, "operators name a host that nobody has"; "host" => name);
-            return self.reply(key, Status::NotFound, "no such database host\n");
+            return self.reply(id, Status::NotFound, "no such database host\n");
         }
         info!(self.log, "{}", if down { "host put down by hand" } else { "host put back up" }; "host" => name);
-        let workers = self.workers.size();
-        if let Some(link) = self.caller(key) {
-            (link.waits, link.yes) = (workers, if down { "down\n" } else { "up\n" });
+        let workers = self.workers.count();
+        if let Some(admin) = self.connections.admin(id) {
+            (admin.awaited_workers, admin.confirmation) = (workers, if down { "down\n" } else { "up\n" });
         }
-        let message = || WorkerMessage::SetDown { host: name.to_string(), down, call: Some(key) };
-        self.workers.deliver_others(self.me, message);
+        let message = || WorkerMessage::SetDown { host: name.to_string(), down, call: Some(id) };
+        self.workers.send_to_others(self.this_worker, message);
         self.set_down(name, down);
         self.store_down(name, down);
-        self.share_down(name, down);
-        self.is_set_down(key);
+        self.send_down_to_peers(name, down);
+        self.handle_set_down_done(id);
     }
 
-    /// A host is administratively down on this worker, or up again. Its idle connections are closed.
+    /// A host is administratively down on this worker from now on, or up again. Its idle connections are closed.
     pub(super) fn set_down(&mut self, name: &str, down: bool) {
         let member = self.directory.number(name);
         self.balancer.set_administratively_down(self.now, member, down);
-        while self.process_output() {}
+        self.process_outputs();
     }
 
     /// An order holds on one more worker.
-    pub(super) fn is_set_down(&mut self, key: Key) {
-        let Some(link) = self.caller(key) else { return };
-        link.waits = link.waits.saturating_sub(1);
-        if link.waits == 0 {
-            let yes = link.yes;
-            self.reply(key, Status::Ok, yes);
+    pub(super) fn handle_set_down_done(&mut self, id: ConnectionId) {
+        let Some(admin) = self.connections.admin(id) else { return };
+        if admin.on_worker_reply() {
+            let confirmation = admin.confirmation;
+            self.reply(id, Status::Ok, confirmation);
         }
     }
 
-    /// Keeps the names of the hosts that are down in a file beside the line, for a start without a
-    /// process to take over from: they stay down until the call back.
+    /// Stores the names of the hosts that are down in a file beside the handover socket, for a start without a process
+    /// to take over from: they stay down until the order to put them back.
     pub(super) fn store_down(&mut self, name: &str, down: bool) {
-        let changed =
+        let is_changed =
             if down { self.admin.down.insert(name.to_string()) } else { self.admin.down.remove(name) };
-        let Some(path) = self.line.path.as_ref().filter(|_| changed) else { return };
-        let (path, new) = (path.with_extension("down"), path.with_extension("new"));
-        let written = serde_json::to_vec(&self.admin.down).map_err(io::Error::from);
-        let kept =
-            written.and_then(|text| std::fs::write(&new, text)).and_then(|()| std::fs::rename(new, path));
-        if let Err(e) = kept {
+        let Some(path) = self.hot_restart.path.as_ref().filter(|_| is_changed) else { return };
+        if let Err(e) = write_down_file(path, &self.admin.down) {
             warn!(self.log, "hosts put down by hand cannot be kept in a file"; "error" => %e);
         }
     }
 
-    /// Puts down the hosts that were when the process before ended.
+    /// Takes down the hosts that were so when the process before ended.
     pub(super) fn restore_down(&mut self) {
-        let Some(path) = self.line.path.as_ref().map(|path| path.with_extension("down")) else { return };
+        let Some(path) = self.hot_restart.path.as_ref().map(|path| path.with_extension("down")) else {
+            return;
+        };
         let Ok(text) = std::fs::read(path) else { return };
-        match serde_json::from_slice::<BTreeSet<String>>(&text) {
-            Ok(down) => {
-                for name in &down {
-                    self.set_down(name, true);
-                    let message = || WorkerMessage::SetDown { host: name.clone(), down: true, call: None };
-                    self.workers.deliver_others(self.me, message);
-                }
-                if !down.is_empty() {
-                    info!(self.log, "hosts still down by hand"; "hosts" => down.len());
-                }
-                self.admin.down = down;
+        let down = match serde_json::from_slice::<BTreeSet<String>>(&text) {
+            Ok(down) => down,
+            Err(e) => {
+                warn!(self.log, "hosts put down by hand cannot be read"; "error" => %e);
+                return;
             }
-            Err(e) => warn!(self.log, "hosts put down by hand cannot be read"; "error" => %e),
+        };
+        for name in &down {
+            self.set_down(name, true);
+            let message = || WorkerMessage::SetDown { host: name.clone(), down: true, call: None };
+            self.workers.send_to_others(self.this_worker, message);
+        }
+        if !down.is_empty() {
+            info!(self.log, "hosts still down by hand"; "hosts" => down.len());
         }
+        self.admin.down = down;
     }
 
-    fn reply(&mut self, key: Key, status: Status, text: &str) {
+    fn reply(&mut self, id: ConnectionId, status: Status, text: &str) {
         let now = self.now;
-        if let Some(link) = self.caller(key) {
-            link.call.answer(status, text);
-            link.since = now;
-            self.write(key);
+        if let Some(admin) = self.connections.admin(id) {
+            admin.call.answer(status, text);
+            admin.since = now;
+            self.write(id);
         }
     }
 
-    /// The answer is written: the caller sees its end, and closes when it has read it.
-    pub(super) fn caller_served(&mut self, key: Key) {
-        if let Some(slot) = self.slot(key) {
-            let _ = slot.socket.shutdown(Shutdown::Write);
+    /// The answer is written: the operator sees its end, and closes when it has read it.
+    pub(super) fn handle_admin_answered(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get(id) {
+            let _ = connection.socket.shutdown(Shutdown::Write);
         }
     }
 }
+
+/// Replaces the file beside the handover socket that names the hosts that are down.
+fn write_down_file(socket_path: &Path, down: &BTreeSet<String>) -> io::Result<()> {
+    let new = socket_path.with_extension("new");
+    std::fs::write(&new, serde_json::to_vec(down)?)?;
+    std::fs::rename(new, socket_path.with_extension("down"))
+}
--- /dev/null
+++ b/src/net/event_loop/admin_connection.rs
@@ -0,0 +1,46 @@
+//! The state of an operator's connection.
+
+use crate::ops::call::Call;
+use crate::ops::figures::Figures;
+use crate::Micros;
+
+/// How long an operator may take for a complete call, and how long for reading the answer.
+const CALL_TIMEOUT: Micros = Micros::millis(5_000);
+const READ_TIMEOUT: Micros = Micros::millis(1_000);
+
+/// An operator's connection.
+pub(super) struct AdminConnection {
+    pub(super) call: Call,
+    /// When it connected, or when it got its answer.
+    pub(super) since: Micros,
+    /// Workers whose reply the answer waits for, and the figures that have come so far.
+    pub(super) awaited_workers: usize,
+    pub(super) figures: Figures,
+    /// What an order is answered with once it holds on every worker.
+    pub(super) confirmation: &'static str,
+}
+
+impl AdminConnection {
+    /// An operator that has just connected.
+    pub(super) fn new(now: Micros) -> Self {
+        AdminConnection {
+            call: Call::default(),
+            since: now,
+            awaited_workers: 0,
+            figures: Figures::default(),
+            confirmation: "",
+        }
+    }
+
+    /// Whether it has taken too long for its call, or for reading the answer.
+    pub(super) fn is_overdue(&self, now: Micros) -> bool {
+        let timeout = if self.call.is_answered() { READ_TIMEOUT } else { CALL_TIMEOUT };
+        now - self.since >= timeout
+    }
+
+    /// One worker has replied. True once all have.
+    pub(super) fn on_worker_reply(&mut self) -> bool {
+        self.awaited_workers = self.awaited_workers.saturating_sub(1);
+        self.awaited_workers == 0
+    }
+}
--- /dev/null
+++ b/src/net/event_loop/connection_io.rs
@@ -0,0 +1,281 @@
+//! Bytes in and out of connections, what the poller watches them for, and how they are closed.
+
+use std::io::{self, Read};
+use std::net::{Shutdown, TcpStream};
+
+use super::client_connection::{ClientConnection, RequestLocation};
+use super::connections::{Connection, ConnectionId, ConnectionKind, Interest, UnregisteredConnection};
+use super::mailboxes::{Abandonment, Owner, WorkerMessage};
+use super::sockets::has_hung_up;
+use super::streaming::MAX_UNREAD;
+use super::timers::Timer;
+use super::{Gateway, Phase};
+use crate::attempt::FailureCause;
+use crate::shortage::{is_shortage, is_to_wait};
+use crate::Micros;
+
+/// Most reads of one connection in one iteration.
+const MAX_READS: usize = 4;
+/// How long a half-closed connection waits for its client's end, and for how many bytes of it.
+const HALF_CLOSED_TIMEOUT: Micros = Micros::millis(300);
+const HALF_CLOSED_BYTES: usize = 256 * 1024;
+/// Most half-closed connections at a time while clients come: their descriptors are among those kept back.
+const MAX_HALF_CLOSED: usize = 6;
+/// Time between checks of a client whose bytes are not read.
+const UNREAD_CHECK_INTERVAL: Micros = Micros::millis(50);
+/// Time until a call is made again that failed for a shortage of this machine.
+pub(super) const SHORTAGE_PAUSE: Micros = Micros::millis(20);
+
+impl Gateway {
+    /// Adds a connection, and counts it among those to hosts if it is one.
+    pub(super) fn add_connection(
+        &mut self,
+        socket: TcpStream,
+        kind: ConnectionKind,
+        writable: bool,
+    ) -> Result<ConnectionId, Box<UnregisteredConnection>> {
+        let is_host = matches!(kind, ConnectionKind::Host(_));
+        let id = self.connections.insert(socket, kind, writable)?;
+        if is_host {
+            self.pool.on_opened();
+        }
+        Ok(id)
+    }
+
+    /// Takes a connection out of the loop.
+    pub(super) fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
+        let connection = self.connections.remove(id)?;
+        match &connection.kind {
+            ConnectionKind::Client(_) => self.workers.remove_client(self.this_worker),
+            ConnectionKind::Host(host) => self.pool.on_closed(host.member, id),
+            ConnectionKind::HalfClosed { .. } | ConnectionKind::Discovery(_) | ConnectionKind::Admin(_) => {}
+        }
+        self.resume_accepting();
+        Some(connection)
+    }
+
+    pub(super) fn close(&mut self, id: ConnectionId) {
+        drop(self.remove_connection(id));
+    }
+
+    /// Closes a client's connection so that its last answer arrives: a close over bytes that nobody has read resets
+    /// the connection, and what the system still held back goes with it. So it is shut for writing, and closed once
+    /// the client has closed as well, or has had its time. A request that crosses the shutdown was not taken.
+    pub(super) fn close_gracefully(&mut self, id: ConnectionId) {
+        let Some(Connection { socket, .. }) = self.remove_connection(id) else { return };
+        if self.phase != Phase::Closing && self.connections.half_closed_count() >= MAX_HALF_CLOSED {
+            let oldest = self.connections.oldest_half_closed();
+            oldest.into_iter().for_each(|id| self.close(id));
+        }
+        if socket.shutdown(Shutdown::Write).is_err() {
+            return;
+        }
+        let kind = ConnectionKind::HalfClosed { bytes_left: HALF_CLOSED_BYTES };
+        if let Ok(id) = self.add_connection(socket, kind, false) {
+            self.set_timer(HALF_CLOSED_TIMEOUT, Timer::HalfClosedTimeout(id));
+        }
+    }
+
+    /// Closes an idle client, unless bytes of it have come that were not read yet: those are looked at first. False if it
+    /// stays.
+    pub(super) fn close_if_idle(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get(id) else { return false };
+        match connection.socket.peek(&mut [0]) {
+            Ok(0) => {}
+            Err(e) if e.kind() != io::ErrorKind::Interrupted => {}
+            _ => {
+                self.read(id);
+                return false;
+            }
+        }
+        self.close_gracefully(id);
+        true
+    }
+
+    /// Checks a client that is owed an answer and whose bytes are not read: its end would not be seen among them.
+    pub(super) fn check_unread_client(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Connection { interest, socket, kind: ConnectionKind::Client(client), .. } = connection else {
+            return;
+        };
+        client.has_unread_check = false;
+        if interest.readable || client.in_flight.is_none() {
+            return;
+        }
+        if has_hung_up(socket) {
+            self.handle_connection_lost(id);
+        } else {
+            self.schedule_unread_check(id);
+        }
+    }
+
+    fn schedule_unread_check(&mut self, id: ConnectionId) {
+        let Some(client) = self.connections.client(id) else { return };
+        if client.in_flight.is_some() && !std::mem::replace(&mut client.has_unread_check, true) {
+            self.set_timer(UNREAD_CHECK_INTERVAL, Timer::UnreadCheck(id));
+        }
+    }
+
+    /// Has the poller watch a connection for what it needs now.
+    pub(super) fn update_interest(&mut self, id: ConnectionId) {
+        // What a client sends once the listener is closed is not read: it was not taken, and goes elsewhere.
+        let is_reading_clients = self.phase != Phase::Closing;
+        let Some(connection) = self.connections.get(id) else { return };
+        let (readable, writable) = match &connection.kind {
+            ConnectionKind::Client(client) => {
+                (is_reading_clients && client.protocol.wants_more(), !client.protocol.out.is_empty())
+            }
+            ConnectionKind::Host(host) => (!host.is_reading_paused, !host.protocol.out.is_empty()),
+            ConnectionKind::Discovery(out) => (true, !out.is_empty()),
+            ConnectionKind::Admin(admin) => (true, !admin.call.out.is_empty()),
+            ConnectionKind::HalfClosed { .. } => (true, false),
+        };
+        if !readable {
+            self.schedule_unread_check(id);
+        }
+        match self.connections.set_interest(id, Interest { readable, writable }) {
+            Ok(()) => {}
+            Err(e) if is_shortage(&e) => self.set_timer(SHORTAGE_PAUSE, Timer::UpdateInterest(id)),
+            Err(_) => self.handle_connection_lost(id),
+        }
+    }
+
+    /// Writes what waits to be written.
+    pub(super) fn write(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let out = match &mut connection.kind {
+            ConnectionKind::Client(client) => &mut client.protocol.out,
+            ConnectionKind::Host(host) => &mut host.protocol.out,
+            ConnectionKind::Discovery(out) => out,
+            ConnectionKind::Admin(admin) => &mut admin.call.out,
+            ConnectionKind::HalfClosed { .. } => return,
+        };
+        let unwritten = out.len();
+        let flushed = out.flush(&mut connection.socket);
+        if unwritten > 0 {
+            self.handle_client_written(id, unwritten);
+        }
+        match flushed {
+            Ok(true) => self.handle_all_written(id),
+            Ok(false) => self.update_interest(id),
+            // A connection that is still coming up is not writable yet.
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => self.update_interest(id),
+            Err(_) => self.handle_connection_lost(id),
+        }
+    }
+
+    /// Something was written to a client, which had so many bytes unwritten before: a response that streams to it may
+    /// go on.
+    fn handle_client_written(&mut self, id: ConnectionId, unwritten_before: usize) {
+        let now = self.now;
+        let Some(client) = self.connections.client(id) else { return };
+        let unwritten = client.protocol.out.len();
+        if unwritten < unwritten_before {
+            client.last_used = now;
+        }
+        if unwritten >= MAX_UNREAD {
+            return;
+        }
+        match client.in_flight {
+            Some(RequestLocation::Here(request_id)) => {
+                client.is_stream_paused = false;
+                self.resume_streaming(request_id);
+            }
+            Some(RequestLocation::Worker(worker)) if std::mem::take(&mut client.is_stream_paused) => {
+                let owner = Owner { worker: self.this_worker, connection: id };
+                self.workers.send(worker, WorkerMessage::ResumeStreaming(owner));
+            }
+            _ => {}
+        }
+    }
+
+    fn handle_all_written(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        match &connection.kind {
+            ConnectionKind::Client(ClientConnection { is_closing: true, .. }) => {
+                return self.close_gracefully(id);
+            }
+            ConnectionKind::Admin(admin) if admin.call.is_answered() => self.handle_admin_answered(id),
+            ConnectionKind::Host(_) => self.handle_attempt_written(id),
+            _ => {}
+        }
+        self.update_interest(id);
+    }
+
+    pub(super) fn read(&mut self, id: ConnectionId) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        for _ in 0..MAX_READS {
+            let Some(connection) = self.connections.get_mut(id) else { break };
+            if matches!(&connection.kind, ConnectionKind::Host(host) if host.is_reading_paused) {
+                break;
+            }
+            match connection.socket.read(&mut buffer) {
+                Ok(0) => {
+                    self.handle_received(id, &[], true);
+                    break;
+                }
+                Ok(count) => {
+                    self.handle_received(id, &buffer[..count], false);
+                    if count < buffer.len() {
+                        break;
+                    }
+                }
+                Err(e) if is_to_wait(&e) => break,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                // A reset is no end: what had come before it may be incomplete.
+                Err(_) => {
+                    self.handle_connection_lost(id);
+                    break;
+                }
+            }
+        }
+        self.read_buffer = buffer;
+        self.update_interest(id);
+    }
+
+    /// Takes in bytes or the end of a connection.
+    fn handle_received(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
+        let now = self.now;
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        match &mut connection.kind {
+            ConnectionKind::Client(client) if !has_ended => {
+                client.last_used = now;
+                client.protocol.receive(bytes, client.waiting_since.unwrap_or(now));
+                self.ready_clients.push_back(id);
+            }
+            ConnectionKind::Host(host) if !has_ended => {
+                host.last_received = now;
+                host.protocol.receive(bytes);
+                self.process_host(id);
+            }
+            ConnectionKind::Discovery(_) => self.handle_discovery_bytes(id, bytes, has_ended),
+            ConnectionKind::Admin(_) => self.handle_admin_bytes(id, bytes, has_ended),
+            ConnectionKind::HalfClosed { bytes_left } if !has_ended && bytes.len() < *bytes_left => {
+                *bytes_left -= bytes.len();
+            }
+            _ => self.handle_connection_lost(id),
+        }
+    }
+
+    /// A connection has ended or is of no use any more.
+    pub(super) fn handle_connection_lost(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        match &mut connection.kind {
+            ConnectionKind::Client(client) => {
+                match client.in_flight.take() {
+                    Some(RequestLocation::Here(request_id)) => {
+                        self.abandon_request(request_id, Abandonment::Disconnected);
+                    }
+                    Some(RequestLocation::Worker(worker)) => {
+                        self.send_abandon(worker, id, Abandonment::Disconnected);
+                    }
+                    None => {}
+                }
+                self.close(id);
+            }
+            ConnectionKind::Host(_) => self.handle_host_lost(id, FailureCause::ConnectionLost),
+            ConnectionKind::Discovery(_) => self.handle_discovery_lost(id, "connection broke"),
+            ConnectionKind::Admin(_) | ConnectionKind::HalfClosed { .. } => self.close(id),
+        }
+    }
+}
--- a/src/net/event_loop/trace.rs
+++ b/src/net/event_loop/decision_log.rs
@@ -1,42 +1,44 @@
-//! The loop's part for the log of decisions: what they rested on, why a request was given up and why a connection to a
-//! host was closed. Lines on single requests are of level debug.
+//! The log of decisions: what they rested on, why a request was given up and why a connection to a host was closed. Lines
+//! on single requests are of level debug.
+
+use std::fmt;
 
 use slog::{debug, info, Drain};
 
-use super::slots::Key;
+use super::connections::ConnectionId;
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailureCause, ResponseStatus};
-use crate::notice::{role_name, Dating, Notice, ReadBasis};
-use crate::{MemberId, Micros, RequestId};
+use crate::notice::{role_name, Dating, GiveUp, Notice, ReadBasis, Source};
+use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId};
 
 impl Gateway {
-    /// Writes what the decision module has to tell.
+    /// Writes a notice of the balancer.
     pub(super) fn log_notice(&self, notice: Notice) {
         match notice {
             Notice::LogTime { group, stepped, dating, bounds } => {
                 let Dating { status, position, sent, heard, .. } = dating;
                 info!(self.log, "log time learned"; "group" => group.0, "stepped" => stepped,
-                    "host" => self.directory.name(dating.member), "answer" => ?status,
+                    "host" => self.directory.name(dating.member), "answer" => attempt_status_name(status),
                     "position_ms" => self.unix_ms(Some(position)), "sent_ms_ago" => self.ms_ago(sent),
                     "heard_ms_ago" => self.ms_ago(heard), "ahead_least_us" => bounds.0, "ahead_most_us" => bounds.1);
             }
-            Notice::Primary { group, before, after } => {
-                let name =
-                    |member: Option<MemberId>| member.map_or("none", |member| self.directory.name(member));
-                match before {
-                    Some(_) => {
-                        info!(self.log, "primary changed"; "group" => group.0, "before" => name(before), "after" => name(after));
-                    }
-                    None => debug!(self.log, "primary found"; "group" => group.0, "host" => name(after)),
-                }
-            }
+            Notice::Primary { group, before, after } => self.log_primary(group, before, after),
             Notice::GivenUp { request, why, attempts } => {
                 let id = self.client_id(request);
-                debug!(self.log, "request given up"; "id" => id, "why" => ?why, "attempts" => attempts);
+                debug!(self.log, "request given up"; "id" => id, "why" => give_up_name(why), "attempts" => attempts);
             }
         }
     }
 
+    fn log_primary(&self, group: GroupId, before: Option<MemberId>, after: Option<MemberId>) {
+        let name = |member: Option<MemberId>| member.map_or("none", |member| self.directory.name(member));
+        if before.is_some() {
+            info!(self.log, "primary changed"; "group" => group.0, "before" => name(before), "after" => name(after));
+        } else {
+            debug!(self.log, "primary found"; "group" => group.0, "host" => name(after));
+        }
+    }
+
     /// An attempt's last byte has been written.
     pub(super) fn log_attempt(&self, request_id: RequestId, member: MemberId) {
         if !self.log.is_debug_enabled() {
@@ -44,10 +46,10 @@
         }
         let basis = self.balancer.read_basis(self.now, request_id);
         let Some(ReadBasis { needed, position, age, source, log_time, dating }) = basis else { return };
-        let dated = dating.map(|dating| (self.directory.name(dating.member), dating.status));
+        let dated = dating.map(|dating| (self.directory.name(dating.member), LoggedStatus(dating.status)));
         debug!(self.log, "attempt written"; "id" => self.client_id(request_id), "host" => self.directory.name(member),
             "needed_ms" => self.unix_ms(needed), "position_ms" => self.unix_ms(position), "age_ms" => age.0 / 1000,
-            "source" => ?source, "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated,
+            "source" => source_name(source), "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated,
             "dated_ms_ago" => dating.map(|dating| self.ms_ago(dating.heard)));
     }
 
@@ -56,19 +58,19 @@
         let (id, host) = (self.client_id(request_id), self.directory.name(member));
         match outcome {
             AttemptOutcome::Response { status, role, position } => {
-                debug!(self.log, "attempt answered"; "id" => id, "host" => host,
-                "said" => status_name(*status), "role" => role_name(*role), "position_ms" => self.unix_ms(*position))
+                debug!(self.log, "attempt answered"; "id" => id, "host" => host, "said" => status_name(*status),
+                    "role" => role_name(*role), "position_ms" => self.unix_ms(*position));
             }
             AttemptOutcome::NoResponse(failed) => {
                 debug!(self.log, "attempt broke"; "id" => id, "host" => host,
-                "reach" => progress_name(failed.progress), "cause" => cause_name(failed.cause))
+                    "reach" => progress_name(failed.progress), "cause" => cause_name(failed.cause));
             }
         }
     }
 
     /// A connection to a host is closed by this gateway.
-    pub(super) fn log_host_closed(&self, key: Key, why: &'static str) {
-        debug!(self.log, "connection to a host closed"; "connection" => key.place, "why" => why);
+    pub(super) fn log_host_closed(&self, id: ConnectionId, why: &'static str) {
+        debug!(self.log, "connection to a host closed"; "connection" => id.index, "why" => why);
     }
 
     fn client_id(&self, request_id: RequestId) -> &str {
@@ -113,3 +115,48 @@
         FailureCause::WrittenTooLate => "WrittenTooLate",
     }
 }
+
+/// An attempt's status under the name that it has in the log.
+struct LoggedStatus(AttemptStatus);
+
+impl fmt::Debug for LoggedStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(attempt_status_name(self.0))
+    }
+}
+
+/// What an attempt's status is called in the log.
+fn attempt_status_name(status: AttemptStatus) -> &'static str {
+    match status {
+        AttemptStatus::Ok => "Ok",
+        AttemptStatus::Error => "Error",
+        AttemptStatus::Rejected => "Full",
+        AttemptStatus::Timeout => "Timeout",
+        AttemptStatus::ConnectFailed => "ConnectFailed",
+        AttemptStatus::Reset => "Reset",
+        AttemptStatus::Malformed => "Spoilt",
+        AttemptStatus::Cancelled => "Cancelled",
+        AttemptStatus::Withdrawn => "Withdrawn",
+        AttemptStatus::NotSent => "Moot",
+        AttemptStatus::Unsuitable => "Miss",
+    }
+}
+
+/// What the source of a believed position is called in the log.
+fn source_name(source: Source) -> String {
+    match source {
+        Source::Nobody => "Nobody".to_string(),
+        Source::Answer(status) => format!("Answer({})", attempt_status_name(status)),
+        Source::Report => "Report".to_string(),
+    }
+}
+
+/// What the reason is called in the log for which a request was given up.
+fn give_up_name(why: GiveUp) -> &'static str {
+    match why {
+        GiveUp::NoTime => "NoTime",
+        GiveUp::Waited => "Waited",
+        GiveUp::Overdue => "Overdue",
+        GiveUp::NoRetry => "NoRetry",
+    }
+}
--- /dev/null
+++ b/src/net/event_loop/discovery_watch.rs
@@ -0,0 +1,207 @@
+//! The watch on discovery: when it is called, what comes of it, and how endpoint lists reach all workers.
+
+use std::net::SocketAddr;
+
+use rand_core::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use slog::{info, warn};
+
+use super::connection_io::SHORTAGE_PAUSE;
+use super::connections::{ConnectionId, ConnectionKind};
+use super::mailboxes::WorkerMessage;
+use super::timers::Timer;
+use super::Gateway;
+use crate::balance::chance::unit;
+use crate::net::dial;
+use crate::net::discovery::{BadAnswer, CallFailure, Listing, Watch};
+use crate::pg::codec::Outbox;
+use crate::shortage::is_shortage;
+use crate::{EndpointState, Micros, Settings};
+
+/// Failures in a row of which one is logged: one line in ten seconds at the most.
+const FAILURES_PER_LINE: u64 = 100;
+
+/// The watch on discovery: where it is, what is known, and the calls that are out.
+pub(super) struct DiscoveryWatch {
+    pub(super) address: SocketAddr,
+    pub(super) watch: Watch,
+    latest_call: Option<ConnectionId>,
+    /// A call that has fallen silent and stays out beside the latest one.
+    silent_call: Option<ConnectionId>,
+    /// When the latest call began.
+    called_at: Micros,
+    /// Number of gateways that call the same discovery.
+    gateways: u32,
+    /// Time after word of a drain in which the last requests may still go there.
+    drain_grace: Micros,
+    rng: Pcg64Mcg,
+}
+
+impl DiscoveryWatch {
+    /// A watch at this address that goes on from a version.
+    pub(super) fn new(address: SocketAddr, version: u64, settings: &Settings, seed: u64) -> Self {
+        DiscoveryWatch {
+            address,
+            watch: Watch::from_version(Some(version)),
+            latest_call: None,
+            silent_call: None,
+            called_at: Micros(0),
+            gateways: settings.gateways,
+            drain_grace: settings.drain_grace,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
+    }
+
+    /// Goes on under new settings.
+    pub(super) fn update_settings(&mut self, settings: &Settings) {
+        (self.gateways, self.drain_grace) = (settings.gateways, settings.drain_grace);
+    }
+
+    /// The latest call has failed. Returns the time until the next.
+    fn on_call_failed(&mut self, how: CallFailure, now: Micros) -> Micros {
+        let (spent, draw) = (now - self.called_at, unit(&mut self.rng));
+        self.watch.on_call_failed(how, self.gateways, self.drain_grace, spent, draw)
+    }
+
+    /// A call is not out any more.
+    fn forget_call(&mut self, id: ConnectionId) {
+        self.latest_call = self.latest_call.filter(|call| *call != id);
+        self.silent_call = self.silent_call.filter(|call| *call != id);
+    }
+}
+
+impl Gateway {
+    /// Calls discovery, unless a call is out that has not fallen silent.
+    pub(super) fn call_discovery(&mut self) {
+        if self.discovery.latest_call.is_some() {
+            return;
+        }
+        let address = self.discovery.address;
+        self.discovery.called_at = self.now;
+        let timeout = self.discovery.watch.timeout();
+        let request = self.discovery.watch.next_request(&address.to_string());
+        let kind = ConnectionKind::Discovery(Outbox::with(request.into_bytes()));
+        let added = dial(address).and_then(|socket| {
+            self.add_connection(socket, kind, true).map_err(|unregistered| unregistered.error)
+        });
+        match added {
+            Ok(id) => {
+                self.discovery.latest_call = Some(id);
+                self.set_timer(timeout, Timer::DiscoveryTimeout(id));
+            }
+            // Nothing was asked, and nothing is wrong with discovery.
+            Err(e) if is_shortage(&e) => self.set_timer(SHORTAGE_PAUSE, Timer::DiscoveryRetry),
+            Err(e) => self.schedule_next_call(&e.to_string(), CallFailure::Rejected),
+        }
+    }
+
+    /// Takes in what discovery sends.
+    pub(super) fn handle_discovery_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
+        let is_late = self.discovery.silent_call == Some(id);
+        let answer = if is_late {
+            self.discovery.watch.receive_late(bytes, has_ended)
+        } else {
+            self.discovery.watch.receive(bytes, has_ended)
+        };
+        match answer {
+            Ok(None) if has_ended => self.handle_discovery_lost(id, "connection ended"),
+            Ok(None) => {}
+            Ok(Some(listing)) => {
+                self.distribute_endpoints(listing, false);
+                self.end_calls();
+                self.call_discovery();
+            }
+            Err(BadAnswer::Status(status)) if !is_late => {
+                self.end_call(id);
+                self.schedule_next_call(&format!("turned away: {status}"), CallFailure::Rejected);
+            }
+            Err(bad) => self.handle_discovery_lost(id, &format!("bad answer: {bad:?}")),
+        }
+    }
+
+    /// A call has failed, and what it was to bring may be lost. The failure of one that fell silent was recorded then.
+    pub(super) fn handle_discovery_lost(&mut self, id: ConnectionId, why: &str) {
+        let is_late = self.discovery.silent_call == Some(id);
+        self.end_call(id);
+        if !is_late {
+            self.schedule_next_call(why, CallFailure::Lost);
+        }
+    }
+
+    /// A call has had its time. A watch stays out while the next one goes, in the place of one before it.
+    pub(super) fn handle_discovery_timeout(&mut self, id: ConnectionId) {
+        if self.discovery.latest_call != Some(id) {
+            return;
+        }
+        match self.discovery.watch.on_timeout() {
+            CallFailure::Silent => {
+                self.discovery.latest_call = None;
+                if let Some(before) = self.discovery.silent_call.replace(id) {
+                    self.close(before);
+                }
+                self.schedule_next_call("silent", CallFailure::Silent);
+            }
+            CallFailure::Lost | CallFailure::Rejected => self.handle_discovery_lost(id, "no answer"),
+        }
+    }
+
+    /// Another call follows after a backoff.
+    fn schedule_next_call(&mut self, why: &str, how: CallFailure) {
+        let backoff = self.discovery.on_call_failed(how, self.now);
+        let failures = self.discovery.watch.failures();
+        if failures % FAILURES_PER_LINE == 1 {
+            warn!(self.log, "discovery failed"; "why" => why, "in a row" => failures);
+        }
+        self.set_timer(backoff, Timer::DiscoveryRetry);
+    }
+
+    fn end_call(&mut self, id: ConnectionId) {
+        self.discovery.forget_call(id);
+        self.close(id);
+    }
+
+    fn end_calls(&mut self) {
+        let out = [self.discovery.latest_call.take(), self.discovery.silent_call.take()];
+        out.into_iter().flatten().for_each(|id| self.close(id));
+    }
+
+    /// Discovery may have moved: the watch goes on there at once, with the full list, since versions of the one need mean
+    /// nothing to the other.
+    pub(super) fn move_discovery_watch(&mut self, address: SocketAddr) {
+        self.discovery.address = address;
+        self.discovery.watch = Watch::from_version(None);
+        self.end_calls();
+        self.call_discovery();
+    }
+
+    /// Takes an endpoint list in, on all workers.
+    pub(super) fn distribute_endpoints(&mut self, listing: Listing, is_initial: bool) {
+        let message = || WorkerMessage::Endpoints { listing: Box::new(listing.clone()), is_initial };
+        self.workers.send_to_others(self.this_worker, message);
+        self.update_endpoints(listing, is_initial);
+    }
+
+    /// Takes an endpoint list in. Names and addresses are the same on all workers; of the members each takes those of its
+    /// own groups, and whoever moved from them to another's is gone here.
+    pub(super) fn update_endpoints(&mut self, listing: Listing, is_initial: bool) {
+        let (version, is_full) = (listing.rev, listing.all);
+        let (mut endpoints, unreadable) = self.directory.update(listing, &self.clock);
+        if unreadable > 0 {
+            warn!(self.log, "lines of the list cannot be read"; "rev" => version, "lines" => unreadable);
+        }
+        if self.this_worker == 0 && (!endpoints.is_empty() || is_initial) {
+            info!(self.log, "list"; "rev" => version, "whole" => is_full, "hosts" => endpoints.len());
+        }
+        let (workers, this_worker, balancer) = (&self.workers, self.this_worker, &self.balancer);
+        endpoints.retain_mut(|endpoint| {
+            let is_own = workers.owning_worker(endpoint.group) == this_worker;
+            if !is_own {
+                endpoint.state = EndpointState::Removed;
+            }
+            is_own || balancer.is_listed(endpoint.member)
+        });
+        // Who is missing from a full list is gone, but not for a line that cannot be read.
+        let removes_missing = (is_full || is_initial) && unreadable == 0;
+        self.balancer.update_endpoints(self.now, removes_missing, endpoints);
+    }
+}
--- /dev/null
+++ b/src/net/event_loop/host_connection.rs
@@ -0,0 +1,45 @@
+//! The state of a connection to a database host.
+
+use crate::pg::host::Host;
+use crate::{MemberId, Micros, RequestId};
+
+/// What a connection to a host is used for at present.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum HostTask {
+    None,
+    Attempt(RequestId),
+    HealthCheck,
+}
+
+/// A connection to a host.
+pub(super) struct HostConnection {
+    pub(super) protocol: Host,
+    pub(super) member: MemberId,
+    /// The host has accepted the session.
+    pub(super) is_ready: bool,
+    /// The attempt on it is counted among those written in full.
+    pub(super) is_attempt_counted: bool,
+    /// Not read, since the client that its response streams to has enough unread.
+    pub(super) is_reading_paused: bool,
+    /// When the attempt on it ends at the latest.
+    pub(super) attempt_deadline: Micros,
+    /// When bytes last came.
+    pub(super) last_received: Micros,
+    pub(super) task: HostTask,
+}
+
+impl HostConnection {
+    /// A connection to a member that is being opened.
+    pub(super) fn new(member: MemberId, now: Micros) -> Self {
+        HostConnection {
+            protocol: Host::default(),
+            member,
+            is_ready: false,
+            is_attempt_counted: false,
+            is_reading_paused: false,
+            attempt_deadline: now,
+            last_received: now,
+            task: HostTask::None,
+        }
+    }
+}
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -1,238 +1,213 @@
-//! The loop's part for hosts: connections to them, what they say, and probes.
+//! Connections to database hosts, what hosts send, and health checks.
 
 use std::io;
 
 use slog::{debug, warn};
 
-use super::slots::{Key, Link, Slot};
+use super::connections::{ConnectionId, ConnectionKind};
+use super::host_connection::{HostConnection, HostTask};
 use super::timers::Timer;
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::net::dial;
-use crate::pg::host::{self, Answer, Host, Turn};
+use crate::pg::host::{self, Answer, Turn};
 use crate::shortage::is_shortage;
-use crate::{MemberId, Micros, RequestId};
-
-/// How long a probe may take.
-const PROBE_TIMEOUT: Micros = Micros::millis(250);
-
-pub(super) struct HostLink {
-    pub(super) protocol: Host,
-    pub(super) member: MemberId,
-    pub(super) welcome: bool,
-    /// The attempt on it is counted among those written whole.
-    pub(super) counted: bool,
-    /// Not read, since the client that its answer flows to has enough unread.
-    pub(super) held: bool,
-    /// When the attempt on it ends at the latest.
-    pub(super) until: Micros,
-    /// When bytes last came.
-    pub(super) heard: Micros,
-    pub(super) task: Task,
-}
+use crate::{MemberId, Micros};
 
-/// What the log says of a connection that is given up for this cause.
-fn close_reason(cause: FailureCause) -> &'static str {
-    match cause {
-        FailureCause::ConnectionLost => "lost",
-        FailureCause::MalformedResponse => "spoilt",
-        FailureCause::TimedOut => "no answer in time",
-        FailureCause::NotAttempted => "not tried",
-        FailureCause::WrittenTooLate => "written too late",
-    }
-}
-
-/// What a connection to a host is for at present.
-#[derive(Clone, Copy, PartialEq)]
-pub(super) enum Task {
-    None,
-    Attempt(RequestId),
-    Probe,
-}
+/// How long a health check may take.
+const HEALTH_CHECK_TIMEOUT: Micros = Micros::millis(250);
+/// Codes with which a host rejects a connection for the time being.
+const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
 
 impl Gateway {
-    pub(super) fn connect(&mut self, member: MemberId) -> Result<Key, FailureCause> {
+    /// Begins to connect to a member, which has its time for it.
+    pub(super) fn connect(&mut self, member: MemberId) -> Result<ConnectionId, FailureCause> {
         let address = self.directory.address(member).ok_or(FailureCause::NotAttempted)?;
         if !self.pool.has_capacity() {
-            match self.pool.oldest() {
-                Some(idle) => {
-                    self.log_host_closed(idle, "room for another");
-                    self.close(idle);
-                }
-                None => {
-                    warn!(self.log, "no descriptors left for hosts"; "open" => self.pool.len());
-                    return Err(FailureCause::NotAttempted);
-                }
-            }
+            self.close_oldest_idle()?;
         }
         self.counts.connects += 1;
-        let socket = dial(address).map_err(|e| {
-            if is_shortage(&e) {
-                FailureCause::NotAttempted
-            } else {
-                FailureCause::ConnectionLost
-            }
+        let socket = dial(address).map_err(|e| match is_shortage(&e) {
+            true => FailureCause::NotAttempted,
+            false => FailureCause::ConnectionLost,
         })?;
-        let link = HostLink {
-            protocol: Host::default(),
-            member,
-            welcome: false,
-            counted: false,
-            held: false,
-            until: self.now,
-            heard: self.now,
-            task: Task::None,
+        let kind = ConnectionKind::Host(HostConnection::new(member, self.now));
+        let id = self.add_connection(socket, kind, true).map_err(|_| FailureCause::NotAttempted)?;
+        self.set_timer(self.connect_timeout, Timer::ConnectTimeout(id));
+        Ok(id)
+    }
+
+    fn close_oldest_idle(&mut self) -> Result<(), FailureCause> {
+        let Some(idle) = self.pool.oldest() else {
+            warn!(self.log, "no descriptors left for hosts"; "open" => self.pool.len());
+            return Err(FailureCause::NotAttempted);
         };
-        let key = self.insert(socket, Link::Host(link), true).map_err(|_| FailureCause::NotAttempted)?;
-        self.set_timer(self.connect_timeout, Timer::Connect(key));
-        Ok(key)
+        self.log_host_closed(idle, "room for another");
+        self.close(idle);
+        Ok(())
+    }
+
+    /// An idle connection to the member, or a new one.
+    pub(super) fn idle_or_new_connection(&mut self, member: MemberId) -> Result<ConnectionId, FailureCause> {
+        match self.take_idle_connection(member) {
+            Some(id) => Ok(id),
+            None => self.connect(member),
+        }
     }
 
-    /// An idle connection to the member on which nothing has come. What lies unread there is no answer
-    /// to the next request, and must not be taken for it.
-    pub(super) fn take_idle(&mut self, member: MemberId) -> Option<Key> {
-        while let Some(key) = self.pool.take(self.now, member) {
-            let quiet = |slot: &mut Slot| slot.socket.peek(&mut [0]).err().map(|e| e.kind());
-            if self.slot(key).and_then(quiet) == Some(io::ErrorKind::WouldBlock) {
-                return Some(key);
+    /// An idle connection to the member on which nothing has come. What lies unread there is no response to the next
+    /// request, and must not be taken for it.
+    fn take_idle_connection(&mut self, member: MemberId) -> Option<ConnectionId> {
+        while let Some(id) = self.pool.take(self.now, member) {
+            let connection = self.connections.get(id);
+            let peeked = connection.and_then(|connection| connection.socket.peek(&mut [0]).err());
+            if peeked.is_some_and(|e| e.kind() == io::ErrorKind::WouldBlock) {
+                return Some(id);
             }
-            self.log_host_closed(key, "bytes or an end while idle");
-            self.close(key);
+            self.log_host_closed(id, "bytes or an end while idle");
+            self.close(id);
         }
         None
     }
 
-    pub(super) fn host_turn(&mut self, key: Key, turn: Turn) {
-        let Some(host) = self.host(key) else { return };
+    /// Handles what has come on a connection to a host.
+    pub(super) fn process_host(&mut self, id: ConnectionId) {
+        while let Some(event) = self.connections.host(id).and_then(|host| host.protocol.turn()) {
+            self.handle_host_event(id, event);
+        }
+        self.forward_stream(id);
+    }
+
+    fn handle_host_event(&mut self, id: ConnectionId, event: Turn) {
+        let Some(host) = self.connections.host(id) else { return };
         let (member, task) = (host.member, host.task);
-        match turn {
+        match event {
             Turn::Welcome => {
-                host.welcome = true;
-                self.start_task(key);
-            }
-            Turn::Unwelcome(code) => {
-                host.task = Task::None;
-                self.close(key);
-                debug!(self.log, "host turned a connection away"; "host" => self.directory.name(member),
-                    "code" => &code);
-                let turned_away = matches!(code.as_str(), "53300" | "57P03");
-                let said = Answer {
-                    said: if turned_away { ResponseStatus::Rejected } else { ResponseStatus::Failed },
-                    rows: Vec::new(),
-                    value: None,
-                    role: None,
-                    position: None,
-                };
-                match task {
-                    Task::Attempt(request_id) if turned_away => self.answered(request_id, member, said),
-                    Task::Attempt(request_id) => {
-                        self.requests.end_attempt(request_id);
-                        self.broke(
-                            request_id,
-                            member,
-                            FailedAttempt {
-                                progress: AttemptProgress::NotConnected,
-                                cause: FailureCause::ConnectionLost,
-                            },
-                        );
-                    }
-                    Task::Probe => self.probed(member, said),
-                    Task::None => {}
-                }
+                host.is_ready = true;
+                self.start_task(id);
             }
+            Turn::Unwelcome(code) => self.handle_session_rejected(id, &code),
             Turn::Flows => match task {
-                Task::Attempt(request_id) => self.begin_flow(request_id),
-                // No report is that long.
-                _ => self.host_lost(key, FailureCause::MalformedResponse),
+                HostTask::Attempt(request_id) => self.start_streaming(request_id),
+                // No load report is that long.
+                _ => self.handle_host_lost(id, FailureCause::MalformedResponse),
             },
             Turn::Answered(answer) => {
-                self.free(key);
+                self.release_connection(id);
                 match task {
-                    Task::Attempt(request_id) => self.answered(request_id, member, answer),
-                    Task::Probe => self.probed(member, answer),
-                    Task::None => {}
+                    HostTask::Attempt(request_id) => self.handle_response(request_id, member, answer),
+                    HostTask::HealthCheck => self.handle_health_response(member, answer),
+                    HostTask::None => {}
                 }
             }
             Turn::Nonsense => {
-                self.counts.spoilt += 1;
-                // Once between two lines on the traffic: those of a bad day would crowd out all others.
-                if self.counts.spoilt == 1 {
-                    warn!(self.log, "host breaks the protocol"; "host" => self.directory.name(member));
-                }
-                self.host_lost(key, FailureCause::MalformedResponse);
+                self.log_protocol_violation(member);
+                self.handle_host_lost(id, FailureCause::MalformedResponse);
+            }
+        }
+    }
+
+    /// A host has rejected the session.
+    fn handle_session_rejected(&mut self, id: ConnectionId, code: &str) {
+        let Some(host) = self.connections.host(id) else { return };
+        let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
+        self.close(id);
+        debug!(self.log, "host turned a connection away"; "host" => self.directory.name(member), "code" => code);
+        let is_rejection = REJECTION_CODES.contains(&code);
+        let status = if is_rejection { ResponseStatus::Rejected } else { ResponseStatus::Failed };
+        let answer = Answer { said: status, rows: Vec::new(), value: None, role: None, position: None };
+        match task {
+            HostTask::Attempt(request_id) if is_rejection => {
+                self.handle_response(request_id, member, answer);
+            }
+            HostTask::Attempt(request_id) => {
+                self.requests.end_attempt(request_id);
+                let cause = FailureCause::ConnectionLost;
+                let failed = FailedAttempt { progress: AttemptProgress::NotConnected, cause };
+                self.handle_attempt_failed(request_id, member, failed);
             }
+            HostTask::HealthCheck => self.handle_health_response(member, answer),
+            HostTask::None => {}
+        }
+    }
+
+    fn log_protocol_violation(&mut self, member: MemberId) {
+        self.counts.malformed += 1;
+        // Once between two lines on the traffic: those of a bad day would crowd out all others.
+        if self.counts.malformed == 1 {
+            warn!(self.log, "host breaks the protocol"; "host" => self.directory.name(member));
         }
     }
 
     /// A connection to a host has ended, or is given up for this cause.
-    pub(super) fn host_lost(&mut self, key: Key, cause: FailureCause) {
-        let Some(host) = self.host(key) else { return };
-        let (member, task) = (host.member, std::mem::replace(&mut host.task, Task::None));
-        let (progress, welcome) = (host.protocol.reach(), host.welcome);
+    pub(super) fn handle_host_lost(&mut self, id: ConnectionId, cause: FailureCause) {
+        let Some(host) = self.connections.host(id) else { return };
+        let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
+        let (progress, is_ready) = (host.protocol.reach(), host.is_ready);
         let answer = host.protocol.ended();
         if cause != FailureCause::ConnectionLost {
-            self.log_host_closed(key, close_reason(cause));
+            self.log_host_closed(id, close_reason(cause));
         }
-        self.close(key);
+        self.close(id);
+        let failed = FailedAttempt { progress, cause };
         match (task, answer) {
-            // Whoever it was dialled for did not wait for it to fail, but the module must hear of it.
-            (Task::None, _) if !welcome && cause == FailureCause::ConnectionLost => {
-                self.balancer.health_checked(
-                    self.now,
-                    member,
-                    AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
-                );
+            // Whoever it was dialled for did not wait for it to fail, but the balancer must learn of it.
+            (HostTask::None, _) if !is_ready && cause == FailureCause::ConnectionLost => {
+                self.health_checked(member, AttemptOutcome::NoResponse(failed));
             }
-            (Task::None, _) => {}
-            (Task::Attempt(request_id), Some(answer)) => self.answered(request_id, member, answer),
-            (Task::Attempt(request_id), None) => {
-                self.requests.end_attempt(request_id);
-                self.broke(request_id, member, FailedAttempt { progress, cause });
+            (HostTask::None, _) => {}
+            (HostTask::Attempt(request_id), Some(answer)) => {
+                self.handle_response(request_id, member, answer);
             }
-            (Task::Probe, Some(answer)) => self.probed(member, answer),
-            (Task::Probe, None) => {
-                self.balancer.health_checked(
-                    self.now,
-                    member,
-                    AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
-                );
+            (HostTask::Attempt(request_id), None) => {
+                self.requests.end_attempt(request_id);
+                self.handle_attempt_failed(request_id, member, failed);
             }
+            (HostTask::HealthCheck, Some(answer)) => self.handle_health_response(member, answer),
+            (HostTask::HealthCheck, None) => self.health_checked(member, AttemptOutcome::NoResponse(failed)),
         }
     }
 
-    pub(super) fn probe(&mut self, member: MemberId) {
+    pub(super) fn start_health_check(&mut self, member: MemberId) {
         self.counts.health_checks += 1;
-        let key = match self.take_idle(member) {
-            Some(key) => Ok(key),
-            None => self.connect(member),
-        };
-        match key {
-            Ok(key) => {
-                if let Some(host) = self.host(key) {
-                    host.task = Task::Probe;
+        match self.idle_or_new_connection(member) {
+            Ok(id) => {
+                if let Some(host) = self.connections.host(id) {
+                    host.task = HostTask::HealthCheck;
                 }
-                self.set_timer(PROBE_TIMEOUT, Timer::Probe(key));
-                self.start_task(key);
+                self.set_timer(HEALTH_CHECK_TIMEOUT, Timer::HealthCheckTimeout(id));
+                self.start_task(id);
             }
             Err(cause) => {
                 let failed = FailedAttempt { progress: AttemptProgress::NotConnected, cause };
-                self.balancer.health_checked(self.now, member, AttemptOutcome::NoResponse(failed));
+                self.health_checked(member, AttemptOutcome::NoResponse(failed));
             }
         }
     }
 
-    pub(super) fn probed(&mut self, member: MemberId, answer: Answer) {
+    fn handle_health_response(&mut self, member: MemberId, answer: Answer) {
         let (role, position) = host::report(&answer.value.unwrap_or_default());
-        let position = self.position(position);
-        self.balancer.health_checked(
-            self.now,
-            member,
-            AttemptOutcome::Response { status: answer.said, role, position },
-        );
+        let position = self.to_position(position);
+        self.health_checked(member, AttemptOutcome::Response { status: answer.said, role, position });
+    }
+
+    fn health_checked(&mut self, member: MemberId, outcome: AttemptOutcome) {
+        self.balancer.health_checked(self.now, member, outcome);
     }
 
-    /// A position that a host has told; whether it can be is for the decision module to say.
-    pub(super) fn position(&self, unix_ms: Option<f64>) -> Option<Micros> {
+    /// A position that a host has reported; whether it can be is for the balancer to decide.
+    pub(super) fn to_position(&self, unix_ms: Option<f64>) -> Option<Micros> {
         unix_ms.map(|ms| self.clock.at_unix_ms(ms))
     }
 }
+
+/// What the log says of a connection that is given up for this cause.
+fn close_reason(cause: FailureCause) -> &'static str {
+    match cause {
+        FailureCause::ConnectionLost => "lost",
+        FailureCause::MalformedResponse => "spoilt",
+        FailureCause::TimedOut => "no answer in time",
+        FailureCause::NotAttempted => "not tried",
+        FailureCause::WrittenTooLate => "written too late",
+    }
+}
--- /dev/null
+++ b/src/net/event_loop/queries.rs
@@ -0,0 +1,135 @@
+//! Clients' queries: each is read as a statement, sent to the worker that owns its group, and taken on there.
+
+use super::client_connection::RequestLocation;
+use super::connections::ConnectionId;
+use super::mailboxes::{FinalAnswer, Owner, RequestMessage};
+use super::timers::Timer;
+use super::Gateway;
+use crate::balancer::RoutingRequest;
+use crate::pg::statement::Statement;
+use crate::{ClassId, GroupId, Micros};
+
+/// Time taken off what a client waits: for the way there and back, and for the iteration of the loop.
+const DEADLINE_MARGIN: Micros = Micros::millis(3);
+
+impl Gateway {
+    pub(super) fn handle_query(&mut self, client: ConnectionId, text: String, arrived_at: Micros) {
+        self.counts.received += 1;
+        let statement = match Statement::parse(text) {
+            Ok(statement) => statement,
+            Err(e) => {
+                self.counts.failed += 1;
+                return self.deliver_answer(client, FinalAnswer::Unroutable(e.to_string()));
+            }
+        };
+        // Its client counts from when it sent: what the query has waited behind others of its connection is over.
+        let deadline = arrived_at + (statement.wait - DEADLINE_MARGIN);
+        let deadline = self.final_answers_by.map_or(deadline, |by| deadline.min(by));
+        let owner = Owner { worker: self.this_worker, connection: client };
+        let worker = self.workers.owning_worker(GroupId(statement.cluster));
+        if self.decides_directly(worker) {
+            self.accept_request(owner, statement, deadline);
+        } else {
+            self.offer_to_owning_worker(worker, owner, statement, deadline);
+        }
+    }
+
+    fn offer_to_owning_worker(
+        &mut self,
+        worker: usize,
+        owner: Owner,
+        statement: Statement,
+        deadline: Micros,
+    ) {
+        let class = statement.class.clone();
+        if let Some(client) = self.connections.client(owner.connection) {
+            (client.in_flight, client.has_asked) = (Some(RequestLocation::Worker(worker)), true);
+        }
+        let request = RequestMessage { owner, statement: Box::new(statement), deadline };
+        if self.offer_request(worker, request) {
+            return;
+        }
+        // Its owning worker has more waiting than it can look at in time.
+        self.counts.rejected += 1;
+        if self.classes.id(self.now, &class).is_some() {
+            self.figures.class(&class).shed += 1;
+        }
+        self.deliver_answer(owner.connection, FinalAnswer::Rejected(None));
+    }
+
+    /// Takes a request on for whoever asked, or answers what is wrong with it.
+    pub(super) fn accept_request(&mut self, owner: Owner, statement: Statement, deadline: Micros) {
+        let class = match self.routable_class(&statement) {
+            Ok(class) => class,
+            Err(why) => {
+                self.counts.failed += 1;
+                return self.send_answer(owner, FinalAnswer::Unroutable(why.to_string()));
+            }
+        };
+        let time_left = deadline - self.now;
+        if time_left == Micros(0) {
+            self.counts.rejected += 1;
+            self.figures.class(&statement.class).shed += 1;
+            return self.send_answer(owner, FinalAnswer::Rejected(None));
+        }
+        let request = RoutingRequest {
+            class,
+            group: GroupId(statement.cluster),
+            session: statement.session,
+            committed: statement.after.map(|after| self.clock.at_unix_ms(after)),
+            repeat: statement.repeat,
+            time_left,
+        };
+        let (request_id, decision) = self.balancer.pick(self.now, request);
+        if owner.worker != self.this_worker {
+            self.remote_requests.insert(owner, request_id);
+        } else if let Some(client) = self.connections.client(owner.connection) {
+            client.has_asked = true;
+            client.in_flight = Some(RequestLocation::Here(request_id));
+        }
+        let client_id = statement.id.clone();
+        self.requests.insert(request_id, &client_id, owner, statement, deadline);
+        self.set_timer(time_left, Timer::RequestDeadline(request_id));
+        // What was decided before comes first: connections to be closed before the request is sent.
+        self.process_outputs();
+        self.carry_out(request_id, decision);
+    }
+
+    /// The class of a statement that can be routed here, or why it cannot.
+    fn routable_class(&self, statement: &Statement) -> Result<ClassId, Unroutable> {
+        let class = self.classes.id(self.now, &statement.class).ok_or(Unroutable::UnknownClass)?;
+        if !self.balancer.has_group(GroupId(statement.cluster)) {
+            return Err(Unroutable::UnknownGroup);
+        }
+        let lacks_key = self.balancer.is_keyed_class(class) && !statement.keyed;
+        if self.balancer.is_write_class(class) != statement.writes || lacks_key {
+            return Err(Unroutable::UnfitForClass);
+        }
+        if self.requests.has_client_id(&statement.id) {
+            return Err(Unroutable::IdInUse);
+        }
+        Ok(class)
+    }
+}
+
+/// Why a statement cannot be routed here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Unroutable {
+    UnknownClass,
+    UnknownGroup,
+    UnfitForClass,
+    IdInUse,
+}
+
+impl std::error::Error for Unroutable {}
+
+impl std::fmt::Display for Unroutable {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            Unroutable::UnknownClass => "unknown class",
+            Unroutable::UnknownGroup => "unknown group",
+            Unroutable::UnfitForClass => "the statement does not fit its class",
+            Unroutable::IdInUse => "a request of this id is open",
+        })
+    }
+}
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -1,12 +1,11 @@
-//! The loop's part for requests that are owed an answer: carries verdicts out, sends attempts, and gives the
-//! final answer.
+//! Requests in flight: carries out decisions on them, writes their attempts, and gives the final answers.
 
-use std::sync::atomic::Ordering;
-
-use super::hosts::Task;
-use super::slots::{hung_up, Key, Link, Slot};
+use super::client_connection::RequestLocation;
+use super::connections::ConnectionId;
+use super::host_connection::HostTask;
+use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, WorkerMessage};
+use super::sockets::has_hung_up;
 use super::timers::Timer;
-use super::workers::{Commit, InFlight, Owner, Parting, WorkerMessage};
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::balancer::RoutingDecision;
@@ -16,262 +15,259 @@
 use crate::request::InFlightRequest;
 use crate::{GroupId, MemberId, Micros, RequestId};
 
-/// A final answer.
-pub(super) enum Final {
-    Served(Vec<u8>),
-    Refused(Option<Micros>),
-    Failed,
-    /// Its client has cancelled it.
-    Cancelled,
-    /// It was never taken on: what is wrong with it.
-    Unroutable(String),
-}
+/// The query that asks a host for its load report.
+const HEALTH_CHECK_QUERY: &str = "SHOW gauges";
+
+/// An attempt that was never made.
+const NOT_ATTEMPTED: FailedAttempt =
+    FailedAttempt { progress: AttemptProgress::NotConnected, cause: FailureCause::NotAttempted };
 
 impl Gateway {
-    /// Gives the final answer, and counts it; another process of this gateway hears first of what a write may have
-    /// committed.
-    pub(super) fn finish(&mut self, request_id: RequestId, answer: Final) {
-        self.drop_attempt(request_id);
-        let Some(request) = self.conclude(request_id) else { return };
-        let tally = self.figures.class(&request.statement.class);
+    /// Finishes a request with its final answer, and counts it; another process of this gateway learns first of what a
+    /// write may have committed.
+    pub(super) fn finish_request(&mut self, request_id: RequestId, answer: FinalAnswer) {
+        self.cancel_attempt(request_id);
+        let Some(request) = self.remove_request(request_id) else { return };
+        let figures = self.figures.class(&request.statement.class);
         match answer {
-            Final::Served(_) => tally.ok += 1,
-            Final::Refused(_) => tally.shed += 1,
-            Final::Failed | Final::Cancelled | Final::Unroutable(_) => tally.errors += 1,
+            FinalAnswer::Served(_) => figures.ok += 1,
+            FinalAnswer::Rejected(_) => figures.shed += 1,
+            FinalAnswer::Failed | FinalAnswer::Cancelled | FinalAnswer::Unroutable(_) => figures.errors += 1,
         }
-        match self.commit_of(&request.statement) {
-            Some(commit) => self.tell_commit(commit, Some((request.owner, answer))),
-            None => self.answer(request.owner, answer),
+        match self.commit_to_publish(&request.statement) {
+            Some(commit) => self.publish_commit(commit, Some((request.owner, answer))),
+            None => self.send_answer(request.owner, answer),
         }
     }
 
-    /// What another process, if there is one, has to hold against the session of a write that has ended here.
-    fn commit_of(&self, work: &Statement) -> Option<Commit> {
-        let (group, session) = (GroupId(work.cluster), work.session);
-        let told = work.writes && self.workers.linked.load(Ordering::SeqCst);
-        let commit = told.then(|| self.balancer.session_commit(group, session)).flatten()?;
-        Some((group, session, commit))
+    /// The commit that another process, if there is one, must hold against the session of a write that has ended here.
+    fn commit_to_publish(&self, statement: &Statement) -> Option<Commit> {
+        let (group, session) = (GroupId(statement.cluster), statement.session);
+        if !statement.writes || !self.workers.has_peer() {
+            return None;
+        }
+        let position = self.balancer.session_commit(group, session)?;
+        Some(Commit { group, session, position })
     }
 
-    /// Tells the other process of a commit, by way of the worker that has the line; then the answer goes out.
-    pub(super) fn tell_commit(&mut self, commit: Commit, answer: Option<(Owner, Final)>) {
-        if self.me != 0 {
-            return self.workers.deliver(0, WorkerMessage::Commit { commit, answer });
+    /// Sends the other process a commit, by way of the first worker; then the answer goes out.
+    pub(super) fn publish_commit(&mut self, commit: Commit, answer: Option<(Owner, FinalAnswer)>) {
+        if self.this_worker != 0 {
+            return self.workers.send(0, WorkerMessage::PublishCommit { commit, answer });
         }
-        self.share_commit(commit);
+        self.send_commit_to_peers(commit);
         if let Some((owner, answer)) = answer {
-            self.answer(owner, answer);
+            self.send_answer(owner, answer);
         }
     }
 
-    /// Takes a request out of the ledger: whoever gets it must answer.
-    pub(super) fn conclude(
+    /// Takes a request out of those in flight: whoever gets it must answer.
+    pub(super) fn remove_request(
         &mut self,
         request_id: RequestId,
-    ) -> Option<InFlightRequest<Key, Statement, Owner>> {
+    ) -> Option<InFlightRequest<ConnectionId, Statement, Owner>> {
         let request = self.requests.finish(request_id)?;
-        if request.owner.worker != self.me {
+        if request.owner.worker != self.this_worker {
             self.remote_requests.remove(&request.owner);
         }
         Some(request)
     }
 
-    /// The client of an open request has left or cancelled it: its attempt ends and no other follows. One whose
-    /// answer flows already cannot be cancelled any more.
-    pub(super) fn abandon(&mut self, request_id: RequestId, how: Parting) {
-        if how == Parting::Cancelled
-            && self.requests.get(request_id).is_none_or(|request| request.is_streaming())
-        {
+    /// The client of a request has left or cancelled it: its attempt ends and no other follows. One whose response
+    /// streams already cannot be cancelled any more.
+    pub(super) fn abandon_request(&mut self, request_id: RequestId, how: Abandonment) {
+        let is_cancellable = self.requests.get(request_id).is_some_and(|request| !request.is_streaming());
+        if how == Abandonment::Cancelled && !is_cancellable {
             return;
         }
-        // Booked first: what a write may have committed is known before its answer goes out.
-        if let Some(key) = self.requests.end_attempt(request_id) {
-            self.free(key);
+        // Recorded first: what a write may have committed is known before its answer goes out.
+        if let Some(host) = self.requests.end_attempt(request_id) {
+            self.release_connection(host);
         }
         self.balancer.handle_client_gone(self.now, request_id);
         match how {
-            Parting::Cancelled => {
+            Abandonment::Cancelled => {
                 self.counts.cancelled += 1;
-                self.finish(request_id, Final::Cancelled);
+                self.finish_request(request_id, FinalAnswer::Cancelled);
             }
-            Parting::Gone => {
-                self.counts.left += 1;
-                let request = self.conclude(request_id);
-                if let Some(commit) = request.and_then(|request| self.commit_of(&request.statement)) {
-                    self.tell_commit(commit, None);
+            Abandonment::Disconnected => {
+                self.counts.abandoned += 1;
+                let request = self.remove_request(request_id);
+                if let Some(commit) = request.and_then(|request| self.commit_to_publish(&request.statement)) {
+                    self.publish_commit(commit, None);
                 }
             }
         }
     }
 
-    /// Cancels the query of the client with this key, if it is this worker's and one is open.
-    pub(super) fn cancel_own(&mut self, key: CancelKey) -> bool {
-        let named = |(place, slot): (usize, &Slot)| match &slot.link {
-            Link::Client(c) if c.protocol.key() == Some(key) => {
-                Some((Key { place, serial: slot.serial }, c.in_flight))
-            }
-            _ => None,
-        };
-        let Some((client, in_flight)) = self.slots.iter().find_map(named) else { return false };
+    /// Cancels the query of the client with this key. False if it is not a client of this worker.
+    pub(super) fn cancel_here(&mut self, key: CancelKey) -> bool {
+        let found = self.connections.clients().find(|(_, client)| client.protocol.key() == Some(key));
+        let Some((id, in_flight)) = found.map(|(id, client)| (id, client.in_flight)) else { return false };
         match in_flight {
-            Some(InFlight::Here(request_id)) => self.abandon(request_id, Parting::Cancelled),
-            Some(InFlight::At(home)) => self.take_leave(home, client, Parting::Cancelled),
+            Some(RequestLocation::Here(request_id)) => {
+                self.abandon_request(request_id, Abandonment::Cancelled);
+            }
+            Some(RequestLocation::Worker(worker)) => self.send_abandon(worker, id, Abandonment::Cancelled),
             None => {}
         }
         true
     }
 
-    /// A cancel has come from a client of this worker: its key may fit a client of any worker or process.
+    /// A client of this worker asks for a cancel: its key may fit a client of any worker or process.
     pub(super) fn cancel(&mut self, key: CancelKey) {
-        if self.cancel_own(key) {
+        if self.cancel_here(key) {
             return;
         }
-        self.workers.deliver_others(self.me, || WorkerMessage::Cancel(key));
-        if self.me == 0 {
-            self.share_cancel(key);
+        self.workers.send_to_others(self.this_worker, || WorkerMessage::Cancel(key));
+        if self.this_worker == 0 {
+            self.send_cancel_to_peers(key);
         }
     }
 
     /// Whether the client of a request has left though its end has not been read yet: it lies in the socket, perhaps
-    /// behind bytes that wait. Asked before each attempt, since in a turn events of hosts and timers come first.
-    fn has_left(&mut self, request_id: RequestId) -> bool {
-        let owner = self.requests.get(request_id).map(|request| request.owner);
-        let Some(Owner { key, .. }) = owner.filter(|owner| owner.worker == self.me) else { return false };
-        let left = self.slot(key).is_some_and(|slot| hung_up(&slot.socket));
-        if left {
-            self.lose(key);
-        }
-        left
+    /// behind bytes that wait. Asked before each attempt, since in an iteration events of hosts and timers come first.
+    fn has_client_left(&mut self, request_id: RequestId) -> bool {
+        let Some(Owner { worker, connection }) = self.requests.get(request_id).map(|request| request.owner)
+        else {
+            return false;
+        };
+        if worker != self.this_worker {
+            return false;
+        }
+        let has_left = self.connections.get(connection).is_some_and(|client| has_hung_up(&client.socket));
+        if has_left {
+            self.handle_connection_lost(connection);
+        }
+        has_left
     }
 
     /// Sends an answer to whoever asked.
-    pub(super) fn answer(&mut self, owner: Owner, answer: Final) {
-        match owner.worker == self.me {
-            true => self.give(owner.key, answer),
-            false => self.workers.deliver(owner.worker, WorkerMessage::Answer(owner.key, answer)),
+    pub(super) fn send_answer(&mut self, owner: Owner, answer: FinalAnswer) {
+        if owner.worker == self.this_worker {
+            self.deliver_answer(owner.connection, answer);
+        } else {
+            self.workers.send(owner.worker, WorkerMessage::Answer(owner.connection, answer));
         }
     }
 
     /// Gives a client of this worker its answer.
-    pub(super) fn give(&mut self, key: Key, answer: Final) {
+    pub(super) fn deliver_answer(&mut self, id: ConnectionId, answer: FinalAnswer) {
         let now = self.now;
-        let Some(client) = self.client(key) else { return };
+        let Some(client) = self.connections.client(id) else { return };
         client.in_flight = None;
-        client.used = now;
+        client.last_used = now;
         match answer {
-            Final::Served(rows) => client.protocol.serve(&rows),
-            Final::Refused(retry_after) => client.protocol.refuse(retry_after),
-            Final::Failed => client.protocol.fail("58000", "no answer in time, it may have run"),
-            Final::Cancelled => client.protocol.fail("57014", "canceling statement due to user request"),
-            Final::Unroutable(why) => client.protocol.fail("08P01", &why),
-        }
-        self.write(key);
-        self.ready.push_back(key);
-        self.spare_clients();
-        if !self.clients.accepting {
-            self.set_accepting(true);
+            FinalAnswer::Served(rows) => client.protocol.serve(&rows),
+            FinalAnswer::Rejected(retry_after) => client.protocol.refuse(retry_after),
+            FinalAnswer::Failed => client.protocol.fail("58000", "no answer in time, it may have run"),
+            FinalAnswer::Cancelled => {
+                client.protocol.fail("57014", "canceling statement due to user request");
+            }
+            FinalAnswer::Unroutable(why) => client.protocol.fail("08P01", &why),
         }
+        self.write(id);
+        self.ready_clients.push_back(id);
+        self.evict_surplus_client();
+        self.resume_accepting();
     }
 
-    pub(super) fn apply(&mut self, request_id: RequestId, decision: RoutingDecision) {
+    /// Carries out a decision on a request.
+    pub(super) fn carry_out(&mut self, request_id: RequestId, decision: RoutingDecision) {
         match decision {
             RoutingDecision::Queued => {}
-            RoutingDecision::Send { member, timeout } => self.send(request_id, member, timeout),
+            RoutingDecision::Send { member, timeout } => self.start_attempt(request_id, member, timeout),
             RoutingDecision::Reject { retry_after } => {
-                self.counts.refused += 1;
-                self.finish(request_id, Final::Refused(retry_after));
+                self.counts.rejected += 1;
+                self.finish_request(request_id, FinalAnswer::Rejected(retry_after));
             }
             RoutingDecision::Fail => {
                 self.counts.failed += 1;
-                self.finish(request_id, Final::Failed);
+                self.finish_request(request_id, FinalAnswer::Failed);
             }
         }
     }
 
-    pub(super) fn send(&mut self, request_id: RequestId, member: MemberId, timeout: Micros) {
-        if self.requests.get(request_id).is_none_or(|request| request.attempt().is_some())
-            || self.has_left(request_id)
-        {
+    fn start_attempt(&mut self, request_id: RequestId, member: MemberId, timeout: Micros) {
+        let is_free = self.requests.get(request_id).is_some_and(|request| request.attempt().is_none());
+        if !is_free || self.has_client_left(request_id) {
             return;
         }
-        let key = match self.take_idle(member) {
-            Some(key) => key,
-            None => match self.connect(member) {
-                Ok(key) => key,
-                Err(cause) => {
-                    self.broke(
-                        request_id,
-                        member,
-                        FailedAttempt { progress: AttemptProgress::NotConnected, cause },
-                    );
-                    return;
-                }
-            },
+        let id = match self.idle_or_new_connection(member) {
+            Ok(id) => id,
+            Err(cause) => {
+                let failed = FailedAttempt { progress: AttemptProgress::NotConnected, cause };
+                return self.handle_attempt_failed(request_id, member, failed);
+            }
         };
-        if !self.requests.start_attempt(request_id, key) {
+        if !self.requests.start_attempt(request_id, id) {
             return;
         }
-        self.set_timer(timeout, Timer::Attempt(request_id, key));
-        let until = self.now + timeout;
-        if let Some(host) = self.host(key) {
-            (host.task, host.until) = (Task::Attempt(request_id), until);
+        self.set_timer(timeout, Timer::AttemptTimeout(request_id, id));
+        let attempt_deadline = self.now + timeout;
+        if let Some(host) = self.connections.host(id) {
+            (host.task, host.attempt_deadline) = (HostTask::Attempt(request_id), attempt_deadline);
+        }
+        self.start_task(id);
+    }
+
+    /// Writes the query of a connection's task, if the connection is up and the choice of the host is still valid.
+    pub(super) fn start_task(&mut self, id: ConnectionId) {
+        let Some(host) = self.connections.host(id).filter(|host| host.is_ready) else { return };
+        match host.task {
+            HostTask::None => self.release_connection(id),
+            HostTask::HealthCheck => self.write_health_check(id),
+            HostTask::Attempt(request_id) => self.write_attempt(id, request_id),
+        }
+    }
+
+    fn write_health_check(&mut self, id: ConnectionId) {
+        let now = self.clock.read();
+        let Some(member) = self.connections.host(id).map(|host| host.member) else { return };
+        if !self.balancer.is_routable(member) {
+            self.release_connection(id);
+            return self.balancer.health_checked(now, member, AttemptOutcome::NoResponse(NOT_ATTEMPTED));
         }
-        self.start_task(key);
+        self.write_query(id, HEALTH_CHECK_QUERY);
     }
 
-    /// Writes the task's request, if the connection is up and the choice still holds.
-    pub(super) fn start_task(&mut self, key: Key) {
-        // Not the turn's time: what the statement tells of its deadline, and the age of the data that it may see, count
-        // from the write.
+    fn write_attempt(&mut self, id: ConnectionId, request_id: RequestId) {
+        // Not the iteration's time: what the statement says of its deadline, and the age of the data that it may see,
+        // count from the write.
         let now = self.clock.read();
-        let Some(host) = self.host(key).filter(|host| host.welcome) else { return };
-        let (member, task, until) = (host.member, host.task, host.until);
-        if matches!(task, Task::Attempt(request_id) if self.has_left(request_id)) {
+        if self.has_client_left(request_id) {
             return;
         }
-        let text = match task {
-            Task::None => return self.free(key),
-            Task::Probe if !self.balancer.is_routable(member) => {
-                self.free(key);
-                let failed = FailedAttempt {
-                    progress: AttemptProgress::NotConnected,
-                    cause: FailureCause::NotAttempted,
-                };
-                return self.balancer.health_checked(now, member, AttemptOutcome::NoResponse(failed));
-            }
-            Task::Probe => "SHOW gauges".to_string(),
-            Task::Attempt(request_id) => {
-                let holds = self.balancer.is_attempt_valid(now, request_id);
-                let Some(request) = self.requests.get(request_id) else { return };
-                let text = request.statement.with_wait(until.min(request.deadline) - now);
-                if !holds {
-                    self.free(key);
-                    self.requests.end_attempt(request_id);
-                    let failed = FailedAttempt {
-                        progress: AttemptProgress::NotConnected,
-                        cause: FailureCause::NotAttempted,
-                    };
-                    self.broke(request_id, member, failed);
-                    return;
-                }
-                self.counts.attempts += 1;
-                text
-            }
-        };
-        if self.host(key).is_some_and(|host| host.protocol.ask(&text)) {
-            self.write(key);
+        let is_valid = self.balancer.is_attempt_valid(now, request_id);
+        let Some(request) = self.requests.get(request_id) else { return };
+        let Some(host) = self.connections.host(id) else { return };
+        let member = host.member;
+        if !is_valid {
+            self.release_connection(id);
+            self.requests.end_attempt(request_id);
+            return self.handle_attempt_failed(request_id, member, NOT_ATTEMPTED);
+        }
+        let deadline = host.attempt_deadline.min(request.deadline);
+        let text = request.statement.with_wait(deadline - now);
+        self.counts.attempts += 1;
+        self.write_query(id, &text);
+    }
+
+    fn write_query(&mut self, id: ConnectionId, text: &str) {
+        if self.connections.host(id).is_some_and(|host| host.protocol.ask(text)) {
+            self.write(id);
         } else {
-            self.lose(key);
+            self.handle_connection_lost(id);
         }
     }
 
     /// The attempt on a connection has been written to its last byte: counts it, and gives it up if the gateway was
     /// held up for so long that its data may be too old.
-    pub(super) fn attempt_written(&mut self, key: Key) {
-        let Some(host) = self.host(key) else { return };
-        let Task::Attempt(request_id) = host.task else { return };
+    pub(super) fn handle_attempt_written(&mut self, id: ConnectionId) {
+        let Some(host) = self.connections.host(id) else { return };
+        let HostTask::Attempt(request_id) = host.task else { return };
         if host.protocol.reach() != AttemptProgress::FullyWritten
-            || std::mem::replace(&mut host.counted, true)
+            || std::mem::replace(&mut host.is_attempt_counted, true)
         {
             return;
         }
@@ -281,64 +277,79 @@
         }
         self.log_attempt(request_id, member);
         if !self.balancer.is_fresh_enough(self.clock.read(), request_id) {
-            self.host_lost(key, FailureCause::WrittenTooLate);
+            self.handle_host_lost(id, FailureCause::WrittenTooLate);
         }
     }
 
-    /// Puts a welcomed connection that carries nothing back into the pool; one to a host that gets nothing new is
-    /// closed, so that the host need not wait for it.
-    pub(super) fn free(&mut self, key: Key) {
+    /// Puts a ready connection that carries nothing back into the pool; one to a host that gets nothing new is closed, so
+    /// that the host need not wait for it.
+    pub(super) fn release_connection(&mut self, id: ConnectionId) {
         let now = self.now;
-        let Some(host) = self.host(key) else { return };
-        host.task = Task::None;
-        host.counted = false;
-        let (member, idle, welcome) = (host.member, host.protocol.is_idle(), host.welcome);
-        if idle && self.balancer.is_routable(member) {
-            self.pool.put(now, member, key);
-        } else if welcome {
-            self.log_host_closed(
-                key,
-                if idle { "draining or gone" } else { "its answer is not awaited any more" },
-            );
-            self.close(key);
+        let Some(host) = self.connections.host(id) else { return };
+        host.task = HostTask::None;
+        host.is_attempt_counted = false;
+        let (member, is_idle, is_ready) = (host.member, host.protocol.is_idle(), host.is_ready);
+        if is_idle && self.balancer.is_routable(member) {
+            self.pool.put(now, member, id);
+        } else if is_ready {
+            let why = if is_idle { "draining or gone" } else { "its answer is not awaited any more" };
+            self.log_host_closed(id, why);
+            self.close(id);
         }
     }
 
-    /// Takes a request's attempt off the wire. What has been written ends with its connection; one
-    /// that is still coming up has carried nothing and may serve another request.
-    pub(super) fn drop_attempt(&mut self, request_id: RequestId) {
-        let Some(key) = self.requests.end_attempt(request_id) else { return };
-        self.free(key);
+    /// Ends a request's attempt. What has been written ends with its connection; one that is still coming up has carried
+    /// nothing and may serve another request.
+    pub(super) fn cancel_attempt(&mut self, request_id: RequestId) {
+        if let Some(host) = self.requests.end_attempt(request_id) {
+            self.release_connection(host);
+        }
     }
 
-    /// An attempt has ended without an answer.
-    pub(super) fn broke(&mut self, request_id: RequestId, member: MemberId, failed: FailedAttempt) {
-        self.counts.broken += 1;
-        let outcome = AttemptOutcome::NoResponse(failed);
-        self.log_attempt_end(request_id, member, &outcome);
-        let decision = self.balancer.handle_outcome(self.now, request_id, outcome);
-        while self.process_output() {}
-        if self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
-            return self.cut_off(request_id);
-        }
-        self.apply(request_id, decision);
+    /// An attempt has ended without a response.
+    pub(super) fn handle_attempt_failed(
+        &mut self,
+        request_id: RequestId,
+        member: MemberId,
+        failed: FailedAttempt,
+    ) {
+        self.counts.failed_attempts += 1;
+        let decision = self.report_outcome(request_id, member, AttemptOutcome::NoResponse(failed));
+        self.continue_request(request_id, decision);
     }
 
-    pub(super) fn answered(&mut self, request_id: RequestId, member: MemberId, answer: Answer) {
+    /// An attempt has got its response.
+    pub(super) fn handle_response(&mut self, request_id: RequestId, member: MemberId, answer: Answer) {
         self.requests.end_attempt(request_id);
-        let position = self.position(answer.position);
-        let outcome = AttemptOutcome::Response { status: answer.said, role: answer.role, position };
-        self.log_attempt_end(request_id, member, &outcome);
-        let decision = self.balancer.handle_outcome(self.now, request_id, outcome);
-        if answer.said == ResponseStatus::Served {
+        let (status, role) = (answer.said, answer.role);
+        let position = self.to_position(answer.position);
+        let outcome = AttemptOutcome::Response { status, role, position };
+        let decision = self.report_outcome(request_id, member, outcome);
+        if status == ResponseStatus::Served {
             self.counts.served += 1;
-            self.finish(request_id, Final::Served(answer.rows));
+            self.finish_request(request_id, FinalAnswer::Served(answer.rows));
         } else {
-            while self.process_output() {}
-            match self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
-                true => self.cut_off(request_id),
-                false => self.apply(request_id, decision),
-            }
+            self.continue_request(request_id, decision);
+        }
+    }
+
+    fn report_outcome(
+        &mut self,
+        request_id: RequestId,
+        member: MemberId,
+        outcome: AttemptOutcome,
+    ) -> RoutingDecision {
+        self.log_attempt_end(request_id, member, &outcome);
+        self.balancer.handle_outcome(self.now, request_id, outcome)
+    }
+
+    /// Goes on with a request whose attempt has not served it.
+    fn continue_request(&mut self, request_id: RequestId, decision: RoutingDecision) {
+        self.process_outputs();
+        if self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
+            self.abort_streaming(request_id);
+        } else {
+            self.carry_out(request_id, decision);
         }
     }
 }
--- /dev/null
+++ b/src/net/event_loop/shutdown.rs
@@ -0,0 +1,115 @@
+//! How a gateway ends: it hands its clients over or accepts for a while, answers what it has taken, and closes.
+
+use std::io::Read;
+use std::sync::atomic::Ordering;
+
+use slog::info;
+
+use super::client_admission::AcceptQueue;
+use super::clients::MAX_ACCEPTS;
+use super::connection_io::SHORTAGE_PAUSE;
+use super::connections::ConnectionId;
+use super::mailboxes::WorkerMessage;
+use super::sockets::BACKLOG;
+use super::timers::Timer;
+use super::{Gateway, Phase};
+use crate::balancer::RoutingDecision;
+use crate::{Micros, RequestId};
+
+/// How long the loop goes on accepting after SIGTERM: the front may hand out connections for up to 0.4 s.
+const HANDOVER_TIME: Micros = Micros::millis(500);
+/// How much longer the listener is kept where its queue cannot be emptied for a shortage.
+const QUEUE_PATIENCE: Micros = Micros::millis(1_000);
+/// After SIGTERM the process may be killed once the longest deadline, or this where that is longer, and 0.7 s are over:
+/// all is answered a little before.
+const MAX_COUNTED_DEADLINE: Micros = Micros::millis(3_000);
+const FINAL_ANSWERS_AFTER: Micros = Micros::millis(600);
+
+impl Gateway {
+    pub(super) fn handle_shutdown_signal(&mut self) {
+        let mut bytes = [0; 16];
+        let Some(signals) = &mut self.signals else { return };
+        signals.shutdown_requested.store(false, Ordering::SeqCst);
+        let _ = signals.shutdown.read(&mut bytes);
+        if self.phase != Phase::Serving {
+            return;
+        }
+        info!(self.log, "signal to end, handing over"; "owed" => self.requests.len());
+        self.phase = Phase::HandingOver;
+        let longest = self.balancer.longest_deadline().min(MAX_COUNTED_DEADLINE);
+        self.answer_all_by(self.now + longest + FINAL_ANSWERS_AFTER);
+        // A process that follows has the listener: nobody has to be waited for.
+        let wait = if self.hot_restart.successor.is_some() { Micros(0) } else { HANDOVER_TIME };
+        self.admission.listener_deadline = self.now + wait + QUEUE_PATIENCE;
+        self.set_timer(wait, Timer::HandoverEnd);
+    }
+
+    /// Looks for signals that did not wake the loop.
+    pub(super) fn check_missed_signals(&mut self) {
+        let Some(signals) = &self.signals else { return };
+        let is_shutdown_requested = signals.shutdown_requested.load(Ordering::SeqCst);
+        let is_reload_requested = signals.reload_requested.load(Ordering::SeqCst);
+        if is_reload_requested {
+            self.handle_reload_signal();
+        }
+        if is_shutdown_requested {
+            self.handle_shutdown_signal();
+        }
+    }
+
+    /// Nothing that is taken is answered later than this.
+    pub(super) fn answer_all_by(&mut self, deadline: Micros) {
+        self.final_answers_by = Some(deadline);
+        self.set_timer(deadline - self.now, Timer::FinalAnswers);
+    }
+
+    /// The process may be killed soon: whoever still waits is answered now.
+    pub(super) fn give_final_answers(&mut self) {
+        let waiting: Vec<RequestId> = self.requests.waiting().collect();
+        for request_id in waiting {
+            self.balancer.handle_client_gone(self.now, request_id);
+            self.carry_out(request_id, RoutingDecision::Fail);
+        }
+    }
+
+    /// The handover is over: takes what has arrived, then closes the listener and idle clients.
+    pub(super) fn close_listener(&mut self) {
+        let is_queue_own = self.hot_restart.successor.is_none()
+            && self.this_worker == 0
+            && self.admission.listener.is_some();
+        let left = if is_queue_own { self.empty_accept_queue() } else { AcceptQueue::Empty };
+        // Nobody is left in the queue for a shortage, or as long as those who go make room.
+        if left == AcceptQueue::Blocked && self.now < self.admission.listener_deadline {
+            self.set_timer(SHORTAGE_PAUSE, Timer::HandoverEnd);
+        } else if let Some(listener) = self.admission.listener.take() {
+            let _ = self.poller.delete(&listener);
+            info!(self.log, "listener closed"; "owed" => self.requests.len(),
+                "clients" => self.connections.client_count());
+        }
+        if self.phase != Phase::Closing {
+            self.start_closing();
+        }
+    }
+
+    fn start_closing(&mut self) {
+        self.phase = Phase::Closing;
+        if self.this_worker == 0 {
+            let deadline = self.final_answers_by.unwrap_or(self.now);
+            self.workers.send_to_others(0, || WorkerMessage::Shutdown(deadline));
+        }
+        let ids: Vec<ConnectionId> = self.connections.iter().map(|(id, _)| id).collect();
+        for id in ids {
+            if self.connections.client(id).is_some() {
+                self.read(id);
+                self.ready_clients.push_back(id);
+            }
+        }
+    }
+
+    /// Accepts to the end of the queue; not of those that come meanwhile, without end.
+    fn empty_accept_queue(&mut self) -> AcceptQueue {
+        let rounds = (BACKLOG as usize).div_ceil(MAX_ACCEPTS) + 1;
+        let left = (0..rounds).map(|_| self.accept_clients()).find(|left| *left != AcceptQueue::MaybeMore);
+        left.unwrap_or(AcceptQueue::MaybeMore)
+    }
+}
--- /dev/null
+++ b/src/net/event_loop/start.rs
@@ -0,0 +1,308 @@
+//! How a gateway starts: its configuration, its listeners, one worker after the other, and what it takes over from the
+//! process before.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::AsRawFd;
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+use std::time::Instant;
+
+use dunemount_rollout::version::Document;
+use polling::{Event, PollMode, Poller};
+use slog::{o, Logger};
+
+use super::admin::AdminInterface;
+use super::client_admission::{ClientAdmission, ClientLimits};
+use super::connections::Connections;
+use super::discovery_watch::DiscoveryWatch;
+use super::mailboxes::Workers;
+use super::peers::HotRestart;
+use super::sockets::{is_readable, listen};
+use super::sweep::SWEEP_INTERVAL;
+use super::timers::{Timer, Timers};
+use super::traffic_counts::TrafficCounts;
+use super::{poll_keys, Gateway, Phase};
+use crate::balancer::Balancer;
+use crate::classes::Classes;
+use crate::config::Taken;
+use crate::fault::Fault;
+use crate::fleet::rollout::handover;
+use crate::fleet::status::Board;
+use crate::net::clock::Clock;
+use crate::net::discovery::{Directory, Listing};
+use crate::net::pool::Pool;
+use crate::ops::figures::Figures;
+use crate::pg::codec;
+use crate::request::InFlightRequests;
+use crate::settings::{Site, Zones};
+use crate::shortage::{is_shortage, retry, START_PATIENCE};
+use crate::upgrade::line::{Inheritance, Line};
+use crate::upgrade::message::Snapshot;
+use crate::Micros;
+
+/// Descriptors kept back: standard streams, poller, signals, listeners, discovery, operators, half-closed connections,
+/// and some to spare.
+const DESCRIPTOR_RESERVE: usize = 44;
+/// And for each worker after the first: its poller.
+const WORKER_RESERVE: usize = 4;
+/// Least descriptors for each worker.
+const MIN_WORKER_DESCRIPTORS: usize = 8;
+/// Connections to hosts may take one in so many of the other descriptors.
+const HOST_FRACTION: usize = 3;
+/// Clients that have asked before may keep open one in so many of all descriptors. For requests, clients hold a third of
+/// the descriptors among them: while they keep idle ones, new ones must find capacity.
+const KNOWN_CLIENT_FRACTION: usize = 4;
+/// One message of a client may take one in so many of all bytes of memory: any number of clients may send the most that
+/// they may. And the longest such message, however much memory there is.
+const MESSAGE_FRACTION: usize = 256;
+const MAX_MESSAGE: usize = 8 * 1024 * 1024;
+/// Bytes read from a connection at a time.
+const READ_BUFFER: usize = 16 * 1024;
+/// Least time for a connection to a host to come up.
+const MIN_CONNECT_TIMEOUT: Micros = Micros::millis(10);
+
+/// What a gateway is given at its start.
+pub struct Config {
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where operators connect, if they may.
+    pub admin: Option<SocketAddr>,
+    /// Discovery's address.
+    pub discovery: SocketAddr,
+    /// For random numbers.
+    pub seed: u64,
+    /// Most file descriptors.
+    pub max_descriptors: usize,
+    /// Most memory, in MiB.
+    pub memory_mib: usize,
+    /// The endpoint list as last known.
+    pub endpoints: Listing,
+    /// The settings.
+    pub site: Site,
+    /// The zones that the settings name.
+    pub zones: Zones,
+    /// The configuration's text, for the next process.
+    pub text: String,
+    /// Path of the handover socket on which this process waits for the next one.
+    pub handover_path: Option<PathBuf>,
+    /// What the process before hands over.
+    pub inherited: Option<Inheritance>,
+    /// Where the state of the fleet is shown, if the gateway is in one.
+    pub fleet: Option<Board>,
+}
+
+/// Takes a version of the configuration, or reads the file again where there is none; with the zones that are known.
+pub type ReadConfig = Box<dyn FnMut(Option<&Document>, &mut Zones) -> Result<(String, Taken), Fault> + Send>;
+
+/// What comes from outside while the gateway runs.
+pub struct Signals {
+    /// Becomes readable when the gateway is to end.
+    pub shutdown: UnixStream,
+    /// Becomes readable when the configuration is to be read again.
+    pub reload: UnixStream,
+    /// Set by the same signal, before `shutdown` becomes readable. That wakes the loop, but its write may fail; this is
+    /// looked at in each sweep.
+    pub shutdown_requested: Arc<AtomicBool>,
+    /// The same for `reload`.
+    pub reload_requested: Arc<AtomicBool>,
+    /// Where versions of the configuration come from, if they do.
+    pub versions: Option<handover::Inbox>,
+    /// Reads the configuration again: its text and what it says, or why it cannot be used.
+    pub read_config: ReadConfig,
+}
+
+/// What the process before hands over, but for its listener and its clock.
+struct Predecessor {
+    socket: Line,
+    snapshot: Snapshot,
+    /// By how much its clock may differ from this process's.
+    clock_error: Micros,
+}
+
+/// The most that each worker takes on.
+#[derive(Clone, Copy)]
+struct Limits {
+    hosts: usize,
+    clients: ClientLimits,
+}
+
+impl Limits {
+    fn of(config: &Config, workers: usize) -> Self {
+        let reserve = DESCRIPTOR_RESERVE + WORKER_RESERVE * (workers - 1);
+        let budget = config.max_descriptors.saturating_sub(reserve).max(MIN_WORKER_DESCRIPTORS * workers);
+        let hosts = budget / HOST_FRACTION;
+        let clients = budget - hosts;
+        let memory = config.memory_mib.saturating_mul(1024 * 1024);
+        let clients = ClientLimits {
+            clients,
+            known_clients: (config.max_descriptors / KNOWN_CLIENT_FRACTION).clamp(2, clients),
+            message: (memory / MESSAGE_FRACTION).clamp(codec::MAX_MESSAGE, MAX_MESSAGE),
+        };
+        Limits { hosts: hosts / workers, clients }
+    }
+}
+
+/// What all workers are built from.
+struct Parts<'a> {
+    config: &'a Config,
+    limits: Limits,
+    workers: Arc<Workers>,
+    clock: Clock,
+    log: &'a Logger,
+}
+
+impl Gateway {
+    /// Opens the listener, with one worker.
+    pub fn open(config: Config, signals: Signals, log: Logger) -> io::Result<Gateway> {
+        let gateways = Gateway::open_all(config, signals, log, 1)?;
+        gateways.into_iter().next().ok_or_else(|| io::ErrorKind::InvalidInput.into())
+    }
+
+    /// Opens the listener, with so many workers. Each is to run on a thread of its own.
+    pub fn open_all(
+        mut config: Config,
+        signals: Signals,
+        log: Logger,
+        count: usize,
+    ) -> io::Result<Vec<Gateway>> {
+        let until = Instant::now() + START_PATIENCE;
+        // Whoever is told to end meanwhile waits for nothing.
+        let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
+        let pollers: Vec<_> =
+            (0..count).map(|_| retry(until, passes, Poller::new).map(Arc::new)).collect::<io::Result<_>>()?;
+        let listen = |address, shared| retry(until, passes, || listen(address, shared));
+        let (predecessor, listener, clock) = match config.inherited.take() {
+            Some(inherited) => take_over(inherited),
+            None => (None, listen(config.listen, true)?, Clock::start()),
+        };
+        let admin = config.admin.map(|address| listen(address, false)).transpose()?;
+        let parts = Parts {
+            limits: Limits::of(&config, count),
+            config: &config,
+            workers: Arc::new(Workers::new(&pollers)),
+            clock,
+            log: &log,
+        };
+        let mut gateways: Vec<Gateway> =
+            pollers.into_iter().enumerate().map(|(worker, poller)| parts.build(worker, poller)).collect();
+        let Some(first) = gateways.first_mut() else { return Err(io::ErrorKind::InvalidInput.into()) };
+        if count == 1 {
+            first.log = log;
+        }
+        watch_sources(&first.poller, &listener, admin.as_ref(), &signals, |add| retry(until, passes, add))?;
+        (first.admission.listener, first.admin.listener, first.admin.fleet) =
+            (Some(listener), admin, config.fleet);
+        (first.signals, first.config_text, first.hot_restart.path) =
+            (Some(signals), config.text, config.handover_path);
+        match predecessor {
+            Some(predecessor) => restore_all(&mut gateways, predecessor),
+            None => {
+                first.distribute_endpoints(config.endpoints, true);
+                first.restore_down();
+            }
+        }
+        gateways[0].listen_for_successor();
+        gateways[0].call_discovery();
+        for worker in &mut gateways {
+            worker.set_timer(SWEEP_INTERVAL, Timer::Sweep);
+        }
+        Ok(gateways)
+    }
+}
+
+impl Parts<'_> {
+    /// A worker without listeners.
+    fn build(&self, worker: usize, poller: Arc<Poller>) -> Gateway {
+        let Parts { config, limits, clock, .. } = self;
+        let site = config.site.clone();
+        let discovery =
+            DiscoveryWatch::new(config.discovery, config.endpoints.rev, &site.settings, config.seed);
+        let mut figures = Figures::default();
+        for class in &site.classes {
+            figures.class(class);
+        }
+        let named = site.classes.into_iter().zip(site.settings.classes.clone());
+        let mut classes = Classes::default();
+        classes.adopt(Micros(0), named.collect(), |_| false);
+        let now = clock.read();
+        Gateway {
+            log: self.log.new(o!("worker" => worker)),
+            this_worker: worker,
+            workers: self.workers.clone(),
+            received_messages: VecDeque::new(),
+            remote_requests: BTreeMap::new(),
+            clock: *clock,
+            now,
+            connections: Connections::new(poller.clone()),
+            poller,
+            timers: Timers::default(),
+            ready_clients: VecDeque::new(),
+            read_buffer: vec![0; READ_BUFFER],
+            pool: Pool::new(limits.hosts, site.settings.connection_idle_timeout),
+            requests: InFlightRequests::default(),
+            balancer: Balancer::new(site.settings, config.seed.wrapping_add(worker as u64)),
+            classes,
+            connect_timeout: connect_timeout(&config.site),
+            directory: Directory::new(config.zones.clone()),
+            figures,
+            counts: TrafficCounts::default(),
+            signals: None,
+            config_text: String::new(),
+            admission: ClientAdmission::new(limits.clients, now),
+            admin: AdminInterface::default(),
+            hot_restart: HotRestart::default(),
+            discovery,
+            phase: Phase::Serving,
+            final_answers_by: None,
+        }
+    }
+}
+
+/// How long a connection to a host may take to come up.
+pub(super) fn connect_timeout(site: &Site) -> Micros {
+    site.connect_timeout.max(MIN_CONNECT_TIMEOUT)
+}
+
+/// Takes over from the process before: its listener, and a clock that goes on with its own.
+fn take_over(inherited: Inheritance) -> (Option<Predecessor>, TcpListener, Clock) {
+    let Inheritance { line, snapshot, listener, asked } = inherited;
+    let (clock, clock_error) = Clock::resume(snapshot.clock, snapshot.reading, asked);
+    (Some(Predecessor { socket: line, snapshot, clock_error }), listener.into(), clock)
+}
+
+/// Has the first worker's poller watch the listeners and the signals.
+fn watch_sources(
+    poller: &Poller,
+    listener: &TcpListener,
+    admin: Option<&TcpListener>,
+    signals: &Signals,
+    retried: impl Fn(&mut dyn FnMut() -> io::Result<()>) -> io::Result<()>,
+) -> io::Result<()> {
+    let watch = |source: &dyn AsRawFd, key| {
+        retried(&mut || poller.add_with_mode(source.as_raw_fd(), Event::readable(key), PollMode::Level))
+    };
+    watch(listener, poll_keys::LISTENER)?;
+    let versions = signals.versions.as_ref().map(|inbox| (&inbox.pipe, poll_keys::VERSIONS));
+    let pipes = [(&signals.shutdown, poll_keys::SHUTDOWN), (&signals.reload, poll_keys::RELOAD)];
+    for (pipe, key) in pipes.into_iter().chain(versions) {
+        pipe.set_nonblocking(true)?;
+        watch(pipe, key)?;
+    }
+    if let Some(admin) = admin {
+        watch(admin, poll_keys::ADMIN_LISTENER)?;
+    }
+    Ok(())
+}
+
+/// Restores on all workers what the process before knew, and has the first take its place.
+fn restore_all(gateways: &mut [Gateway], predecessor: Predecessor) {
+    let Predecessor { socket, snapshot, clock_error } = predecessor;
+    for worker in gateways.iter_mut() {
+        worker.restore(&snapshot, clock_error);
+    }
+    gateways[0].take_place_of(socket, snapshot);
+}
--- /dev/null
+++ b/src/net/event_loop/sweep.rs
@@ -0,0 +1,115 @@
+//! What happens when a timer fires, and the sweep over all connections that comes with one of them.
+
+use slog::warn;
+
+use super::connections::ConnectionId;
+use super::host_connection::{HostConnection, HostTask};
+use super::timers::Timer;
+use super::traffic_counts::OpenCounts;
+use super::Gateway;
+use crate::attempt::FailureCause;
+use crate::balancer::RoutingDecision;
+use crate::{Micros, RequestId};
+
+/// A response that has begun and brings nothing for so long does not end; one that streams is waited for longer, since
+/// nobody else can give the rest.
+const RESPONSE_STALL: Micros = Micros::millis(250);
+const STREAM_STALL: Micros = Micros::millis(10_000);
+/// Time between sweeps.
+pub(super) const SWEEP_INTERVAL: Micros = Micros::millis(250);
+
+impl Gateway {
+    pub(super) fn fire_timers(&mut self) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            self.handle_timer(timer);
+        }
+    }
+
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::ConnectTimeout(id) => self.handle_connect_timeout(id),
+            Timer::AttemptTimeout(request_id, id) => self.handle_attempt_timeout(request_id, id),
+            Timer::RequestDeadline(request_id) => self.handle_request_deadline(request_id),
+            Timer::HealthCheckTimeout(id) => self.handle_health_check_timeout(id),
+            Timer::DiscoveryTimeout(id) => self.handle_discovery_timeout(id),
+            Timer::DiscoveryRetry => self.call_discovery(),
+            Timer::ResumeAccepting => {
+                self.serve_unregistered_clients();
+                self.set_accepting(true);
+            }
+            Timer::ReloadRetry(until) => self.reload(until),
+            Timer::ResumeAdminAccepting => self.set_admin_accepting(true),
+            Timer::UpdateInterest(id) => self.update_interest(id),
+            Timer::Sweep => self.sweep(),
+            Timer::UnreadCheck(id) => self.check_unread_client(id),
+            Timer::HalfClosedTimeout(id) => self.close(id),
+            Timer::FinalAnswers => self.give_final_answers(),
+            Timer::HandoverEnd => self.close_listener(),
+        }
+    }
+
+    fn handle_connect_timeout(&mut self, id: ConnectionId) {
+        if self.connections.host(id).is_some_and(|host| !host.is_ready) {
+            self.handle_host_lost(id, FailureCause::ConnectionLost);
+        }
+    }
+
+    fn handle_attempt_timeout(&mut self, request_id: RequestId, id: ConnectionId) {
+        let request = self.requests.get(request_id).filter(|request| !request.is_streaming());
+        if request.and_then(|request| request.attempt()) == Some(id) {
+            self.handle_host_lost(id, FailureCause::TimedOut);
+        }
+    }
+
+    /// The backstop: the balancer should have decided before.
+    fn handle_request_deadline(&mut self, request_id: RequestId) {
+        if self.requests.get(request_id).is_some_and(|request| !request.is_streaming()) {
+            warn!(self.log, "request overdue");
+            self.balancer.handle_client_gone(self.now, request_id);
+            self.carry_out(request_id, RoutingDecision::Fail);
+        }
+    }
+
+    fn handle_health_check_timeout(&mut self, id: ConnectionId) {
+        if self.connections.host(id).is_some_and(|host| host.task == HostTask::HealthCheck) {
+            self.handle_host_lost(id, FailureCause::TimedOut);
+        }
+    }
+
+    fn sweep(&mut self) {
+        self.check_missed_signals();
+        for id in self.pool.stale(self.now) {
+            self.log_host_closed(id, "idle for too long");
+            self.close(id);
+        }
+        self.end_stalled_responses();
+        self.evict_overdue_clients();
+        self.evict_overdue_admins();
+        self.requests.forget_elsewhere(self.now);
+        if self.workers.has_successor() {
+            self.hand_over_clients();
+        }
+        let open = OpenCounts {
+            requests: self.requests.len(),
+            clients: self.connections.client_count(),
+            hosts: self.pool.len(),
+        };
+        self.counts.on_sweep(&self.log, &open);
+        self.set_timer(SWEEP_INTERVAL, Timer::Sweep);
+    }
+
+    fn end_stalled_responses(&mut self) {
+        let now = self.now;
+        let stalled: Vec<ConnectionId> =
+            self.connections.hosts().filter(|(_, host)| is_stalled(host, now)).map(|(id, _)| id).collect();
+        for id in stalled {
+            self.handle_host_lost(id, FailureCause::MalformedResponse);
+        }
+    }
+}
+
+/// Whether a response has begun on a connection and brings nothing more.
+fn is_stalled(host: &HostConnection, now: Micros) -> bool {
+    let stall = if host.protocol.flows() { STREAM_STALL } else { RESPONSE_STALL };
+    host.protocol.is_half() && !host.is_reading_paused && now - host.last_received >= stall
+}
--- /dev/null
+++ b/src/net/event_loop/worker_messages.rs
@@ -0,0 +1,175 @@
+//! What a worker does with the messages of others, and by which way it sends its own.
+
+use super::connections::ConnectionId;
+use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, RequestMessage, WorkerMessage};
+use super::{Gateway, Phase};
+use crate::pg::codec::CancelKey;
+use crate::settings::{Site, Zones};
+use crate::Micros;
+
+/// A poll key that is no connection's, for steps that are not about one.
+const NO_CONNECTION: usize = usize::MAX;
+
+impl Gateway {
+    /// Handles what other workers have sent. A panic ends the connection that the message was about.
+    pub(super) fn handle_mailbox(&mut self) {
+        if self.workers.count() == 1 {
+            return;
+        }
+        let mut messages = std::mem::take(&mut self.received_messages);
+        self.workers.receive(self.this_worker, &mut messages);
+        if self.this_worker == 0 {
+            // What the other process had sent before any of these requests came counts for them.
+            self.guard(NO_CONNECTION, Gateway::receive_from_peers);
+        }
+        while let Some(message) = messages.pop_front() {
+            let owner = message.owner(self.this_worker);
+            if !self.guard(NO_CONNECTION, |gateway| gateway.handle_message(message)) {
+                owner.into_iter().for_each(|owner| self.end_connection_of(owner));
+            }
+        }
+        self.received_messages = messages;
+    }
+
+    fn end_connection_of(&mut self, owner: Owner) {
+        if owner.worker == self.this_worker {
+            self.handle_connection_lost(owner.connection);
+        } else {
+            self.workers.send(owner.worker, WorkerMessage::AbortResponse(owner.connection));
+        }
+    }
+
+    fn handle_message(&mut self, message: WorkerMessage) {
+        match message {
+            WorkerMessage::Client { socket, waiting_since } => self.serve_client(socket, waiting_since),
+            WorkerMessage::Request(request) => self.handle_request(request),
+            WorkerMessage::RelayRequest { worker, request } => self.relay_request(worker, request),
+            WorkerMessage::Abandon(owner, how) => self.handle_abandon(owner, how),
+            WorkerMessage::RelayAbandon { worker, owner, how } => self.relay_abandon(worker, owner, how),
+            WorkerMessage::Cancel(key) => self.handle_cancel(key),
+            WorkerMessage::ResumeStreaming(owner) => self.handle_resume_streaming(owner),
+            WorkerMessage::Answer(client, answer) => self.deliver_answer(client, answer),
+            WorkerMessage::Chunk { from, client, bytes } => self.handle_chunk(from, client, &bytes),
+            WorkerMessage::AbortResponse(client) => self.abort_response(client),
+            WorkerMessage::Endpoints { listing, is_initial } => self.update_endpoints(*listing, is_initial),
+            WorkerMessage::Settings(site, zones) => self.handle_settings(*site, zones),
+            WorkerMessage::SetDown { host, down, call } => self.handle_set_down(&host, down, call),
+            WorkerMessage::SetDownDone(call) => self.handle_set_down_done(call),
+            WorkerMessage::CollectFigures(call) => self.send_figures(call),
+            WorkerMessage::Figures(call, figures) => self.add_figures(call, &figures),
+            WorkerMessage::PublishCommit { commit, answer } => self.publish_commit(commit, answer),
+            WorkerMessage::RecordCommit(commit) => self.record_commit(commit),
+            WorkerMessage::CollectSnapshot => self.send_worker_snapshot(),
+            WorkerMessage::Snapshot(snapshot) => self.add_worker_snapshot(*snapshot),
+            WorkerMessage::HandOverClient(client) => self.send_client(*client),
+            WorkerMessage::ShareHostConnections(processes) => self.share_host_connections(processes),
+            WorkerMessage::EvictClient => drop(self.evict_idle_client()),
+            WorkerMessage::Shutdown(deadline) => self.handle_shutdown(deadline),
+        }
+    }
+
+    fn handle_request(&mut self, request: RequestMessage) {
+        self.accept_request(request.owner, *request.statement, request.deadline);
+    }
+
+    /// A request has come past what the other process had sent, and goes on to its owning worker.
+    fn relay_request(&mut self, worker: usize, request: RequestMessage) {
+        let owner = request.owner;
+        if worker == self.this_worker {
+            self.handle_request(request);
+        } else if !self.workers.offer(worker, WorkerMessage::Request(request)) {
+            self.counts.rejected += 1;
+            self.send_answer(owner, FinalAnswer::Rejected(None));
+        }
+    }
+
+    fn handle_abandon(&mut self, owner: Owner, how: Abandonment) {
+        if let Some(request_id) = self.remote_requests.get(&owner).copied() {
+            self.abandon_request(request_id, how);
+        }
+    }
+
+    fn relay_abandon(&mut self, worker: usize, owner: Owner, how: Abandonment) {
+        if worker == self.this_worker {
+            self.handle_abandon(owner, how);
+        } else {
+            self.workers.send(worker, WorkerMessage::Abandon(owner, how));
+        }
+    }
+
+    fn handle_cancel(&mut self, key: CancelKey) {
+        if !self.cancel_here(key) && self.this_worker == 0 {
+            self.send_cancel_to_peers(key);
+        }
+    }
+
+    fn handle_resume_streaming(&mut self, owner: Owner) {
+        if let Some(request_id) = self.remote_requests.get(&owner).copied() {
+            self.resume_streaming(request_id);
+        }
+    }
+
+    fn handle_settings(&mut self, site: Site, zones: Zones) {
+        self.directory.set_zones(zones);
+        self.apply_site(site);
+    }
+
+    fn handle_set_down(&mut self, host: &str, down: bool, call: Option<ConnectionId>) {
+        self.set_down(host, down);
+        if let Some(call) = call {
+            self.workers.send(0, WorkerMessage::SetDownDone(call));
+        }
+    }
+
+    fn send_figures(&mut self, call: ConnectionId) {
+        let figures = Box::new(self.current_figures());
+        self.workers.send(0, WorkerMessage::Figures(call, figures));
+    }
+
+    pub(super) fn record_commit(&mut self, commit: Commit) {
+        self.balancer.record_commit(commit.group, commit.session, commit.position);
+    }
+
+    fn send_worker_snapshot(&mut self) {
+        let snapshot = Box::new(self.worker_snapshot());
+        self.workers.send(0, WorkerMessage::Snapshot(snapshot));
+    }
+
+    fn handle_shutdown(&mut self, deadline: Micros) {
+        if self.phase != Phase::Closing {
+            self.answer_all_by(deadline);
+            self.close_listener();
+        }
+    }
+
+    /// Whether a request of this worker's clients is decided on the spot.
+    pub(super) fn decides_directly(&self, worker: usize) -> bool {
+        worker == self.this_worker && !self.is_relayed()
+    }
+
+    /// Whether requests of this worker go by way of the first worker, since there is another process.
+    fn is_relayed(&self) -> bool {
+        self.this_worker != 0 && self.workers.has_peer()
+    }
+
+    /// Sends an owning worker that a client abandons its request, by the way that this took: it must not be overtaken.
+    pub(super) fn send_abandon(&self, worker: usize, client: ConnectionId, how: Abandonment) {
+        let owner = Owner { worker: self.this_worker, connection: client };
+        if self.is_relayed() {
+            self.workers.send(0, WorkerMessage::RelayAbandon { worker, owner, how });
+        } else {
+            self.workers.send(worker, WorkerMessage::Abandon(owner, how));
+        }
+    }
+
+    /// Offers a request to its owning worker, by way of the first worker where there is another process. False if too
+    /// many lie there already.
+    #[must_use]
+    pub(super) fn offer_request(&self, worker: usize, request: RequestMessage) -> bool {
+        if self.is_relayed() {
+            self.workers.offer(0, WorkerMessage::RelayRequest { worker, request })
+        } else {
+            self.workers.offer(worker, WorkerMessage::Request(request))
+        }
+    }
+}
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -262,13 +262,13 @@
             admin: Some("127.0.0.1:0".parse().expect("an address")),
             discovery: taken.discovery,
             seed: taken.seed,
-            sockets: limit,
-            memory_mb: 48,
-            known: taken.file.known,
+            max_descriptors: limit,
+            memory_mib: 48,
+            endpoints: taken.file.known,
             site: taken.site,
             zones,
             text: text.clone(),
-            line,
+            handover_path: line,
             inherited,
             fleet: None,
         };
@@ -276,7 +276,14 @@
             let text: String = read.recv().expect("a file");
             in_force.take(text.clone(), zones).map(|taken| (text, taken))
         });
-        let signals = Signals { end, reload: anew, told: Default::default(), versions: None, reread };
+        let signals = Signals {
+            shutdown: end,
+            reload: anew,
+            shutdown_requested: Default::default(),
+            reload_requested: Default::default(),
+            versions: None,
+            read_config: reread,
+        };
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let workers = Gateway::open_all(config, signals, log, cores).expect("it opens");
         let address = workers[0].address().expect("it listens");
