--- a/src/net/event_loop/decision_log.rs
+++ b/src/net/event_loop/decision_log.rs
@@ -8,19 +8,19 @@
 use super::connections::ConnectionId;
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailureCause, ResponseStatus};
-use crate::notice::{role_name, Dating, GiveUp, Notice, ReadBasis, Source};
+use crate::notice::{role_name, GiveUp, LogTimeEvidence, Notice, PositionSource, ReadBasis};
 use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId};
 
 impl Gateway {
     /// Writes a notice of the balancer.
     pub(super) fn log_notice(&self, notice: Notice) {
         match notice {
-            Notice::LogTime { group, stepped, dating, bounds } => {
-                let Dating { status, position, sent, heard, .. } = dating;
+            Notice::LogTime { group, stepped, evidence, bounds } => {
+                let LogTimeEvidence { status, position, sent, received, .. } = evidence;
                 info!(self.log, "log time learned"; "group" => group.0, "stepped" => stepped,
-                    "host" => self.directory.name(dating.member), "answer" => attempt_status_name(status),
+                    "host" => self.directory.name(evidence.member), "answer" => attempt_status_name(status),
                     "position_ms" => self.unix_ms(Some(position)), "sent_ms_ago" => self.ms_ago(sent),
-                    "heard_ms_ago" => self.ms_ago(heard), "ahead_least_us" => bounds.0, "ahead_most_us" => bounds.1);
+                    "heard_ms_ago" => self.ms_ago(received), "ahead_least_us" => bounds.0, "ahead_most_us" => bounds.1);
             }
             Notice::Primary { group, before, after } => self.log_primary(group, before, after),
             Notice::GivenUp { request, why, attempts } => {
@@ -45,12 +45,13 @@
             return;
         }
         let basis = self.balancer.read_basis(self.now, request_id);
-        let Some(ReadBasis { needed, position, age, source, log_time, dating }) = basis else { return };
-        let dated = dating.map(|dating| (self.directory.name(dating.member), LoggedStatus(dating.status)));
+        let Some(ReadBasis { needed, position, age, source, log_time, evidence }) = basis else { return };
+        let dated_by =
+            evidence.map(|evidence| (self.directory.name(evidence.member), LoggedStatus(evidence.status)));
         debug!(self.log, "attempt written"; "id" => self.client_id(request_id), "host" => self.directory.name(member),
             "needed_ms" => self.unix_ms(needed), "position_ms" => self.unix_ms(position), "age_ms" => age.0 / 1000,
-            "source" => source_name(source), "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated,
-            "dated_ms_ago" => dating.map(|dating| self.ms_ago(dating.heard)));
+            "source" => source_name(source), "log_time_ms" => self.unix_ms(log_time), "dated_by" => ?dated_by,
+            "dated_ms_ago" => evidence.map(|evidence| self.ms_ago(evidence.received)));
     }
 
     /// An attempt has ended.
@@ -143,11 +144,11 @@
 }
 
 /// What the source of a believed position is called in the log.
-fn source_name(source: Source) -> String {
+fn source_name(source: PositionSource) -> String {
     match source {
-        Source::Nobody => "Nobody".to_string(),
-        Source::Answer(status) => format!("Answer({})", attempt_status_name(status)),
-        Source::Report => "Report".to_string(),
+        PositionSource::Unknown => "Nobody".to_string(),
+        PositionSource::Answer(status) => format!("Answer({})", attempt_status_name(status)),
+        PositionSource::Report => "Report".to_string(),
     }
 }
 
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -11,7 +11,7 @@
 use super::mailboxes::WorkerMessage;
 use super::timers::Timer;
 use super::Gateway;
-use crate::balance::chance::unit;
+use crate::balance::random::uniform;
 use crate::net::dial;
 use crate::net::discovery::{BadAnswer, CallFailure, Listing, Watch};
 use crate::pg::codec::Outbox;
@@ -59,7 +59,7 @@
 
     /// The latest call has failed. Returns the time until the next.
     fn on_call_failed(&mut self, how: CallFailure, now: Micros) -> Micros {
-        let (spent, draw) = (now - self.called_at, unit(&mut self.rng));
+        let (spent, draw) = (now - self.called_at, uniform(&mut self.rng));
         self.watch.on_call_failed(how, self.gateways, self.drain_grace, spent, draw)
     }
 
