--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -13,20 +13,19 @@
 use std::time::{Duration, Instant};
 
 use dunemount::balancer::Balancer;
-use dunemount::config::{version, InForce};
-use dunemount::fault::Fault;
+use dunemount::config::{version, ActiveConfig, ConfigResult};
 use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
 use dunemount::fleet::file::{self, VoterFile};
 use dunemount::fleet::rollout::{self, links};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, CallFailure, Directory, Watch};
-use dunemount::options::FleetOptions;
 use dunemount::settings::Zones;
+use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::membership::MembershipChange;
-use dunemount_fleet::node::Event as Told;
+use dunemount_fleet::node::NodeEvent;
 use dunemount_rollout::follower::{self, ApplyError, Follower};
 use dunemount_rollout::settings::Timeouts;
 use dunemount_rollout::version::Document;
@@ -80,7 +79,7 @@
     /// Its region.
     pub region: usize,
     /// What `[fleet]` would say.
-    pub fleet: FleetOptions,
+    pub fleet: FleetSettings,
     /// A voter's file.
     pub file: Option<PathBuf>,
     /// Its zone.
@@ -253,7 +252,7 @@
     next: Micros,
     rng: Pcg64Mcg,
     directory: Directory,
-    in_force: InForce,
+    in_force: ActiveConfig,
     settings: Settings,
     balancer: Option<Balancer>,
 }
@@ -343,7 +342,7 @@
                 }
                 let Ready { heard, answered, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
-                if heard || gateway.carrier.node.due() <= now {
+                if heard || gateway.carrier.node.next_deadline() <= now {
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
@@ -379,7 +378,7 @@
                 Some(following) => following.carrier.due(),
                 None => Duration::MAX,
             };
-            gateway.carrier.node.due().min(list).min(control)
+            gateway.carrier.node.next_deadline().min(list).min(control)
         });
         due.min().unwrap_or(Duration::MAX)
     }
@@ -436,7 +435,8 @@
         let socket = UdpSocket::bind(listen).map_err(said)?;
         socket.set_nonblocking(true).map_err(said)?;
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
-        let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
+        let (settings, slot) =
+            driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(VoterFile::at));
         let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
@@ -482,9 +482,9 @@
 impl Listing {
     fn new(common: &Common, seed: u64) -> Result<Listing, String> {
         let mut zones = Zones::default();
-        let mut in_force = InForce::default();
-        let taken = in_force.take(common.configuration.clone(), &mut zones);
-        let settings = taken.map_err(|fault| fault.of("configuration"))?.site.settings;
+        let mut in_force = ActiveConfig::default();
+        let taken = in_force.replace(common.configuration.clone(), &mut zones);
+        let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(Listing {
             watch: Watch::from_version(None),
             call: None,
@@ -504,15 +504,15 @@
         let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
-            text.and_then(|text| self.take(text)).map_err(|fault| fault.of(&place))?;
+            text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
         }
         Ok(document)
     }
 
     /// Takes a configuration, all of it or nothing.
-    fn take(&mut self, text: String) -> Result<(), Fault> {
+    fn take(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
-        let settings = self.in_force.take(text, &mut zones)?.site.settings;
+        let settings = self.in_force.replace(text, &mut zones)?.settings.router;
         self.directory.set_zones(zones);
         if let Some(balancer) = &mut self.balancer {
             balancer.update_settings(settings.clone());
@@ -633,14 +633,14 @@
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
         carrier.turn(now, Counted { socket, counts, common, region: *region });
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             match event {
-                Told::Member(MembershipChange::Up(peer)) => {
+                NodeEvent::Membership(MembershipChange::Up(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_joined(other, peer.start);
                     }
                 }
-                Told::Member(MembershipChange::Down(peer)) => {
+                NodeEvent::Membership(MembershipChange::Down(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_left(other, Some(peer.start));
                     }
@@ -776,7 +776,8 @@
             Some(document) => version::overlay(text, document.bytes()),
             None => Ok(text.to_string()),
         };
-        text.and_then(|text| self.listing.take(text)).map_err(|fault| fault.of("configuration"))?;
+        text.and_then(|text| self.listing.take(text))
+            .map_err(|fault| fault.in_file("configuration").to_string())?;
         self.progress.configuration_read();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -13,18 +13,18 @@
 use super::peers::{Peer, PendingSnapshot};
 use super::poll_keys::{FIRST_PEER, HANDOVER_LISTENER};
 use super::{Gateway, Phase};
+use crate::hot_restart::handover_socket::{self, HandoverSocket};
+use crate::hot_restart::message::{GatewaySnapshot, Message};
 use crate::net::discovery::Watch;
 use crate::pg::client::{Client, Handover};
 use crate::pg::codec::CancelKey;
-use crate::upgrade::line::{self, Line};
-use crate::upgrade::message::{Message, Snapshot};
 use crate::{ClassId, Micros};
 
 impl Gateway {
     /// Waits for the next process, where there is a path for it.
     pub(super) fn listen_for_successor(&mut self) {
         let Some(path) = &self.hot_restart.path else { return };
-        let listener = line::listen(path).and_then(|listener| {
+        let listener = handover_socket::listen(path).and_then(|listener| {
             self.poller.add_with_mode(&listener, Event::readable(HANDOVER_LISTENER), PollMode::Level)?;
             Ok(listener)
         });
@@ -36,7 +36,7 @@
 
     /// The next process has connected: it gets the snapshot of all workers and a copy of the listener.
     pub(super) fn accept_successor(&mut self) {
-        let Some(Ok(socket)) = self.hot_restart.listener.as_ref().map(Line::accept) else { return };
+        let Some(Ok(socket)) = self.hot_restart.listener.as_ref().map(HandoverSocket::accept) else { return };
         // One at a time: another that connects meanwhile starts alone.
         if self.hot_restart.pending_snapshot.is_some() {
             return;
@@ -82,20 +82,20 @@
     }
 
     /// What this process knows, of which the workers know this.
-    fn process_snapshot(&self, known: WorkerSnapshot) -> Snapshot {
-        Snapshot {
-            clock: self.clock.reference(),
-            reading: Some(self.clock.reading()),
+    fn process_snapshot(&self, known: WorkerSnapshot) -> GatewaySnapshot {
+        GatewaySnapshot {
+            position_reference: self.clock.reference(),
+            clock_reading: Some(self.clock.reading()),
             config: self.config_text.clone(),
             discovery: self.discovery.address,
-            rev: self.discovery.watch.version(),
+            list_revision: self.discovery.watch.version(),
             directory: self.directory.clone(),
-            classes: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
+            class_ids: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
             balancer: known.balancer,
-            down: self.admin.down.clone(),
-            open: known.in_flight,
-            clients: self.workers.client_count(),
-            cancels: true,
+            administratively_down: self.admin.down.clone(),
+            in_flight: known.in_flight,
+            open_clients: self.workers.client_count(),
+            accepts_cancel: true,
         }
     }
 
@@ -107,7 +107,7 @@
     /// Adds another process. None if the poller does not take its socket.
     fn add_peer(
         &mut self,
-        socket: Line,
+        socket: HandoverSocket,
         is_successor: bool,
         held_clients: usize,
         understands_cancel: bool,
@@ -120,31 +120,31 @@
     }
 
     /// Restores what the process before knew of this worker's groups.
-    pub(super) fn restore(&mut self, snapshot: &Snapshot, clock_error: Micros) {
+    pub(super) fn restore(&mut self, snapshot: &GatewaySnapshot, clock_error: Micros) {
         let mut directory = snapshot.directory.clone();
         // Zones that only the new settings name have got their numbers by now.
         directory.set_zones(self.directory.zones().clone());
         self.directory = directory;
         let previous_class = |class: ClassId| {
             let (name, _) = self.classes.names().find(|(_, id)| *id == class)?;
-            snapshot.classes.get(name).copied()
+            snapshot.class_ids.get(name).copied()
         };
         let (workers, this_worker) = (&self.workers, self.this_worker);
         let own = snapshot.balancer.clone().for_groups(|group| workers.owning_worker(group) == this_worker);
         self.balancer.restore(own, previous_class, clock_error);
-        self.requests.add_elsewhere(snapshot.open.iter().cloned());
+        self.requests.add_elsewhere(snapshot.in_flight.iter().cloned());
     }
 
     /// Takes the place of the process before, which goes on with its requests: this one takes clients from now on, and
     /// says so.
-    pub(super) fn take_place_of(&mut self, socket: Line, snapshot: Snapshot) {
-        self.admin.down = snapshot.down;
+    pub(super) fn take_place_of(&mut self, socket: HandoverSocket, snapshot: GatewaySnapshot) {
+        self.admin.down = snapshot.administratively_down;
         self.discovery.address = snapshot.discovery;
-        self.discovery.watch = Watch::from_version(snapshot.rev);
-        info!(self.log, "upgrade: state taken over"; "clients" => snapshot.clients,
-            "rev" => snapshot.rev.unwrap_or(0));
+        self.discovery.watch = Watch::from_version(snapshot.list_revision);
+        info!(self.log, "upgrade: state taken over"; "clients" => snapshot.open_clients,
+            "rev" => snapshot.list_revision.unwrap_or(0));
         self.workers.set_has_peer(true);
-        if let Some(peer) = self.add_peer(socket, false, snapshot.clients, snapshot.cancels) {
+        if let Some(peer) = self.add_peer(socket, false, snapshot.open_clients, snapshot.accepts_cancel) {
             self.send_to_peer(peer, &Message::Ready, None);
         }
         self.divide_host_connections();
@@ -195,7 +195,7 @@
 
     fn watch_peer(&mut self, index: usize) -> io::Result<()> {
         let Some(peer) = self.hot_restart.peers.get_mut(index) else { return Ok(()) };
-        let is_behind = peer.socket.is_behind();
+        let is_behind = peer.socket.has_pending_output();
         if std::mem::replace(&mut peer.is_write_watched, is_behind) == is_behind {
             return Ok(());
         }
@@ -244,17 +244,17 @@
     fn handle_peer_message(&mut self, index: usize, message: Message, with: Option<OwnedFd>) {
         match message {
             Message::Ready => self.handle_successor_ready(index),
-            Message::Client { greeted, asked, bytes, key, arrivals } => {
+            Message::Client { greeted, has_queried, bytes, key, arrivals } => {
                 if let Some(peer) = self.hot_restart.peers.get_mut(index) {
                     peer.held_clients = peer.held_clients.saturating_sub(1);
                 }
                 if let Some(socket) = with {
                     let state = Handover { key, greeted, bytes, arrivals };
-                    let client = ClientHandover { socket: socket.into(), has_asked: asked, state };
+                    let client = ClientHandover { socket: socket.into(), has_asked: has_queried, state };
                     self.adopt_client(client);
                 }
             }
-            Message::Holding { clients } => {
+            Message::RemainingClients { clients } => {
                 if let Some(peer) = self.hot_restart.peers.get_mut(index) {
                     peer.held_clients = clients;
                 }
@@ -356,7 +356,7 @@
             self.try_hand_over_client(id);
         }
         if let Some(successor) = self.hot_restart.successor {
-            let holding = Message::Holding { clients: self.workers.client_count() };
+            let holding = Message::RemainingClients { clients: self.workers.client_count() };
             self.send_to_peer(successor, &holding, None);
         }
     }
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -19,7 +19,7 @@
 use crate::pg::client::Handover;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::{GroupId, Micros, SessionKey};
 
 /// Most requests that lie in one worker's mailbox: some milliseconds of its work, so that one that finds it full
@@ -111,7 +111,7 @@
     /// To all: an endpoint list, or the one known at the start.
     Endpoints { listing: Box<Listing>, is_initial: bool },
     /// To all: new settings.
-    Settings(Box<Site>, Zones),
+    Settings(Box<SiteSettings>, Zones),
     /// To all: operators take a host down, or put it back; the call that waits for it, if one does.
     SetDown { host: String, down: bool, call: Option<ConnectionId> },
     /// To the first worker: that holds here, for this call.
--- a/src/net/event_loop/peers.rs
+++ b/src/net/event_loop/peers.rs
@@ -6,16 +6,16 @@
 use slab::Slab;
 
 use super::mailboxes::{ClientHandover, Commit, WorkerSnapshot};
+use crate::hot_restart::handover_socket::HandoverSocket;
+use crate::hot_restart::message::Message;
 use crate::pg::client::Handover;
-use crate::upgrade::line::Line;
-use crate::upgrade::message::Message;
 
 /// Descriptors that the other process takes for itself while there are two.
 const PEER_RESERVE: usize = 24;
 
 /// Another process of this gateway.
 pub(super) struct Peer {
-    pub(super) socket: Line,
+    pub(super) socket: HandoverSocket,
     /// It is the one after this.
     pub(super) is_successor: bool,
     /// Clients that the process before still holds.
@@ -28,7 +28,7 @@
 
 /// The snapshot for a process that has connected, until all workers have sent theirs.
 pub(super) struct PendingSnapshot {
-    pub(super) socket: Line,
+    pub(super) socket: HandoverSocket,
     pub(super) awaited_workers: usize,
     pub(super) known: WorkerSnapshot,
     /// What is sent behind the snapshot.
@@ -89,7 +89,7 @@
 
     /// Whether something is still on its way to another process.
     pub(super) fn has_unsent(&self) -> bool {
-        self.peers.iter().any(|(_, peer)| peer.socket.is_behind())
+        self.peers.iter().any(|(_, peer)| peer.socket.has_pending_output())
     }
 }
 
@@ -104,7 +104,7 @@
     /// As it is sent to another process: the message, and the socket that goes along.
     pub(super) fn into_message(self) -> (Message, OwnedFd) {
         let Handover { key, greeted, bytes, arrivals } = self.state;
-        let message = Message::Client { greeted, asked: self.has_asked, bytes, key, arrivals };
+        let message = Message::Client { greeted, has_queried: self.has_asked, bytes, key, arrivals };
         (message, self.socket.into())
     }
 }
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -12,9 +12,10 @@
 use super::start::connect_timeout;
 use super::timers::Timer;
 use super::Gateway;
-use crate::fault::Fault;
+use crate::config::{ConfigError, ConfigResult};
 use crate::fleet::rollout::handover;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
+use crate::text_file::AtLine;
 use crate::Micros;
 
 /// How long a configuration that cannot be read at this moment is read again, and the time between two attempts: it must be
@@ -37,7 +38,7 @@
     pub(super) fn reload(&mut self, until: Instant) {
         match self.apply_config(None) {
             Ok(discovery) => self.move_discovery_watch(discovery),
-            Err(why) if why.passes && Instant::now() < until => {
+            Err(why) if why.error.is_transient() && Instant::now() < until => {
                 self.set_timer(RELOAD_RETRY_INTERVAL, Timer::ReloadRetry(until));
             }
             Err(why) => {
@@ -58,37 +59,37 @@
                 }
                 offer.answer(Ok(()));
             }
-            Err(why) => offer.answer(Err(why.what)),
+            Err(why) => offer.answer(Err(why.error.to_string())),
         }
     }
 
     /// Puts a version, or the file as it is now, in force. Returns where discovery is from now on.
-    fn apply_config(&mut self, version: Option<&Document>) -> Result<SocketAddr, Fault> {
+    fn apply_config(&mut self, version: Option<&Document>) -> ConfigResult<SocketAddr> {
         let mut zones = self.directory.zones().clone();
-        let Some(signals) = &mut self.signals else { return Err(Fault::at(0, "not the first worker")) };
-        let (text, taken) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
-            self.figures.config_rejected += u64::from(!why.passes);
+        let Some(signals) = &mut self.signals else { return Err(AtLine::whole(ConfigError::NotFirstWorker)) };
+        let (text, config) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
+            self.figures.config_rejected += u64::from(!why.error.is_transient());
         })?;
         let what =
             if version.is_some() { "configuration's version taken" } else { "configuration read anew" };
-        info!(self.log, "{}", what; "discovery" => %taken.discovery, "classes" => taken.site.classes.len());
-        let message = || WorkerMessage::Settings(Box::new(taken.site.clone()), zones.clone());
+        info!(self.log, "{}", what; "discovery" => %config.discovery, "classes" => config.settings.class_names.len());
+        let message = || WorkerMessage::Settings(Box::new(config.settings.clone()), zones.clone());
         self.workers.send_to_others(self.this_worker, message);
         self.directory.set_zones(zones);
         self.config_text = text;
         self.figures.config_applied += 1;
-        self.apply_site(taken.site);
-        Ok(taken.discovery)
+        self.apply_site(config.settings);
+        Ok(config.discovery)
     }
 
     /// Goes on under new settings.
-    pub(super) fn apply_site(&mut self, site: Site) {
+    pub(super) fn apply_site(&mut self, site: SiteSettings) {
         self.connect_timeout = connect_timeout(&site);
-        let Site { mut settings, classes, .. } = site;
-        for class in &classes {
+        let SiteSettings { router: mut settings, class_names, .. } = site;
+        for class in &class_names {
             self.figures.class(class);
         }
-        let named = classes.into_iter().zip(std::mem::take(&mut settings.classes)).collect();
+        let named = class_names.into_iter().zip(std::mem::take(&mut settings.classes)).collect();
         settings.classes = self.classes.adopt(self.now, named, |class| self.balancer.has_requests_of(class));
         self.pool.set_idle_limit(settings.connection_idle_timeout);
         self.discovery.update_settings(&settings);
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -28,20 +28,19 @@
 use super::{poll_keys, Gateway, Phase};
 use crate::balancer::Balancer;
 use crate::classes::Classes;
-use crate::config::Taken;
-use crate::fault::Fault;
+use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::handover;
 use crate::fleet::status::Board;
+use crate::hot_restart::handover_socket::{HandoverSocket, HandoverState};
+use crate::hot_restart::message::GatewaySnapshot;
 use crate::net::clock::Clock;
 use crate::net::discovery::{Directory, Listing};
 use crate::net::pool::Pool;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::request::InFlightRequests;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
-use crate::upgrade::line::{Inheritance, Line};
-use crate::upgrade::message::Snapshot;
 use crate::Micros;
 
 /// Descriptors kept back: standard streams, poller, signals, listeners, discovery, operators, half-closed connections,
@@ -82,7 +81,7 @@
     /// The endpoint list as last known.
     pub endpoints: Listing,
     /// The settings.
-    pub site: Site,
+    pub site: SiteSettings,
     /// The zones that the settings name.
     pub zones: Zones,
     /// The configuration's text, for the next process.
@@ -90,13 +89,14 @@
     /// Path of the handover socket on which this process waits for the next one.
     pub handover_path: Option<PathBuf>,
     /// What the process before hands over.
-    pub inherited: Option<Inheritance>,
+    pub predecessor: Option<HandoverState>,
     /// Where the state of the fleet is shown, if the gateway is in one.
     pub fleet: Option<Board>,
 }
 
 /// Takes a version of the configuration, or reads the file again where there is none; with the zones that are known.
-pub type ReadConfig = Box<dyn FnMut(Option<&Document>, &mut Zones) -> Result<(String, Taken), Fault> + Send>;
+pub type ReadConfig =
+    Box<dyn FnMut(Option<&Document>, &mut Zones) -> ConfigResult<(String, LoadedConfig)> + Send>;
 
 /// What comes from outside while the gateway runs.
 pub struct Signals {
@@ -117,8 +117,8 @@
 
 /// What the process before hands over, but for its listener and its clock.
 struct Predecessor {
-    socket: Line,
-    snapshot: Snapshot,
+    socket: HandoverSocket,
+    snapshot: GatewaySnapshot,
     /// By how much its clock may differ from this process's.
     clock_error: Micros,
 }
@@ -175,8 +175,8 @@
         let pollers: Vec<_> =
             (0..count).map(|_| retry(until, passes, Poller::new).map(Arc::new)).collect::<io::Result<_>>()?;
         let listen = |address, shared| retry(until, passes, || listen(address, shared));
-        let (predecessor, listener, clock) = match config.inherited.take() {
-            Some(inherited) => take_over(inherited),
+        let (predecessor, listener, clock) = match config.predecessor.take() {
+            Some(state) => take_over(state),
             None => (None, listen(config.listen, true)?, Clock::start()),
         };
         let admin = config.admin.map(|address| listen(address, false)).transpose()?;
@@ -220,12 +220,12 @@
         let Parts { config, limits, clock, .. } = self;
         let site = config.site.clone();
         let discovery =
-            DiscoveryWatch::new(config.discovery, config.endpoints.rev, &site.settings, config.seed);
+            DiscoveryWatch::new(config.discovery, config.endpoints.rev, &site.router, config.seed);
         let mut figures = Figures::default();
-        for class in &site.classes {
+        for class in &site.class_names {
             figures.class(class);
         }
-        let named = site.classes.into_iter().zip(site.settings.classes.clone());
+        let named = site.class_names.into_iter().zip(site.router.classes.clone());
         let mut classes = Classes::default();
         classes.adopt(Micros(0), named.collect(), |_| false);
         let now = clock.read();
@@ -242,9 +242,9 @@
             timers: Timers::default(),
             ready_clients: VecDeque::new(),
             read_buffer: vec![0; READ_BUFFER],
-            pool: Pool::new(limits.hosts, site.settings.connection_idle_timeout),
+            pool: Pool::new(limits.hosts, site.router.connection_idle_timeout),
             requests: InFlightRequests::default(),
-            balancer: Balancer::new(site.settings, config.seed.wrapping_add(worker as u64)),
+            balancer: Balancer::new(site.router, config.seed.wrapping_add(worker as u64)),
             classes,
             connect_timeout: connect_timeout(&config.site),
             directory: Directory::new(config.zones.clone()),
@@ -263,15 +263,16 @@
 }
 
 /// How long a connection to a host may take to come up.
-pub(super) fn connect_timeout(site: &Site) -> Micros {
+pub(super) fn connect_timeout(site: &SiteSettings) -> Micros {
     site.connect_timeout.max(MIN_CONNECT_TIMEOUT)
 }
 
 /// Takes over from the process before: its listener, and a clock that goes on with its own.
-fn take_over(inherited: Inheritance) -> (Option<Predecessor>, TcpListener, Clock) {
-    let Inheritance { line, snapshot, listener, asked } = inherited;
-    let (clock, clock_error) = Clock::resume(snapshot.clock, snapshot.reading, asked);
-    (Some(Predecessor { socket: line, snapshot, clock_error }), listener.into(), clock)
+fn take_over(state: HandoverState) -> (Option<Predecessor>, TcpListener, Clock) {
+    let HandoverState { socket, snapshot, listener, requested_at } = state;
+    let (clock, clock_error) =
+        Clock::resume(snapshot.position_reference, snapshot.clock_reading, requested_at);
+    (Some(Predecessor { socket, snapshot, clock_error }), listener.into(), clock)
 }
 
 /// Has the first worker's poller watch the listeners and the signals.
--- a/src/net/event_loop/worker_messages.rs
+++ b/src/net/event_loop/worker_messages.rs
@@ -4,7 +4,7 @@
 use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, RequestMessage, WorkerMessage};
 use super::{Gateway, Phase};
 use crate::pg::codec::CancelKey;
-use crate::settings::{Site, Zones};
+use crate::settings::{SiteSettings, Zones};
 use crate::Micros;
 
 /// A poll key that is no connection's, for steps that are not about one.
@@ -109,7 +109,7 @@
         }
     }
 
-    fn handle_settings(&mut self, site: Site, zones: Zones) {
+    fn handle_settings(&mut self, site: SiteSettings, zones: Zones) {
         self.directory.set_zones(zones);
         self.apply_site(site);
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -15,11 +15,11 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use dunemount::config::InForce;
+use dunemount::config::ActiveConfig;
+use dunemount::hot_restart::handover_socket::HandoverState;
 use dunemount::net::event_loop::{Config, Gateway, Signals};
 use dunemount::pg::codec::{self, Frame, Inbox};
 use dunemount::settings::Zones;
-use dunemount::upgrade::line::Inheritance;
 use dunemount_rollout::version::Document;
 use serde_json::{json, Value};
 
@@ -211,7 +211,7 @@
     }
 
     /// A gateway that waits at this path for the one that follows, and may follow one itself.
-    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<Inheritance>) -> Harness {
+    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<HandoverState>) -> Harness {
         Harness::with_cores(limit, line, inherited, 1)
     }
 
@@ -224,7 +224,7 @@
     pub fn with_cores(
         limit: usize,
         line: Option<PathBuf>,
-        inherited: Option<Inheritance>,
+        inherited: Option<HandoverState>,
         cores: usize,
     ) -> Harness {
         let (sender, heard) = channel();
@@ -241,7 +241,7 @@
     fn open(
         limit: usize,
         line: Option<PathBuf>,
-        inherited: Option<Inheritance>,
+        inherited: Option<HandoverState>,
         cores: usize,
         known: Value,
         heard: Receiver<String>,
@@ -251,12 +251,12 @@
         let (stop, end) = UnixStream::pair().expect("a pair");
         let (reload, anew) = UnixStream::pair().expect("a pair");
         let (file, read) = sync_channel(0);
-        let (mut in_force, mut zones) = (InForce::default(), Zones::default());
+        let (mut in_force, mut zones) = (ActiveConfig::default(), Zones::default());
         let text = json!({"name": "n", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
             "discovery": discovery.local_addr().expect("bound").to_string(), "seed": "1f",
             "limits": {"sockets": limit, "memory_mb": 48}, "known": known, "settings": settings()})
         .to_string();
-        let taken = in_force.take(text.clone(), &mut zones).expect("a configuration");
+        let taken = in_force.replace(text.clone(), &mut zones).expect("a configuration");
         let config = Config {
             listen: "127.0.0.1:0".parse().expect("an address"),
             admin: Some("127.0.0.1:0".parse().expect("an address")),
@@ -265,16 +265,16 @@
             max_descriptors: limit,
             memory_mib: 48,
             endpoints: taken.file.known,
-            site: taken.site,
+            site: taken.settings,
             zones,
             text: text.clone(),
             handover_path: line,
-            inherited,
+            predecessor: inherited,
             fleet: None,
         };
         let reread = Box::new(move |_: Option<&Document>, zones: &mut Zones| {
             let text: String = read.recv().expect("a file");
-            in_force.take(text.clone(), zones).map(|taken| (text, taken))
+            in_force.replace(text.clone(), zones).map(|taken| (text, taken))
         });
         let signals = Signals {
             shutdown: end,
