--- a/src/startup.rs
+++ b/src/startup.rs
@@ -181,9 +181,9 @@
             admin: addresses.admin,
             discovery: addresses.discovery,
             seed: loaded.seed,
-            sockets: loaded.file.limits.sockets,
-            memory_mb: loaded.file.limits.memory_mb,
-            known: loaded.file.known,
+            max_descriptors: loaded.file.limits.sockets,
+            memory_mib: loaded.file.limits.memory_mb,
+            endpoints: loaded.file.known,
             site: loaded.settings,
             zones,
             text: active.text().to_string(),
@@ -234,8 +234,8 @@
     log: &Logger,
 ) -> Result<(), StartError> {
     let address = config.listen;
-    let reread = Box::new(move |new: Option<&Document>, zones: &mut Zones| source.reload(new, zones));
-    let signals = signals::watch(versions, reread).map_err(StartError::Signals)?;
+    let read_config = Box::new(move |new: Option<&Document>, zones: &mut Zones| source.reload(new, zones));
+    let signals = signals::watch(versions, read_config).map_err(StartError::Signals)?;
     let workers = Gateway::open_all(config, signals, log.clone(), cores)
         .map_err(|source| StartError::Listen { address, source })?;
     info!(log, "listening"; "address" => %address, "version" => env!("CARGO_PKG_VERSION"), "cores" => cores);
