--- a/crates/loadtest/src/scale/run/files.rs
+++ b/crates/loadtest/src/scale/run/files.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::{fs, io};
 
-use dunemount::options::FleetOptions;
+use dunemount::settings_file::FleetSettings;
 use serde_json::{json, Value};
 
 use super::super::plan::Plan;
@@ -65,7 +65,7 @@
 }
 
 /// `[fleet]` as a process of the program reads it.
-pub(super) fn fleet_settings(fleet: &FleetOptions) -> String {
+pub(super) fn fleet_settings(fleet: &FleetSettings) -> String {
     let voters: Vec<String> =
         fleet.voters.iter().map(|place| format!("{}@{}", place.name, place.address)).collect();
     let mut text = format!(
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -13,8 +13,7 @@
 use std::time::{Duration, Instant};
 
 use dunemount::balancer::Balancer;
-use dunemount::config::{version, InForce};
-use dunemount::fault::Fault;
+use dunemount::config::{version, ActiveConfig, ConfigResult};
 use dunemount::fleet::carrier::{Carrier, Wire};
 use dunemount::fleet::driver;
 use dunemount::fleet::file::{self, VoterFile};
@@ -22,12 +21,12 @@
 use dunemount::fleet::rollout::gateway;
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
-use dunemount::options::FleetOptions;
 use dunemount::settings::Zones;
+use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::membership::MembershipChange;
-use dunemount_fleet::node::Event as Told;
+use dunemount_fleet::node::NodeEvent;
 use dunemount_rollout::follower::{self, ApplyError, Follower};
 use dunemount_rollout::settings::Timeouts;
 use dunemount_rollout::version::Document;
@@ -81,7 +80,7 @@
     /// Its region.
     pub region: usize,
     /// What `[fleet]` would say.
-    pub fleet: FleetOptions,
+    pub fleet: FleetSettings,
     /// A voter's file.
     pub file: Option<PathBuf>,
     /// Its zone.
@@ -254,7 +253,7 @@
     next: Micros,
     rng: Pcg64Mcg,
     directory: Directory,
-    in_force: InForce,
+    in_force: ActiveConfig,
     settings: Settings,
     balancer: Option<Balancer>,
 }
@@ -344,7 +343,7 @@
                 }
                 let Ready { heard, answered, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
-                if heard || gateway.carrier.node.due() <= now {
+                if heard || gateway.carrier.node.next_deadline() <= now {
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
@@ -380,7 +379,7 @@
                 Some(following) => following.carrier.next_turn(),
                 None => Duration::MAX,
             };
-            gateway.carrier.node.due().min(list).min(control)
+            gateway.carrier.node.next_deadline().min(list).min(control)
         });
         due.min().unwrap_or(Duration::MAX)
     }
@@ -437,7 +436,8 @@
         let socket = UdpSocket::bind(listen).map_err(said)?;
         socket.set_nonblocking(true).map_err(said)?;
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
-        let (settings, slot) = driver::settings(&fleet, beginning)?.ok_or("no fleet")?;
+        let (settings, slot) =
+            driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(VoterFile::at));
         let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
@@ -483,9 +483,9 @@
 impl Listing {
     fn new(common: &Common, seed: u64) -> Result<Listing, String> {
         let mut zones = Zones::default();
-        let mut in_force = InForce::default();
-        let taken = in_force.take(common.configuration.clone(), &mut zones);
-        let settings = taken.map_err(|fault| fault.of("configuration"))?.site.settings;
+        let mut in_force = ActiveConfig::default();
+        let taken = in_force.replace(common.configuration.clone(), &mut zones);
+        let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(Listing {
             watch: Watch::from(None),
             call: None,
@@ -505,18 +505,18 @@
         let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
-            text.and_then(|text| self.take(text)).map_err(|fault| fault.of(&place))?;
+            text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
         }
         Ok(document)
     }
 
     /// Takes a configuration, all of it or nothing.
-    fn take(&mut self, text: String) -> Result<(), Fault> {
+    fn take(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
-        let settings = self.in_force.take(text, &mut zones)?.site.settings;
+        let settings = self.in_force.replace(text, &mut zones)?.settings.router;
         self.directory.know_zones(zones);
         if let Some(balancer) = &mut self.balancer {
-            balancer.retune(settings.clone());
+            balancer.update_settings(settings.clone());
         }
         self.settings = settings;
         Ok(())
@@ -634,14 +634,14 @@
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
         carrier.turn(now, Counted { socket, counts, common, region: *region });
-        while let Some(event) = self.carrier.node.event() {
+        while let Some(event) = self.carrier.node.next_event() {
             match event {
-                Told::Member(MembershipChange::Up(peer)) => {
+                NodeEvent::Membership(MembershipChange::Up(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_joined(other, peer.start);
                     }
                 }
-                Told::Member(MembershipChange::Down(peer)) => {
+                NodeEvent::Membership(MembershipChange::Down(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_left(other, Some(peer.start));
                     }
@@ -752,7 +752,7 @@
                     let (version, all) = (list.rev, list.all);
                     let (entries, unread) = listing.directory.take(list, clock);
                     if let Some(balancer) = &mut listing.balancer {
-                        balancer.members(now, all && unread == 0, entries);
+                        balancer.update_endpoints(now, all && unread == 0, entries);
                     }
                     let news = known != Some(version);
                     (if news { &mut self.counts.lists } else { &mut self.counts.idle }).add(heard);
@@ -777,7 +777,8 @@
             Some(document) => version::overlay(text, document.bytes()),
             None => Ok(text.to_string()),
         };
-        text.and_then(|text| self.listing.take(text)).map_err(|fault| fault.of("configuration"))?;
+        text.and_then(|text| self.listing.take(text))
+            .map_err(|fault| fault.in_file("configuration").to_string())?;
         self.progress.configuration_read();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -1,7 +1,7 @@
 //! The operators' commands `dunemount fleet config put`, `show` and `status`: requests to the control servers.
 
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use dunemount_rollout::settings::ControlServerInfo;
 use dunemount_rollout::version::{Document, Version, MAX_DOCUMENT_BYTES};
@@ -10,23 +10,33 @@
 use super::client::{Client, ClientError, REQUEST_TIMEOUT};
 use super::control_server::PROPOSAL_TIMEOUT;
 use super::status_report::StatusReport;
-use crate::check;
-use crate::config::{line_of, version};
-use crate::fault::Fault;
-use crate::options::Options;
+use crate::config::{line_of, version, ConfigError};
+use crate::settings_file::{LoadError, LocalSettings, SettingsFile};
+use crate::text_file::{self, AtLine, InFile, ReadError};
 
 /// Why a command failed, in words for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The settings cannot be used.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] LoadError),
     /// The settings name no control servers.
     #[error("[control] machines: none are named by --settings or GW_SETTINGS")]
     NoServers,
-    /// The file that is to be the next version cannot be used.
-    #[error("{0}")]
-    File(String),
+    /// The file that is to be the next version cannot be read.
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    /// The file that is to be the next version is no valid configuration.
+    #[error(transparent)]
+    Config(#[from] InFile<ConfigError>),
+    /// The file's shared part is too long.
+    #[error("{}: {length} bytes as a version, {MAX_DOCUMENT_BYTES} at most", .path.display())]
+    TooLong {
+        /// The file.
+        path: PathBuf,
+        /// Length of the shared part, in bytes.
+        length: usize,
+    },
     /// No control server answers.
     #[error("no control machine answers: {0}")]
     NoAnswer(String),
@@ -67,22 +77,21 @@
 }
 
 /// The operators' commands, to the control servers that the settings name.
-pub struct ConfigCommand {
+pub struct ConfigClient {
     fleet: String,
     servers: Vec<(ControlServerInfo, SocketAddr)>,
 }
 
-impl ConfigCommand {
+impl ConfigClient {
     /// Reads the settings.
     ///
     /// # Errors
     /// They cannot be read, or name no control servers.
-    pub fn from_settings(settings: Option<&Path>) -> Result<ConfigCommand, CommandError> {
-        let options = check::options(settings).map_err(|e| CommandError::Settings(e.to_string()))?;
-        let Options { fleet, control, .. } = options;
+    pub fn from_settings(settings: Option<&Path>) -> Result<ConfigClient, CommandError> {
+        let LocalSettings { fleet, control, .. } = SettingsFile::load(settings)?.settings;
         match fleet.name {
             Some(fleet) if !control.machines.is_empty() => {
-                Ok(ConfigCommand { fleet, servers: control.machines })
+                Ok(ConfigClient { fleet, servers: control.machines })
             }
             _ => Err(CommandError::NoServers),
         }
@@ -93,7 +102,7 @@
     /// # Errors
     /// The file cannot be used, or the document is not accepted.
     pub fn put(&self, path: &Path) -> Result<Version, CommandError> {
-        let text = check::read(path).map_err(|e| CommandError::File(e.to_string()))?;
+        let text = text_file::read(path)?;
         let document = document_of(path, &text)?;
         let (mut client, server) = self.choose_server()?;
         let unknown = |source| CommandError::OutcomeUnknown { server: server.to_string(), source };
@@ -194,19 +203,17 @@
 
 /// The document that a file's shared part is.
 fn document_of(path: &Path, text: &str) -> Result<Vec<u8>, CommandError> {
-    let name = path.display().to_string();
-    let document = version::of(text).map_err(|fault| CommandError::File(fault.of(&name)))?;
-    if document.len() > MAX_DOCUMENT_BYTES {
-        let what = format!("{} bytes as a version, {MAX_DOCUMENT_BYTES} at most", document.len());
-        return Err(CommandError::File(Fault::at(0, what).of(&name)));
+    let document = version::shared_part(text).map_err(|error| error.in_file(path))?;
+    match document.len() {
+        0..=MAX_DOCUMENT_BYTES => Ok(document),
+        length => Err(CommandError::TooLong { path: path.to_path_buf(), length }),
     }
-    Ok(document)
 }
 
 /// A control server's reason with the line of the operator's file that it speaks of, if it names one.
 fn with_line(path: &Path, text: &str, reason: String) -> String {
     match line_of(text, &reason) {
         0 => reason,
-        line => Fault::at(line, reason).of(&path.display().to_string()),
+        line => AtLine::<String>::new(line, reason).in_file(path).to_string(),
     }
 }
--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dunemount_fleet::node::{Event, Node};
-use dunemount_fleet::record::Outcome;
+use dunemount_fleet::node::{Node, NodeEvent};
+use dunemount_fleet::register_client::RegisterOutcome;
 use dunemount_rollout::control::{ControlServer, Output, RegisterEvent, REGISTER};
 use dunemount_rollout::wire::MAX_GATEWAYS;
 use polling::{Event as PollEvent, PollMode, Poller};
@@ -23,7 +23,7 @@
 use super::connections::{ConnectionEvent, Connections};
 use crate::fleet::carrier::Carrier;
 use crate::fleet::driver::{self, LEAVE};
-use crate::options::{Options, MOST_MACHINES};
+use crate::settings_file::{LocalSettings, SettingsFileError, MAX_CONTROL_SERVERS};
 
 /// Time between two reads of the register: one may fail, and the next succeed, before the last is no longer fresh.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
@@ -32,7 +32,7 @@
 /// How long an operator waits at most until a proposal is accepted.
 pub(super) const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most connections: all that the state machine accepts, and its own to the other servers.
-const MAX_CONNECTIONS: usize = MAX_GATEWAYS + 64 + MOST_MACHINES;
+const MAX_CONNECTIONS: usize = MAX_GATEWAYS + 64 + MAX_CONTROL_SERVERS;
 /// Most connections accepted in one turn.
 const MAX_ACCEPTS: usize = 64;
 /// Pause after the system has refused to accept a connection.
@@ -54,8 +54,8 @@
     #[error("[fleet] name: missing")]
     NoFleet,
     /// The settings of the fleet cannot be used.
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    Fleet(#[from] SettingsFileError),
     /// The file with its state cannot be read.
     #[error("cannot read {}: {source}", .path.display())]
     ReadState {
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// The settings lack something, or the system refuses something.
-pub fn run(options: &Options, start: Start, log: &Logger) -> Result<(), StartError> {
+pub fn run(options: &LocalSettings, start: Start, log: &Logger) -> Result<(), StartError> {
     let servers = &options.control.machines;
     let own = servers.iter().position(|(server, _)| server.name == start.name);
     let own = own.ok_or_else(|| StartError::UnknownName(start.name.clone()))?;
@@ -241,7 +241,7 @@
             has_outputs = true;
             self.control.handle_closed(now, id);
         }
-        while let Some(event) = self.transport.node.event() {
+        while let Some(event) = self.transport.node.next_event() {
             has_outputs = true;
             self.handle_node_event(now, event);
         }
@@ -257,21 +257,21 @@
             },
             Output::Send(id, bytes) => self.connections.send(id, bytes),
             Output::Close(id) => self.connections.close_after_sending(id),
-            Output::ReadRegister => node.look(now, REGISTER),
-            Output::PrepareChange => node.change(now, REGISTER),
+            Output::ReadRegister => node.read_register(now, REGISTER),
+            Output::PrepareChange => node.begin_change(now, REGISTER),
             Output::Propose(value) => node.propose(now, REGISTER, Some(value)),
             Output::AbandonChange => node.propose(now, REGISTER, None),
             Output::Log(line) => info!(self.log, "{}", line),
         }
     }
 
-    fn handle_node_event(&mut self, now: Duration, event: Event) {
+    fn handle_node_event(&mut self, now: Duration, event: NodeEvent) {
         match event {
-            Event::Record(key, outcome) if key == REGISTER => {
+            NodeEvent::Register { key, outcome } if key == REGISTER => {
                 self.control.handle_register_event(now, register_event(outcome), &mut self.store);
             }
             event => {
-                if matches!(event, Event::Member(_)) {
+                if matches!(event, NodeEvent::Membership(_)) {
                     self.control.set_members(members(&self.transport.node));
                 }
                 driver::log_event(&self.log, event);
@@ -280,17 +280,17 @@
     }
 }
 
-fn register_event(outcome: Outcome) -> RegisterEvent {
+fn register_event(outcome: RegisterOutcome) -> RegisterEvent {
     match outcome {
-        Outcome::Holds(value, started_at) => RegisterEvent::Read { value, started_at },
-        Outcome::Promised(value) => RegisterEvent::Promised(value),
-        Outcome::Chosen(value) => RegisterEvent::Chosen(value),
-        Outcome::Failed { proposed, no_majority } => RegisterEvent::Failed { proposed, no_majority },
+        RegisterOutcome::Read { value, started_at } => RegisterEvent::Read { value, started_at },
+        RegisterOutcome::Prepared(value) => RegisterEvent::Promised(value),
+        RegisterOutcome::Chosen(value) => RegisterEvent::Chosen(value),
+        RegisterOutcome::Failed { proposed, no_majority } => RegisterEvent::Failed { proposed, no_majority },
     }
 }
 
 /// The names of the members that the node knows, its own among them.
 fn members(node: &Node) -> Vec<String> {
-    let members = node.members();
+    let members = node.membership();
     members.members().chain([members.local()]).map(|peer| peer.name.clone()).collect()
 }
--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use dunemount_fleet::node;
+use dunemount_fleet::node::NodeSettings;
 use dunemount_rollout::control::Settings;
 use dunemount_rollout::settings::Timeouts;
 use polling::{Event as PollEvent, PollMode, Poller};
@@ -15,25 +15,25 @@
 };
 use crate::fleet::driver;
 use crate::fleet::file::VoterFile;
-use crate::options::Options;
+use crate::settings_file::LocalSettings;
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 
 /// The settings of the fleet's node, and its index among the voters with its file if it is one.
 pub(super) fn node_with_voter(
-    options: &Options,
+    options: &LocalSettings,
     start: &Start,
-) -> Result<(node::Settings, Option<(usize, VoterFile)>), StartError> {
+) -> Result<(NodeSettings, Option<(usize, VoterFile)>), StartError> {
     let node =
         driver::Start { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
-    let node = driver::settings(&options.fleet, node).map_err(|e| StartError::Fleet(e.to_string()))?;
+    let node = driver::settings(&options.fleet, node)?;
     let (node, index) = node.ok_or(StartError::NoFleet)?;
-    let voter = options.fleet.voter(&start.name).map_err(|e| StartError::Fleet(e.to_string()))?;
+    let voter = options.fleet.voter(&start.name)?;
     let file = voter.map(|(_, path)| VoterFile::at(path));
     Ok((node, index.zip(file)))
 }
 
 /// The settings of the state machine.
-pub(super) fn settings(options: &Options, start: &Start, fleet: &str) -> Settings {
+pub(super) fn settings(options: &LocalSettings, start: &Start, fleet: &str) -> Settings {
     Settings {
         fleet: fleet.to_string(),
         name: start.name.clone(),
