--- a/crates/rollout/tests/encoding.rs
+++ b/crates/rollout/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Documents, ledgers, files and frames, with bytes that make no sense.
+//! Documents, version histories, files and frames, also from invalid bytes.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     Document::verify(version(number, bytes), bytes.into()).expect("fits")
 }
 
-fn keeping() -> PersistentState {
+fn state() -> PersistentState {
     let pending: Arc<[u8]> = b"three".to_vec().into();
     PersistentState {
         versions: vec![document(1, b"one"), document(2, b"two")],
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_document_fits_its_version_or_is_none() {
+fn a_document_has_its_version_s_digest_or_is_none() {
     let bytes: Arc<[u8]> = b"one".to_vec().into();
     assert!(Document::verify(version(1, b"one"), bytes.clone()).is_some());
     assert!(Document::verify(version(1, b"two"), bytes.clone()).is_none(), "another digest");
@@ -46,18 +46,18 @@
     assert!(Document::verify(version(1, &long[1..]), long[1..].into()).is_some());
 }
 
-/// Guards files: whole, or rejected with a reason; a later form is named as such.
+/// Guards files: they are complete or rejected with a reason, and a later format is named as such.
 #[test]
-fn files_are_read_whole_or_not_at_all() {
+fn files_are_read_completely_or_not_at_all() {
     let one = document(7, b"listen: 80");
     assert_eq!(Document::from_file(&one.to_file()), Ok(one.clone()));
-    assert_eq!(PersistentState::from_file(&keeping().to_file()), Ok(keeping()));
+    assert_eq!(PersistentState::from_file(&state().to_file()), Ok(state()));
     assert_eq!(
         PersistentState::from_file(&PersistentState::default().to_file()),
         Ok(PersistentState::default())
     );
     assert!(PersistentState::from_file(&one.to_file()).is_err(), "another kind");
-    for file in [one.to_file(), keeping().to_file()] {
+    for file in [one.to_file(), state().to_file()] {
         for length in 0..file.len() {
             assert!(
                 Document::from_file(&file[..length]).is_err()
@@ -65,10 +65,10 @@
             );
         }
         for at in 0..file.len() {
-            let mut spoilt = file.clone();
-            spoilt[at] ^= 1;
+            let mut damaged = file.clone();
+            damaged[at] ^= 1;
             assert!(
-                Document::from_file(&spoilt).is_err() && PersistentState::from_file(&spoilt).is_err(),
+                Document::from_file(&damaged).is_err() && PersistentState::from_file(&damaged).is_err(),
                 "byte {at}"
             );
         }
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn more_than_is_ever_kept_is_refused() {
+fn more_than_is_ever_stored_is_rejected() {
     let pending: Vec<_> =
         (0..=MAX_PENDING_DOCUMENTS as u8).map(|at| (Digest::of(&[at]), Arc::from([at]))).collect();
     assert!(PersistentState::from_file(
@@ -104,10 +104,10 @@
     );
 }
 
-/// Guards the history: numbers rise by one, the last ones are named by proposal, the longest fits into a register, and what
-/// cannot be read is no empty history.
+/// Guards the history: numbers rise by one, the last versions are found by proposal, and an unreadable value is no empty
+/// history.
 #[test]
-fn a_ledger_numbers_and_names() {
+fn a_history_numbers_versions_and_names_proposals() {
     let mut history = VersionHistory::decode(None).expect("empty");
     assert_eq!(history.newest(), None);
     for number in 1..=20u64 {
@@ -139,7 +139,7 @@
 
 /// Guards the bound: the longest history has 418 bytes, under the 1,024 of a register's value.
 #[test]
-fn the_longest_ledger_fits_into_a_register() {
+fn the_longest_history_fits_into_a_register() {
     // The form, one entry, the highest number that is read but one, the digest, and the proposal.
     let mut value = vec![1, 1];
     value.extend([0xf0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
@@ -152,7 +152,7 @@
     assert_eq!(history.encode().len(), 418);
 }
 
-fn refusal() -> Rejection {
+fn rejection() -> Rejection {
     Rejection { version: version(3, b"three"), reason: "w".repeat(MAX_REJECTION_BYTES) }
 }
 
@@ -161,11 +161,11 @@
     let name = || "n".repeat(MAX_NAME_BYTES);
     let hello =
         |identity| Message::Hello(Hello { protocol_version: PROTOCOL_VERSION, fleet: name(), identity });
-    let seen = GatewayStatus {
+    let gateway = GatewayStatus {
         name: name(),
         zone: name(),
         in_force: Some(version(u64::MAX, b"")),
-        rejected: Some(refusal()),
+        rejected: Some(rejection()),
         silent_ms: u64::MAX,
     };
     let status = ControlServerStatus {
@@ -176,7 +176,7 @@
         fresh: true,
         last_read_ms: Some(u64::MAX),
         peers: vec![name(); 8],
-        gateways: vec![seen; MAX_GATEWAYS],
+        gateways: vec![gateway; MAX_GATEWAYS],
         members: vec![name(); MAX_GATEWAYS],
     };
     vec![
@@ -184,7 +184,7 @@
         hello(Identity::ControlServer { name: name() }),
         hello(Identity::Command),
         Message::VersionReport { in_force: None, rejected: None },
-        Message::VersionReport { in_force: Some(version(1, b"one")), rejected: Some(refusal()) },
+        Message::VersionReport { in_force: Some(version(1, b"one")), rejected: Some(rejection()) },
         Message::Heartbeat { fresh: true, newest: Some(version(1, b"one")) },
         Message::Newest(version(1, b"one"), bytes.clone()),
         Message::StoreDocument(vec![1; MAX_DOCUMENT_BYTES].into()),
@@ -205,13 +205,13 @@
 
 /// Guards frames: all messages, the longest ones too, come out as they went in, in whatever pieces they come.
 #[test]
-fn frames_come_out_as_they_went_in() {
+fn frames_are_decoded_as_they_were_encoded() {
     let stream: Vec<u8> = messages().iter().flat_map(|message| encode_frame(message).to_vec()).collect();
     for piece in [1, 7, 4_096, stream.len()] {
         let (mut frames, mut out) = (FrameReader::default(), Vec::new());
         for bytes in stream.chunks(piece) {
             frames.push(bytes);
-            while let Some(message) = frames.next_message().expect("sense") {
+            while let Some(message) = frames.next_message().expect("valid frames") {
                 out.push(message);
             }
         }
@@ -222,9 +222,9 @@
 /// Guards what a connection may cost: a length beyond the bound is rejected before the bytes come, and so is anything in a
 /// message that is longer than it may be.
 #[test]
-fn what_is_too_long_is_refused() {
-    let next = |longest: usize, bytes: &[u8]| {
-        let mut frames = FrameReader::new(longest);
+fn what_is_too_long_is_rejected() {
+    let next = |max_bytes: usize, bytes: &[u8]| {
+        let mut frames = FrameReader::new(max_bytes);
         frames.push(bytes);
         frames.next_message()
     };
--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! A configuration's version to all gateways, played in virtual time: each rule with a variant that breaks it and that the
-//! same audit finds.
+//! The distribution of versions in simulated time: each rule is checked, and so is a variant that breaks it, which the same
+//! audit has to find.
 
 mod simulation;
 
@@ -9,16 +9,16 @@
 use simulation::{
     Conditions, Process, Simulation, State, Variant, CONTROL_SERVERS, FRESHNESS, PROPOSAL_TIMEOUT, STEP,
 };
-use Process::{ControlServer as C, Gateway as G};
+use Process::{ControlServer as Server, Gateway};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// So many gateways, spread over the zones.
+/// The zones of so many gateways, spread evenly.
 fn spread(count: usize) -> Vec<usize> {
     (0..count).map(|index| index % CONTROL_SERVERS).collect()
 }
 
-/// Gateways and control machines that have met, and a first version in force everywhere.
+/// A simulation in which all gateways are connected and a first version is in force everywhere.
 fn settled(seed: u64, zones: &[usize], conditions: Conditions, variant: Variant) -> Simulation {
     let mut simulation = Simulation::new(seed, zones, Conditions::GOOD, variant);
     simulation.run(SECOND * 3);
@@ -28,7 +28,7 @@
     simulation
 }
 
-/// Puts a document, and waits until it is answered and three seconds more.
+/// Proposes a document, and waits until it is answered and three seconds more.
 fn propose(simulation: &mut Simulation, server: usize, document: &str) -> Message {
     let command = simulation.propose_document(server, document);
     let end = simulation.now + PROPOSAL_TIMEOUT * 2;
@@ -60,18 +60,18 @@
                 .count()
                 > 3 =>
             {
-                simulation.kill(C(server));
+                simulation.kill(Server(server));
             }
-            1 => simulation.stop(C(server)),
+            1 => simulation.stop(Server(server)),
             2 | 3 => {
-                simulation.resume(C(server));
-                simulation.start(C(server));
+                simulation.resume(Server(server));
+                simulation.start(Server(server));
             }
-            4 => simulation.kill(G(gateway)),
-            5 => simulation.stop(G(gateway)),
+            4 => simulation.kill(Gateway(gateway)),
+            5 => simulation.stop(Gateway(gateway)),
             6 | 7 => {
-                simulation.resume(G(gateway));
-                simulation.start(G(gateway));
+                simulation.resume(Gateway(gateway));
+                simulation.start(Gateway(gateway));
             }
             8 => {
                 let (a, b) =
@@ -106,7 +106,7 @@
 
 /// Guards all rules at once under faults of all kinds; and once they stop, everybody has the newest.
 #[test]
-fn all_rules_hold_whatever_fails_and_all_have_the_newest_in_the_end() {
+fn all_rules_hold_under_faults_and_all_have_the_newest_in_the_end() {
     let (mut versions, mut answers, mut uncertain) = (0, 0, 0);
     for seed in 0..24 {
         let simulation = run_with_faults(seed, Variant::Nothing);
@@ -123,7 +123,7 @@
     assert!(versions > 150 && uncertain > 0, "{versions} versions, {uncertain} uncertain");
 }
 
-/// What breaks a rule in the first of the runs above that shows it, with that run's number.
+/// The first of the runs above in which a variant breaks a rule, with its fault.
 fn first_fault(variant: Variant) -> Option<(u64, String)> {
     (0..24).find_map(|seed| {
         let simulation = run_with_faults(seed, variant);
@@ -131,8 +131,8 @@
     })
 }
 
-/// Guards the bytes of what is named, and what operators are told: the runs above find a disk that lies, an answer that says
-/// more than is known, and one that rests on what a promise told.
+/// Guards the documents of chosen versions and the answers to operators: the runs above find a disk that lies, an answer that
+/// claims more than is known, and one that relies on a promise.
 #[test]
 fn variants_of_disks_and_answers_are_found() {
     for (variant, word) in [
@@ -155,15 +155,19 @@
     simulation
 }
 
-/// R1: a bad version gets no number, with line and cause; one that cannot be used somewhere changes nothing there, is told
-/// with the reason, and is not offered again and again.
+/// R1: an invalid document gets no number, and the operator is given line and cause; one that some gateways cannot apply
+/// changes nothing there, is reported with the reason, and is not offered again.
 #[test]
-fn a_version_is_in_force_whole_or_not_at_all() {
+fn a_version_is_in_force_completely_or_not_at_all() {
     let mut simulation = good_and_bad(Variant::Nothing);
     assert_eq!(simulation.faults, Vec::<String>::new());
     let not = Message::NotAccepted { reason: "line 1: bad".to_string(), uncertain: false };
     assert_eq!(simulation.commands[1].answer, Some(not));
-    assert_eq!(number(simulation.commands[2].answer.as_ref().expect("one")), Some(2), "the bad one has none");
+    assert_eq!(
+        number(simulation.commands[2].answer.as_ref().expect("one")),
+        Some(2),
+        "the invalid one has none"
+    );
     for (index, gateway) in simulation.gateways.iter().enumerate() {
         let status = gateway.follower.as_ref().expect("up").status(simulation.now);
         let in_force = status.in_force.map(|version| version.number);
@@ -178,10 +182,10 @@
         }
     }
     let status = simulation.control_servers[0].control.as_ref().expect("up").status(simulation.now);
-    let rejected = status.gateways.iter().filter(|seen| seen.rejected.is_some()).count();
-    assert_eq!(rejected, 2, "told by gateways 0 and 6");
+    let rejected = status.gateways.iter().filter(|gateway| gateway.rejected.is_some()).count();
+    assert_eq!(rejected, 2, "reported by gateways 0 and 6");
     propose(&mut simulation, 0, "good fourth");
-    assert_eq!(simulation.behind(), [], "the next one goes everywhere");
+    assert_eq!(simulation.behind(), [], "the next one is in force everywhere");
     let rejected = |simulation: &Simulation| {
         let status =
             |follower: &dunemount_rollout::follower::Follower| follower.status(simulation.now).rejected;
@@ -199,16 +203,16 @@
     }
 }
 
-/// Guards the worst of losses: no control machine has the newest version's bytes. Gateways go on with what they have, the
-/// same document put again mends it, and so does another one.
+/// Guards against the loss of the newest version's document on all control servers: gateways keep the version in force, and
+/// the same document or another one can be proposed.
 #[test]
-fn bytes_that_all_have_lost_are_put_again() {
+fn a_lost_document_can_be_proposed_again() {
     for (again, expected) in [("good second", 2), ("good third", 3)] {
         let mut simulation = settled(3, &spread(12), Conditions::GOOD, Variant::Nothing);
-        simulation.kill(G(5));
+        simulation.kill(Gateway(5));
         propose(&mut simulation, 1, "good second");
         (0..CONTROL_SERVERS).for_each(|index| simulation.lose_disk(index));
-        simulation.start(G(5));
+        simulation.start(Gateway(5));
         simulation.run(SECOND * 5);
         assert_eq!(simulation.behind(), [5]);
         let status = simulation.control_servers[2].control.as_ref().expect("up").status(simulation.now);
@@ -218,46 +222,46 @@
     }
 }
 
-/// The rule that nothing goes back: a control machine sleeps over several versions in a zone that is cut off as it wakes
-/// up, and a gateway of that zone has lost what it kept.
-fn late_machine(seed: u64, variant: Variant) -> Simulation {
+/// The rule that nothing goes back: a control server is stopped during several versions and resumed in a zone that is cut
+/// off, and a gateway of that zone has lost its file.
+fn stopped_server(seed: u64, variant: Variant) -> Simulation {
     let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
-    simulation.stop(C(4));
+    simulation.stop(Server(4));
     for version in 2..6 {
         propose(&mut simulation, 0, &format!("good {version}"));
     }
     simulation.run(SECOND * 5);
-    assert_eq!(simulation.behind(), [], "those of its zone have them from another one");
+    assert_eq!(simulation.behind(), [], "gateways of its zone follow another server");
     for other in 0..CONTROL_SERVERS {
         simulation.cuts.insert((other.min(4), other.max(4)));
     }
     simulation.cuts.remove(&(4, 4));
     simulation.without_majority.insert(4);
-    simulation.kill(G(4));
+    simulation.kill(Gateway(4));
     simulation.gateways[4].disk = None;
-    simulation.start(G(4));
-    simulation.resume(C(4));
+    simulation.start(Gateway(4));
+    simulation.resume(Server(4));
     simulation.run(SECOND * 10);
     simulation
 }
 
-/// R2: whoever wakes up late gives nothing out before the register has told; then all is well by itself.
+/// R2: a control server that was stopped sends nothing before it has read the register, and then recovers by itself.
 #[test]
-fn nothing_goes_back_whoever_wakes_up_late() {
+fn nothing_goes_back_after_a_server_was_stopped() {
     for seed in 0..8 {
-        let mut simulation = late_machine(seed, Variant::Nothing);
+        let mut simulation = stopped_server(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
             simulation.gateways[4].applied.last(),
             Some(&5),
-            "seed {seed}: what it took before it was started anew"
+            "seed {seed}: what it had applied before its restart"
         );
         assert!(
             simulation.gateways[4].running.is_none(),
-            "seed {seed}: nothing is in force rather than what is old"
+            "seed {seed}: nothing is in force rather than an older version"
         );
         let status = simulation.gateways[4].follower.as_ref().expect("up").status(simulation.now);
-        assert!(status.cut_off > SECOND * 9, "seed {seed}: and it says since when: {status:?}");
+        assert!(status.cut_off > SECOND * 9, "seed {seed}: and it reports since when: {status:?}");
         simulation.end_faults();
         simulation.run(SECOND * 10);
         assert_eq!(simulation.behind(), [], "seed {seed}");
@@ -265,25 +269,25 @@
 }
 
 #[test]
-fn a_machine_that_speaks_before_it_has_looked_is_found() {
+fn a_server_that_skips_the_read_is_found() {
     let found: Vec<String> =
-        (0..8).filter_map(|seed| late_machine(seed, Variant::SkipsRead).faults.first().cloned()).collect();
+        (0..8).filter_map(|seed| stopped_server(seed, Variant::SkipsRead).faults.first().cloned()).collect();
     println!("found in {} of 8: {:?}", found.len(), found.first());
     assert_eq!(found.len(), 8);
     assert!(found.iter().all(|fault| fault.contains("is the newest since") || fault.contains("gone back")));
 }
 
-/// The rule of the newest alone: gateways are away over ten versions, killed, stopped or cut off.
-fn away(seed: u64, variant: Variant) -> Simulation {
+/// The rule that only the newest is applied: gateways miss ten versions, killed, stopped or cut off.
+fn run_away(seed: u64, variant: Variant) -> Simulation {
     let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
-    simulation.kill(G(1));
-    simulation.stop(G(2));
+    simulation.kill(Gateway(1));
+    simulation.stop(Gateway(2));
     for other in 0..CONTROL_SERVERS {
         if other != 3 {
             simulation.cuts.insert((other.min(3), other.max(3)));
         }
     }
-    simulation.kill(C(3));
+    simulation.kill(Server(3));
     for version in 2..12 {
         propose(&mut simulation, 0, &format!("good {version}"));
     }
@@ -296,11 +300,11 @@
     simulation
 }
 
-/// R3: whoever was away applied the newest without those between, however it was away.
+/// R3: a gateway that was away applies the newest version without those in between, however it was away.
 #[test]
-fn who_was_away_takes_the_newest_alone() {
+fn a_gateway_that_was_away_applies_only_the_newest() {
     for seed in 0..8 {
-        let simulation = away(seed, Variant::Nothing);
+        let simulation = run_away(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         assert_eq!(simulation.behind(), [], "seed {seed}");
         for index in [1, 2, 3, 9] {
@@ -310,16 +314,16 @@
 }
 
 #[test]
-fn versions_in_order_are_found() {
+fn versions_sent_in_order_are_found() {
     for seed in 0..8 {
-        let simulation = away(seed, Variant::EveryVersion);
+        let simulation = run_away(seed, Variant::EveryVersion);
         let fault = simulation.faults.first().expect("found");
         assert!(fault.contains("is the newest since"), "seed {seed}: {fault}");
     }
 }
 
-/// The rule of the majority: regions are parted, and an operator on either side puts a document.
-fn partitioned(seed: u64, variant: Variant) -> (Simulation, Message, Message) {
+/// The rule of the majority: regions are partitioned, and an operator on each side proposes a document.
+fn run_partitioned(seed: u64, variant: Variant) -> (Simulation, Message, Message) {
     let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
     simulation.partition_regions();
     simulation.run(SECOND * 5);
@@ -328,12 +332,12 @@
     (simulation, without, with)
 }
 
-/// R4: without a majority nothing is accepted and that is said; gateways go on with their last; the other side goes on, and
-/// all is joined again by itself.
+/// R4: without a majority nothing is accepted, and the answer says so; gateways keep their last version; the other side goes
+/// on, and the regions are joined again without intervention.
 #[test]
-fn without_a_majority_nothing_changes_and_that_is_said() {
+fn without_a_majority_nothing_changes_and_the_operator_is_notified() {
     for seed in 0..8 {
-        let (mut simulation, without, with) = partitioned(seed, Variant::Nothing);
+        let (mut simulation, without, with) = run_partitioned(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         let Message::NotAccepted { reason, uncertain: false } = &without else {
             panic!("seed {seed}: {without:?}")
@@ -358,15 +362,15 @@
 }
 
 #[test]
-fn a_machine_that_numbers_by_itself_is_found() {
+fn a_server_that_assigns_numbers_alone_is_found() {
     for seed in 0..8 {
-        let (simulation, ..) = partitioned(seed, Variant::NumbersAlone);
+        let (simulation, ..) = run_partitioned(seed, Variant::NumbersAlone);
         let fault = simulation.faults.first().expect("found");
         assert!(fault.contains("never chosen") || fault.contains("two digests"), "seed {seed}: {fault}");
     }
 }
 
-/// The rule of one digest: operators at each of two control machines at the same time.
+/// The rule of one digest: an operator at each of two control servers at the same time.
 fn two_operators(seed: u64, variant: Variant) -> Simulation {
     let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
     for turn in 0..5 {
@@ -377,7 +381,7 @@
     simulation
 }
 
-/// R5: two operators at once get two numbers, one after the other, and each is told its own.
+/// R5: two operators at once get two numbers, one after the other, and each gets its own.
 #[test]
 fn two_operators_at_once_get_two_numbers() {
     for seed in 0..16 {
@@ -402,9 +406,9 @@
     }
 }
 
-/// Each gateway's longest time without a fresh machine during a while.
-fn longest_cut_off(simulation: &mut Simulation, lasts: Duration) -> Duration {
-    let (until, mut longest) = (simulation.now + lasts, Duration::ZERO);
+/// The longest time that a gateway is without a fresh control server.
+fn longest_cut_off(simulation: &mut Simulation, duration: Duration) -> Duration {
+    let (until, mut longest) = (simulation.now + duration, Duration::ZERO);
     while simulation.now < until {
         simulation.run(STEP);
         for gateway in simulation.gateways.iter().filter(|gateway| gateway.state == State::Up) {
@@ -415,7 +419,7 @@
     longest
 }
 
-/// The most connections that gateways asked a machine for within a second, since a time.
+/// The most connection attempts of gateways at a control server in one second, since a time.
 fn max_attempts_in_a_second(simulation: &Simulation, server: usize, since: Duration) -> usize {
     let since = since.as_secs();
     let here =
@@ -423,54 +427,54 @@
     here.map(|(_, count)| *count).max().unwrap_or_default()
 }
 
-/// A zone of 118 gateways loses its machine for two minutes and gets it back: the longest time without one, and the most
-/// connections in a second at the machine that is back.
-fn lost(seed: u64, stopped: bool, variant: Variant) -> (Simulation, Duration, usize) {
+/// A zone of 118 gateways loses its control server and gets it back: the longest time without one, and the most connection
+/// attempts in a second at the server that is back.
+fn lose_server(seed: u64, stopped: bool, variant: Variant) -> (Simulation, Duration, usize) {
     let mut zones = vec![0; 118];
     zones.extend([1, 2, 3, 4, 5]);
     let mut simulation = settled(seed, &zones, Conditions::GOOD, variant);
     let longest = if stopped {
-        simulation.stop(C(0));
+        simulation.stop(Server(0));
         longest_cut_off(&mut simulation, SECOND * 8)
     } else {
-        simulation.kill(C(0));
+        simulation.kill(Server(0));
         longest_cut_off(&mut simulation, SECOND * 8)
     };
-    simulation.resume(C(0));
-    simulation.start(C(0));
+    simulation.resume(Server(0));
+    simulation.start(Server(0));
     let back = simulation.now;
     let again = longest_cut_off(&mut simulation, SECOND * 32);
     let most = max_attempts_in_a_second(&simulation, 0, back);
     (simulation, longest.max(again), most)
 }
 
-/// R6: a lost control server, killed or stopped, costs its zone under a second; all come home again, and not at once.
+/// R6: a lost control server, killed or stopped, costs its zone under a second; all gateways return, and not at once.
 #[test]
-fn a_lost_machine_costs_under_a_second_and_its_return_is_no_storm() {
+fn a_lost_server_costs_under_a_second_and_gateways_return_spread_out() {
     for (seed, stopped) in [(1, false), (2, true)] {
-        let (simulation, longest, most) = lost(seed, stopped, Variant::Nothing);
+        let (simulation, longest, most) = lose_server(seed, stopped, Variant::Nothing);
         println!(
-            "stopped {stopped}: {longest:?} without one, {most} connections a second at the one that is back"
+            "stopped {stopped}: {longest:?} without one, {most} connection attempts a second at the one that is back"
         );
         assert!(longest < SECOND, "{longest:?}");
         assert!(most <= 20, "{most}");
         assert_eq!(simulation.faults, Vec::<String>::new());
-        let home = simulation.gateways.iter().take(118).filter(|gateway| {
+        let returned = simulation.gateways.iter().take(118).filter(|gateway| {
             gateway.follower.as_ref().expect("up").status(simulation.now).server == Some(0)
         });
-        assert_eq!(home.count(), 118, "all are home");
+        assert_eq!(returned.count(), 118, "all have returned");
     }
 }
 
 #[test]
-fn coming_home_at_once_is_found() {
-    let (_, _, most) = lost(1, false, Variant::ReturnAtOnce);
-    println!("{most} connections a second at the one that is back");
+fn a_return_of_all_at_once_is_found() {
+    let (_, _, most) = lose_server(1, false, Variant::ReturnAtOnce);
+    println!("{most} connection attempts a second at the one that is back");
     assert!(most > 20);
 }
 
-/// Guards the ordinary day at its fastest: a version each second for a minute, in turn by all control machines; each is
-/// accepted, and in force everywhere long before its four seconds are over.
+/// Guards the highest expected rate: a version each second for a minute, at all control servers in turn; each is accepted,
+/// and in force everywhere within four seconds.
 #[test]
 fn a_version_each_second_for_a_minute() {
     let mut simulation = settled(7, &spread(60), Conditions::GOOD, Variant::Nothing);
