--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -1,7 +1,7 @@
 //! The operators' commands `dunemount fleet config put`, `show` and `status`: requests to the control servers.
 
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use dunemount_rollout::settings::ControlServerInfo;
 use dunemount_rollout::version::{Document, Version, MAX_DOCUMENT_BYTES};
@@ -25,17 +25,17 @@
     NoServers,
     /// The file that is to be the next version cannot be read.
     #[error(transparent)]
-    Unreadable(#[from] ReadError),
-    /// The file that is to be the next version cannot be used.
+    Read(#[from] ReadError),
+    /// The file that is to be the next version is no valid configuration.
     #[error(transparent)]
-    Invalid(#[from] InFile<ConfigError>),
-    /// The shared part of the file is too long.
-    #[error("{file}: {bytes} bytes as a version, {MAX_DOCUMENT_BYTES} at most")]
+    Config(#[from] InFile<ConfigError>),
+    /// The file's shared part is too long.
+    #[error("{}: {length} bytes as a version, {MAX_DOCUMENT_BYTES} at most", .path.display())]
     TooLong {
         /// The file.
-        file: String,
-        /// Its length as a version.
-        bytes: usize,
+        path: PathBuf,
+        /// Length of the shared part, in bytes.
+        length: usize,
     },
     /// No control server answers.
     #[error("no control machine answers: {0}")]
@@ -77,21 +77,21 @@
 }
 
 /// The operators' commands, to the control servers that the settings name.
-pub struct ConfigCommand {
+pub struct ConfigClient {
     fleet: String,
     servers: Vec<(ControlServerInfo, SocketAddr)>,
 }
 
-impl ConfigCommand {
+impl ConfigClient {
     /// Reads the settings.
     ///
     /// # Errors
     /// They cannot be read, or name no control servers.
-    pub fn from_settings(settings: Option<&Path>) -> Result<ConfigCommand, CommandError> {
+    pub fn from_settings(settings: Option<&Path>) -> Result<ConfigClient, CommandError> {
         let LocalSettings { fleet, control, .. } = SettingsFile::load(settings)?.settings;
         match fleet.name {
             Some(fleet) if !control.machines.is_empty() => {
-                Ok(ConfigCommand { fleet, servers: control.machines })
+                Ok(ConfigClient { fleet, servers: control.machines })
             }
             _ => Err(CommandError::NoServers),
         }
@@ -204,10 +204,10 @@
 /// The document that a file's shared part is.
 fn document_of(path: &Path, text: &str) -> Result<Vec<u8>, CommandError> {
     let document = version::shared_part(text).map_err(|error| error.in_file(path))?;
-    if document.len() > MAX_DOCUMENT_BYTES {
-        return Err(CommandError::TooLong { file: path.display().to_string(), bytes: document.len() });
+    match document.len() {
+        0..=MAX_DOCUMENT_BYTES => Ok(document),
+        length => Err(CommandError::TooLong { path: path.to_path_buf(), length }),
     }
-    Ok(document)
 }
 
 /// A control server's reason with the line of the operator's file that it speaks of, if it names one.
--- a/src/fleet/rollout/control_server/store.rs
+++ b/src/fleet/rollout/control_server/store.rs
@@ -29,7 +29,7 @@
 impl DocumentStore for FileStore {
     fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument> {
         let previous = previous.map(|previous| &previous.bytes()[..]);
-        version::validate(document, previous).map_err(|invalid| InvalidDocument(invalid.error.to_string()))
+        version::validate(document, previous).map_err(|error| InvalidDocument(error.error.to_string()))
     }
 
     fn store(&mut self, state: &PersistentState) -> bool {
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use dunemount::cli::{self, Cli, Command, FleetCommand, LogFormat};
-use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
+use dunemount::cli::{Cli, Command, ConfigCommand, FleetCommand, LogFormat};
+use dunemount::fleet::rollout::config_command::{CommandError, ConfigClient};
 use dunemount::fleet::rollout::control_server;
 use dunemount::fleet::status::Status;
 use dunemount::settings_file::SettingsFile;
@@ -73,20 +73,20 @@
     Ok(())
 }
 
-fn run_config_command(command: cli::ConfigCommand) -> Result<(), Failed> {
+fn run_config_command(command: ConfigCommand) -> Result<(), Failed> {
     match command {
-        cli::ConfigCommand::Put { file, settings } => {
-            let version = ConfigCommand::from_settings(settings.settings.as_deref())?.put(&file)?;
+        ConfigCommand::Put { file, settings } => {
+            let version = ConfigClient::from_settings(settings.settings.as_deref())?.put(&file)?;
             println!("version {}, digest {}", version.number, version.digest);
         }
-        cli::ConfigCommand::Show { number, settings } => {
-            let document = ConfigCommand::from_settings(settings.settings.as_deref())?.show(number)?;
+        ConfigCommand::Show { number, settings } => {
+            let document = ConfigClient::from_settings(settings.settings.as_deref())?.show(number)?;
             let version = document.version();
             eprintln!("version {}, digest {}", version.number, version.digest);
             println!("{}", String::from_utf8_lossy(document.bytes()));
         }
-        cli::ConfigCommand::Status { json, settings } => {
-            print_as(&ConfigCommand::from_settings(settings.settings.as_deref())?.status()?, json);
+        ConfigCommand::Status { json, settings } => {
+            print_as(&ConfigClient::from_settings(settings.settings.as_deref())?.status()?, json);
         }
     }
     Ok(())
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -34,7 +34,7 @@
 pub enum UnusableVersion {
     /// Its file cannot be read, or holds no version.
     #[error(transparent)]
-    File(StoredVersionError),
+    File(#[from] StoredVersionError),
     /// Over the gateway's own file it makes no usable configuration.
     #[error("version {number}: {source}")]
     Config {
