--- a/src/balance.rs
+++ b/src/balance.rs
@@ -17,14 +17,17 @@
 mod bookkeeping;
 mod capacity;
 mod choice;
+mod class_latencies;
 mod final_answer;
 mod group;
 mod housekeeping;
+mod idle_connections;
 mod log_clock;
 mod log_time_evidence;
 mod member;
 mod membership;
 mod open_request;
+mod outcomes;
 mod positions;
 mod progress;
 mod queue;
@@ -37,8 +40,10 @@
 
 use capacity::limit_share;
 use choice::WeightedMembers;
+use class_latencies::ClassLatencies;
 use group::Group;
 use housekeeping::{HealthCheckCandidate, SWEEP};
+use idle_connections::IdleConnections;
 use log_clock::{LogClock, Offset};
 use member::Member;
 use open_request::{Attempt, OpenRequest};
@@ -64,8 +69,7 @@
     weighted_scratch: WeightedMembers,
     /// Part of the usual limits that one of so many drivers has.
     limit_share: f64,
-    /// Mean latency of each class.
-    mean_latencies: Vec<f64>,
+    latencies: ClassLatencies,
     refreshed_at: Micros,
     /// Time that the survey under way covers, and the place of the family that is next in it.
     refresh: Option<(Micros, usize)>,
@@ -79,10 +83,7 @@
     health_check_tokens: f64,
     /// Time over which the groups' served cost counts, in microseconds: longer than a warm-up.
     served_span: f64,
-    /// Longest that a connection may be idle and still be trusted to carry a request.
-    trusted_idle_time: Micros,
-    /// Attempts without an answer in a row, all on idle connections.
-    idle_losses: u32,
+    idle_connections: IdleConnections,
     /// Positions are times of this router's clock; else what primaries say tells how the log's time stands to
     /// it.
     one_clock: bool,
@@ -104,12 +105,7 @@
 impl Router {
     /// Goes on under new settings. Their classes stand at the old places wherever a request is open.
     pub fn retune(&mut self, settings: Settings) {
-        for (place, class) in settings.classes.iter().enumerate() {
-            let same = self.settings.classes.get(place).is_some_and(|old| old == class);
-            self.mean_latencies.resize(self.mean_latencies.len().max(place + 1), 0.0);
-            self.mean_latencies[place] =
-                if same { self.mean_latencies[place] } else { class.latency_objective.as_f64() / 5.0 };
-        }
+        self.latencies.retune(&self.settings.classes, &settings.classes);
         self.limit_share = limit_share(&settings);
         if self.settings.replica_checks == ReplicaChecks::Reject
             && settings.replica_checks == ReplicaChecks::None
@@ -120,7 +116,7 @@
         self.settings = settings;
         let period = self.period();
         for (id, open) in &mut self.open {
-            let end = open.give_up.min(open.deadline - period);
+            let end = open.give_up_at.min(open.deadline - period);
             self.request_index.close(*id, std::mem::replace(&mut open.end, end), None);
             self.request_index.open(*id, end);
         }
--- a/src/balance/bookkeeping.rs
+++ b/src/balance/bookkeeping.rs
@@ -8,11 +8,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::capacity::limit_share;
+use super::class_latencies::ClassLatencies;
 use super::housekeeping::{HEALTH_CHECK_BURST, SWEEP, SWEEP_TICKS};
+use super::idle_connections::IdleConnections;
 use super::log_clock::LogClock;
 use super::member::Member;
-use super::open_request::OpenRequest;
-use super::request_index::{QueueEntry, RequestIndex};
+use super::request_index::RequestIndex;
 use super::sessions::Sessions;
 use super::{Actions, Router};
 use crate::api::*;
@@ -22,8 +23,8 @@
     /// A router that knows nothing but its settings; `seed` feeds its draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
-            mean_latencies: settings.classes.iter().map(|c| c.latency_objective.as_f64() / 5.0).collect(),
-            trusted_idle_time: settings.connection_idle_timeout,
+            latencies: ClassLatencies::new(&settings.classes),
+            idle_connections: IdleConnections::new(settings.connection_idle_timeout),
             limit_share: limit_share(&settings),
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -42,7 +43,6 @@
             next_sweep: Micros(0),
             health_check_tokens: HEALTH_CHECK_BURST,
             served_span: 0.0,
-            idle_losses: 0,
             one_clock: true,
             common_clock: LogClock::default(),
             usual_offset: None,
@@ -102,16 +102,6 @@
         }
     }
 
-    /// Puts a request into its family's queue.
-    pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(open) = self.open.get(&id) else { return };
-        let (group, class) = (open.req.group, open.req.class);
-        let (give_up, patience) = (open.give_up, self.patience(open));
-        let queue_entry =
-            self.request_index.wait(QueueEntry { id, group, class, give_up, patience, place: 0 });
-        self.open.entry(id).and_modify(|open| open.queue_entry = Some(queue_entry));
-    }
-
     /// A session's write was committed, here or at the process beside this one.
     pub fn committed(&mut self, group: GroupId, key: SessionKey, commit: Micros) {
         self.sessions.committed(group, key, commit);
@@ -122,37 +112,21 @@
         self.sessions.commit(group, key).filter(|commit| *commit > Micros(0))
     }
 
-    /// An answer has begun to flow: the request belongs to its client, and the member has room again.
+    /// An answer has begun to stream: the request has its final answer, and the member has capacity again.
     pub(super) fn started(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
-        let Some(OpenRequest { req, out, .. }) = self.open.get(&id) else { return };
-        for (no, to) in out {
-            if let (Some(a), Some(m)) = (self.attempts.get_mut(&(id, *no)), self.members.get_mut(to)) {
-                a.flows = true;
-                m.load.end(a.cost);
+        let Some(open) = self.open.get(&id) else { return };
+        for (attempt, to) in &open.in_flight {
+            let attempt = self.attempts.get_mut(&(id, *attempt));
+            if let (Some(attempt), Some(member)) = (attempt, self.members.get_mut(to)) {
+                attempt.streaming = true;
+                member.load.end(attempt.cost);
             }
         }
-        let group = req.group;
+        let group = open.request.group;
         self.close(id);
         self.send_waiting(now, group, actions);
     }
 
-    /// Cancels the attempts still out for a finished read: their answers serve nobody.
-    pub(super) fn cancel_remaining(&self, id: RequestId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
-        if self.settings.cancels
-            && self.settings.classes[open.req.class.0].idempotency == Idempotency::Idempotent
-        {
-            let out = open.out.iter().filter(|(attempt, _)| self.attempts.contains_key(&(id, *attempt)));
-            actions.extend(out.map(|(attempt, _)| Action::Cancel { request: id, attempt: *attempt }));
-        }
-    }
-
-    /// Forgets a finished request; its attempts are still booked as they end.
-    pub(super) fn close(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else { return };
-        self.request_index.close(id, open.end, open.queue_entry);
-    }
-
     pub(super) fn period(&self) -> Micros {
         Micros(self.settings.tick.0.max(1) * SWEEP_TICKS)
     }
--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -1,14 +1,11 @@
 //! What a request costs and who has room for it: concurrency limits, slow start, the parts of classes.
 
-use super::choice::WINDOW;
+use super::choice::MAX_CANDIDATES;
 use super::group::CandidateWindow;
 use super::member::Member;
 use super::Router;
 use crate::api::*;
 
-/// Least concurrency limit over all drivers: enough to keep a member's cores at work, whatever makes all
-/// answers slow, and to go on learning from them.
-pub(super) const LIMIT_FLOOR: f64 = 6.5;
 /// Drivers up to which each may start with the whole limit; more share what so many have.
 const FULL_LIMITS: f64 = 4.0;
 /// Part of the primary's limit open to reads that must be current, beyond the whole for others: they have no
@@ -27,17 +24,11 @@
 }
 
 impl Router {
-    /// Cost of a request in usual requests: its class's mean latency against the smallest.
-    pub(super) fn cost(&self, class: ClassId) -> f64 {
-        let least = self.mean_latencies.iter().copied().fold(f64::INFINITY, f64::min);
-        self.mean_latencies[class.0] / least
-    }
-
     /// Whether any member has room for a request of this class; a family too large to ask has.
-    pub(super) fn any_room(&self, now: Micros, group: GroupId, class: ClassId) -> bool {
-        let (cost, Some(group)) = (self.cost(class), self.groups.get(&group)) else { return false };
+    pub(super) fn any_capacity(&self, now: Micros, group: GroupId, class: ClassId) -> bool {
+        let (cost, Some(group)) = (self.latencies.cost(class), self.groups.get(&group)) else { return false };
         let mut members = group.members.iter().filter_map(|id| self.members.get(id));
-        group.members.len() > WINDOW || members.any(|m| self.takes(now, class, m, cost))
+        group.members.len() > MAX_CANDIDATES || members.any(|m| self.takes(now, class, m, cost))
     }
 
     /// Whether a member that may be the primary has room for a request of this class.
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -1,68 +1,99 @@
-//! When a request is given up, and what its client is told then.
+//! When a request is given up, and which final answer its client gets then.
 
-use super::group::Group;
 use super::member::Member;
+use super::open_request::OpenRequest;
 use super::queue::DROP_RATE_GAIN;
 use super::{Actions, Router};
 use crate::api::*;
 use crate::notice::{GiveUp, Notice};
 
 impl Router {
-    /// Ends a request unserved, at once: refused where that is proved harmless, else failed.
+    /// Ends a request unserved, at once: rejected where a retry is proved harmless, else failed.
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: GiveUp, actions: &mut Actions) {
-        let Some(attempts) = self.open.get(&id).map(|open| open.attempts) else { return };
-        if self.traced {
-            self.notify(Notice::GivenUp { request: id, why, attempts });
-        }
         let Some(open) = self.open.get(&id) else { return };
-        if open.attempts == 0 {
-            let dropped =
-                |group: &mut Group| group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_GAIN;
-            self.groups.entry(open.req.group).and_modify(dropped);
-        }
-        let idempotency = self.settings.classes[open.req.class.0].idempotency;
-        let harmless = matches!(
-            idempotency,
-            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
-        );
-        if harmless || open.proved_not_executed() {
-            // About when the next of those under way in its family ends.
-            let ahead = 1.0 + self.attempts.len() as f64 / self.groups.len().max(1) as f64;
-            let wait = Micros((self.mean_latencies[open.req.class.0] / ahead) as u64);
-            let wait = wait.min(self.settings.max_retry_after);
-            let useful = self.settings.retry_after && now + wait < open.deadline;
-            actions.push(Action::Reject { request: id, retry_after: useful.then_some(wait) });
+        let (attempts, group) = (open.attempts, open.request.group);
+        actions.push(if self.is_retry_harmless(open) {
+            Action::Reject { request: id, retry_after: self.retry_after(now, open) }
         } else {
-            actions.push(Action::Fail { request: id });
+            Action::Fail { request: id }
+        });
+        if let Some(group) = self.groups.get_mut(&group).filter(|_| attempts == 0) {
+            group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_GAIN;
+        }
+        if self.traced {
+            self.notify(Notice::GivenUp { request: id, why, attempts });
         }
         self.cancel_remaining(id, actions);
         self.close(id);
     }
 
-    /// Ends a request that can no longer be worth anything; rescues one that is lost.
+    /// Whether the client may retry a request without any effect occurring twice.
+    fn is_retry_harmless(&self, open: &OpenRequest) -> bool {
+        let harmless = match self.settings.classes[open.request.class.0].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey { scope, .. } => scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => false,
+        };
+        harmless || open.proved_not_executed()
+    }
+
+    /// When the client may come back: about when the next of the group's attempts in flight ends. None where
+    /// that would be too late, or clients are not told.
+    fn retry_after(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
+        let in_flight = 1.0 + self.attempts.len() as f64 / self.groups.len().max(1) as f64;
+        let wait = Micros((self.latencies.mean(open.request.class) / in_flight) as u64);
+        let wait = wait.min(self.settings.max_retry_after);
+        (self.settings.retry_after && now + wait < open.deadline).then_some(wait)
+    }
+
+    /// Ends a request that can no longer be served in time; sends one again whose attempts are lost.
     pub(super) fn check_request(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
-        let (period, Some(open)) = (self.period(), self.open.get(&id)) else { return };
-        let class = &self.settings.classes[open.req.class.0];
-        let mean = Micros(self.mean_latencies[open.req.class.0] as u64);
-        let waiting = open.out.is_empty();
-        let hopeless = waiting && (now + mean >= open.give_up || now >= self.patience(open));
-        let settled = class.idempotency == Idempotency::Idempotent || waiting;
-        if hopeless || settled && now >= open.give_up || now + period >= open.deadline {
-            let why = if hopeless { GiveUp::Waited } else { GiveUp::Overdue };
+        let Some(open) = self.open.get(&id) else { return };
+        if let Some(why) = self.reason_to_give_up(now, open) {
             self.give_up(now, id, why, actions);
             return;
         }
-        if waiting || !self.may_send(now, open) {
-            return;
-        }
-        // Attempts at a member that went down are given up for lost: a read is sent elsewhere while it
-        // can still be in time, a keyed write to the new primary once that is known.
-        let usable = |m: &MemberId| self.members.get(m).is_some_and(Member::is_usable);
-        if open.out.iter().any(|(_, m)| usable(m)) {
+        // Attempts at a member that went down are given up for lost: a read is sent elsewhere while it can
+        // still be in time, a write with an idempotency key to the new primary once that is known.
+        let usable = |id: &MemberId| self.members.get(id).is_some_and(Member::is_usable);
+        let lost = !open.in_flight.is_empty() && !open.in_flight.iter().any(|(_, member)| usable(member));
+        if !lost || !self.may_send(now, open) {
             return;
         }
         if let Some(to) = self.choose(now, id, actions) {
             self.send(now, id, to, actions);
         }
     }
+
+    /// Why a request is to be given up now, if it is.
+    fn reason_to_give_up(&self, now: Micros, open: &OpenRequest) -> Option<GiveUp> {
+        let class = &self.settings.classes[open.request.class.0];
+        let mean = Micros(self.latencies.mean(open.request.class) as u64);
+        let waiting = open.in_flight.is_empty();
+        if waiting && (now + mean >= open.give_up_at || now >= self.wait_until(open)) {
+            return Some(GiveUp::Waited);
+        }
+        // An attempt that may not be repeated is awaited as long as the client waits.
+        let may_end = waiting || class.idempotency == Idempotency::Idempotent;
+        let overdue = may_end && now >= open.give_up_at || now + self.period() >= open.deadline;
+        overdue.then_some(GiveUp::Overdue)
+    }
+
+    /// Cancels the attempts in flight of a finished read: their answers serve nobody.
+    pub(super) fn cancel_remaining(&self, id: RequestId, actions: &mut Actions) {
+        let Some(open) = self.open.get(&id) else { return };
+        let idempotency = self.settings.classes[open.request.class.0].idempotency;
+        if !self.settings.cancels || idempotency != Idempotency::Idempotent {
+            return;
+        }
+        let attempts = open.in_flight.iter().map(|(attempt, _)| *attempt);
+        let in_flight = attempts.filter(|attempt| self.attempts.contains_key(&(id, *attempt)));
+        actions.extend(in_flight.map(|attempt| Action::Cancel { request: id, attempt }));
+    }
+
+    /// Forgets a finished request; its attempts are still recorded as they end.
+    pub(super) fn close(&mut self, id: RequestId) {
+        let Some(open) = self.open.remove(&id) else { return };
+        self.request_index.close(id, open.end, open.queue_entry);
+    }
 }
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -42,7 +42,7 @@
         let due = if self.settings.hedging {
             self.open.keys().copied().collect()
         } else {
-            self.request_index.due(now, &self.mean_latencies)
+            self.request_index.due(now, self.latencies.all())
         };
         for id in due {
             self.check_request(now, id, actions);
@@ -73,8 +73,7 @@
                 self.refreshed_at = now;
                 let past = elapsed.as_f64().max(1.0);
                 self.served_span = self.served_span * self.served_decay(past) + past;
-                let trust = self.trusted_idle_time.scale(1.0 / half_life_decay(past).powf(0.3));
-                self.trusted_idle_time = trust.min(self.settings.connection_idle_timeout);
+                self.idle_connections.recover(past, self.settings.connection_idle_timeout);
                 (elapsed, 0)
             }
         };
@@ -119,7 +118,7 @@
         elapsed: Micros,
         due: &mut Vec<HealthCheckCandidate>,
     ) -> usize {
-        let usual = self.mean_latencies.iter().copied().fold(f64::INFINITY, f64::min);
+        let usual = self.latencies.least();
         let since = self.groups.get_index(place).map_or(now, |(_, group)| group.refreshed_at);
         let elapsed = if since == Micros(0) { elapsed } else { now - since }.as_f64().max(1.0);
         let (kept, forget) = (self.served_decay(elapsed), half_life_decay(elapsed));
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -47,8 +47,8 @@
     /// What the choice of the member that a request is out at rested on.
     pub fn read_basis(&self, now: Micros, id: RequestId) -> Option<ReadBasis> {
         let open = self.open.get(&id)?;
-        let member = self.members.get(&open.out.last()?.1)?;
-        let group = open.req.group;
+        let member = self.members.get(&open.in_flight.last()?.1)?;
+        let group = open.request.group;
         Some(ReadBasis {
             needed: self.needed(now, open),
             position: member.log.position(),
@@ -71,17 +71,18 @@
 
     /// The position that a read sent now must see; none where nobody has told the log's time yet.
     pub(super) fn needed(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
-        Some(match (self.settings.classes[open.req.class.0].consistency, self.settings.session_tokens) {
+        Some(match (self.settings.classes[open.request.class.0].consistency, self.settings.session_tokens) {
             (Consistency::Write | Consistency::Eventual, _) => Micros(0),
-            (Consistency::BoundedStaleness(bound), _) => self.log_now(now, open.req.group)? - bound,
+            (Consistency::BoundedStaleness(bound), _) => self.log_now(now, open.request.group)? - bound,
             // It may have arrived up to a hold after the clock was read.
             (Consistency::Strong, _) => {
-                self.log_now(now, open.req.group)? + self.hold() - (now - open.arrived)
+                self.log_now(now, open.request.group)? + self.hold() - (now - open.arrived_at)
             }
-            (Consistency::Session, SessionTokens::Carried) => open.req.committed.unwrap_or_default(),
+            (Consistency::Session, SessionTokens::Carried) => open.request.committed.unwrap_or_default(),
             (Consistency::Session, SessionTokens::Remembered) => {
-                let commit = open.req.session.and_then(|key| self.sessions.commit(open.req.group, key));
-                let floor = self.groups.get(&open.req.group).map_or(Micros(0), |g| g.forgotten_commit);
+                let commit =
+                    open.request.session.and_then(|key| self.sessions.commit(open.request.group, key));
+                let floor = self.groups.get(&open.request.group).map_or(Micros(0), |g| g.forgotten_commit);
                 commit.map_or(floor, |commit| commit.max(floor))
             }
         })
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -1,112 +1,138 @@
-//! Requests that wait for room: how long each may, and who is sent first.
+//! Requests that wait for capacity: how long each may, and which is sent first.
 
-use super::choice::ASK_PATIENCE;
+use super::choice::REPLICA_CHECK_TIME;
 use super::housekeeping::{HEALTH_CHECK_BURST, REFRESH_PERIOD};
 use super::open_request::OpenRequest;
+use super::request_index::QueueEntry;
 use super::{Actions, Router};
 use crate::api::*;
 use crate::notice::GiveUp;
 
-/// Most of its aim that a request may spend waiting for room while its family finds room for all...
+/// Most of its latency objective that a request may wait while its group has capacity for all...
 const LONGEST_QUEUE_TIME: f64 = 0.3;
-/// ...and once it refuses this part of them or more: who waits then is late, and its client comes again by
-/// itself sooner than a queue would get to it. Evenly less in between.
-const FULL_DROP_RATE: f64 = 0.5;
+/// ...and once the group drops [`FULL_DROP_RATE`] of them or more, linearly less in between: a request that
+/// waits then is late, and its client retries sooner than a queue would get to it.
 const SHORTEST_QUEUE_TIME: f64 = 0.03;
-/// Weight of a new request in that part: about the last fifty count.
+/// Share of dropped requests from which on the shortest queue time holds.
+const FULL_DROP_RATE: f64 = 0.5;
+/// Weight of a new request in that share: about the last fifty count.
 pub(super) const DROP_RATE_GAIN: f64 = 0.02;
-/// Requests of a class that may fail to find room before the rest of it waits for the next pass.
-const MAX_FAILED_PLACEMENTS: u32 = 4;
-/// Price of knowledge: part of the service that may be spent on probes in the long run.
+/// Requests of a class that may fail to find capacity before the rest of it waits for the next pass: a long
+/// queue costs processor time.
+const MAX_FAILED_PLACEMENTS: usize = 4;
+/// Part of the service that may be spent on health checks in the long run.
 const HEALTH_CHECK_SPEND: f64 = 0.004;
 
 impl Router {
-    pub(super) fn arrive(&mut self, now: Micros, req: Request, actions: &mut Actions) {
-        let class = &self.settings.classes[req.class.0];
-        let deadline = now + req.time_left;
-        let latency_objective =
-            if class.late_weight > 0.0 { deadline } else { deadline.min(now + class.latency_objective) };
-        let give_up = latency_objective - self.settings.tick;
-        let paid = HEALTH_CHECK_SPEND / self.settings.health_check_price.max(f64::MIN_POSITIVE);
-        self.health_check_tokens = (self.health_check_tokens + paid).min(HEALTH_CHECK_BURST);
-        let most = self.settings.max_attempts;
-        let end = give_up.min(deadline - self.period());
-        self.open.insert(
-            req.id,
-            OpenRequest { req, arrived: now, deadline, most, give_up, end, ..OpenRequest::default() },
-        );
-        self.request_index.open(req.id, end);
+    /// A request has arrived.
+    pub(super) fn arrive(&mut self, now: Micros, request: Request, actions: &mut Actions) {
+        let id = request.id;
+        self.earn_health_checks();
+        let open = self.open_request(now, request);
+        let (give_up_at, end) = (open.give_up_at, open.end);
+        self.open.insert(id, open);
+        self.request_index.open(id, end);
         // What is left of a late retry may be less than a sweep: it is not sent only to be given up.
-        if now + self.period() >= give_up {
-            return self.give_up(now, req.id, GiveUp::NoTime, actions);
+        if now + self.period() >= give_up_at {
+            return self.give_up(now, id, GiveUp::NoTime, actions);
         }
-        self.enqueue(req.id);
-        self.send_waiting(now, req.group, actions);
-        let waits = self.request_index.waits(req.group);
-        if self.open[&req.id].out.is_empty() {
-            self.check_request(now, req.id, actions);
+        self.enqueue(id);
+        self.send_waiting(now, request.group, actions);
+        let group_waits = self.request_index.waits(request.group);
+        if self.open[&id].in_flight.is_empty() {
+            self.check_request(now, id, actions);
         }
-        self.sweep_by(if waits { now + self.period() } else { give_up.min(now + REFRESH_PERIOD) }, actions);
+        let next = if group_waits { now + self.period() } else { give_up_at.min(now + REFRESH_PERIOD) };
+        self.sweep_by(next, actions);
+    }
+
+    /// Each request pays for a part of a health check.
+    fn earn_health_checks(&mut self) {
+        let earned = HEALTH_CHECK_SPEND / self.settings.health_check_price.max(f64::MIN_POSITIVE);
+        self.health_check_tokens = (self.health_check_tokens + earned).min(HEALTH_CHECK_BURST);
     }
 
-    /// How long a request may wait. A write that may have run is held as long as its client waits: only its
-    /// answer tells.
-    pub(super) fn patience(&self, open: &OpenRequest) -> Micros {
-        let class = &self.settings.classes[open.req.class.0];
-        if class.consistency == Consistency::Write && open.unproven {
-            return open.give_up;
+    /// A request with the times by which it has to be answered.
+    fn open_request(&self, now: Micros, request: Request) -> OpenRequest {
+        let class = &self.settings.classes[request.class.0];
+        let deadline = now + request.time_left;
+        let late_counts = class.late_weight > 0.0;
+        let due = if late_counts { deadline } else { deadline.min(now + class.latency_objective) };
+        let give_up_at = due - self.settings.tick;
+        OpenRequest {
+            request,
+            arrived_at: now,
+            deadline,
+            max_attempts: self.settings.max_attempts,
+            give_up_at,
+            end: give_up_at.min(deadline - self.period()),
+            ..OpenRequest::default()
         }
-        let queue_drop_rate = self
-            .groups
-            .get(&open.req.group)
-            .map_or(0.0, |group| group.queue_drop_rate / FULL_DROP_RATE)
-            .min(1.0);
-        let asks = if class.consistency != Consistency::Write && self.reads_check_replicas() {
-            ASK_PATIENCE
-        } else {
-            0.0
+    }
+
+    /// Puts a request into its group's queue.
+    pub(super) fn enqueue(&mut self, id: RequestId) {
+        let Some(open) = self.open.get(&id) else { return };
+        let entry = QueueEntry {
+            id,
+            group: open.request.group,
+            class: open.request.class,
+            give_up_at: open.give_up_at,
+            wait_until: self.wait_until(open),
+            place: 0,
         };
-        let part =
-            asks.max(LONGEST_QUEUE_TIME + (SHORTEST_QUEUE_TIME - LONGEST_QUEUE_TIME) * queue_drop_rate);
-        open.give_up.min(open.arrived + class.latency_objective.scale(part))
+        let entry = self.request_index.wait(entry);
+        self.open.entry(id).and_modify(|open| open.queue_entry = Some(entry));
     }
 
-    /// Sends as many of a group's waiting requests as there is room for: writes before reads, since
-    /// only the primary takes them, then by worth for work.
+    /// Until when a request may wait. A write that may have been executed waits as long as its client does:
+    /// only its answer tells.
+    pub(super) fn wait_until(&self, open: &OpenRequest) -> Micros {
+        let class = &self.settings.classes[open.request.class.0];
+        let write = class.consistency == Consistency::Write;
+        if write && open.may_have_executed {
+            return open.give_up_at;
+        }
+        let group = self.groups.get(&open.request.group);
+        let overload = group.map_or(0.0, |group| group.queue_drop_rate / FULL_DROP_RATE).min(1.0);
+        let queue_time = LONGEST_QUEUE_TIME + (SHORTEST_QUEUE_TIME - LONGEST_QUEUE_TIME) * overload;
+        let check_time = if !write && self.reads_check_replicas() { REPLICA_CHECK_TIME } else { 0.0 };
+        let time = class.latency_objective.scale(check_time.max(queue_time));
+        open.give_up_at.min(open.arrived_at + time)
+    }
+
+    /// Sends as many of a group's waiting requests as there is capacity for.
     pub(super) fn send_waiting(&mut self, now: Micros, group: GroupId, actions: &mut Actions) {
-        let ranked = |class: ClassId| {
-            let settings = &self.settings.classes[class.0];
-            (
-                settings.consistency == Consistency::Write,
-                self.settings.weight_per_work(class, self.mean_latencies[class.0]),
-                class,
-            )
-        };
-        let mut queue: Vec<_> = self.request_index.classes(group).into_iter().map(ranked).collect();
-        queue.sort_by(|(a_write, a, _), (b_write, b, _)| b_write.cmp(a_write).then(b.total_cmp(a)));
-        for (_, _, class) in queue {
-            if !self.any_room(now, group, class) {
-                continue;
+        for class in self.waiting_classes(group) {
+            if self.any_capacity(now, group, class) {
+                self.send_waiting_of(now, group, class, actions);
             }
-            // The newest first: in an overload it is the one that can still be in time, while the oldest
-            // would be sent only to be given up. Serves any backlog; the oldest are refused early.
-            let (mut failed, mut before) = (0, u64::MAX);
-            // Once some of a class find no room the rest would not either, and a long queue costs CPU.
-            while failed < MAX_FAILED_PLACEMENTS {
-                let newest = self.request_index.newest(
-                    group,
-                    class,
-                    before,
-                    (MAX_FAILED_PLACEMENTS - failed) as usize,
-                );
-                let Some((last, _)) = newest.last() else { break };
-                before = *last;
-                for (_, id) in newest {
-                    if let Some(member) = self.choose(now, id, actions) {
-                        self.send(now, id, member, actions);
-                    } else {
-                        failed += 1;
-                    }
+        }
+    }
+
+    /// The classes of a group's waiting requests: writes before reads, since only the primary takes them,
+    /// then by weight for work.
+    fn waiting_classes(&self, group: GroupId) -> Vec<ClassId> {
+        let mut classes = self.request_index.classes(group);
+        let is_write = |class: &ClassId| self.settings.classes[class.0].consistency == Consistency::Write;
+        let weight = |class: &ClassId| self.settings.weight_per_work(*class, self.latencies.mean(*class));
+        classes.sort_by(|a, b| is_write(b).cmp(&is_write(a)).then(weight(b).total_cmp(&weight(a))));
+        classes
+    }
+
+    /// Sends waiting requests of a class, the newest first: in an overload it is the one that can still be in
+    /// time, while the oldest would be sent only to be given up.
+    fn send_waiting_of(&mut self, now: Micros, group: GroupId, class: ClassId, actions: &mut Actions) {
+        let (mut failed, mut before) = (0, u64::MAX);
+        while failed < MAX_FAILED_PLACEMENTS {
+            let newest = self.request_index.newest(group, class, before, MAX_FAILED_PLACEMENTS - failed);
+            let Some((last, _)) = newest.last() else { break };
+            before = *last;
+            for (_, id) in newest {
+                if let Some(member) = self.choose(now, id, actions) {
+                    self.send(now, id, member, actions);
+                } else {
+                    failed += 1;
                 }
             }
         }
--- a/src/balance/request_index.rs
+++ b/src/balance/request_index.rs
@@ -15,9 +15,9 @@
     /// Its class.
     pub class: ClassId,
     /// After this an answer is worth nothing: looked at a mean latency of its class earlier.
-    pub give_up: Micros,
+    pub give_up_at: Micros,
     /// When it is looked at whatever the latencies are.
-    pub patience: Micros,
+    pub wait_until: Micros,
     /// Its place: the higher, the later it joined.
     pub place: u64,
 }
@@ -27,9 +27,9 @@
 pub struct RequestIndex {
     places: u64,
     ends: BTreeSet<(Micros, RequestId)>,
-    patience: BTreeSet<(Micros, RequestId)>,
+    wait_until: BTreeSet<(Micros, RequestId)>,
     /// Of each class, by when an answer is worth nothing.
-    hopes: Vec<BTreeSet<(Micros, RequestId)>>,
+    useful_until: Vec<BTreeSet<(Micros, RequestId)>>,
     queues: BTreeMap<GroupId, BTreeSet<(ClassId, u64, RequestId)>>,
 }
 
@@ -51,11 +51,11 @@
     pub fn wait(&mut self, mut queue_entry: QueueEntry) -> QueueEntry {
         self.places += 1;
         queue_entry.place = self.places;
-        if self.hopes.len() <= queue_entry.class.0 {
-            self.hopes.resize_with(queue_entry.class.0 + 1, BTreeSet::new);
+        if self.useful_until.len() <= queue_entry.class.0 {
+            self.useful_until.resize_with(queue_entry.class.0 + 1, BTreeSet::new);
         }
-        self.hopes[queue_entry.class.0].insert((queue_entry.give_up, queue_entry.id));
-        self.patience.insert((queue_entry.patience, queue_entry.id));
+        self.useful_until[queue_entry.class.0].insert((queue_entry.give_up_at, queue_entry.id));
+        self.wait_until.insert((queue_entry.wait_until, queue_entry.id));
         self.queues.entry(queue_entry.group).or_default().insert((
             queue_entry.class,
             queue_entry.place,
@@ -66,10 +66,10 @@
 
     /// Takes a request out of its queue.
     pub fn leave(&mut self, queue_entry: QueueEntry) {
-        if let Some(hopes) = self.hopes.get_mut(queue_entry.class.0) {
-            hopes.remove(&(queue_entry.give_up, queue_entry.id));
+        if let Some(useful_until) = self.useful_until.get_mut(queue_entry.class.0) {
+            useful_until.remove(&(queue_entry.give_up_at, queue_entry.id));
         }
-        self.patience.remove(&(queue_entry.patience, queue_entry.id));
+        self.wait_until.remove(&(queue_entry.wait_until, queue_entry.id));
         if let Some(queue) = self.queues.get_mut(&queue_entry.group) {
             queue.remove(&(queue_entry.class, queue_entry.place, queue_entry.id));
             if queue.is_empty() {
@@ -121,9 +121,9 @@
             due.extend(set.range(..=(until, RequestId(u64::MAX))).map(|(_, id)| *id));
         };
         take(&self.ends, now);
-        take(&self.patience, now);
-        for (hopes, mean) in self.hopes.iter().zip(mean_latencies) {
-            take(hopes, now + Micros(*mean as u64));
+        take(&self.wait_until, now);
+        for (useful_until, mean) in self.useful_until.iter().zip(mean_latencies) {
+            take(useful_until, now + Micros(*mean as u64));
         }
         due.sort_unstable();
         due.dedup();
--- a/src/balance/request_index/tests.rs
+++ b/src/balance/request_index/tests.rs
@@ -19,7 +19,7 @@
     fn due(&self, now: Micros, mean_latencies: &[f64]) -> Vec<RequestId> {
         let due = |(_, end, queue_entry): &&(RequestId, Micros, Option<QueueEntry>)| {
             let spent = |s: &QueueEntry| {
-                s.patience <= now || s.give_up <= now + Micros(mean_latencies[s.class.0] as u64)
+                s.wait_until <= now || s.give_up_at <= now + Micros(mean_latencies[s.class.0] as u64)
             };
             *end <= now || queue_entry.as_ref().is_some_and(spent)
         };
@@ -55,8 +55,8 @@
                     model.open.push((id, Micros(time), None));
                 }
                 (1 | 2, Some(at)) if model.open[at].2.is_none() => {
-                    let (give_up, patience) = (Micros(time + 20), Micros(time));
-                    let queue_entry = book.wait(QueueEntry { id, group, class, give_up, patience, place: 0 });
+                    let (give_up_at, wait_until) = (Micros(time + 20), Micros(time));
+                    let queue_entry = book.wait(QueueEntry { id, group, class, give_up_at, wait_until, place: 0 });
                     prop_assert!(model.waiting().all(|other| other.place < queue_entry.place));
                     model.open[at].2 = Some(queue_entry);
                 }
@@ -90,7 +90,7 @@
         for (id, end, queue_entry) in model.open.drain(..) {
             book.close(id, end, queue_entry);
         }
-        prop_assert!(book.ends.is_empty() && book.patience.is_empty() && !book.is_waiting());
-        prop_assert!(book.hopes.iter().all(BTreeSet::is_empty));
+        prop_assert!(book.ends.is_empty() && book.wait_until.is_empty() && !book.is_waiting());
+        prop_assert!(book.useful_until.iter().all(BTreeSet::is_empty));
     }
 }
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -55,7 +55,7 @@
             administratively_down: self.administratively_down.clone(),
             common_clock: self.common_clock.into(),
             span: self.served_span,
-            means: self.mean_latencies.clone(),
+            means: self.latencies.all().to_vec(),
             ..Snapshot::default()
         };
         for (key, group, commit) in self.sessions.commits() {
@@ -79,9 +79,7 @@
         self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
         self.administratively_down = snapshot.administratively_down;
         self.served_span = snapshot.span;
-        for (mean, known) in self.mean_latencies.iter_mut().zip(mean_latencies) {
-            *mean = known.unwrap_or(*mean);
-        }
+        self.latencies.restore(mean_latencies);
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
         groups.into_iter().for_each(|group| self.recount(group));
     }
