--- a/src/api.rs
+++ b/src/api.rs
@@ -233,6 +233,15 @@
 }
 
 impl Settings {
+    /// The least bound on the age of data that a class has, if any has one.
+    pub fn least_staleness_bound(&self) -> Option<Micros> {
+        let bounds = self.classes.iter().filter_map(|class| match class.consistency {
+            Consistency::BoundedStaleness(bound) => Some(bound),
+            _ => None,
+        });
+        bounds.min()
+    }
+
     /// The weight of a unit of work for a request of this class that takes so many units.
     pub fn weight_per_work(&self, class: ClassId, work: f64) -> f64 {
         let priority_weight = self.classes[class.0].priority_weight;
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -20,9 +20,11 @@
 mod class_latencies;
 mod final_answer;
 mod group;
+mod health_checks;
 mod housekeeping;
 mod idle_connections;
 mod log_clock;
+mod log_time;
 mod log_time_evidence;
 mod member;
 mod membership;
@@ -42,9 +44,10 @@
 use choice::WeightedMembers;
 use class_latencies::ClassLatencies;
 use group::Group;
-use housekeeping::{HealthCheckCandidate, SWEEP};
+use health_checks::HealthCheckCandidate;
+use housekeeping::{RefreshProgress, SWEEP};
 use idle_connections::IdleConnections;
-use log_clock::{LogClock, Offset};
+use log_time::LogTime;
 use member::Member;
 use open_request::{Attempt, OpenRequest};
 use request_index::RequestIndex;
@@ -53,52 +56,44 @@
 
 type Actions = Vec<Action>;
 
-/// Makes the decisions of one driver.
+/// Makes the decisions of one gateway.
 pub struct Router {
     settings: Settings,
     rng: Pcg64Mcg,
     members: IndexMap<MemberId, Member, FxBuildHasher>,
     groups: IndexMap<GroupId, Group, FxBuildHasher>,
-    /// Members that operators have put down, in the list or not.
+    /// Members that operators have taken out of service, in the list or not.
     administratively_down: BTreeSet<MemberId>,
     open: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeMap<(RequestId, AttemptNo), Attempt>,
     request_index: RequestIndex,
     sessions: Sessions,
-    /// What the last draw was from.
+    /// Memory for the members of a draw, kept between draws.
     weighted_scratch: WeightedMembers,
-    /// Part of the usual limits that one of so many drivers has.
+    /// Part of the usual limits that one of so many gateways has.
     limit_share: f64,
     latencies: ClassLatencies,
+    idle_connections: IdleConnections,
+    /// When the latest refresh of members began.
     refreshed_at: Micros,
-    /// Time that the survey under way covers, and the place of the family that is next in it.
-    refresh: Option<(Micros, usize)>,
-    /// The members to be probed first of those that it has seen.
-    due: Vec<HealthCheckCandidate>,
-    /// The family that was retried last, where not all had their turn.
+    /// The refresh under way, if there is one.
+    refresh: Option<RefreshProgress>,
+    /// Members to be checked first, of those that the refresh under way has seen.
+    due_health_checks: Vec<HealthCheckCandidate>,
+    /// Health checks that the requests so far have paid for.
+    health_check_tokens: f64,
+    /// The group that was retried last, where not all had their turn.
     last_retried: Option<GroupId>,
     /// When the next sweep is due, zero before the first; a timer that ends before is stale.
     next_sweep: Micros,
-    /// Probes that the requests so far have paid for.
-    health_check_tokens: f64,
-    /// Time over which the groups' served cost counts, in microseconds: longer than a warm-up.
+    /// Time over which the groups' served cost counts, in microseconds: longer than a slow start.
     served_span: f64,
-    idle_connections: IdleConnections,
-    /// Positions are times of this router's clock; else what primaries say tells how the log's time stands to
-    /// it.
-    one_clock: bool,
-    /// The time of all logs: databases read one clock. A family whose own answers do not fit it goes by
-    /// those.
-    common_clock: LogClock,
-    /// Bounds of the log's time over all families, for those of which nothing is proved; and those of the
-    /// survey under way.
-    usual_offset: Option<Offset>,
-    refreshed_offset: Option<Offset>,
-    /// When a primary was last probed for the time of its log.
+    log_time: LogTime,
+    /// When a primary was last checked for the time of its log.
     log_time_checked_at: Micros,
-    /// What operators are told at the end of the event under way.
+    /// Notices of the event under way, for its end.
     notices: Vec<Notice>,
-    /// They are told of single requests as well.
+    /// Single requests are traced: there are notices of them as well.
     traced: bool,
 }
 
--- a/src/balance/bookkeeping.rs
+++ b/src/balance/bookkeeping.rs
@@ -9,9 +9,9 @@
 
 use super::capacity::limit_share;
 use super::class_latencies::ClassLatencies;
-use super::housekeeping::{HEALTH_CHECK_BURST, SWEEP, SWEEP_TICKS};
+use super::housekeeping::HEALTH_CHECK_BURST;
 use super::idle_connections::IdleConnections;
-use super::log_clock::LogClock;
+use super::log_time::LogTime;
 use super::member::Member;
 use super::request_index::RequestIndex;
 use super::sessions::Sessions;
@@ -38,15 +38,12 @@
             weighted_scratch: Vec::new(),
             refreshed_at: Micros(0),
             refresh: None,
-            due: Vec::new(),
+            due_health_checks: Vec::new(),
             last_retried: None,
             next_sweep: Micros(0),
             health_check_tokens: HEALTH_CHECK_BURST,
             served_span: 0.0,
-            one_clock: true,
-            common_clock: LogClock::default(),
-            usual_offset: None,
-            refreshed_offset: None,
+            log_time: LogTime::new(true),
             log_time_checked_at: Micros(0),
             notices: Vec::new(),
             traced: false,
@@ -55,7 +52,7 @@
 
     /// A router whose clock is its own: how the log's time stands to it is learned from what primaries say.
     pub fn with_own_clock(settings: Settings, seed: u64) -> Self {
-        Router { one_clock: false, ..Router::new(settings, seed) }
+        Router { log_time: LogTime::new(false), ..Router::new(settings, seed) }
     }
 
     /// Tells of single requests as well from now on.
@@ -66,7 +63,7 @@
     /// Keeps what operators are to be told. A router whose clock is the log's tells nothing: its driver keeps
     /// its own record.
     pub(super) fn notify(&mut self, notice: Notice) {
-        if !self.one_clock {
+        if !self.log_time.is_same_clock() {
             self.notices.push(notice);
         }
     }
@@ -126,23 +123,4 @@
         self.close(id);
         self.send_waiting(now, group, actions);
     }
-
-    pub(super) fn period(&self) -> Micros {
-        Micros(self.settings.tick.0.max(1) * SWEEP_TICKS)
-    }
-
-    /// Asks for a sweep at `at`, unless one comes before.
-    pub(super) fn sweep_by(&mut self, at: Micros, actions: &mut Actions) {
-        if at < self.next_sweep {
-            self.next_sweep = at;
-            actions.push(Action::SetTimer { timer: SWEEP, at });
-        }
-    }
-
-    /// Probes a member.
-    pub(super) fn start_health_check(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        member.health_check.start(now);
-        actions.push(Action::HealthCheck { member: id });
-    }
 }
--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -42,14 +42,7 @@
 
     /// Part of the primary's limit open to writes: the less, the more replicas are behind a bound.
     pub(super) fn write_part(&self, candidate_window: CandidateWindow) -> f64 {
-        let bound = |class: &Class| {
-            if let Consistency::BoundedStaleness(bound) = class.consistency {
-                Some(bound)
-            } else {
-                None
-            }
-        };
-        let bound = self.settings.classes.iter().filter_map(bound).min().unwrap_or(BEHIND);
+        let bound = self.settings.least_staleness_bound().unwrap_or(BEHIND);
         let replicas = self.candidates(candidate_window).filter(|(_, m)| m.role.role() == Role::Replica);
         let count = |(all, late), (_, m): (_, &Member)| (all + 1, late + u32::from(m.log.lag() > bound));
         let (all, late) = replicas.fold((0, 0), count);
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -1,44 +1,81 @@
-//! What is renewed in time: sweeps over requests, surveys of members with their weights and slow-start
-//! budgets, and probes.
+//! What is renewed in time: sweeps over open requests, and refreshes of members with their weights and
+//! slow-start tokens.
 
+use super::health_checks::HealthCheckCandidate;
 use super::log_clock::{HOLD, ROUNDING};
+use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
 
 /// Ticks between sweeps while a request waits: two, to cost little beside the events of its ticks.
-pub(super) const SWEEP_TICKS: u64 = 2;
-/// Time between reweightings, and between sweeps while none waits; the paper's is one second.
+const SWEEP_TICKS: u64 = 2;
+/// Time between refreshes, and between sweeps while no request waits.
 pub(super) const REFRESH_PERIOD: Micros = Micros::millis(50);
 /// Time in which the memory of failures halves, so that a member gets another chance.
-const FAIL_HALF_LIFE: Micros = Micros::millis(3000);
-/// Least time between probes of a member, and between writes there that look for a primary.
+const FAILURE_HALF_LIFE: Micros = Micros::millis(3000);
+/// Least time between health checks of a member, and between writes there that look for a primary.
 pub(super) const HEALTH_CHECK_PAUSE: Micros = Micros::millis(200);
-/// Most probes saved up: a driver with little traffic can ask a whole small group at once.
+/// Most health checks saved up: a gateway with little traffic can check a whole small group at once.
 pub(super) const HEALTH_CHECK_BURST: f64 = 4.0;
-/// Part of the multiple of its capacity that a cold member may be sent; the rest is for chance.
-const COLD_PART: f64 = 0.7;
-/// Part of the fall window's budget that a cold member may get in one go.
-const COLD_BURST: f64 = 0.25;
-/// Most members surveyed, sessions forgotten and families retried in one step; the rest comes in the next.
+/// Part of the overload multiple that a member in slow start may be sent; the rest is for chance.
+const SLOW_START_PART: f64 = 0.7;
+/// Part of the overload window's budget that a member in slow start may get in one go.
+const SLOW_START_BURST: f64 = 0.25;
+/// Most members refreshed, sessions forgotten and groups retried in one step; the rest comes in the next.
 const MAX_PER_STEP: usize = 512;
 /// The one timer: each sweep asks for the next.
 pub(super) const SWEEP: TimerId = TimerId(0);
 
-/// What is left after so long of what halves like the memory of failures.
+/// What is left after this time of what halves like the memory of failures.
 pub(super) fn half_life_decay(elapsed: f64) -> f64 {
-    0.5f64.powf(elapsed / FAIL_HALF_LIFE.as_f64())
+    0.5f64.powf(elapsed / FAILURE_HALF_LIFE.as_f64())
 }
 
-/// A member whose health may be checked: those whose connections broke first, then the one that was checked
-/// longest ago.
-pub type HealthCheckCandidate = (bool, Micros, MemberId);
+/// A refresh of all members that takes more than one step.
+#[derive(Clone, Copy)]
+pub struct RefreshProgress {
+    /// Time that it covers.
+    elapsed: Micros,
+    /// Index of the group that is next in it.
+    next_group: usize,
+}
+
+/// What a refresh does to each member of a group.
+struct MemberRefresh<'a> {
+    now: Micros,
+    settings: &'a Settings,
+    /// Time since the last refresh, in microseconds.
+    elapsed: f64,
+    /// Part of failures and lag that is kept.
+    decay: f64,
+    /// Time that a usual request takes, in microseconds.
+    usual_latency: f64,
+    /// Cost a microsecond that each member of the group has served of late.
+    served_rate: f64,
+}
+
+impl MemberRefresh<'_> {
+    /// Renews a member's penalty, slow-start tokens and weight. In slow start a member gets of each gateway
+    /// its even part of what the group served there, as far as it is warm: the sum stays inside the multiple.
+    fn apply(&self, member: &mut Member) {
+        let warmth = member.slow_start.warmth(self.now, self.settings);
+        let failure_rate = member.failure_rate();
+        let decay = || (-self.elapsed * (1.0 - failure_rate) / self.usual_latency).exp();
+        member.load.decay_failure_penalty(decay);
+        let multiple = self.settings.overload_multiple * SLOW_START_PART;
+        let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST;
+        member.slow_start.refill(self.served_rate * warmth * multiple, self.elapsed, burst);
+        member.forget_by(self.decay);
+        member.refresh_weight(warmth);
+    }
+}
 
 impl Router {
+    /// Looks at the requests that something falls due for, and refreshes members.
     pub(super) fn sweep(&mut self, now: Micros, actions: &mut Actions) {
         self.next_sweep = Micros(u64::MAX);
-        let period = self.period();
-        self.refresh_members(now, actions);
-        // Only where two copies may be out is a request looked at while its attempt is.
+        self.refresh(now, actions);
+        // Only where requests are hedged is one looked at while its attempt is in flight.
         let due = if self.settings.hedging {
             self.open.keys().copied().collect()
         } else {
@@ -47,164 +84,176 @@
         for id in due {
             self.check_request(now, id, actions);
         }
-        let waiting = self.request_index.families(self.last_retried, MAX_PER_STEP);
+        let waiting = self.request_index.groups(self.last_retried, MAX_PER_STEP);
         self.last_retried = waiting.last().copied().filter(|_| waiting.len() == MAX_PER_STEP);
         for group in waiting {
             self.send_waiting(now, group, actions);
         }
+        let next = self.next_sweep_time(now);
+        self.sweep_by(next, actions);
+    }
+
+    /// Shortest time between two sweeps.
+    pub(super) fn period(&self) -> Micros {
+        Micros(self.settings.tick.0.max(1) * SWEEP_TICKS)
+    }
+
+    /// Asks for a sweep at this time, unless one comes before.
+    pub(super) fn sweep_by(&mut self, at: Micros, actions: &mut Actions) {
+        if at < self.next_sweep {
+            self.next_sweep = at;
+            actions.push(Action::SetTimer { timer: SWEEP, at });
+        }
+    }
+
+    fn next_sweep_time(&self, now: Micros) -> Micros {
+        let tick = now + self.settings.tick;
         let next = match self.request_index.next_end() {
-            _ if self.request_index.is_waiting() => now + period,
-            Some(end) => (now + self.settings.tick).max(end.min(now + REFRESH_PERIOD)),
+            _ if self.request_index.is_waiting() => now + self.period(),
+            Some(end) => tick.max(end.min(now + REFRESH_PERIOD)),
             None => now + HEALTH_CHECK_PAUSE,
         };
-        let next = if self.refresh.is_some() { next.min(now + self.settings.tick) } else { next };
-        self.sweep_by(next, actions);
+        if self.refresh.is_some() {
+            next.min(tick)
+        } else {
+            next
+        }
     }
 
-    /// Surveys the families, so many members in one step and the others in the next; afterwards it rests
-    /// for its period. Probes members whose connections broke, and where members do not check reads
-    /// themselves those whose position is oldest, as far as the requests served pay for it.
-    pub(super) fn refresh_members(&mut self, now: Micros, actions: &mut Actions) {
-        let (elapsed, mut place) = match self.refresh {
-            Some(under_way) => under_way,
-            None if now - self.refreshed_at < REFRESH_PERIOD => return,
-            None => {
-                let elapsed = now - self.refreshed_at;
-                self.refreshed_at = now;
-                let past = elapsed.as_f64().max(1.0);
-                self.served_span = self.served_span * self.served_decay(past) + past;
-                self.idle_connections.recover(past, self.settings.connection_idle_timeout);
-                (elapsed, 0)
-            }
+    /// Refreshes the groups, so many members in one step and the others in the next; afterwards it rests for
+    /// its period. Then checks the health of members.
+    fn refresh(&mut self, now: Micros, actions: &mut Actions) {
+        let Some(RefreshProgress { elapsed, mut next_group }) =
+            self.refresh.or_else(|| self.begin_refresh(now))
+        else {
+            return;
         };
-        let (mut seen, mut due) = (0, std::mem::take(&mut self.due));
-        while seen < MAX_PER_STEP && place < self.groups.len() {
-            seen += 1 + self.refresh_group(now, place, elapsed, &mut due);
-            place += 1;
-        }
-        self.refresh = Some((elapsed, place)).filter(|_| place < self.groups.len());
-        if self.refresh.is_none() {
-            self.usual_offset = self.refreshed_offset.take().or(self.usual_offset);
+        let (mut seen, mut due) = (0, std::mem::take(&mut self.due_health_checks));
+        while seen < MAX_PER_STEP && next_group < self.groups.len() {
+            seen += 1 + self.refresh_group(now, next_group, elapsed, &mut due);
+            next_group += 1;
         }
         due.sort_unstable();
         due.truncate(HEALTH_CHECK_BURST as usize);
-        self.due = due;
-        if self.refresh.is_some() {
+        self.due_health_checks = due;
+        if next_group < self.groups.len() {
+            self.refresh = Some(RefreshProgress { elapsed, next_group });
             return;
         }
+        self.refresh = None;
+        self.log_time.finish_refresh();
         self.check_primary_for_log_time(now, actions);
-        for (_, _, id) in std::mem::take(&mut self.due) {
-            if self.health_check_tokens < 1.0 {
-                return;
-            }
-            self.health_check_tokens -= 1.0;
-            self.start_health_check(now, id, actions);
+        self.start_due_health_checks(now, actions);
+    }
+
+    /// Begins a refresh, if one is due.
+    fn begin_refresh(&mut self, now: Micros) -> Option<RefreshProgress> {
+        let elapsed = now - self.refreshed_at;
+        if elapsed < REFRESH_PERIOD {
+            return None;
         }
+        self.refreshed_at = now;
+        let micros = elapsed.as_f64().max(1.0);
+        self.served_span = self.served_span * self.served_decay(micros) + micros;
+        self.idle_connections.recover(micros, self.settings.connection_idle_timeout);
+        Some(RefreshProgress { elapsed, next_group: 0 })
     }
 
-    /// Part of a served cost that still counts after so long.
-    pub(super) fn served_decay(&self, elapsed: f64) -> f64 {
+    /// Part of a served cost that still counts after this time.
+    fn served_decay(&self, elapsed: f64) -> f64 {
         0.5f64.powf(elapsed / (2.0 * self.settings.slow_start_window.as_f64()))
     }
 
-    /// Renews a family's weights, its rate and what its cold members may be sent, forgets what is past,
-    /// and says how many members that were and which are to be probed. A cold member gets of each driver
-    /// its even part of what the group served there, as far as it is warm: the sum stays inside the
-    /// multiple. A driver may use its share of a single core.
-    pub(super) fn refresh_group(
+    /// Refreshes a group: its members and its sessions. How many members it had.
+    fn refresh_group(
         &mut self,
         now: Micros,
-        place: usize,
+        index: usize,
         elapsed: Micros,
         due: &mut Vec<HealthCheckCandidate>,
     ) -> usize {
-        let usual = self.latencies.least();
-        let since = self.groups.get_index(place).map_or(now, |(_, group)| group.refreshed_at);
-        let elapsed = if since == Micros(0) { elapsed } else { now - since }.as_f64().max(1.0);
-        let (kept, forget) = (self.served_decay(elapsed), half_life_decay(elapsed));
-        let latest = self.groups.get_index(place).and_then(|(id, _)| self.log_now(now, *id));
-        let Router { settings, members, served_span, limit_share, .. } = self;
-        let Some((id, group)) = self.groups.get_index_mut(place) else { return 0 };
+        let Some((id, group)) = self.groups.get_index(index) else { return 0 };
+        let (id, members) = (*id, group.members.len());
+        let first = group.refreshed_at == Micros(0);
+        let elapsed = if first { elapsed } else { now - group.refreshed_at }.as_f64().max(1.0);
+        let latest = self.log_now(now, id);
+        let passed = self.refresh_members(now, index, elapsed, due);
+        self.forget_sessions(id, passed, latest);
+        if let Some(group) = self.groups.get(&id) {
+            self.log_time.refresh(group);
+        }
+        members
+    }
+
+    /// Refreshes a group's members, forgets those that are lost, and collects those whose health may be
+    /// checked. The position that all replicas in service have passed, if there are any.
+    fn refresh_members(
+        &mut self,
+        now: Micros,
+        index: usize,
+        elapsed: f64,
+        due: &mut Vec<HealthCheckCandidate>,
+    ) -> Option<Micros> {
+        let served_decay = self.served_decay(elapsed);
+        let Router { settings, members, served_span, limit_share, latencies, .. } = self;
+        let (_, group) = self.groups.get_index_mut(index)?;
         group.refreshed_at = now;
-        group.served_cost *= kept;
-        let multiple = settings.overload_multiple * COLD_PART;
-        let floor = 1.0 / f64::from(settings.gateways.max(1)) / usual;
-        let window = settings.overload_window.as_f64() * COLD_BURST;
-        let served = (group.served_cost / *served_span / group.live_members.max(1.0)).max(floor);
-        let (looked, mut gone, mut passed) = (group.members.len(), 0.0, None);
+        group.served_cost *= served_decay;
+        let usual_latency = latencies.least();
+        // A gateway may use its share of a single core.
+        let least_rate = 1.0 / f64::from(settings.gateways.max(1)) / usual_latency;
+        let served_rate = group.served_cost / *served_span / group.live_members.max(1.0);
+        let refresh = MemberRefresh {
+            now,
+            settings,
+            elapsed,
+            decay: half_life_decay(elapsed),
+            usual_latency,
+            served_rate: served_rate.max(least_rate),
+        };
+        let (mut lost_in_service, mut passed) = (0.0, None);
         group.members.retain(|id| {
             let Some(member) = members.get_mut(id) else { return false };
-            let warmth = member.slow_start.warmth(now, settings);
-            let failure_rate = member.failure_rate();
-            member.load.decay_failure_penalty(|| (-elapsed * (1.0 - failure_rate) / usual).exp());
-            member.slow_start.refill(served * warmth * multiple, elapsed, window);
-            member.forget_by(forget);
-            member.refresh_weight(warmth);
-            let listed = member.is_in_service();
+            refresh.apply(member);
+            let in_service = member.is_in_service();
             // Members gone for good are forgotten, or years of replacements would add up.
-            if !(member.is_held() || listed && !member.outlier.is_lost()) {
+            if !member.is_held() && (!in_service || member.outlier.is_lost()) {
                 members.swap_remove(id);
-                gone += f64::from(u8::from(listed));
+                lost_in_service += f64::from(u8::from(in_service));
                 return false;
             }
-            if !listed {
-                return true;
-            }
-            if member.role.role() != Role::Primary {
-                let position = member.log.position().unwrap_or_default();
-                passed = Some(passed.map_or(position, |least: Micros| least.min(position)));
+            if in_service {
+                passed = least_position(passed, member);
+                member.outlier.readmit_when_due(now, *limit_share);
+                due.extend(HealthCheckCandidate::new(now, *id, member, settings));
             }
-            member.outlier.readmit_when_due(now, *limit_share);
-            let urgent = member.outlier.has_connect_failures();
-            let asked = member.health_check.last_started_at().max(member.log.updated_at());
-            let routine = settings.replica_checks == ReplicaChecks::None;
-            let due_now = !member.health_check.is_in_flight()
-                && (urgent || routine)
-                && now - asked >= HEALTH_CHECK_PAUSE;
-            due.extend((due_now && settings.health_checks).then_some((!urgent, asked, *id)));
             true
         });
-        group.live_members -= gone;
-        group.primary = group.primary.filter(|leader| members.contains_key(leader));
-        // A token that every live member has passed holds nobody back any more.
-        let forgotten = self.sessions.forget(*id, passed.or(latest).unwrap_or_default(), MAX_PER_STEP);
-        group.forgotten_commit =
-            forgotten.map_or(group.forgotten_commit, |commit| group.forgotten_commit.max(commit));
+        group.live_members -= lost_in_service;
+        group.primary = group.primary.filter(|primary| members.contains_key(primary));
+        passed
+    }
+
+    /// Forgets the sessions of a group that hold nobody back any more: all replicas have passed their
+    /// commits.
+    fn forget_sessions(&mut self, id: GroupId, passed: Option<Micros>, latest: Option<Micros>) {
+        let passed = passed.or(latest).unwrap_or_default();
+        let forgotten = self.sessions.forget(id, passed, MAX_PER_STEP);
+        if let (Some(commit), Some(group)) = (forgotten, self.groups.get_mut(&id)) {
+            group.forgotten_commit = group.forgotten_commit.max(commit);
+        }
         if let Some(latest) = latest {
             // What is further on stands for a time that was not known when the commit's answer was lost.
-            self.sessions.lower(*id, latest + HOLD + Micros(ROUNDING as u64), MAX_PER_STEP);
+            self.sessions.lower(id, latest + HOLD + Micros(ROUNDING as u64), MAX_PER_STEP);
         }
-        let offset =
-            self.groups.get_index(place).and_then(|(_, group)| self.within_common(group.log_clock.known()?));
-        if let Some(offset) = offset {
-            self.refreshed_offset = Some(self.refreshed_offset.map_or(offset, |other| other.hull(offset)));
-        }
-        looked
     }
+}
 
-    pub(super) fn health_checked(
-        &mut self,
-        now: Micros,
-        id: MemberId,
-        status: AttemptStatus,
-        report: HealthReport,
-        actions: &mut Actions,
-    ) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        member.health_check.finish();
-        let group = member.group();
-        match status {
-            AttemptStatus::Ok => {
-                self.member_responded(now, id);
-                self.observe_primary_report(now, id, report);
-                self.observe_report(now, id, report);
-                self.send_waiting(now, group, actions);
-            }
-            AttemptStatus::ConnectFailed | AttemptStatus::Reset | AttemptStatus::Timeout => {
-                member.outlier.health_check_failed(now);
-                self.sweep_by(now, actions);
-            }
-            _ => {}
-        }
+/// The lesser of a position and that of a replica.
+fn least_position(least: Option<Micros>, member: &Member) -> Option<Micros> {
+    if member.role.role() == Role::Primary {
+        return least;
     }
+    let position = member.log.position().unwrap_or_default();
+    Some(least.map_or(position, |least| least.min(position)))
 }
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -1,6 +1,6 @@
 //! How far members have applied the log, how the log's time stands to this clock, and what a read must see.
 
-use super::log_clock::HOLD;
+use super::log_clock::Offset;
 use super::open_request::OpenRequest;
 use super::Router;
 use crate::api::*;
@@ -20,8 +20,9 @@
         let Some(group) = self.members.get(&id).map(|member| member.group()) else { return };
         let (offset, latest) = (self.offset(group), self.log_now(now, group));
         // What cannot be is spoilt, and so may the rest of it be.
-        if position.is_some_and(|at| !self.one_clock && offset.is_some_and(|offset| !offset.allows(now, at)))
-        {
+        if position.is_some_and(|at| {
+            !self.log_time.is_same_clock() && offset.is_some_and(|offset| !offset.allows(now, at))
+        }) {
             return;
         }
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -59,14 +60,19 @@
         })
     }
 
-    /// For how long this router may be held up between its clock and what it does then: one whose clock is
-    /// the log's acts in no time.
+    /// For how long this router may be held up between reading its clock and what it does then.
     pub(super) fn hold(&self) -> Micros {
-        if self.one_clock {
-            Micros(0)
-        } else {
-            HOLD
-        }
+        self.log_time.hold()
+    }
+
+    /// The offset between a group's log time and this router's clock.
+    pub(super) fn offset(&self, group: GroupId) -> Option<Offset> {
+        self.log_time.offset(self.groups.get(&group))
+    }
+
+    /// The time of a group's log by now at the latest. None as long as nothing is proved of any log.
+    pub(super) fn log_now(&self, now: Micros, group: GroupId) -> Option<Micros> {
+        self.log_time.latest(now, self.groups.get(&group))
     }
 
     /// The position that a read sent now must see; none where nobody has told the log's time yet.
--- a/src/balance/request_index.rs
+++ b/src/balance/request_index.rs
@@ -89,7 +89,7 @@
     }
 
     /// At most so many families of which requests wait, in order, those after this one.
-    pub fn families(&self, after: Option<GroupId>, most: usize) -> Vec<GroupId> {
+    pub fn groups(&self, after: Option<GroupId>, most: usize) -> Vec<GroupId> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
         self.queues.range((from, Unbounded)).take(most).map(|(group, _)| *group).collect()
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::log_clock::{LogClock, Offset};
+use super::log_clock::LogClock;
 use super::snapshot_format::SessionRecord;
 pub use super::snapshot_format::Snapshot;
 use super::Router;
@@ -53,7 +53,7 @@
             members: self.members.iter().map(|(id, member)| (*id, member.into())).collect(),
             groups: self.groups.iter().map(|(id, group)| (*id, group.into())).collect(),
             administratively_down: self.administratively_down.clone(),
-            common_clock: self.common_clock.into(),
+            common_clock: self.log_time.common().into(),
             span: self.served_span,
             means: self.latencies.all().to_vec(),
             ..Snapshot::default()
@@ -72,9 +72,8 @@
         for group in self.groups.values_mut() {
             group.log_clock = group.log_clock.after_error(error);
         }
-        self.common_clock = LogClock::from(snapshot.common_clock).after_error(error);
-        let groups = self.groups.values().filter_map(|group| self.within_common(group.log_clock.known()?));
-        self.usual_offset = groups.reduce(Offset::hull);
+        let common = LogClock::from(snapshot.common_clock).after_error(error);
+        self.log_time.restore(common, self.groups.values());
         let sessions = snapshot.sessions.into_iter().chain(snapshot.roaming);
         self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
         self.administratively_down = snapshot.administratively_down;
