--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -1,14 +1,14 @@
-//! A voter's store: the bytes and the time of one promise or acceptance, put in place by the gateway's own `VoterFile` on
+//! A voter's store: the bytes and the time of one promise or acceptance, put in place by the gateway's own `AcceptorFile` on
 //! the disk that is named.
 
 use std::time::Instant;
 
-use dunemount::fleet::file::VoterFile;
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount_fleet::acceptor::{Acceptor, RequestOutcome};
 use dunemount_fleet::frame::{self, MessageKind};
-use dunemount_fleet::lease::Tenure;
+use dunemount_fleet::lease::LeaseRecord;
 use dunemount_fleet::messages::{AcceptorReply, AcceptorRequest, Operation};
-use dunemount_fleet::node::Disk;
+use dunemount_fleet::node::AcceptorStorage;
 use dunemount_fleet::node_id::NodeId;
 use dunemount_fleet::register::{AcceptorSet, AcceptorSlot, Ballot};
 use serde::Serialize;
@@ -25,7 +25,7 @@
 fn ask(
     voter: &mut Acceptor,
     call: AcceptorRequest,
-    disk: Option<&mut VoterFile>,
+    disk: Option<&mut AcceptorFile>,
 ) -> Result<(AcceptorReply, usize), String> {
     match voter.handle_request(call) {
         RequestOutcome::Reply(reply) => Ok((reply, 0)),
@@ -43,7 +43,7 @@
 fn renewal(register: usize, beat: u64) -> [AcceptorRequest; 2] {
     let owner = NodeId::from_start(&format!("gw-{register}"), 0);
     let (key, ballot) = (format!("survey/{register}"), Ballot { counter: 1_000 + beat, proposer: owner });
-    let value = Tenure { epoch: 7, owner: Some(owner), beat, wanted: None }.write();
+    let value = LeaseRecord { epoch: 7, holder: Some(owner), renewal: beat, requested_by: None }.encode();
     let call =
         |operation| AcceptorRequest { acceptors: AcceptorSet::default(), nonce: owner.0 ^ beat, operation };
     [call(Operation::Prepare { key: key.clone(), ballot }), call(Operation::Accept { key, ballot, value })]
@@ -79,7 +79,7 @@
             if voter.register_count() != registers {
                 return Err(format!("{} of {registers} registers", voter.register_count()));
             }
-            let mut disk = VoterFile::at(path);
+            let mut disk = AcceptorFile::new(path);
             let (mut took, mut file, mut datagrams) = (0.0, 0, 0);
             for beat in 0..RENEWALS {
                 for call in renewal(beat * registers / RENEWALS, 1_000_000 + beat as u64) {
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -14,18 +14,20 @@
 
 use dunemount::balancer::Balancer;
 use dunemount::config::{version, ActiveConfig, ConfigResult};
-use dunemount::fleet::carrier::{Carrier, Wire};
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::fleet::driver;
-use dunemount::fleet::file::{self, VoterFile};
-use dunemount::fleet::rollout::{self, links};
+use dunemount::fleet::durable_file;
+use dunemount::fleet::rollout::follower_driver::FollowerDriver;
+use dunemount::fleet::rollout::gateway;
+use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
-use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
+use dunemount::net::discovery::{BadAnswer, CallFailure, Directory, Watch};
 use dunemount::settings::Zones;
 use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
 use dunemount_fleet::frame;
 use dunemount_fleet::membership::MembershipChange;
-use dunemount_fleet::node::Event as Told;
+use dunemount_fleet::node::NodeEvent;
 use dunemount_rollout::follower::{self, ApplyError, Follower};
 use dunemount_rollout::settings::Timeouts;
 use dunemount_rollout::version::Document;
@@ -209,7 +211,7 @@
     region: usize,
 }
 
-impl Wire for Counted<'_> {
+impl DatagramSocket for Counted<'_> {
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
@@ -259,7 +261,7 @@
 
 /// The part of a gateway that follows the control servers.
 struct Following {
-    carrier: links::Carrier,
+    carrier: FollowerDriver,
     /// Where the version in force is kept.
     kept: PathBuf,
     in_force: Option<Document>,
@@ -271,7 +273,7 @@
 
 struct Gateway {
     region: usize,
-    carrier: Carrier,
+    carrier: NodeTransport,
     socket: UdpSocket,
     listing: Listing,
     following: Option<Following>,
@@ -342,11 +344,11 @@
                 }
                 let Ready { heard, answered, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
-                if heard || gateway.carrier.node.due() <= now {
+                if heard || gateway.carrier.node.next_deadline() <= now {
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
-                if following.is_some_and(|it| !control.is_empty() || it.carrier.due() <= now) {
+                if following.is_some_and(|it| !control.is_empty() || it.carrier.next_turn() <= now) {
                     gateway.follow(index, now, &control, reports);
                 }
                 // Who is left out is found ready, or due, in the next pass.
@@ -375,10 +377,10 @@
             let list = here + Duration::from_micros((gateway.listing.due() - now).0);
             let control = match &gateway.following {
                 Some(_) if gateway.is_offered() => Duration::ZERO,
-                Some(following) => following.carrier.due(),
+                Some(following) => following.carrier.next_turn(),
                 None => Duration::MAX,
             };
-            gateway.carrier.node.due().min(list).min(control)
+            gateway.carrier.node.next_deadline().min(list).min(control)
         });
         due.min().unwrap_or(Duration::MAX)
     }
@@ -437,8 +439,8 @@
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) =
             driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
-        let voter = slot.zip(file.as_deref().map(VoterFile::at));
-        let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
+        let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
+        let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
         let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
@@ -460,7 +462,7 @@
             let number = before.as_ref().map(Document::version);
             let follower = Follower::new(settings, number, self.began.elapsed());
             let (machines, key) = (self.common.machines.addresses(), datagrams(index) + CONTROL);
-            let carrier = links::Carrier::new(follower, machines, self.poller.clone(), key);
+            let carrier = FollowerDriver::new(follower, machines, self.poller.clone(), key);
             Some(Following { carrier, kept, in_force: before, offered: None, heard: None })
         };
         Ok(Gateway { region, carrier, socket, listing, following, progress, counts, frozen: false })
@@ -486,7 +488,7 @@
         let taken = in_force.replace(common.configuration.clone(), &mut zones);
         let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(Listing {
-            watch: Watch::from(None),
+            watch: Watch::from_version(None),
             call: None,
             silent: None,
             next: Micros(0),
@@ -501,7 +503,7 @@
     /// Takes the version that was kept before its start.
     fn restore(&mut self, kept: &Path, common: &Common) -> Result<Option<Document>, String> {
         let place = kept.display().to_string();
-        let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
+        let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
             text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
@@ -513,7 +515,7 @@
     fn take(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
         let settings = self.in_force.replace(text, &mut zones)?.settings.router;
-        self.directory.know_zones(zones);
+        self.directory.set_zones(zones);
         if let Some(balancer) = &mut self.balancer {
             balancer.update_settings(settings.clone());
         }
@@ -524,9 +526,9 @@
     /// Takes a version and keeps it, as the program does.
     fn take_version(&mut self, document: &Document, kept: &Path, common: &Common) -> Result<(), String> {
         let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
-        let staged = file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
+        let staged = durable_file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
         match self.take(text) {
-            Ok(()) => staged.settle().map_err(|e| e.to_string()),
+            Ok(()) => staged.commit().map_err(|e| e.to_string()),
             Err(fault) => {
                 staged.discard();
                 Err(fault.to_string())
@@ -559,7 +561,7 @@
             if self.silent.as_ref().is_some_and(|silent| silent.key == first) { first + 1 } else { first };
         poller.add_with_mode(&socket, Event::writable(key), PollMode::Level)?;
         let until = now + self.watch.timeout();
-        let text = self.watch.call(&common.discovery.to_string()).into_bytes();
+        let text = self.watch.next_request(&common.discovery.to_string()).into_bytes();
         let length = text.len();
         self.call = Some(Call { socket, text, sent: 0, heard: 0, key, began: now, until });
         Ok(length)
@@ -573,19 +575,19 @@
 
     /// The latest call has had its time: whether it stays out beside the next is the watch's to say.
     fn overdue(&mut self, now: Micros, poller: &Poller) {
-        match self.watch.overdue() {
-            Failed::Silent => {
+        match self.watch.on_timeout() {
+            CallFailure::Silent => {
                 self.end_call(true, poller);
                 self.silent = self.call.take();
                 let spent = self.silent.as_ref().map_or(Micros(0), |call| now - call.began);
-                self.call_again(Failed::Silent, spent, now);
+                self.call_again(CallFailure::Silent, spent, now);
             }
             how => self.failed(how, false, now, poller),
         }
     }
 
     /// A call has failed. One that fell silent before was booked then.
-    fn failed(&mut self, how: Failed, late: bool, now: Micros, poller: &Poller) {
+    fn failed(&mut self, how: CallFailure, late: bool, now: Micros, poller: &Poller) {
         let spent = self.end_call(late, poller).map_or(Micros(0), |call| now - call.began);
         if !late {
             self.call_again(how, spent, now);
@@ -593,10 +595,10 @@
     }
 
     /// When the next call goes out is the watch's to say.
-    fn call_again(&mut self, how: Failed, spent: Micros, now: Micros) {
+    fn call_again(&mut self, how: CallFailure, spent: Micros, now: Micros) {
         let draw = f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let Settings { gateways, drain_grace, .. } = self.settings;
-        self.next = now + self.watch.failed(how, gateways, drain_grace, spent, draw);
+        self.next = now + self.watch.on_call_failed(how, gateways, drain_grace, spent, draw);
     }
 }
 
@@ -624,7 +626,7 @@
             poller.modify_with_mode(&out.socket, answered(out.key), PollMode::Level)?;
         }
         match &mut self.following {
-            Some(following) => following.carrier.hold(frozen),
+            Some(following) => following.carrier.set_paused(frozen),
             None => Ok(()),
         }
     }
@@ -632,15 +634,15 @@
     fn turn(&mut self, now: Duration, common: &Common) {
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
-        carrier.turn(now, Counted { socket, counts, common, region: *region });
-        while let Some(event) = self.carrier.node.event() {
+        carrier.poll(now, Counted { socket, counts, common, region: *region });
+        while let Some(event) = self.carrier.node.next_event() {
             match event {
-                Told::Member(MembershipChange::Up(peer)) => {
+                NodeEvent::Membership(MembershipChange::Up(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_joined(other, peer.start);
                     }
                 }
-                Told::Member(MembershipChange::Down(peer)) => {
+                NodeEvent::Membership(MembershipChange::Down(peer)) => {
                     if let Some(other) = (common.number)(&peer.name) {
                         self.progress.member_left(other, Some(peer.start));
                     }
@@ -688,7 +690,7 @@
                 at: Instant::now(),
             });
         }
-        carrier.taken(began.elapsed(), version, taken.map_err(ApplyError));
+        carrier.handle_applied(began.elapsed(), version, taken.map_err(ApplyError));
         self.counts.control_cpu += thread_cpu() - before;
     }
 
@@ -705,7 +707,7 @@
         if self.listing.call.is_none() && self.listing.next <= now {
             match self.listing.dial(index, now, common, poller) {
                 Ok(length) => self.counts.calls.add(length),
-                Err(_) => self.listing.failed(Failed::Empty, false, now, poller),
+                Err(_) => self.listing.failed(CallFailure::Rejected, false, now, poller),
             }
         }
         self.counts.list_cpu += thread_cpu() - before;
@@ -718,12 +720,12 @@
             match out.socket.write(&out.text[out.sent..]) {
                 Ok(count) => out.sent += count,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return listing.failed(Failed::Empty, late, now, poller),
+                Err(_) => return listing.failed(CallFailure::Rejected, late, now, poller),
             }
             if out.sent == out.text.len() {
                 let changed = poller.modify_with_mode(&out.socket, Event::readable(out.key), PollMode::Level);
                 if changed.is_err() {
-                    listing.failed(Failed::Lost, late, now, poller);
+                    listing.failed(CallFailure::Lost, late, now, poller);
                 }
             }
             return;
@@ -736,11 +738,11 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) => {
                     self.counts.idle.add(out.heard);
-                    return listing.failed(Failed::Lost, late, now, poller);
+                    return listing.failed(CallFailure::Lost, late, now, poller);
                 }
             };
             out.heard += count;
-            let (heard, known) = (out.heard, listing.watch.known());
+            let (heard, known) = (out.heard, listing.watch.version());
             let answer = match late {
                 true => listing.watch.receive_late(&bytes[..count], count == 0),
                 false => listing.watch.receive(&bytes[..count], count == 0),
@@ -749,7 +751,7 @@
                 Ok(None) if count > 0 => continue,
                 Ok(Some(list)) => {
                     let (version, all) = (list.rev, list.all);
-                    let (entries, unread) = listing.directory.take(list, clock);
+                    let (entries, unread) = listing.directory.update(list, clock);
                     if let Some(balancer) = &mut listing.balancer {
                         balancer.update_endpoints(now, all && unread == 0, entries);
                     }
@@ -760,8 +762,8 @@
                     listing.next = now;
                     return;
                 }
-                Err(BadAnswer::Status(_)) => Failed::Empty,
-                Ok(None) | Err(_) => Failed::Lost,
+                Err(BadAnswer::Status(_)) => CallFailure::Rejected,
+                Ok(None) | Err(_) => CallFailure::Lost,
             };
             self.counts.idle.add(heard);
             return listing.failed(how, late, now, poller);
