--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -29,6 +29,7 @@
 // What drives it.
 mod admin;
 mod clients;
+mod config;
 mod connection_io;
 mod decision_log;
 mod discovery_watch;
@@ -43,12 +44,13 @@
 mod sweep;
 mod worker_messages;
 
-pub use self::start::{Config, ReadConfig, Signals};
+pub use self::config::{Config, ReadConfig, Signals};
 
 use self::admin::AdminInterface;
 use self::client_admission::ClientAdmission;
 use self::connections::{ConnectionId, Connections};
 use self::discovery_watch::DiscoveryWatch;
+use self::host_connection::CloseReason;
 use self::mailboxes::{Owner, WorkerMessage, Workers};
 use self::peers::HotRestart;
 use self::timers::{Timer, Timers};
@@ -276,7 +278,7 @@
             Output::HealthCheck(member) => self.start_health_check(member),
             Output::CloseIdle(member) => {
                 for host in self.pool.idle_to(member) {
-                    self.log_host_closed(host, "idle connections to it are distrusted");
+                    self.log_host_closed(host, CloseReason::Distrusted);
                     self.close(host);
                 }
             }
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -5,6 +5,7 @@
 
 use super::client_connection::{ClientConnection, RequestLocation};
 use super::connections::{Connection, ConnectionId, ConnectionKind, Interest, UnregisteredConnection};
+use super::discovery_watch::CallError;
 use super::mailboxes::{Abandonment, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
 use super::streaming::MAX_UNREAD;
@@ -274,7 +275,7 @@
                 self.close(id);
             }
             ConnectionKind::Host(_) => self.handle_host_lost(id, FailureCause::ConnectionLost),
-            ConnectionKind::Discovery(_) => self.handle_discovery_lost(id, "connection broke"),
+            ConnectionKind::Discovery(_) => self.handle_discovery_lost(id, CallError::ConnectionBroke),
             ConnectionKind::Admin(_) | ConnectionKind::HalfClosed { .. } => self.close(id),
         }
     }
--- a/src/net/event_loop/decision_log.rs
+++ b/src/net/event_loop/decision_log.rs
@@ -6,6 +6,7 @@
 use slog::{debug, info, Drain};
 
 use super::connections::ConnectionId;
+use super::host_connection::CloseReason;
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailureCause, ResponseStatus};
 use crate::notice::{role_name, GiveUp, LogTimeEvidence, Notice, PositionSource, ReadBasis};
@@ -70,8 +71,8 @@
     }
 
     /// A connection to a host is closed by this gateway.
-    pub(super) fn log_host_closed(&self, id: ConnectionId, why: &'static str) {
-        debug!(self.log, "connection to a host closed"; "connection" => id.index, "why" => why);
+    pub(super) fn log_host_closed(&self, id: ConnectionId, why: CloseReason) {
+        debug!(self.log, "connection to a host closed"; "connection" => id.index, "why" => close_reason_name(why));
     }
 
     fn client_id(&self, request_id: RequestId) -> &str {
@@ -117,6 +118,23 @@
     }
 }
 
+/// What the reason is called in the log for which a connection to a host was closed.
+fn close_reason_name(why: CloseReason) -> &'static str {
+    match why {
+        CloseReason::IdleTimeout => "idle for too long",
+        CloseReason::Distrusted => "idle connections to it are distrusted",
+        CloseReason::CapacityNeeded => "room for another",
+        CloseReason::UnexpectedInput => "bytes or an end while idle",
+        CloseReason::NotRoutable => "draining or gone",
+        CloseReason::ResponseNotAwaited => "its answer is not awaited any more",
+        CloseReason::Failed(FailureCause::ConnectionLost) => "lost",
+        CloseReason::Failed(FailureCause::MalformedResponse) => "spoilt",
+        CloseReason::Failed(FailureCause::TimedOut) => "no answer in time",
+        CloseReason::Failed(FailureCause::NotAttempted) => "not tried",
+        CloseReason::Failed(FailureCause::WrittenTooLate) => "written too late",
+    }
+}
+
 /// An attempt's status under the name that it has in the log.
 struct LoggedStatus(AttemptStatus);
 
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -1,6 +1,7 @@
 //! The watch on discovery: when it is called, what comes of it, and how endpoint lists reach all workers.
 
 use std::net::SocketAddr;
+use std::{error, fmt, io};
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -21,6 +22,60 @@
 /// Failures in a row of which one is logged: one line in ten seconds at the most.
 const FAILURES_PER_LINE: u64 = 100;
 
+/// Why a call to discovery brought no endpoint list.
+#[derive(Debug)]
+pub(super) enum CallError {
+    /// The connection could not be begun.
+    Connect(io::Error),
+    /// It was answered with this status.
+    Rejected(u16),
+    ConnectionEnded,
+    ConnectionBroke,
+    BadAnswer(BadAnswer),
+    /// It was given up without an answer.
+    NoAnswer,
+    /// It has fallen silent, and stays out.
+    Silent,
+}
+
+impl CallError {
+    /// What the watch learns of it.
+    fn failure(&self) -> CallFailure {
+        match self {
+            CallError::Connect(_) | CallError::Rejected(_) => CallFailure::Rejected,
+            CallError::Silent => CallFailure::Silent,
+            CallError::ConnectionEnded
+            | CallError::ConnectionBroke
+            | CallError::BadAnswer(_)
+            | CallError::NoAnswer => CallFailure::Lost,
+        }
+    }
+}
+
+impl error::Error for CallError {
+    fn source(&self) -> Option<&(dyn error::Error + 'static)> {
+        match self {
+            CallError::Connect(e) => Some(e),
+            CallError::BadAnswer(bad) => Some(bad),
+            _ => None,
+        }
+    }
+}
+
+impl fmt::Display for CallError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CallError::Connect(e) => write!(f, "{e}"),
+            CallError::Rejected(status) => write!(f, "turned away: {status}"),
+            CallError::ConnectionEnded => write!(f, "connection ended"),
+            CallError::ConnectionBroke => write!(f, "connection broke"),
+            CallError::BadAnswer(bad) => write!(f, "bad answer: {bad:?}"),
+            CallError::NoAnswer => write!(f, "no answer"),
+            CallError::Silent => write!(f, "silent"),
+        }
+    }
+}
+
 /// The watch on discovery: where it is, what is known, and the calls that are out.
 pub(super) struct DiscoveryWatch {
     pub(super) address: SocketAddr,
@@ -91,7 +146,7 @@
             }
             // Nothing was asked, and nothing is wrong with discovery.
             Err(e) if is_shortage(&e) => self.set_timer(SHORTAGE_PAUSE, Timer::DiscoveryRetry),
-            Err(e) => self.schedule_next_call(&e.to_string(), CallFailure::Rejected),
+            Err(e) => self.schedule_next_call(CallError::Connect(e)),
         }
     }
 
@@ -104,7 +159,7 @@
             self.discovery.watch.receive(bytes, has_ended)
         };
         match answer {
-            Ok(None) if has_ended => self.handle_discovery_lost(id, "connection ended"),
+            Ok(None) if has_ended => self.handle_discovery_lost(id, CallError::ConnectionEnded),
             Ok(None) => {}
             Ok(Some(listing)) => {
                 self.distribute_endpoints(listing, false);
@@ -113,18 +168,18 @@
             }
             Err(BadAnswer::Status(status)) if !is_late => {
                 self.end_call(id);
-                self.schedule_next_call(&format!("turned away: {status}"), CallFailure::Rejected);
+                self.schedule_next_call(CallError::Rejected(status));
             }
-            Err(bad) => self.handle_discovery_lost(id, &format!("bad answer: {bad:?}")),
+            Err(bad) => self.handle_discovery_lost(id, CallError::BadAnswer(bad)),
         }
     }
 
     /// A call has failed, and what it was to bring may be lost. The failure of one that fell silent was recorded then.
-    pub(super) fn handle_discovery_lost(&mut self, id: ConnectionId, why: &str) {
+    pub(super) fn handle_discovery_lost(&mut self, id: ConnectionId, why: CallError) {
         let is_late = self.discovery.silent_call == Some(id);
         self.end_call(id);
         if !is_late {
-            self.schedule_next_call(why, CallFailure::Lost);
+            self.schedule_next_call(why);
         }
     }
 
@@ -139,18 +194,20 @@
                 if let Some(before) = self.discovery.silent_call.replace(id) {
                     self.close(before);
                 }
-                self.schedule_next_call("silent", CallFailure::Silent);
+                self.schedule_next_call(CallError::Silent);
+            }
+            CallFailure::Lost | CallFailure::Rejected => {
+                self.handle_discovery_lost(id, CallError::NoAnswer);
             }
-            CallFailure::Lost | CallFailure::Rejected => self.handle_discovery_lost(id, "no answer"),
         }
     }
 
     /// Another call follows after a backoff.
-    fn schedule_next_call(&mut self, why: &str, how: CallFailure) {
-        let backoff = self.discovery.on_call_failed(how, self.now);
+    fn schedule_next_call(&mut self, why: CallError) {
+        let backoff = self.discovery.on_call_failed(why.failure(), self.now);
         let failures = self.discovery.watch.failures();
         if failures % FAILURES_PER_LINE == 1 {
-            warn!(self.log, "discovery failed"; "why" => why, "in a row" => failures);
+            warn!(self.log, "discovery failed"; "why" => %why, "in a row" => failures);
         }
         self.set_timer(backoff, Timer::DiscoveryRetry);
     }
--- a/src/net/event_loop/host_connection.rs
+++ b/src/net/event_loop/host_connection.rs
@@ -1,5 +1,6 @@
 //! The state of a connection to a database host.
 
+use crate::attempt::FailureCause;
 use crate::pg::host::Host;
 use crate::{MemberId, Micros, RequestId};
 
@@ -11,6 +12,24 @@
     HealthCheck,
 }
 
+/// Why this gateway closes a connection to a host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum CloseReason {
+    IdleTimeout,
+    /// Idle connections to this host may be broken.
+    Distrusted,
+    /// Another connection needs its descriptor.
+    CapacityNeeded,
+    /// Bytes or an end have come while it was idle.
+    UnexpectedInput,
+    /// The host gets nothing new.
+    NotRoutable,
+    /// It carries a request whose response nobody waits for.
+    ResponseNotAwaited,
+    /// Its attempt or health check has failed.
+    Failed(FailureCause),
+}
+
 /// A connection to a host.
 pub(super) struct HostConnection {
     pub(super) protocol: Host,
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -5,7 +5,7 @@
 use slog::{debug, warn};
 
 use super::connections::{ConnectionId, ConnectionKind};
-use super::host_connection::{HostConnection, HostTask};
+use super::host_connection::{CloseReason, HostConnection, HostTask};
 use super::timers::Timer;
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
@@ -42,7 +42,7 @@
             warn!(self.log, "no descriptors left for hosts"; "open" => self.pool.len());
             return Err(FailureCause::NotAttempted);
         };
-        self.log_host_closed(idle, "room for another");
+        self.log_host_closed(idle, CloseReason::CapacityNeeded);
         self.close(idle);
         Ok(())
     }
@@ -64,7 +64,7 @@
             if peeked.is_some_and(|e| e.kind() == io::ErrorKind::WouldBlock) {
                 return Some(id);
             }
-            self.log_host_closed(id, "bytes or an end while idle");
+            self.log_host_closed(id, CloseReason::UnexpectedInput);
             self.close(id);
         }
         None
@@ -146,7 +146,7 @@
         let (progress, is_ready) = (host.protocol.reach(), host.is_ready);
         let answer = host.protocol.ended();
         if cause != FailureCause::ConnectionLost {
-            self.log_host_closed(id, close_reason(cause));
+            self.log_host_closed(id, CloseReason::Failed(cause));
         }
         self.close(id);
         let failed = FailedAttempt { progress, cause };
@@ -200,14 +200,3 @@
         unix_ms.map(|ms| self.clock.at_unix_ms(ms))
     }
 }
-
-/// What the log says of a connection that is given up for this cause.
-fn close_reason(cause: FailureCause) -> &'static str {
-    match cause {
-        FailureCause::ConnectionLost => "lost",
-        FailureCause::MalformedResponse => "spoilt",
-        FailureCause::TimedOut => "no answer in time",
-        FailureCause::NotAttempted => "not tried",
-        FailureCause::WrittenTooLate => "written too late",
-    }
-}
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -2,7 +2,7 @@
 
 use super::client_connection::RequestLocation;
 use super::connections::ConnectionId;
-use super::host_connection::HostTask;
+use super::host_connection::{CloseReason, HostTask};
 use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
 use super::timers::Timer;
@@ -292,7 +292,7 @@
         if is_idle && self.balancer.is_routable(member) {
             self.pool.put(now, member, id);
         } else if is_ready {
-            let why = if is_idle { "draining or gone" } else { "its answer is not awaited any more" };
+            let why = if is_idle { CloseReason::NotRoutable } else { CloseReason::ResponseNotAwaited };
             self.log_host_closed(id, why);
             self.close(id);
         }
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -1,22 +1,18 @@
-//! How a gateway starts: its configuration, its listeners, one worker after the other, and what it takes over from the
-//! process before.
+//! How a gateway starts: its listeners, one worker after the other, and what it takes over from the process before.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::os::fd::AsRawFd;
-use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
-use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Instant;
 
-use dunemount_rollout::version::Document;
 use polling::{Event, PollMode, Poller};
 use slog::{o, Logger};
 
 use super::admin::AdminInterface;
 use super::client_admission::{ClientAdmission, ClientLimits};
+use super::config::{Config, Signals};
 use super::connections::Connections;
 use super::discovery_watch::DiscoveryWatch;
 use super::mailboxes::Workers;
@@ -28,18 +24,15 @@
 use super::{poll_keys, Gateway, Phase};
 use crate::balancer::Balancer;
 use crate::classes::Classes;
-use crate::config::{ConfigResult, LoadedConfig};
-use crate::fleet::rollout::handover;
-use crate::fleet::status::Board;
 use crate::hot_restart::handover_socket::{HandoverSocket, HandoverState};
 use crate::hot_restart::message::GatewaySnapshot;
 use crate::net::clock::Clock;
-use crate::net::discovery::{Directory, Listing};
+use crate::net::discovery::Directory;
 use crate::net::pool::Pool;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::request::InFlightRequests;
-use crate::settings::{SiteSettings, Zones};
+use crate::settings::SiteSettings;
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 use crate::Micros;
 
@@ -64,57 +57,6 @@
 /// Least time for a connection to a host to come up.
 const MIN_CONNECT_TIMEOUT: Micros = Micros::millis(10);
 
-/// What a gateway is given at its start.
-pub struct Config {
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// Where operators connect, if they may.
-    pub admin: Option<SocketAddr>,
-    /// Discovery's address.
-    pub discovery: SocketAddr,
-    /// For random numbers.
-    pub seed: u64,
-    /// Most file descriptors.
-    pub max_descriptors: usize,
-    /// Most memory, in MiB.
-    pub memory_mib: usize,
-    /// The endpoint list as last known.
-    pub endpoints: Listing,
-    /// The settings.
-    pub site: SiteSettings,
-    /// The zones that the settings name.
-    pub zones: Zones,
-    /// The configuration's text, for the next process.
-    pub text: String,
-    /// Path of the handover socket on which this process waits for the next one.
-    pub handover_path: Option<PathBuf>,
-    /// What the process before hands over.
-    pub predecessor: Option<HandoverState>,
-    /// Where the state of the fleet is shown, if the gateway is in one.
-    pub fleet: Option<Board>,
-}
-
-/// Takes a version of the configuration, or reads the file again where there is none; with the zones that are known.
-pub type ReadConfig =
-    Box<dyn FnMut(Option<&Document>, &mut Zones) -> ConfigResult<(String, LoadedConfig)> + Send>;
-
-/// What comes from outside while the gateway runs.
-pub struct Signals {
-    /// Becomes readable when the gateway is to end.
-    pub shutdown: UnixStream,
-    /// Becomes readable when the configuration is to be read again.
-    pub reload: UnixStream,
-    /// Set by the same signal, before `shutdown` becomes readable. That wakes the loop, but its write may fail; this is
-    /// looked at in each sweep.
-    pub shutdown_requested: Arc<AtomicBool>,
-    /// The same for `reload`.
-    pub reload_requested: Arc<AtomicBool>,
-    /// Where versions of the configuration come from, if they do.
-    pub versions: Option<handover::Inbox>,
-    /// Reads the configuration again: its text and what it says, or why it cannot be used.
-    pub read_config: ReadConfig,
-}
-
 /// What the process before hands over, but for its listener and its clock.
 struct Predecessor {
     socket: HandoverSocket,
@@ -169,65 +111,79 @@
         log: Logger,
         count: usize,
     ) -> io::Result<Vec<Gateway>> {
-        let until = Instant::now() + START_PATIENCE;
-        // Whoever is told to end meanwhile waits for nothing.
-        let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
-        let pollers: Vec<_> =
-            (0..count).map(|_| retry(until, passes, Poller::new).map(Arc::new)).collect::<io::Result<_>>()?;
-        let listen = |address, shared| retry(until, passes, || listen(address, shared));
-        let (predecessor, listener, clock) = match config.predecessor.take() {
-            Some(state) => take_over(state),
-            None => (None, listen(config.listen, true)?, Clock::start()),
-        };
-        let admin = config.admin.map(|address| listen(address, false)).transpose()?;
+        let sources = Sources::open(&mut config, &signals, count)?;
         let parts = Parts {
             limits: Limits::of(&config, count),
             config: &config,
-            workers: Arc::new(Workers::new(&pollers)),
-            clock,
+            workers: Arc::new(Workers::new(&sources.pollers)),
+            clock: sources.clock,
             log: &log,
         };
+        let pollers = sources.pollers.iter().enumerate();
         let mut gateways: Vec<Gateway> =
-            pollers.into_iter().enumerate().map(|(worker, poller)| parts.build(worker, poller)).collect();
+            pollers.map(|(worker, poller)| parts.build(worker, poller.clone())).collect();
         let Some(first) = gateways.first_mut() else { return Err(io::ErrorKind::InvalidInput.into()) };
         if count == 1 {
             first.log = log;
         }
-        watch_sources(&first.poller, &listener, admin.as_ref(), &signals, |add| retry(until, passes, add))?;
-        (first.admission.listener, first.admin.listener, first.admin.fleet) =
-            (Some(listener), admin, config.fleet);
-        (first.signals, first.config_text, first.hot_restart.path) =
-            (Some(signals), config.text, config.handover_path);
-        match predecessor {
+        first.signals = Some(signals);
+        first.admission.listener = Some(sources.listener);
+        first.admin.listener = sources.admin;
+        first.admin.fleet = config.fleet;
+        first.config_text = config.text;
+        first.hot_restart.path = config.handover_path;
+        match sources.predecessor {
             Some(predecessor) => restore_all(&mut gateways, predecessor),
             None => {
                 first.distribute_endpoints(config.endpoints, true);
                 first.restore_down();
             }
         }
-        gateways[0].listen_for_successor();
-        gateways[0].call_discovery();
-        for worker in &mut gateways {
-            worker.set_timer(SWEEP_INTERVAL, Timer::Sweep);
-        }
+        begin_all(&mut gateways);
         Ok(gateways)
     }
 }
 
+/// What the workers wait for and read from at their start.
+struct Sources {
+    /// One for each worker.
+    pollers: Vec<Arc<Poller>>,
+    listener: TcpListener,
+    admin: Option<TcpListener>,
+    clock: Clock,
+    predecessor: Option<Predecessor>,
+}
+
+impl Sources {
+    /// Opens the pollers and the listeners, or takes over the listener of the process before. What fails for a shortage of
+    /// this machine is tried again for a while.
+    fn open(config: &mut Config, signals: &Signals, workers: usize) -> io::Result<Self> {
+        let until = Instant::now() + START_PATIENCE;
+        // Whoever is told to end meanwhile waits for nothing.
+        let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
+        let pollers: Vec<_> = (0..workers)
+            .map(|_| retry(until, passes, Poller::new).map(Arc::new))
+            .collect::<io::Result<_>>()?;
+        let listen = |address, shared| retry(until, passes, || listen(address, shared));
+        let (predecessor, listener, clock) = match config.predecessor.take() {
+            Some(state) => take_over(state),
+            None => (None, listen(config.listen, true)?, Clock::start()),
+        };
+        let admin = config.admin.map(|address| listen(address, false)).transpose()?;
+        if let Some(first) = pollers.first() {
+            let retried = |add: &mut dyn FnMut() -> io::Result<()>| retry(until, passes, add);
+            watch_sources(first, &listener, admin.as_ref(), signals, retried)?;
+        }
+        Ok(Sources { pollers, listener, admin, clock, predecessor })
+    }
+}
+
 impl Parts<'_> {
     /// A worker without listeners.
     fn build(&self, worker: usize, poller: Arc<Poller>) -> Gateway {
         let Parts { config, limits, clock, .. } = self;
-        let site = config.site.clone();
-        let discovery =
-            DiscoveryWatch::new(config.discovery, config.endpoints.rev, &site.router, config.seed);
-        let mut figures = Figures::default();
-        for class in &site.class_names {
-            figures.class(class);
-        }
-        let named = site.class_names.into_iter().zip(site.router.classes.clone());
-        let mut classes = Classes::default();
-        classes.adopt(Micros(0), named.collect(), |_| false);
+        let (site, settings) = (&config.site, &config.site.router);
+        let discovery = DiscoveryWatch::new(config.discovery, config.endpoints.rev, settings, config.seed);
         let now = clock.read();
         Gateway {
             log: self.log.new(o!("worker" => worker)),
@@ -242,13 +198,13 @@
             timers: Timers::default(),
             ready_clients: VecDeque::new(),
             read_buffer: vec![0; READ_BUFFER],
-            pool: Pool::new(limits.hosts, site.router.connection_idle_timeout),
+            pool: Pool::new(limits.hosts, settings.connection_idle_timeout),
             requests: InFlightRequests::default(),
-            balancer: Balancer::new(site.router, config.seed.wrapping_add(worker as u64)),
-            classes,
-            connect_timeout: connect_timeout(&config.site),
+            balancer: Balancer::new(settings.clone(), config.seed.wrapping_add(worker as u64)),
+            classes: initial_classes(site),
+            connect_timeout: connect_timeout(site),
             directory: Directory::new(config.zones.clone()),
-            figures,
+            figures: initial_figures(site),
             counts: TrafficCounts::default(),
             signals: None,
             config_text: String::new(),
@@ -262,6 +218,22 @@
     }
 }
 
+fn initial_classes(site: &SiteSettings) -> Classes {
+    let named = site.class_names.iter().cloned().zip(site.router.classes.clone());
+    let mut classes = Classes::default();
+    classes.adopt(Micros(0), named.collect(), |_| false);
+    classes
+}
+
+/// Figures that show each class from the start.
+fn initial_figures(site: &SiteSettings) -> Figures {
+    let mut figures = Figures::default();
+    for class in &site.class_names {
+        figures.class(class);
+    }
+    figures
+}
+
 /// How long a connection to a host may take to come up.
 pub(super) fn connect_timeout(site: &SiteSettings) -> Micros {
     site.connect_timeout.max(MIN_CONNECT_TIMEOUT)
@@ -307,3 +279,12 @@
     }
     gateways[0].take_place_of(socket, snapshot);
 }
+
+/// Has the first worker wait for the next process and call discovery, and all sweep.
+fn begin_all(gateways: &mut [Gateway]) {
+    gateways[0].listen_for_successor();
+    gateways[0].call_discovery();
+    for worker in gateways {
+        worker.set_timer(SWEEP_INTERVAL, Timer::Sweep);
+    }
+}
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -3,7 +3,7 @@
 use slog::warn;
 
 use super::connections::ConnectionId;
-use super::host_connection::{HostConnection, HostTask};
+use super::host_connection::{CloseReason, HostConnection, HostTask};
 use super::timers::Timer;
 use super::traffic_counts::OpenCounts;
 use super::Gateway;
@@ -79,7 +79,7 @@
     fn sweep(&mut self) {
         self.check_missed_signals();
         for id in self.pool.stale(self.now) {
-            self.log_host_closed(id, "idle for too long");
+            self.log_host_closed(id, CloseReason::IdleTimeout);
             self.close(id);
         }
         self.end_stalled_responses();
