--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -102,7 +102,7 @@
 }
 
 impl AttemptOutcome {
-    /// The status that the router learns of. The one place where an attempt's progress decides it.
+    /// The status that is reported to the router; nothing else depends on an attempt's progress.
     pub(crate) fn status(self) -> AttemptStatus {
         match self {
             AttemptOutcome::Response { status, .. } => status.status(),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -100,7 +100,7 @@
     attempt: Option<AttemptInFlight>,
 }
 
-/// What a balancer knows, for the next process of its gateway.
+/// What a balancer knows, for the next process of its gateway. Its fields are named as in the message to that.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Snapshot {
     groups: BTreeSet<GroupId>,
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,8 +1,7 @@
 //! The gateway's clock: whole microseconds on the monotonic clock, read once in each iteration of the event loop.
 //!
-//! The machine's time of day may be off, or be stepped, at any moment. It gives positions, which are Unix times of the
-//! databases, a place among whole microseconds, and nothing else: how they stand to this clock the decision module learns
-//! from what primaries say.
+//! The machine's time of day may be wrong, or be stepped, at any moment. It only maps log positions, which are Unix times
+//! of the databases, to whole microseconds: how those differ from this clock the router learns from primaries' responses.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -13,7 +13,7 @@
 /// What the list calls the role of a primary.
 const PRIMARY: &str = "master";
 
-/// Names, numbers and addresses of the hosts.
+/// Names, numbers and addresses of the hosts. Its fields are named as in the message to the next process.
 #[derive(Clone, Default, Deserialize, Serialize)]
 pub struct Directory {
     numbers: BTreeMap<String, MemberId>,
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -66,9 +66,9 @@
 }
 
 /// The watch: which version is known, the bytes of the answers so far, and what has failed since the last list. Two
-/// calls are out at most: the latest, and before it one that has fallen silent. Whichever brings changes first counts.
-/// Given up, the silent one would be missing in the moment in which a discovery that was down comes back, and word of a
-/// drain would then be later than a short grace.
+/// calls are out at most: the latest, and before it one that has fallen silent. The first answer counts.
+/// The silent call is not given up since it is the first to be answered when a discovery that was down comes back: a drain
+/// is then known within a short grace.
 #[derive(Debug)]
 pub struct Watch {
     version: Option<u64>,
@@ -127,8 +127,8 @@
         }
     }
 
-    /// The latest call has had its time: whether it stays out as one that fell silent, in the place of one before it, or
-    /// is given up. Calls that do not wait are: a discovery that is overloaded would have them twice.
+    /// The latest call has timed out. It stays out as the silent one, which replaces an earlier one, or is given up. Calls
+    /// that do not wait are given up: an overloaded discovery would have them twice.
     pub fn on_timeout(&mut self) -> CallFailure {
         if self.was_rejected() || self.version.is_none() {
             return CallFailure::Lost;
@@ -139,8 +139,8 @@
 
     /// Records that a call of one among so many gateways failed after it took `spent`, and returns the time until the
     /// next; `draw` is an even draw between 0 and 1. After two that were lost, or [`MAX_SILENT_CALLS`] that fell silent,
-    /// the version is forgotten and the full list asked for; whoever asks an overloaded discovery for it only makes it
-    /// worse. An answer that was lost may have told of a drain already, whose grace then runs, also while further calls
+    /// the version is forgotten and the full list asked for; to ask an overloaded discovery for it would only make it
+    /// worse. An answer that was lost may have announced a drain already, whose grace then runs, also while further calls
     /// are rejected.
     pub fn on_call_failed(
         &mut self,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// It has been told to end, and still accepts clients that did not hear of it.
+    /// It has got the signal to end, and still accepts clients that come meanwhile.
     HandingOver,
     /// It only answers what it has taken.
     Closing,
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -1,5 +1,5 @@
 //! Operators: their listener, their calls, and the hosts that they take down. Their connections have descriptors of their
-//! own, so that neither clients keep them out nor they the clients, and those without a complete call go first.
+//! own, so that neither clients nor operators keep each other out; those without a complete call are closed first.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Makes room for an operator: whoever has its answer goes first, then whoever has waited longest with an incomplete
-    /// call.
+    /// Closes one connection where the most are open: first one that has its answer, then the one that has had an
+    /// incomplete call for longest.
     fn evict_surplus_admin(&mut self) {
         if self.connections.admins().count() < MAX_CONNECTIONS {
             return;
@@ -74,7 +74,7 @@
         first.into_iter().for_each(|id| self.close(id));
     }
 
-    /// Whoever has not completed its call in time is told so; an answer is not waited with for its reader.
+    /// Answers connections whose calls are not complete in time, and closes those that do not read their answers.
     pub(super) fn evict_overdue_admins(&mut self) {
         let now = self.now;
         let overdue = self.connections.admins().filter(|(_, admin)| admin.is_overdue(now));
--- a/src/net/event_loop/client_admission.rs
+++ b/src/net/event_loop/client_admission.rs
@@ -48,7 +48,7 @@
     /// While the process ends: when the listener is closed, whoever waits.
     pub(super) listener_deadline: Micros,
     is_accepting: bool,
-    /// When nobody waited in the listener's queue last, and whether nobody has since, as far as the poller has told.
+    /// When the listener's queue was last known to be empty, and whether the poller has reported nobody since.
     queue_empty_at: Micros,
     is_queue_empty: bool,
 }
--- a/src/net/event_loop/client_connection.rs
+++ b/src/net/event_loop/client_connection.rs
@@ -33,7 +33,7 @@
     NotReading,
 }
 
-/// How much a client that has nothing open would be missed: the least first.
+/// Order in which idle clients are closed: the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     is_active: bool,
@@ -101,7 +101,7 @@
             || !self.has_asked && now - self.connected_at >= COMMAND_TIMEOUT
     }
 
-    /// The order in which clients make room for new ones; none for one that has something open.
+    /// The order in which idle clients are closed for new ones; none for one that is not idle.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
         let is_silent = !self.has_asked && now - self.connected_at >= SILENT_AFTER;
         let rank = EvictionRank { is_active: !is_silent, last_used: self.last_used };
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -1,6 +1,5 @@
-//! Clients: whom to accept, what they send, and who has to leave. A client that owes its startup, its first query or the
-//! rest of a command is told so and closed; one that has been idle makes room, so that clients that come and never come
-//! back leave nothing behind.
+//! Clients: accepting them, what they send, and closing them. A client that does not complete its startup, its first query
+//! or a command in time gets an error and is closed; idle ones are closed for new ones.
 
 use std::io;
 use std::net::TcpStream;
@@ -28,7 +27,7 @@
             let (least_loaded, most_loaded) = (self.workers.least_loaded(), self.workers.most_loaded());
             let open = self.workers.client_count() + self.descriptors_lent();
             let is_full = open >= self.admission.limits.clients;
-            // Whether anybody waits is known of the first alone: no client makes room for nobody.
+            // Only of the first is it known that somebody waits: no client is closed for nobody.
             if is_full && accepted > 0 {
                 return AcceptQueue::MaybeMore;
             }
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Closes the client that is missed least among those with nothing open. False if there is none.
+    /// Closes the first idle client by rank. False if there is none.
     pub(super) fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
         let clients = self.connections.clients();
@@ -167,8 +166,7 @@
         idle.into_iter().any(|(_, id)| self.close_if_idle(id));
     }
 
-    /// Those clients that owe something for too long are told so and closed, those that have been idle for long make
-    /// room.
+    /// Closes clients whose commands are overdue, with an error, and those that have been idle or unread for too long.
     pub(super) fn evict_overdue_clients(&mut self) {
         let is_crowded = self.admission.is_crowded(self.workers.client_count());
         let now = self.now;
--- a/src/net/event_loop/connections.rs
+++ b/src/net/event_loop/connections.rs
@@ -12,7 +12,7 @@
 use super::host_connection::HostConnection;
 use crate::pg::codec::Outbox;
 
-/// Identifies a connection: its index in the table, and a generation that tells it from others that had the index before.
+/// Identifies a connection: its index in the table, and a generation, since indices are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId {
     pub(super) index: usize,
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -87,7 +87,7 @@
     called_at: Micros,
     /// Number of gateways that call the same discovery.
     gateways: u32,
-    /// Time after word of a drain in which the last requests may still go there.
+    /// Time after a drain is announced in which the last requests may still go there.
     drain_grace: Micros,
     rng: Pcg64Mcg,
 }
@@ -183,7 +183,7 @@
         }
     }
 
-    /// A call has had its time. A watch stays out while the next one goes, in the place of one before it.
+    /// A call has timed out. It stays out as the silent one while the next call goes, or is given up.
     pub(super) fn handle_discovery_timeout(&mut self, id: ConnectionId) {
         if self.discovery.latest_call != Some(id) {
             return;
@@ -238,8 +238,8 @@
         self.update_endpoints(listing, is_initial);
     }
 
-    /// Takes an endpoint list in. Names and addresses are the same on all workers; of the members each takes those of its
-    /// own groups, and whoever moved from them to another's is gone here.
+    /// Takes an endpoint list in. Names and addresses are the same on all workers; each takes the members of its own
+    /// groups, and removes those that have moved to a group of another.
     pub(super) fn update_endpoints(&mut self, listing: Listing, is_initial: bool) {
         let (version, is_full) = (listing.rev, listing.all);
         let (mut endpoints, unreadable) = self.directory.update(listing, &self.clock);
@@ -257,7 +257,7 @@
             }
             is_own || balancer.is_listed(endpoint.member)
         });
-        // Who is missing from a full list is gone, but not for a line that cannot be read.
+        // Members that are missing from a full list are removed, unless an entry of it cannot be read.
         let removes_missing = (is_full || is_initial) && unreadable == 0;
         self.balancer.update_endpoints(self.now, removes_missing, endpoints);
     }
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -133,7 +133,7 @@
 
     fn log_protocol_violation(&mut self, member: MemberId) {
         self.counts.malformed += 1;
-        // Once between two lines on the traffic: those of a bad day would crowd out all others.
+        // Once between two log lines on the traffic, so that these lines do not crowd out all others.
         if self.counts.malformed == 1 {
             warn!(self.log, "host breaks the protocol"; "host" => self.directory.name(member));
         }
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -1,8 +1,8 @@
 //! Several workers as one gateway: the messages between them, each worker's mailbox, and what all of them share.
 //!
 //! Each group has one owning worker, which alone decides for it and holds its connections to hosts; each client has one
-//! front worker, which may be another. A request is offered and rejected where the mailbox is full; all that is owed
-//! always goes in.
+//! front worker, which may be another. A request is offered, and rejected where the mailbox is full; messages that
+//! the receiver waits for are always taken.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -132,7 +132,7 @@
     HandOverClient(Box<ClientHandover>),
     /// To all: connections to hosts are shared with so many processes.
     ShareHostConnections(usize),
-    /// To a front worker: a client is to make room for a new one.
+    /// To a front worker: an idle client is to be closed for a new one.
     EvictClient,
     /// To all: the listener is closed, and all is to be answered by this time.
     Shutdown(Micros),
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -16,7 +16,7 @@
 use crate::balancer::RoutingDecision;
 use crate::{Micros, RequestId};
 
-/// How long the loop goes on accepting after SIGTERM: the front may hand out connections for up to 0.4 s.
+/// How long the loop goes on accepting after SIGTERM: new connections may arrive for up to 0.4 s.
 const HANDOVER_TIME: Micros = Micros::millis(500);
 /// How much longer the listener is kept where its queue cannot be emptied for a shortage.
 const QUEUE_PATIENCE: Micros = Micros::millis(1_000);
@@ -38,7 +38,7 @@
         self.phase = Phase::HandingOver;
         let longest = self.balancer.longest_deadline().min(MAX_COUNTED_DEADLINE);
         self.answer_all_by(self.now + longest + FINAL_ANSWERS_AFTER);
-        // A process that follows has the listener: nobody has to be waited for.
+        // A next process has the listener: no new connections are waited for.
         let wait = if self.hot_restart.successor.is_some() { Micros(0) } else { HANDOVER_TIME };
         self.admission.listener_deadline = self.now + wait + QUEUE_PATIENCE;
         self.set_timer(wait, Timer::HandoverEnd);
@@ -78,7 +78,7 @@
             && self.this_worker == 0
             && self.admission.listener.is_some();
         let left = if is_queue_own { self.empty_accept_queue() } else { AcceptQueue::Empty };
-        // Nobody is left in the queue for a shortage, or as long as those who go make room.
+        // Clients are not left in the queue for a shortage, nor while others that leave free capacity.
         if left == AcceptQueue::Blocked && self.now < self.admission.listener_deadline {
             self.set_timer(SHORTAGE_PAUSE, Timer::HandoverEnd);
         } else if let Some(listener) = self.admission.listener.take() {
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -159,7 +159,7 @@
     /// this machine is tried again for a while.
     fn open(config: &mut Config, signals: &Signals, workers: usize) -> io::Result<Self> {
         let until = Instant::now() + START_PATIENCE;
-        // Whoever is told to end meanwhile waits for nothing.
+        // A signal to end is not kept waiting by a shortage.
         let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
         let pollers: Vec<_> = (0..workers)
             .map(|_| retry(until, passes, Poller::new).map(Arc::new))
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -89,7 +89,7 @@
 
 /// The primary answers two reads, its log having gone on in between, and so proves the time of its log: without that no
 /// replica's position says how old its data are, and one answer alone proves nothing.
-fn tell_log_time(balancer: &mut Balancer) {
+fn prove_log_time(balancer: &mut Balancer) {
     for now in [START, START + Micros::millis(2)] {
         let (request_id, decision) = balancer.pick(now, request(0, 1, LONG));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
@@ -99,12 +99,12 @@
 
 /// What the network code would hold: the deadline of each open request and the member it is out at.
 #[derive(Default)]
-struct Desk {
+struct OpenRequests {
     open: BTreeMap<RequestId, (Micros, Option<MemberId>)>,
 }
 
-impl Desk {
-    fn take(&mut self, request_id: RequestId, decision: RoutingDecision) {
+impl OpenRequests {
+    fn apply(&mut self, request_id: RequestId, decision: RoutingDecision) {
         let (_, out) = self.open.get_mut(&request_id).expect("a decision on a request that has ended");
         match decision {
             RoutingDecision::Queued => {}
@@ -117,10 +117,10 @@
         }
     }
 
-    fn settle(&mut self, now: Micros, balancer: &mut Balancer) {
+    fn process_outputs(&mut self, now: Micros, balancer: &mut Balancer) {
         while let Some(output) = balancer.poll_output(now) {
             match output {
-                Output::Decision(request_id, decision) => self.take(request_id, decision),
+                Output::Decision(request_id, decision) => self.apply(request_id, decision),
                 Output::Cancel(request_id) => {
                     self.open.get_mut(&request_id).expect("a cancel after the end").1 = None;
                 }
@@ -147,18 +147,18 @@
         steps in prop::collection::vec((0..9u8, any::<u8>(), 1..60u64), 1..120),
         cancels in any::<bool>(),
     ) {
-        let (mut balancer, mut desk, mut now) = (balancer(cancels), Desk::default(), START);
+        let (mut balancer, mut requests, mut now) = (balancer(cancels), OpenRequests::default(), START);
         for (step, pick, ms) in steps {
             let nth = |n: usize| usize::from(pick) % n.max(1);
-            let out: Vec<_> = desk.open.iter().filter_map(|(t, (_, m))| Some((*t, (*m)?))).collect();
+            let out: Vec<_> = requests.open.iter().filter_map(|(t, (_, m))| Some((*t, (*m)?))).collect();
             let flying = out.get(nth(out.len())).copied();
             match (step, flying) {
                 (0..=2, _) => {
                     // Down to nothing: a client's last try has little of its time left.
                     let left = Micros::millis(u64::from(pick) * 4);
                     let (request_id, decision) = balancer.pick(now, request(nth(4), u64::from(pick) % 5, left));
-                    desk.open.insert(request_id, (now + left, None));
-                    desk.take(request_id, decision);
+                    requests.open.insert(request_id, (now + left, None));
+                    requests.apply(request_id, decision);
                 }
                 (3..=6, Some((request_id, member))) => {
                     let progress = [AttemptProgress::NotConnected, AttemptProgress::PartiallyWritten, AttemptProgress::FullyWritten][nth(3)];
@@ -168,19 +168,19 @@
                         4 => answer([ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][nth(3)], member, now),
                         _ => AttemptOutcome::NoResponse(FailedAttempt { progress, cause }),
                     };
-                    desk.open.get_mut(&request_id).expect("open").1 = None;
+                    requests.open.get_mut(&request_id).expect("open").1 = None;
                     let decision = balancer.handle_outcome(now, request_id, outcome);
                     if step == 3 {
                         prop_assert_eq!(decision, RoutingDecision::Queued);
-                        desk.open.remove(&request_id);
+                        requests.open.remove(&request_id);
                     } else {
-                        desk.take(request_id, decision);
+                        requests.apply(request_id, decision);
                     }
                 }
                 (7, _) => {
-                    let Some(request_id) = desk.open.keys().nth(nth(desk.open.len())).copied() else { continue };
+                    let Some(request_id) = requests.open.keys().nth(nth(requests.open.len())).copied() else { continue };
                     balancer.handle_client_gone(now, request_id);
-                    desk.open.remove(&request_id);
+                    requests.open.remove(&request_id);
                 }
                 _ => {
                     // The loop wakes when something is due; it may be a little late.
@@ -188,7 +188,7 @@
                     now = now.max(next.min(now + Micros::millis(ms))) + Micros(u64::from(pick));
                 }
             }
-            desk.settle(now, &mut balancer);
+            requests.process_outputs(now, &mut balancer);
         }
     }
 }
@@ -225,7 +225,7 @@
 #[test]
 fn a_choice_goes_stale_while_its_connection_comes_up() {
     let mut balancer = balancer(true);
-    tell_log_time(&mut balancer);
+    prove_log_time(&mut balancer);
     let position = START - Micros::millis(490);
     for member in [2, 3] {
         balancer.health_checked(
@@ -519,7 +519,7 @@
 fn a_commit_heard_while_the_gateway_was_held_up_is_kept_as_it_was_told() {
     for held in [1, 10, 60, 100, 149] {
         let mut balancer = balancer(true);
-        tell_log_time(&mut balancer);
+        prove_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
         let (write, decision) = balancer.pick(now, request(3, 7, LONG));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
@@ -552,7 +552,7 @@
 fn a_spoilt_position_of_the_primary_is_not_believed_of_it_later() {
     for beyond in [200, 2_000, 3_600_000] {
         let mut balancer = balancer(true);
-        tell_log_time(&mut balancer);
+        prove_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
         let (request_id, _) = balancer.pick(now, request(2, 1, LONG));
         let spoilt = now + Micros::millis(beyond);
@@ -579,7 +579,7 @@
 fn a_read_that_was_written_too_late_is_asked_elsewhere() {
     for late in [10, 150, 2_000] {
         let mut balancer = balancer(true);
-        tell_log_time(&mut balancer);
+        prove_log_time(&mut balancer);
         let now = START + Micros::millis(2);
         for member in [2, 3] {
             let position = now - Micros::millis(492);
