--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -14,10 +14,12 @@
 
 use dunemount::balancer::Balancer;
 use dunemount::config::{version, ActiveConfig, ConfigResult};
-use dunemount::fleet::carrier::{Carrier, Wire};
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::fleet::driver;
-use dunemount::fleet::file::{self, VoterFile};
-use dunemount::fleet::rollout::{self, links};
+use dunemount::fleet::durable_file;
+use dunemount::fleet::rollout::follower_driver::FollowerDriver;
+use dunemount::fleet::rollout::gateway;
+use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, CallFailure, Directory, Watch};
 use dunemount::settings::Zones;
@@ -209,7 +211,7 @@
     region: usize,
 }
 
-impl Wire for Counted<'_> {
+impl DatagramSocket for Counted<'_> {
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
@@ -259,7 +261,7 @@
 
 /// The part of a gateway that follows the control servers.
 struct Following {
-    carrier: links::Carrier,
+    carrier: FollowerDriver,
     /// Where the version in force is kept.
     kept: PathBuf,
     in_force: Option<Document>,
@@ -271,7 +273,7 @@
 
 struct Gateway {
     region: usize,
-    carrier: Carrier,
+    carrier: NodeTransport,
     socket: UdpSocket,
     listing: Listing,
     following: Option<Following>,
@@ -346,7 +348,7 @@
                     gateway.turn(now, common);
                 }
                 let following = gateway.following.as_ref();
-                if following.is_some_and(|it| !control.is_empty() || it.carrier.due() <= now) {
+                if following.is_some_and(|it| !control.is_empty() || it.carrier.next_turn() <= now) {
                     gateway.follow(index, now, &control, reports);
                 }
                 // Who is left out is found ready, or due, in the next pass.
@@ -375,7 +377,7 @@
             let list = here + Duration::from_micros((gateway.listing.due() - now).0);
             let control = match &gateway.following {
                 Some(_) if gateway.is_offered() => Duration::ZERO,
-                Some(following) => following.carrier.due(),
+                Some(following) => following.carrier.next_turn(),
                 None => Duration::MAX,
             };
             gateway.carrier.node.next_deadline().min(list).min(control)
@@ -437,8 +439,8 @@
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) =
             driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
-        let voter = slot.zip(file.as_deref().map(VoterFile::at));
-        let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
+        let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
+        let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
         let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
@@ -460,7 +462,7 @@
             let number = before.as_ref().map(Document::version);
             let follower = Follower::new(settings, number, self.began.elapsed());
             let (machines, key) = (self.common.machines.addresses(), datagrams(index) + CONTROL);
-            let carrier = links::Carrier::new(follower, machines, self.poller.clone(), key);
+            let carrier = FollowerDriver::new(follower, machines, self.poller.clone(), key);
             Some(Following { carrier, kept, in_force: before, offered: None, heard: None })
         };
         Ok(Gateway { region, carrier, socket, listing, following, progress, counts, frozen: false })
@@ -501,7 +503,7 @@
     /// Takes the version that was kept before its start.
     fn restore(&mut self, kept: &Path, common: &Common) -> Result<Option<Document>, String> {
         let place = kept.display().to_string();
-        let document = rollout::gateway::kept(kept).map_err(|why| format!("{place}: {why}"))?;
+        let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
             text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
@@ -524,9 +526,9 @@
     /// Takes a version and keeps it, as the program does.
     fn take_version(&mut self, document: &Document, kept: &Path, common: &Common) -> Result<(), String> {
         let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
-        let staged = file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
+        let staged = durable_file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
         match self.take(text) {
-            Ok(()) => staged.settle().map_err(|e| e.to_string()),
+            Ok(()) => staged.commit().map_err(|e| e.to_string()),
             Err(fault) => {
                 staged.discard();
                 Err(fault.to_string())
@@ -624,7 +626,7 @@
             poller.modify_with_mode(&out.socket, answered(out.key), PollMode::Level)?;
         }
         match &mut self.following {
-            Some(following) => following.carrier.hold(frozen),
+            Some(following) => following.carrier.set_paused(frozen),
             None => Ok(()),
         }
     }
@@ -632,7 +634,7 @@
     fn turn(&mut self, now: Duration, common: &Common) {
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
-        carrier.turn(now, Counted { socket, counts, common, region: *region });
+        carrier.poll(now, Counted { socket, counts, common, region: *region });
         while let Some(event) = self.carrier.node.next_event() {
             match event {
                 NodeEvent::Membership(MembershipChange::Up(peer)) => {
@@ -688,7 +690,7 @@
                 at: Instant::now(),
             });
         }
-        carrier.taken(began.elapsed(), version, taken.map_err(ApplyError));
+        carrier.handle_applied(began.elapsed(), version, taken.map_err(ApplyError));
         self.counts.control_cpu += thread_cpu() - before;
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use dunemount::cli::{Cli, Command, ConfigCommand, FleetCommand, LogFormat};
-use dunemount::fleet::rollout::machine;
-use dunemount::fleet::rollout::tool::{Failed, Tool};
+use dunemount::cli::{self, Cli, Command, FleetCommand, LogFormat};
+use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
+use dunemount::fleet::rollout::control_server;
 use dunemount::fleet::status::Status;
 use dunemount::settings_file::SettingsFile;
 use dunemount::startup::{self, signals};
@@ -18,6 +18,20 @@
 /// Exit status of what may or may not have been done.
 const UNCERTAIN: u8 = 3;
 
+/// Why the program ends without success.
+struct Failed {
+    /// In words for the operator.
+    why: String,
+    /// The command may still take effect.
+    uncertain: bool,
+}
+
+impl From<CommandError> for Failed {
+    fn from(error: CommandError) -> Failed {
+        Failed { why: error.to_string(), uncertain: error.is_uncertain() }
+    }
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
     match run(cli) {
@@ -50,7 +64,7 @@
         FleetCommand::Found { files, name } => {
             println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
         }
-        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin)?, json),
+        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin).map_err(failed)?, json),
         FleetCommand::Control { name, settings, log } => {
             run_control_server(name, settings.settings.as_deref(), log)?;
         }
@@ -59,26 +73,27 @@
     Ok(())
 }
 
-fn run_config_command(command: ConfigCommand) -> Result<(), Failed> {
+fn run_config_command(command: cli::ConfigCommand) -> Result<(), Failed> {
     match command {
-        ConfigCommand::Put { file, settings } => {
-            println!("{}", Tool::of(settings.settings.as_deref())?.put(&file)?);
+        cli::ConfigCommand::Put { file, settings } => {
+            let version = ConfigCommand::from_settings(settings.settings.as_deref())?.put(&file)?;
+            println!("version {}, digest {}", version.number, version.digest);
         }
-        ConfigCommand::Show { number, settings } => {
-            let document = Tool::of(settings.settings.as_deref())?.show(number)?;
+        cli::ConfigCommand::Show { number, settings } => {
+            let document = ConfigCommand::from_settings(settings.settings.as_deref())?.show(number)?;
             let version = document.version();
             eprintln!("version {}, digest {}", version.number, version.digest);
             println!("{}", String::from_utf8_lossy(document.bytes()));
         }
-        ConfigCommand::Status { json, settings } => {
-            print_as(&Tool::of(settings.settings.as_deref())?.status()?, json);
+        cli::ConfigCommand::Status { json, settings } => {
+            print_as(&ConfigCommand::from_settings(settings.settings.as_deref())?.status()?, json);
         }
     }
     Ok(())
 }
 
 fn failed(error: impl Display) -> Failed {
-    Failed::from(error.to_string())
+    Failed { why: error.to_string(), uncertain: false }
 }
 
 /// Prints for people, or as JSON.
@@ -92,13 +107,13 @@
 /// Runs a control server until a signal ends it.
 fn run_control_server(name: String, settings: Option<&Path>, format: LogFormat) -> Result<(), Failed> {
     let settings_file = SettingsFile::load(settings).map_err(failed)?;
-    let start = machine::Start {
+    let start = control_server::Start {
         name: name.clone(),
         file: settings_file.version_file().map_err(failed)?.to_path_buf(),
         start: startup::start_number(),
         seed: startup::random_seed(),
-        end: signals::termination().map_err(|e| failed(format!("cannot watch for signals: {e}")))?,
+        shutdown: signals::termination().map_err(|e| failed(format!("cannot watch for signals: {e}")))?,
     };
     let (log, _flushed_at_end) = logging::open(name, format, Level::Info);
-    Ok(machine::run(&settings_file.settings, start, &log)?)
+    control_server::run(&settings_file.settings, start, &log).map_err(failed)
 }
--- a/src/net/discovery/answer.rs
+++ b/src/net/discovery/answer.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use super::listing::Listing;
-use crate::http::{self, BadBody, Extent};
+use crate::http::{self, BodyError, BodyLength};
 
 /// Most bytes of an answer's head and of its body.
 const MAX_HEAD: usize = 16 * 1024;
@@ -39,10 +39,10 @@
 }
 
 impl BadAnswer {
-    fn from_body(bad: BadBody, malformed: BadAnswer) -> BadAnswer {
+    fn from_body(bad: BodyError, malformed: BadAnswer) -> BadAnswer {
         match bad {
-            BadBody::Malformed => malformed,
-            BadBody::TooLong => BadAnswer::TooLong,
+            BodyError::Malformed => malformed,
+            BodyError::TooLong => BadAnswer::TooLong,
         }
     }
 }
@@ -76,13 +76,14 @@
     bytes: &[u8],
     has_ended: bool,
 ) -> Result<Option<Vec<u8>>, BadAnswer> {
-    let extent = http::extent(headers, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Head))?;
-    let body = match extent {
-        Extent::Chunked => {
-            http::unchunk(bytes, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Body))?
+    let length =
+        http::body_length(headers, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Head))?;
+    let body = match length {
+        BodyLength::Chunked => {
+            http::decode_chunked(bytes, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Body))?
         }
-        Extent::Length(length) => bytes.get(..length).map(<[u8]>::to_vec),
-        Extent::Unsaid => has_ended.then(|| bytes.to_vec()),
+        BodyLength::Known(length) => bytes.get(..length).map(<[u8]>::to_vec),
+        BodyLength::Unspecified => has_ended.then(|| bytes.to_vec()),
     };
     match body {
         Some(body) => Ok(Some(body)),
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -14,7 +14,7 @@
 use slog::{error, info, Drain, Logger};
 
 // State.
-mod admin_connection;
+mod admin_session;
 mod client_admission;
 mod client_connection;
 mod connections;
@@ -58,9 +58,9 @@
 use super::clock::Clock;
 use super::discovery::Directory;
 use super::pool::Pool;
+use crate::admin::metrics::Metrics;
 use crate::balancer::{Balancer, Output};
 use crate::classes::Classes;
-use crate::ops::figures::Figures;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequests;
 use crate::{Micros, RequestId};
@@ -104,7 +104,7 @@
     classes: Classes,
     connect_timeout: Micros,
     directory: Directory,
-    figures: Figures,
+    metrics: Metrics,
     counts: TrafficCounts,
     /// Of the first worker alone.
     signals: Option<Signals>,
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -9,16 +9,16 @@
 use polling::{Event, PollMode};
 use slog::{info, warn};
 
-use super::admin_connection::AdminConnection;
+use super::admin_session::AdminSession;
 use super::connection_io::SHORTAGE_PAUSE;
 use super::connections::{ConnectionId, ConnectionKind};
 use super::mailboxes::WorkerMessage;
 use super::poll_keys::ADMIN_LISTENER;
 use super::timers::Timer;
 use super::{Gateway, Phase};
+use crate::admin::metrics::Metrics;
+use crate::admin::request::{AdminRequest, HttpStatus};
 use crate::fleet::status::Board;
-use crate::ops::call::{Order, Status};
-use crate::ops::figures::Figures;
 
 /// Most operators' connections at a time.
 const MAX_CONNECTIONS: usize = 12;
@@ -45,7 +45,7 @@
             self.evict_surplus_admin();
             let _ = socket.set_nodelay(true);
             let _ = socket.set_nonblocking(true);
-            let kind = ConnectionKind::Admin(AdminConnection::new(self.now));
+            let kind = ConnectionKind::Admin(AdminSession::new(self.now));
             if let Ok(id) = self.add_connection(socket, kind, false) {
                 self.read(id);
             }
@@ -69,7 +69,7 @@
         if self.connections.admins().count() < MAX_CONNECTIONS {
             return;
         }
-        let rank = |admin: &AdminConnection| (!admin.call.is_answered(), admin.since);
+        let rank = |admin: &AdminSession| (!admin.protocol.has_responded(), admin.since);
         let first = self.connections.admins().min_by_key(|(_, admin)| rank(admin)).map(|(id, _)| id);
         first.into_iter().for_each(|id| self.close(id));
     }
@@ -81,8 +81,8 @@
         let overdue: Vec<ConnectionId> = overdue.map(|(id, _)| id).collect();
         for id in overdue {
             match self.connections.admin(id) {
-                Some(admin) if !admin.call.is_answered() => {
-                    self.reply(id, Status::TooLate, "no whole call\n");
+                Some(admin) if !admin.protocol.has_responded() => {
+                    self.reply(id, HttpStatus::RequestTimeout, "no whole call\n");
                 }
                 _ => self.close(id),
             }
@@ -92,68 +92,72 @@
     /// Takes in bytes of an operator, or its end: one that got its answer has read it, one that did not will get none.
     pub(super) fn handle_admin_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
         let Some(admin) = self.connections.admin(id) else { return };
-        if has_ended && admin.call.out.is_empty() {
+        if has_ended && admin.protocol.out.is_empty() {
             return self.close(id);
         }
-        match admin.call.receive(bytes) {
+        match admin.protocol.receive(bytes) {
             None => {}
-            Some(Ok(order)) => self.handle_order(id, order),
+            Some(Ok(request)) => self.handle_admin_request(id, request),
             Some(Err(status)) => self.reply(id, status, "the call cannot be carried out\n"),
         }
     }
 
-    fn handle_order(&mut self, id: ConnectionId, order: Order) {
-        match order {
-            Order::Readiness if self.phase == Phase::Serving => self.reply(id, Status::Ok, "ready\n"),
-            Order::Readiness => self.reply(id, Status::Unavailable, "ending\n"),
-            Order::Stats => self.collect_figures(id),
-            Order::Down(name) => self.order_down(id, &name, true),
-            Order::Up(name) => self.order_down(id, &name, false),
-            Order::Fleet => self.reply_fleet(id),
+    fn handle_admin_request(&mut self, id: ConnectionId, request: AdminRequest) {
+        match request {
+            AdminRequest::Readiness if self.phase == Phase::Serving => {
+                self.reply(id, HttpStatus::Ok, "ready\n")
+            }
+            AdminRequest::Readiness => self.reply(id, HttpStatus::ServiceUnavailable, "ending\n"),
+            AdminRequest::Stats => self.collect_metrics(id),
+            AdminRequest::SetDown(name) => self.order_down(id, &name, true),
+            AdminRequest::SetUp(name) => self.order_down(id, &name, false),
+            AdminRequest::Fleet => self.reply_fleet(id),
         }
     }
 
     fn reply_fleet(&mut self, id: ConnectionId) {
         match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
-            Some(Ok(text)) => self.reply(id, Status::Ok, &text),
-            Some(Err(_)) => self.reply(id, Status::Unavailable, "the fleet's state cannot be told\n"),
-            None => self.reply(id, Status::NotFound, "no fleet\n"),
+            Some(Ok(text)) => self.reply(id, HttpStatus::Ok, &text),
+            Some(Err(_)) => {
+                self.reply(id, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n")
+            }
+            None => self.reply(id, HttpStatus::NotFound, "no fleet\n"),
         }
     }
 
-    /// Collects the figures of all workers for a call.
-    fn collect_figures(&mut self, id: ConnectionId) {
-        let own = self.current_figures();
+    /// Collects the metrics of all workers for a call.
+    fn collect_metrics(&mut self, id: ConnectionId) {
+        let own = self.current_metrics();
         if let Some(admin) = self.connections.admin(id) {
-            (admin.awaited_workers, admin.figures) = (self.workers.count(), Figures::default());
+            (admin.awaited_workers, admin.metrics) = (self.workers.count(), Metrics::default());
         }
-        self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectFigures(id));
-        self.add_figures(id, &own);
+        self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectMetrics(id));
+        self.add_metrics(id, &own);
     }
 
-    /// Adds one worker's figures for a call. It is answered once all have come.
-    pub(super) fn add_figures(&mut self, id: ConnectionId, figures: &Figures) {
+    /// Adds one worker's metrics for a call. It is answered once all have come.
+    pub(super) fn add_metrics(&mut self, id: ConnectionId, metrics: &Metrics) {
         let Some(admin) = self.connections.admin(id) else { return };
-        admin.figures.add(figures);
+        admin.metrics.add(metrics);
         if admin.on_worker_reply() {
-            let text = admin.figures.to_string();
-            self.reply(id, Status::Ok, &text);
+            let text = admin.metrics.to_string();
+            self.reply(id, HttpStatus::Ok, &text);
         }
     }
 
-    /// The figures as they stand.
-    pub(super) fn current_figures(&mut self) -> Figures {
-        self.figures.active = self.requests.len();
+    /// The metrics as they stand.
+    pub(super) fn current_metrics(&mut self) -> Metrics {
+        self.metrics.active = self.requests.len();
         let endpoints = self.balancer.endpoint_counts();
-        (self.figures.pool_size, self.figures.pool_ejected) = (endpoints.listed, endpoints.ejected);
-        self.figures.clone()
+        (self.metrics.pool_size, self.metrics.pool_ejected) = (endpoints.listed, endpoints.ejected);
+        self.metrics.clone()
     }
 
     /// Operators take a host down, or put it back. They get the confirmation once that holds on every worker.
     fn order_down(&mut self, id: ConnectionId, name: &str, down: bool) {
         if self.directory.member(name).is_none() {
             warn!(self.log, "operators name a host that nobody has"; "host" => name);
-            return self.reply(id, Status::NotFound, "no such database host\n");
+            return self.reply(id, HttpStatus::NotFound, "no such database host\n");
         }
         info!(self.log, "{}", if down { "host put down by hand" } else { "host put back up" }; "host" => name);
         let workers = self.workers.count();
@@ -180,7 +184,7 @@
         let Some(admin) = self.connections.admin(id) else { return };
         if admin.on_worker_reply() {
             let confirmation = admin.confirmation;
-            self.reply(id, Status::Ok, confirmation);
+            self.reply(id, HttpStatus::Ok, confirmation);
         }
     }
 
@@ -219,10 +223,10 @@
         self.admin.down = down;
     }
 
-    fn reply(&mut self, id: ConnectionId, status: Status, text: &str) {
+    fn reply(&mut self, id: ConnectionId, status: HttpStatus, text: &str) {
         let now = self.now;
         if let Some(admin) = self.connections.admin(id) {
-            admin.call.answer(status, text);
+            admin.protocol.respond(status, text);
             admin.since = now;
             self.write(id);
         }
--- a/src/net/event_loop/config.rs
+++ b/src/net/event_loop/config.rs
@@ -9,7 +9,7 @@
 use dunemount_rollout::version::Document;
 
 use crate::config::{ConfigResult, LoadedConfig};
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::fleet::status::Board;
 use crate::hot_restart::handover_socket::HandoverState;
 use crate::net::discovery::Listing;
@@ -61,7 +61,7 @@
     /// The same for `reload`.
     pub reload_requested: Arc<AtomicBool>,
     /// Where versions of the configuration come from, if they do.
-    pub versions: Option<handover::Inbox>,
+    pub versions: Option<VersionReceiver>,
     /// Reads the configuration again: its text and what it says, or why it cannot be used.
     pub read_config: ReadConfig,
 }
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -128,7 +128,7 @@
             }
             ConnectionKind::Host(host) => (!host.is_reading_paused, !host.protocol.out.is_empty()),
             ConnectionKind::Discovery(out) => (true, !out.is_empty()),
-            ConnectionKind::Admin(admin) => (true, !admin.call.out.is_empty()),
+            ConnectionKind::Admin(admin) => (true, !admin.protocol.out.is_empty()),
             ConnectionKind::HalfClosed { .. } => (true, false),
         };
         if !readable {
@@ -148,7 +148,7 @@
             ConnectionKind::Client(client) => &mut client.protocol.out,
             ConnectionKind::Host(host) => &mut host.protocol.out,
             ConnectionKind::Discovery(out) => out,
-            ConnectionKind::Admin(admin) => &mut admin.call.out,
+            ConnectionKind::Admin(admin) => &mut admin.protocol.out,
             ConnectionKind::HalfClosed { .. } => return,
         };
         let unwritten = out.len();
@@ -196,7 +196,7 @@
             ConnectionKind::Client(ClientConnection { is_closing: true, .. }) => {
                 return self.close_gracefully(id);
             }
-            ConnectionKind::Admin(admin) if admin.call.is_answered() => self.handle_admin_answered(id),
+            ConnectionKind::Admin(admin) if admin.protocol.has_responded() => self.handle_admin_answered(id),
             ConnectionKind::Host(_) => self.handle_attempt_written(id),
             _ => {}
         }
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -13,9 +13,9 @@
 use polling::Poller;
 
 use super::connections::ConnectionId;
+use crate::admin::metrics::Metrics;
 use crate::balancer;
 use crate::net::discovery::Listing;
-use crate::ops::figures::Figures;
 use crate::pg::client::Handover;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
@@ -116,10 +116,10 @@
     SetDown { host: String, down: bool, call: Option<ConnectionId> },
     /// To the first worker: that holds here, for this call.
     SetDownDone(ConnectionId),
-    /// To all: this call asks for the figures.
-    CollectFigures(ConnectionId),
-    /// To the first worker: the figures of one worker, for this call.
-    Figures(ConnectionId, Box<Figures>),
+    /// To all: this call asks for the metrics.
+    CollectMetrics(ConnectionId),
+    /// To the first worker: the metrics of one worker, for this call.
+    Metrics(ConnectionId, Box<Metrics>),
     /// To the first worker: a commit that the other process learns of before its answer, if one is owed, goes out.
     PublishCommit { commit: Commit, answer: Option<(Owner, FinalAnswer)> },
     /// To an owning worker: a commit at the other process.
--- a/src/net/event_loop/queries.rs
+++ b/src/net/event_loop/queries.rs
@@ -52,7 +52,7 @@
         // Its owning worker has more waiting than it can look at in time.
         self.counts.rejected += 1;
         if self.classes.id(self.now, &class).is_some() {
-            self.figures.class(&class).shed += 1;
+            self.metrics.class_mut(&class).shed += 1;
         }
         self.deliver_answer(owner.connection, FinalAnswer::Rejected(None));
     }
@@ -69,7 +69,7 @@
         let time_left = deadline - self.now;
         if time_left == Micros(0) {
             self.counts.rejected += 1;
-            self.figures.class(&statement.class).shed += 1;
+            self.metrics.class_mut(&statement.class).shed += 1;
             return self.send_answer(owner, FinalAnswer::Rejected(None));
         }
         let request = RoutingRequest {
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -5,6 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+use dunemount_rollout::follower::ApplyError;
 use dunemount_rollout::version::Document;
 use slog::{info, warn};
 
@@ -13,7 +14,7 @@
 use super::timers::Timer;
 use super::Gateway;
 use crate::config::{ConfigError, ConfigResult};
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::settings::SiteSettings;
 use crate::text_file::AtLine;
 use crate::Micros;
@@ -51,7 +52,7 @@
     /// a discovery that stays where it is goes on: at each version of all gateways it would ask for the full list.
     pub(super) fn handle_config_version(&mut self) {
         let versions = self.signals.as_mut().and_then(|signals| signals.versions.as_mut());
-        let Some(offer) = versions.and_then(handover::Inbox::take) else { return };
+        let Some(offer) = versions.and_then(VersionReceiver::try_receive) else { return };
         match self.apply_config(Some(&offer.document)) {
             Ok(discovery) => {
                 if discovery != self.discovery.address {
@@ -59,7 +60,7 @@
                 }
                 offer.answer(Ok(()));
             }
-            Err(why) => offer.answer(Err(why.error.to_string())),
+            Err(why) => offer.answer(Err(ApplyError(why.error.to_string()))),
         }
     }
 
@@ -68,7 +69,7 @@
         let mut zones = self.directory.zones().clone();
         let Some(signals) = &mut self.signals else { return Err(AtLine::whole(ConfigError::NotFirstWorker)) };
         let (text, config) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
-            self.figures.config_rejected += u64::from(!why.error.is_transient());
+            self.metrics.config_rejected += u64::from(!why.error.is_transient());
         })?;
         let what =
             if version.is_some() { "configuration's version taken" } else { "configuration read anew" };
@@ -77,7 +78,7 @@
         self.workers.send_to_others(self.this_worker, message);
         self.directory.set_zones(zones);
         self.config_text = text;
-        self.figures.config_applied += 1;
+        self.metrics.config_applied += 1;
         self.apply_site(config.settings);
         Ok(config.discovery)
     }
@@ -87,7 +88,7 @@
         self.connect_timeout = connect_timeout(&site);
         let SiteSettings { router: mut settings, class_names, .. } = site;
         for class in &class_names {
-            self.figures.class(class);
+            self.metrics.class_mut(class);
         }
         let named = class_names.into_iter().zip(std::mem::take(&mut settings.classes)).collect();
         settings.classes = self.classes.adopt(self.now, named, |class| self.balancer.has_requests_of(class));
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -22,6 +22,7 @@
 use super::timers::{Timer, Timers};
 use super::traffic_counts::TrafficCounts;
 use super::{poll_keys, Gateway, Phase};
+use crate::admin::metrics::Metrics;
 use crate::balancer::Balancer;
 use crate::classes::Classes;
 use crate::hot_restart::handover_socket::{HandoverSocket, HandoverState};
@@ -29,7 +30,6 @@
 use crate::net::clock::Clock;
 use crate::net::discovery::Directory;
 use crate::net::pool::Pool;
-use crate::ops::figures::Figures;
 use crate::pg::codec;
 use crate::request::InFlightRequests;
 use crate::settings::SiteSettings;
@@ -204,7 +204,7 @@
             classes: initial_classes(site),
             connect_timeout: connect_timeout(site),
             directory: Directory::new(config.zones.clone()),
-            figures: initial_figures(site),
+            metrics: initial_metrics(site),
             counts: TrafficCounts::default(),
             signals: None,
             config_text: String::new(),
@@ -225,13 +225,13 @@
     classes
 }
 
-/// Figures that show each class from the start.
-fn initial_figures(site: &SiteSettings) -> Figures {
-    let mut figures = Figures::default();
+/// Metrics that show each class from the start.
+fn initial_metrics(site: &SiteSettings) -> Metrics {
+    let mut metrics = Metrics::default();
     for class in &site.class_names {
-        figures.class(class);
+        metrics.class_mut(class);
     }
-    figures
+    metrics
 }
 
 /// How long a connection to a host may take to come up.
--- a/src/net/event_loop/streaming.rs
+++ b/src/net/event_loop/streaming.rs
@@ -83,7 +83,7 @@
     pub(super) fn abort_streaming(&mut self, request_id: RequestId) {
         let Some(request) = self.remove_request(request_id) else { return };
         self.counts.failed += 1;
-        self.figures.class(&request.statement.class).errors += 1;
+        self.metrics.class_mut(&request.statement.class).errors += 1;
         let Owner { worker, connection } = request.owner;
         if worker == self.this_worker {
             self.abort_response(connection);
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -8,7 +8,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::fleet::rollout::handover;
+use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::net::event_loop::{ReadConfig, Signals};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// The system does not give a pipe.
-pub fn watch(versions: Option<handover::Inbox>, read_config: ReadConfig) -> io::Result<Signals> {
+pub fn watch(versions: Option<VersionReceiver>, read_config: ReadConfig) -> io::Result<Signals> {
     let (shutdown_requested, reload_requested) = (flag(&TERMINATION)?, flag(&RELOAD)?);
     Ok(Signals {
         shutdown: termination()?,
