--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -5,6 +5,7 @@
 
 use super::client_connection::{ClientConnection, RequestLocation};
 use super::connections::{Connection, ConnectionId, ConnectionKind, Interest, UnregisteredConnection};
+use super::discovery_watch::CallError;
 use super::mailboxes::{Abandonment, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
 use super::streaming::MAX_UNREAD;
@@ -127,7 +128,7 @@
             }
             ConnectionKind::Host(host) => (!host.is_reading_paused, !host.protocol.out.is_empty()),
             ConnectionKind::Discovery(out) => (true, !out.is_empty()),
-            ConnectionKind::Admin(admin) => (true, !admin.call.out.is_empty()),
+            ConnectionKind::Admin(admin) => (true, !admin.protocol.out.is_empty()),
             ConnectionKind::HalfClosed { .. } => (true, false),
         };
         if !readable {
@@ -147,7 +148,7 @@
             ConnectionKind::Client(client) => &mut client.protocol.out,
             ConnectionKind::Host(host) => &mut host.protocol.out,
             ConnectionKind::Discovery(out) => out,
-            ConnectionKind::Admin(admin) => &mut admin.call.out,
+            ConnectionKind::Admin(admin) => &mut admin.protocol.out,
             ConnectionKind::HalfClosed { .. } => return,
         };
         let unwritten = out.len();
@@ -195,7 +196,7 @@
             ConnectionKind::Client(ClientConnection { is_closing: true, .. }) => {
                 return self.close_gracefully(id);
             }
-            ConnectionKind::Admin(admin) if admin.call.has_responded() => self.handle_admin_answered(id),
+            ConnectionKind::Admin(admin) if admin.protocol.has_responded() => self.handle_admin_answered(id),
             ConnectionKind::Host(_) => self.handle_attempt_written(id),
             _ => {}
         }
@@ -274,7 +275,7 @@
                 self.close(id);
             }
             ConnectionKind::Host(_) => self.handle_host_lost(id, FailureCause::ConnectionLost),
-            ConnectionKind::Discovery(_) => self.handle_discovery_lost(id, "connection broke"),
+            ConnectionKind::Discovery(_) => self.handle_discovery_lost(id, CallError::ConnectionBroke),
             ConnectionKind::Admin(_) | ConnectionKind::HalfClosed { .. } => self.close(id),
         }
     }
--- a/src/net/event_loop/connections.rs
+++ b/src/net/event_loop/connections.rs
@@ -7,12 +7,12 @@
 use polling::{Event, PollMode, Poller};
 use slab::Slab;
 
-use super::admin_connection::AdminConnection;
+use super::admin_session::AdminSession;
 use super::client_connection::ClientConnection;
 use super::host_connection::HostConnection;
 use crate::pg::codec::Outbox;
 
-/// Identifies a connection: its index in the table, and a generation that tells it from others that had the index before.
+/// Identifies a connection: its index in the table, and a generation, since indices are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId {
     pub(super) index: usize,
@@ -39,7 +39,7 @@
     /// A call to discovery.
     Discovery(Outbox),
     /// An operator's call.
-    Admin(AdminConnection),
+    Admin(AdminSession),
     /// A client's connection that is shut for writing: what the client still sends is discarded, so many bytes at most.
     HalfClosed {
         bytes_left: usize,
@@ -143,7 +143,7 @@
     }
 
     /// The state of an operator's connection.
-    pub(super) fn admin(&mut self, id: ConnectionId) -> Option<&mut AdminConnection> {
+    pub(super) fn admin(&mut self, id: ConnectionId) -> Option<&mut AdminSession> {
         match &mut self.get_mut(id)?.kind {
             ConnectionKind::Admin(admin) => Some(admin),
             _ => None,
@@ -179,7 +179,7 @@
     }
 
     /// The operators' connections, by index.
-    pub(super) fn admins(&self) -> impl Iterator<Item = (ConnectionId, &AdminConnection)> {
+    pub(super) fn admins(&self) -> impl Iterator<Item = (ConnectionId, &AdminSession)> {
         self.iter().filter_map(|(id, connection)| match &connection.kind {
             ConnectionKind::Admin(admin) => Some((id, admin)),
             _ => None,
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -2,7 +2,7 @@
 
 use super::client_connection::RequestLocation;
 use super::connections::ConnectionId;
-use super::host_connection::HostTask;
+use super::host_connection::{CloseReason, HostTask};
 use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
 use super::timers::Timer;
@@ -28,11 +28,11 @@
     pub(super) fn finish_request(&mut self, request_id: RequestId, answer: FinalAnswer) {
         self.cancel_attempt(request_id);
         let Some(request) = self.remove_request(request_id) else { return };
-        let figures = self.figures.class_mut(&request.statement.class);
+        let metrics = self.metrics.class_mut(&request.statement.class);
         match answer {
-            FinalAnswer::Served(_) => figures.ok += 1,
-            FinalAnswer::Rejected(_) => figures.shed += 1,
-            FinalAnswer::Failed | FinalAnswer::Cancelled | FinalAnswer::Unroutable(_) => figures.errors += 1,
+            FinalAnswer::Served(_) => metrics.ok += 1,
+            FinalAnswer::Rejected(_) => metrics.shed += 1,
+            FinalAnswer::Failed | FinalAnswer::Cancelled | FinalAnswer::Unroutable(_) => metrics.errors += 1,
         }
         match self.commit_to_publish(&request.statement) {
             Some(commit) => self.publish_commit(commit, Some((request.owner, answer))),
@@ -273,7 +273,7 @@
         }
         let member = host.member;
         if let Some(request) = self.requests.get(request_id) {
-            self.figures.class_mut(&request.statement.class).attempts += 1;
+            self.metrics.class_mut(&request.statement.class).attempts += 1;
         }
         self.log_attempt(request_id, member);
         if !self.balancer.is_fresh_enough(self.clock.read(), request_id) {
@@ -292,7 +292,7 @@
         if is_idle && self.balancer.is_routable(member) {
             self.pool.put(now, member, id);
         } else if is_ready {
-            let why = if is_idle { "draining or gone" } else { "its answer is not awaited any more" };
+            let why = if is_idle { CloseReason::NotRoutable } else { CloseReason::ResponseNotAwaited };
             self.log_host_closed(id, why);
             self.close(id);
         }
