--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -17,7 +17,7 @@
 use super::workers::{InFlight, Owner, WorkerMessage};
 use super::{Gateway, Phase, LISTENER};
 use crate::balancer::RoutingRequest;
-use crate::pg::client::{Client, Demand};
+use crate::pg::client::{ClientConnection, ClientRequest};
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
 use crate::{ClassId, GroupId, Micros};
@@ -40,7 +40,7 @@
 
 /// A client's connection.
 pub(super) struct ClientLink {
-    pub(super) protocol: Client,
+    pub(super) protocol: ClientConnection,
     /// Where its request is decided, while one is open.
     pub(super) in_flight: Option<InFlight>,
     /// The home of its long value waits for word that it has read on.
@@ -130,7 +130,7 @@
 
 impl ClientLink {
     /// A client that has just come.
-    pub(super) fn new(protocol: Client, now: Micros) -> Self {
+    pub(super) fn new(protocol: ClientConnection, now: Micros) -> Self {
         ClientLink {
             protocol,
             in_flight: None,
@@ -220,7 +220,7 @@
 
     /// Serves a client that is counted as this worker's, and may have waited in the queue since a time.
     pub(super) fn welcome(&mut self, socket: TcpStream, since: Micros) {
-        let protocol = Client::taking(self.clients.longest_message, self.clients.keys.next());
+        let protocol = ClientConnection::new(self.clients.longest_message, self.clients.keys.next());
         let client = ClientLink { waited_since: Some(since), ..ClientLink::new(protocol, self.now) };
         self.admit(socket, client);
     }
@@ -334,7 +334,7 @@
         for (key, why) in out {
             match (why, self.client(key)) {
                 (Overstay::Late, Some(client)) => {
-                    client.protocol.turn_out("57014", "no whole command came in time");
+                    client.protocol.close_with_error("57014", "no whole command came in time");
                     client.closing = true;
                     self.write(key);
                 }
@@ -352,20 +352,20 @@
         if self.pass_on(key) {
             return;
         }
-        while let Some(demand) = self.client(key).and_then(|client| client.protocol.demand()) {
-            match demand {
-                Demand::Query(text, arrived) => self.query(key, text, arrived),
-                Demand::Cancel(other) => {
+        while let Some(request) = self.client(key).and_then(|client| client.protocol.next_request()) {
+            match request {
+                ClientRequest::Query(text, arrived) => self.query(key, text, arrived),
+                ClientRequest::Cancel(other) => {
                     self.client(key).into_iter().for_each(|client| client.closing = true);
                     self.cancel(other);
                 }
-                Demand::Close => self.client(key).into_iter().for_each(|client| client.closing = true),
+                ClientRequest::Close => self.client(key).into_iter().for_each(|client| client.closing = true),
             }
         }
         let (now, closing) = (self.now, self.phase == Phase::Closing);
         if let Some(client) = self.client(key) {
             client.closing |= closing && !client.protocol.is_busy();
-            client.half = client.protocol.is_half().then(|| client.half.unwrap_or(now));
+            client.half = client.protocol.has_partial_message().then(|| client.half.unwrap_or(now));
         }
         self.write(key);
     }
@@ -382,7 +382,7 @@
         // Its client counts from when it sent: what the query has waited behind others of its connection is over.
         let until = arrived + (statement.wait - MARGIN);
         let until = self.answered_by.map_or(until, |by| until.min(by));
-        let home = self.workers.home(GroupId(statement.cluster));
+        let home = self.workers.home(GroupId(statement.group));
         if self.decides(home) {
             return self.take_on(Owner { worker: self.me, key }, statement, until);
         }
@@ -418,10 +418,10 @@
         }
         let request = RoutingRequest {
             class,
-            group: GroupId(statement.cluster),
+            group: GroupId(statement.group),
             session: statement.session,
-            committed: statement.after.map(|after| clock.at_unix_ms(after)),
-            repeat: statement.repeat,
+            committed: statement.last_commit_ms.map(|after| clock.at_unix_ms(after)),
+            repeat: statement.is_retry,
             time_left,
         };
         let (request_id, decision) = self.balancer.pick(now, request);
@@ -442,11 +442,11 @@
     /// The class of a statement that can be routed here.
     fn route(&self, statement: Statement) -> Result<(ClassId, Statement), String> {
         let class = self.classes.id(self.now, &statement.class).ok_or("unknown class")?;
-        if !self.balancer.has_group(GroupId(statement.cluster)) {
+        if !self.balancer.has_group(GroupId(statement.group)) {
             return Err("unknown group".into());
         }
-        let lacks_key = self.balancer.is_keyed_class(class) && !statement.keyed;
-        if self.balancer.is_write_class(class) != statement.writes || lacks_key {
+        let lacks_key = self.balancer.is_keyed_class(class) && !statement.has_idempotency_key;
+        if self.balancer.is_write_class(class) != statement.is_write || lacks_key {
             return Err("the statement does not fit its class".into());
         }
         if self.requests.has_client_id(&statement.id) {
--- a/src/net/event_loop/flowing.rs
+++ b/src/net/event_loop/flowing.rs
@@ -22,7 +22,7 @@
     pub(super) fn flow(&mut self, key: Key) {
         let Some(host) = self.host(key) else { return };
         let Task::Attempt(request_id) = host.task else { return };
-        let bytes = host.protocol.flow();
+        let bytes = host.protocol.take_streamed();
         let Some(owner) = self
             .requests
             .get(request_id)
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -9,7 +9,8 @@
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::net::dial;
-use crate::pg::host::{self, Answer, Host, Turn};
+use crate::pg::host::{is_rejection, HostConnection, HostEvent, HostResponse};
+use crate::pg::load_report;
 use crate::shortage::is_shortage;
 use crate::{MemberId, Micros, RequestId};
 
@@ -17,7 +18,7 @@
 const PROBE_TIMEOUT: Micros = Micros::millis(250);
 
 pub(super) struct HostLink {
-    pub(super) protocol: Host,
+    pub(super) protocol: HostConnection,
     pub(super) member: MemberId,
     pub(super) welcome: bool,
     /// The attempt on it is counted among those written whole.
@@ -74,7 +75,7 @@
             }
         })?;
         let link = HostLink {
-            protocol: Host::default(),
+            protocol: HostConnection::default(),
             member,
             welcome: false,
             counted: false,
@@ -102,27 +103,22 @@
         None
     }
 
-    pub(super) fn host_turn(&mut self, key: Key, turn: Turn) {
+    pub(super) fn host_turn(&mut self, key: Key, turn: HostEvent) {
         let Some(host) = self.host(key) else { return };
         let (member, task) = (host.member, host.task);
         match turn {
-            Turn::Welcome => {
+            HostEvent::Ready => {
                 host.welcome = true;
                 self.start_task(key);
             }
-            Turn::Unwelcome(code) => {
+            HostEvent::StartupRejected(code) => {
                 host.task = Task::None;
                 self.close(key);
                 debug!(self.log, "host turned a connection away"; "host" => self.directory.name(member),
                     "code" => &code);
-                let turned_away = matches!(code.as_str(), "53300" | "57P03");
-                let said = Answer {
-                    said: if turned_away { ResponseStatus::Rejected } else { ResponseStatus::Failed },
-                    rows: Vec::new(),
-                    value: None,
-                    role: None,
-                    position: None,
-                };
+                let turned_away = is_rejection(&code);
+                let status = if turned_away { ResponseStatus::Rejected } else { ResponseStatus::Failed };
+                let said = HostResponse::empty(status);
                 match task {
                     Task::Attempt(request_id) if turned_away => self.answered(request_id, member, said),
                     Task::Attempt(request_id) => {
@@ -140,12 +136,12 @@
                     Task::None => {}
                 }
             }
-            Turn::Flows => match task {
+            HostEvent::StreamingStarted => match task {
                 Task::Attempt(request_id) => self.begin_flow(request_id),
                 // No report is that long.
                 _ => self.host_lost(key, FailureCause::MalformedResponse),
             },
-            Turn::Answered(answer) => {
+            HostEvent::Response(answer) => {
                 self.free(key);
                 match task {
                     Task::Attempt(request_id) => self.answered(request_id, member, answer),
@@ -153,7 +149,7 @@
                     Task::None => {}
                 }
             }
-            Turn::Nonsense => {
+            HostEvent::ProtocolViolation => {
                 self.counts.spoilt += 1;
                 // Once between two lines on the traffic: those of a bad day would crowd out all others.
                 if self.counts.spoilt == 1 {
@@ -168,8 +164,8 @@
     pub(super) fn host_lost(&mut self, key: Key, cause: FailureCause) {
         let Some(host) = self.host(key) else { return };
         let (member, task) = (host.member, std::mem::replace(&mut host.task, Task::None));
-        let (progress, welcome) = (host.protocol.reach(), host.welcome);
-        let answer = host.protocol.ended();
+        let (progress, welcome) = (host.protocol.attempt_progress(), host.welcome);
+        let answer = host.protocol.handle_end();
         if cause != FailureCause::ConnectionLost {
             self.log_host_closed(key, close_reason(cause));
         }
@@ -221,13 +217,13 @@
         }
     }
 
-    pub(super) fn probed(&mut self, member: MemberId, answer: Answer) {
-        let (role, position) = host::report(&answer.value.unwrap_or_default());
+    pub(super) fn probed(&mut self, member: MemberId, answer: HostResponse) {
+        let (role, position) = load_report::parse(&answer.value.unwrap_or_default());
         let position = self.position(position);
         self.balancer.health_checked(
             self.now,
             member,
-            AttemptOutcome::Response { status: answer.said, role, position },
+            AttemptOutcome::Response { status: answer.status, role, position },
         );
     }
 
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -11,7 +11,7 @@
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::balancer::RoutingDecision;
 use crate::pg::codec::CancelKey;
-use crate::pg::host::Answer;
+use crate::pg::host::HostResponse;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequest;
 use crate::{GroupId, MemberId, Micros, RequestId};
@@ -47,8 +47,8 @@
 
     /// What another process, if there is one, has to hold against the session of a write that has ended here.
     fn commit_of(&self, work: &Statement) -> Option<Commit> {
-        let (group, session) = (GroupId(work.cluster), work.session);
-        let told = work.writes && self.workers.linked.load(Ordering::SeqCst);
+        let (group, session) = (GroupId(work.group), work.session);
+        let told = work.is_write && self.workers.linked.load(Ordering::SeqCst);
         let commit = told.then(|| self.balancer.session_commit(group, session)).flatten()?;
         Some((group, session, commit))
     }
@@ -107,7 +107,7 @@
     /// Cancels the query of the client with this key, if it is this worker's and one is open.
     pub(super) fn cancel_own(&mut self, key: CancelKey) -> bool {
         let named = |(place, slot): (usize, &Slot)| match &slot.link {
-            Link::Client(c) if c.protocol.key() == Some(key) => {
+            Link::Client(c) if c.protocol.cancel_key() == Some(key) => {
                 Some((Key { place, serial: slot.serial }, c.in_flight))
             }
             _ => None,
@@ -159,11 +159,13 @@
         client.in_flight = None;
         client.used = now;
         match answer {
-            Final::Served(rows) => client.protocol.serve(&rows),
-            Final::Refused(retry_after) => client.protocol.refuse(retry_after),
-            Final::Failed => client.protocol.fail("58000", "no answer in time, it may have run"),
-            Final::Cancelled => client.protocol.fail("57014", "canceling statement due to user request"),
-            Final::Unroutable(why) => client.protocol.fail("08P01", &why),
+            Final::Served(rows) => client.protocol.send_rows(&rows),
+            Final::Refused(retry_after) => client.protocol.reject(retry_after),
+            Final::Failed => client.protocol.send_error("58000", "no answer in time, it may have run"),
+            Final::Cancelled => {
+                client.protocol.send_error("57014", "canceling statement due to user request")
+            }
+            Final::Unroutable(why) => client.protocol.send_error("08P01", &why),
         }
         self.write(key);
         self.ready.push_back(key);
@@ -258,7 +260,7 @@
                 text
             }
         };
-        if self.host(key).is_some_and(|host| host.protocol.ask(&text)) {
+        if self.host(key).is_some_and(|host| host.protocol.send_query(&text)) {
             self.write(key);
         } else {
             self.lose(key);
@@ -270,7 +272,7 @@
     pub(super) fn attempt_written(&mut self, key: Key) {
         let Some(host) = self.host(key) else { return };
         let Task::Attempt(request_id) = host.task else { return };
-        if host.protocol.reach() != AttemptProgress::FullyWritten
+        if host.protocol.attempt_progress() != AttemptProgress::FullyWritten
             || std::mem::replace(&mut host.counted, true)
         {
             return;
@@ -324,13 +326,13 @@
         self.apply(request_id, decision);
     }
 
-    pub(super) fn answered(&mut self, request_id: RequestId, member: MemberId, answer: Answer) {
+    pub(super) fn answered(&mut self, request_id: RequestId, member: MemberId, answer: HostResponse) {
         self.requests.end_attempt(request_id);
         let position = self.position(answer.position);
-        let outcome = AttemptOutcome::Response { status: answer.said, role: answer.role, position };
+        let outcome = AttemptOutcome::Response { status: answer.status, role: answer.role, position };
         self.log_attempt_end(request_id, member, &outcome);
         let decision = self.balancer.handle_outcome(self.now, request_id, outcome);
-        if answer.said == ResponseStatus::Served {
+        if answer.status == ResponseStatus::Served {
             self.counts.served += 1;
             self.finish(request_id, Final::Served(answer.rows));
         } else {
--- a/src/net/event_loop/slots.rs
+++ b/src/net/event_loop/slots.rs
@@ -211,7 +211,7 @@
         let open = self.phase != Phase::Closing;
         let Some(slot) = self.slot(key) else { return };
         let wants = match &slot.link {
-            Link::Client(client) => (open && client.protocol.wants_more(), !client.protocol.out.is_empty()),
+            Link::Client(client) => (open && client.protocol.wants_read(), !client.protocol.out.is_empty()),
             Link::Host(host) => (!host.held, !host.protocol.out.is_empty()),
             Link::Discovery(out) => (true, !out.is_empty()),
             Link::Caller(caller) => (true, !caller.call.out.is_empty()),
@@ -324,7 +324,7 @@
             Link::Host(host) if !ended => {
                 host.heard = now;
                 host.protocol.receive(bytes);
-                while let Some(turn) = self.host(key).and_then(|host| host.protocol.turn()) {
+                while let Some(turn) = self.host(key).and_then(|host| host.protocol.next_event()) {
                     self.host_turn(key, turn);
                 }
                 self.flow(key);
--- a/src/net/event_loop/succession.rs
+++ b/src/net/event_loop/succession.rs
@@ -18,7 +18,7 @@
 use crate::hot_restart::handover_socket::{self, HandoverSocket};
 use crate::hot_restart::message::{GatewaySnapshot, Message};
 use crate::net::discovery::Watch;
-use crate::pg::client::{Client, Handover};
+use crate::pg::client::{ClientConnection, ClientHandover};
 use crate::pg::codec::CancelKey;
 use crate::Micros;
 
@@ -29,7 +29,7 @@
 pub(super) struct Passed {
     socket: TcpStream,
     asked: bool,
-    left: Handover,
+    left: ClientHandover,
 }
 
 /// Another process of this gateway.
@@ -301,7 +301,7 @@
                     peer.holding = peer.holding.saturating_sub(1);
                 }
                 if let Some(socket) = with {
-                    let left = Handover { key, greeted, bytes, arrivals };
+                    let left = ClientHandover { key, greeted, bytes, arrivals };
                     self.adopt(Passed { socket: socket.into(), asked: has_queried, left });
                 }
             }
@@ -335,7 +335,7 @@
 
     /// A client that the process before has passed on.
     fn adopt(&mut self, Passed { socket, asked, left }: Passed) {
-        let protocol = Client::resume(self.clients.longest_message, left, self.now);
+        let protocol = ClientConnection::resume(self.clients.longest_message, left, self.now);
         let client = ClientLink { asked, ..ClientLink::new(protocol, self.now) };
         self.workers.count(self.me).fetch_add(1, Ordering::Relaxed);
         self.admit(socket, client);
@@ -351,7 +351,7 @@
             return false;
         };
         let asked = client.asked;
-        let Some(left) = client.protocol.part() else { return false };
+        let Some(left) = client.protocol.to_handover() else { return false };
         // Counted until it is on the line: the first worker does not end before.
         self.workers.count(0).fetch_add(1, Ordering::Relaxed);
         match self.remove(key) {
@@ -371,7 +371,7 @@
     pub(super) fn pass_further(&mut self, client: Passed) {
         match self.line.successor {
             Some(successor) => {
-                let Passed { socket, asked, left: Handover { key, greeted, bytes, arrivals } } = client;
+                let Passed { socket, asked, left: ClientHandover { key, greeted, bytes, arrivals } } = client;
                 let message = Message::Client { greeted, has_queried: asked, bytes, key, arrivals };
                 self.tell(successor, &message, Some(socket.into()));
             }
--- a/src/net/event_loop/timers.rs
+++ b/src/net/event_loop/timers.rs
@@ -160,8 +160,8 @@
             self.close(key);
         }
         let half = |(place, slot): (usize, &Slot)| match &slot.link {
-            Link::Host(h) if h.protocol.is_half() && !h.held => {
-                let stall = if h.protocol.flows() { FLOW_STALL } else { STALL };
+            Link::Host(h) if h.protocol.has_partial_response() && !h.held => {
+                let stall = if h.protocol.is_streaming() { FLOW_STALL } else { STALL };
                 (self.now - h.heard >= stall).then_some(Key { place, serial: slot.serial })
             }
             _ => None,
--- a/src/pg/client.rs
+++ b/src/pg/client.rs
@@ -1,26 +1,56 @@
-//! A client's connection, driven by bytes: from startup through one query at a time.
+//! A client's connection, where the gateway speaks as a server: a state machine driven by bytes, from startup through one
+//! simple query at a time.
 
-use super::codec::{self, CancelKey, FrameError, Outbox, Startup, MAX_MESSAGE};
+use super::codec::{self, CancelKey, Frame, FrameError, Outbox, Startup, MAX_MESSAGE};
+use super::message_type::{backend, frontend};
 use super::timed_inbox::{Arrival, TimedInbox};
 use crate::Micros;
 
+/// The major version of the protocol.
+const PROTOCOL_MAJOR: u16 = 3;
+/// Answers an SSLRequest or a GSSENCRequest: without encryption.
+const ENCRYPTION_REJECTED: u8 = b'N';
+/// The body of NegotiateProtocolVersion: minor version 0, and no option that is not known.
+const NEGOTIATED_VERSION: [u8; 8] = [0; 8];
+/// The body of AuthenticationOk.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+/// The ParameterStatus messages of the startup.
+const PARAMETERS: [(&str, &str); 4] = [
+    ("server_version", "15.0 (dunemount)"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// SQLSTATE codes of the errors that are made here.
+mod sqlstate {
+    pub const PROTOCOL_VIOLATION: &str = "08P01";
+    pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
+    pub const CHARACTER_NOT_IN_REPERTOIRE: &str = "22021";
+    pub const TOO_MANY_CONNECTIONS: &str = "53300";
+    pub const PROGRAM_LIMIT_EXCEEDED: &str = "54000";
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// The startup packet is awaited.
     Startup,
+    /// The next query is awaited.
     Idle,
-    /// A query is owed its answer; what is pipelined behind it waits.
+    /// A query has no answer yet; what is pipelined behind it waits.
     Busy,
-    /// After an error in an extended query: all is passed over up to its Sync.
-    Skipping,
+    /// After an error in an extended query: all messages are skipped up to its Sync.
+    SkippingToSync,
+    /// Nothing more is read.
     Closed,
 }
 
-/// What a client wants next.
+/// What a client asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Demand {
+pub enum ClientRequest {
     /// An answer to this query, which arrived at this time: when its last byte was received.
     Query(String, Micros),
-    /// The query of the connection with this key called off; this one then closes without a word.
+    /// The query of the connection with this key cancelled; this connection then closes without an answer.
     Cancel(CancelKey),
     /// The connection closed, once what is to be written has been.
     Close,
@@ -28,48 +58,50 @@
 
 /// What another process needs to go on with a client that is owed nothing.
 #[derive(Debug)]
-pub struct Handover {
+pub struct ClientHandover {
     /// The key with which its query may be cancelled.
     pub key: CancelKey,
     /// It has been greeted.
     pub greeted: bool,
-    /// Bytes that came and are not understood yet.
+    /// Bytes that were received and not parsed yet.
     pub bytes: Vec<u8>,
-    /// When the whole messages among them arrived, on the clock that both processes run on.
+    /// When the complete messages among them arrived, on the clock that both processes run on.
     pub arrivals: Vec<Arrival>,
 }
 
 /// A client's connection.
 #[derive(Debug)]
-pub struct Client {
+pub struct ClientConnection {
     inbox: TimedInbox,
     /// Bytes for the client.
     pub out: Outbox,
     state: State,
-    longest: usize,
-    key: CancelKey,
+    /// Longest message that is accepted.
+    max_message: usize,
+    cancel_key: CancelKey,
 }
 
-impl Default for Client {
+impl Default for ClientConnection {
     fn default() -> Self {
-        Client::taking(MAX_MESSAGE, CancelKey::default())
+        ClientConnection::new(MAX_MESSAGE, CancelKey::default())
     }
 }
 
-impl Client {
-    /// A client whose messages may be so long, and whose query may be cancelled with this key.
-    pub fn taking(longest: usize, key: CancelKey) -> Self {
-        Client { inbox: TimedInbox::default(), out: Outbox::default(), state: State::Startup, longest, key }
+impl ClientConnection {
+    /// A connection whose messages may be so long, and whose query may be cancelled with this key.
+    pub fn new(max_message: usize, cancel_key: CancelKey) -> Self {
+        let (inbox, out) = (TimedInbox::default(), Outbox::default());
+        ClientConnection { inbox, out, state: State::Startup, max_message, cancel_key }
     }
 
-    /// The key with which its query may be cancelled, if it has been told.
-    pub fn key(&self) -> Option<CancelKey> {
-        (self.state != State::Startup).then_some(self.key)
+    /// The key with which its query may be cancelled, if the client knows it.
+    pub fn cancel_key(&self) -> Option<CancelKey> {
+        (self.state != State::Startup).then_some(self.cancel_key)
     }
 
-    /// A client of another process. What it has not told the arrival of counts as having arrived now.
-    pub fn resume(longest: usize, from: Handover, now: Micros) -> Self {
-        let mut client = Client::taking(longest, from.key);
+    /// A client of another process. Messages whose arrival that did not tell count as having arrived now.
+    pub fn resume(max_message: usize, from: ClientHandover, now: Micros) -> Self {
+        let mut client = ClientConnection::new(max_message, from.key);
         if from.greeted {
             client.state = State::Idle;
         }
@@ -77,11 +109,11 @@
         client
     }
 
-    /// What [`Client::resume`] needs, unless the client is owed something or is about to end.
-    pub fn part(&self) -> Option<Handover> {
-        let free = matches!(self.state, State::Startup | State::Idle) && self.out.is_empty();
-        free.then(|| Handover {
-            key: self.key,
+    /// What [`ClientConnection::resume`] needs, unless the client is owed something or is about to end.
+    pub fn to_handover(&self) -> Option<ClientHandover> {
+        let owed_nothing = matches!(self.state, State::Startup | State::Idle) && self.out.is_empty();
+        owed_nothing.then(|| ClientHandover {
+            key: self.cancel_key,
             greeted: self.state == State::Idle,
             bytes: self.inbox.rest().to_vec(),
             arrivals: self.inbox.arrivals().iter().copied().collect(),
@@ -96,160 +128,188 @@
         }
     }
 
-    /// Whether more bytes are welcome: pipelined queries, and answers that the client does not read,
-    /// are held up to the longest message.
-    pub fn wants_more(&self) -> bool {
-        self.state != State::Closed && self.inbox.len() <= self.longest && self.out.len() <= self.longest
+    /// Whether more bytes are to be read: pipelined queries, and answers that the client does not read, are held up to
+    /// the longest message.
+    pub fn wants_read(&self) -> bool {
+        self.state != State::Closed
+            && self.inbox.len() <= self.max_message
+            && self.out.len() <= self.max_message
     }
 
-    /// Whether a query is owed its answer.
+    /// Whether a query has no answer yet.
     pub fn is_busy(&self) -> bool {
         self.state == State::Busy
     }
 
     /// Whether a message has begun and the rest of it is awaited.
-    pub fn is_half(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !matches!(self.state, State::Busy | State::Closed) && !self.inbox.is_empty()
     }
 
-    /// Whether it may be closed without loss: nothing owed, nothing half read, nothing half written.
+    /// Whether it may be closed without loss: nothing owed, nothing partially read, nothing partially written.
     pub fn is_idle(&self) -> bool {
         self.state != State::Busy && self.inbox.is_empty() && self.out.is_empty()
     }
 
-    /// The next thing to do for the client; `None` until more comes, or while an answer is owed.
-    pub fn demand(&mut self) -> Option<Demand> {
+    /// The next thing that the client asks for; `None` until more bytes come, or while an answer is owed.
+    pub fn next_request(&mut self) -> Option<ClientRequest> {
         loop {
             let step = match self.state {
-                State::Startup => self.start(),
-                State::Idle | State::Skipping => self.command(),
+                State::Startup => self.handle_startup(),
+                State::Idle | State::SkippingToSync => self.handle_message(),
                 State::Busy | State::Closed => return None,
             };
             match step {
-                Ok(Step::More) => {}
-                Ok(Step::Wait) => return None,
-                Ok(Step::Do(demand)) => return Some(demand),
-                Err(FrameError::TooLong) => return Some(self.fatal("54000", "message too long")),
-                Err(FrameError::BadLength) => return Some(self.fatal("08P01", "invalid message length")),
+                Ok(Step::Continue) => {}
+                Ok(Step::AwaitBytes) => return None,
+                Ok(Step::Request(request)) => return Some(request),
+                Err(FrameError::TooLong) => {
+                    return Some(self.close_with_error(sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"))
+                }
+                Err(FrameError::BadLength) => {
+                    return Some(
+                        self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "invalid message length"),
+                    )
+                }
             }
         }
     }
 
-    fn start(&mut self) -> Result<Step, FrameError> {
-        let Some(startup) = self.inbox.startup()? else { return Ok(Step::Wait) };
-        let out = &mut self.out.bytes;
+    fn handle_startup(&mut self) -> Result<Step, FrameError> {
+        let Some(startup) = self.inbox.startup()? else { return Ok(Step::AwaitBytes) };
         match startup {
-            Startup::Encryption => out.push(b'N'),
+            Startup::Encryption => self.out.bytes.push(ENCRYPTION_REJECTED),
             Startup::Cancel(key) => {
                 self.state = State::Closed;
-                return Ok(Step::Do(Demand::Cancel(key)));
+                return Ok(Step::Request(ClientRequest::Cancel(key)));
             }
-            Startup::Session(3, minor) => {
-                if minor > 0 {
-                    codec::frame(out, b'v', &[0; 8]);
-                }
-                codec::frame(out, b'R', &[0; 4]);
-                for (name, value) in [
-                    ("server_version", "15.0 (dunemount)"),
-                    ("server_encoding", "UTF8"),
-                    ("client_encoding", "UTF8"),
-                    ("standard_conforming_strings", "on"),
-                ] {
-                    codec::parameter(out, name, value);
-                }
-                codec::key_data(out, self.key);
-                codec::ready(out);
-                self.state = State::Idle;
+            Startup::Session(PROTOCOL_MAJOR, minor) => self.greet(minor),
+            Startup::Session(..) => {
+                let error =
+                    self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "unsupported protocol version");
+                return Ok(Step::Request(error));
             }
-            Startup::Session(..) => return Ok(Step::Do(self.fatal("08P01", "unsupported protocol version"))),
         }
-        Ok(Step::More)
+        Ok(Step::Continue)
     }
 
-    fn command(&mut self) -> Result<Step, FrameError> {
-        let Some((frame, arrived)) = self.inbox.frame(self.longest)? else { return Ok(Step::Wait) };
-        match (frame.tag, self.state) {
-            (b'X', _) => {
+    /// Accepts a client that asked for this minor version.
+    fn greet(&mut self, minor: u16) {
+        let out = &mut self.out.bytes;
+        if minor > 0 {
+            codec::frame(out, backend::NEGOTIATE_PROTOCOL_VERSION, &NEGOTIATED_VERSION);
+        }
+        codec::frame(out, backend::AUTHENTICATION, &AUTHENTICATION_OK);
+        for (name, value) in PARAMETERS {
+            codec::parameter(out, name, value);
+        }
+        codec::key_data(out, self.cancel_key);
+        self.ready_for_query();
+    }
+
+    fn handle_message(&mut self) -> Result<Step, FrameError> {
+        let Some((frame, arrived)) = self.inbox.frame(self.max_message)? else { return Ok(Step::AwaitBytes) };
+        Ok(match (frame.tag, self.state) {
+            (frontend::TERMINATE, _) => {
                 self.state = State::Closed;
-                Ok(Step::Do(Demand::Close))
+                Step::Request(ClientRequest::Close)
             }
-            (b'S', _) => {
-                self.state = State::Idle;
-                codec::ready(&mut self.out.bytes);
-                Ok(Step::More)
+            (frontend::SYNC, _) => {
+                self.ready_for_query();
+                Step::Continue
             }
-            (_, State::Skipping) => Ok(Step::More),
-            (b'Q', _) => Ok(self.query(frame.body, arrived)),
-            (b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F', _) => {
-                codec::error(&mut self.out.bytes, "ERROR", "0A000", "only simple queries are served", None);
-                if frame.tag == b'F' {
-                    codec::ready(&mut self.out.bytes);
-                } else {
-                    self.state = State::Skipping;
-                }
-                Ok(Step::More)
+            (_, State::SkippingToSync) => Step::Continue,
+            (frontend::QUERY, _) => self.handle_query(frame.body, arrived),
+            (frontend::FUNCTION_CALL, _) => {
+                self.reject_extended_query();
+                self.ready_for_query();
+                Step::Continue
             }
-            _ => Ok(Step::Do(self.fatal("08P01", "unknown message type"))),
-        }
+            _ if is_extended_query(&frame) => {
+                self.reject_extended_query();
+                self.state = State::SkippingToSync;
+                Step::Continue
+            }
+            _ => Step::Request(self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "unknown message type")),
+        })
     }
 
-    fn query(&mut self, mut body: Vec<u8>, arrived: Micros) -> Step {
+    fn handle_query(&mut self, mut body: Vec<u8>, arrived: Micros) -> Step {
         if body.pop() != Some(0) || body.contains(&0) {
-            return Step::Do(self.fatal("08P01", "query does not end where it should"));
+            let message = "query does not end where it should";
+            return Step::Request(self.close_with_error(sqlstate::PROTOCOL_VIOLATION, message));
         }
         self.state = State::Busy;
         match String::from_utf8(body) {
             Ok(text) if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() => {
-                codec::frame(&mut self.out.bytes, b'I', &[]);
-                self.settle();
-                Step::More
+                codec::frame(&mut self.out.bytes, backend::EMPTY_QUERY_RESPONSE, &[]);
+                self.ready_for_query();
+                Step::Continue
             }
-            Ok(text) => Step::Do(Demand::Query(text, arrived)),
+            Ok(text) => Step::Request(ClientRequest::Query(text, arrived)),
             Err(_) => {
-                self.fail("22021", "statement is not UTF-8");
-                Step::More
+                self.send_error(sqlstate::CHARACTER_NOT_IN_REPERTOIRE, "statement is not UTF-8");
+                Step::Continue
             }
         }
     }
 
-    /// Answers the query with a host's rows, whole as they came.
-    pub fn serve(&mut self, rows: &[u8]) {
+    fn reject_extended_query(&mut self) {
+        let message = "only simple queries are served";
+        codec::error(&mut self.out.bytes, "ERROR", sqlstate::FEATURE_NOT_SUPPORTED, message, None);
+    }
+
+    /// Answers the query with a host's messages, as they came.
+    pub fn send_rows(&mut self, rows: &[u8]) {
         self.out.bytes.extend_from_slice(rows);
-        self.settle();
+        self.ready_for_query();
     }
 
-    /// Refuses the query: trying again is harmless, after the given time if there is one.
-    pub fn refuse(&mut self, come_back: Option<Micros>) {
-        let advice = come_back.map(|wait| wait.0.div_ceil(1000).to_string());
-        codec::error(&mut self.out.bytes, "ERROR", "53300", "refused, try again", advice.as_deref());
-        self.settle();
+    /// Rejects the query: a retry is harmless, after the given time if there is one.
+    pub fn reject(&mut self, retry_after: Option<Micros>) {
+        let retry_after_ms = retry_after.map(|wait| wait.0.div_ceil(1000).to_string());
+        let (out, message) = (&mut self.out.bytes, "refused, try again");
+        codec::error(out, "ERROR", sqlstate::TOO_MANY_CONNECTIONS, message, retry_after_ms.as_deref());
+        self.ready_for_query();
     }
 
-    /// Fails the query.
-    pub fn fail(&mut self, code: &str, message: &str) {
+    /// Answers the query with an error.
+    pub fn send_error(&mut self, code: &str, message: &str) {
         codec::error(&mut self.out.bytes, "ERROR", code, message, None);
-        self.settle();
+        self.ready_for_query();
     }
 
-    fn settle(&mut self) {
+    fn ready_for_query(&mut self) {
         codec::ready(&mut self.out.bytes);
         self.state = State::Idle;
     }
 
-    /// Closes the connection with a word on why, once that has been written.
-    pub fn turn_out(&mut self, code: &str, message: &str) {
-        self.fatal(code, message);
-    }
-
-    fn fatal(&mut self, code: &str, message: &str) -> Demand {
+    /// Closes the connection with an error, once that has been written.
+    pub fn close_with_error(&mut self, code: &str, message: &str) -> ClientRequest {
         codec::error(&mut self.out.bytes, "FATAL", code, message, None);
         self.state = State::Closed;
-        Demand::Close
+        ClientRequest::Close
     }
 }
 
+fn is_extended_query(frame: &Frame) -> bool {
+    matches!(
+        frame.tag,
+        frontend::PARSE
+            | frontend::BIND
+            | frontend::DESCRIBE
+            | frontend::EXECUTE
+            | frontend::CLOSE
+            | frontend::FLUSH
+    )
+}
+
+/// What comes of handling a message.
 enum Step {
-    More,
-    Wait,
-    Do(Demand),
+    /// The next message may be handled.
+    Continue,
+    /// No message is complete.
+    AwaitBytes,
+    /// The client asks for something.
+    Request(ClientRequest),
 }
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -1,62 +1,89 @@
-//! A connection to a database host, driven by bytes: from greeting through one request at a time.
+//! A connection to a database host, where the gateway speaks as a client: a state machine driven by bytes, from startup
+//! through one simple query at a time.
 
 use super::codec::{self, Frame, Inbox, Outbox};
+use super::load_report::is_plain_number;
+use super::message_type::backend;
 use crate::attempt::{AttemptProgress, ResponseStatus};
 use crate::Role;
 
-/// Longest value that is held until it is whole; a longer one flows.
-const MAX_HELD: usize = 64 * 1024;
-/// Longest row that is taken at all, its lengths included.
+/// The user and the database that the startup packet names.
+const USER: &str = "app";
+const DATABASE: &str = "shop";
+/// Longest value that is buffered until it is complete; a longer one is streamed.
+const MAX_BUFFERED_VALUE: usize = 64 * 1024;
+/// Longest row that is accepted at all, its lengths included.
 pub const MAX_ROW: usize = 8 * 1024 * 1024 + 16;
 /// What comes before the value in a row: type, length, number of columns, the value's length.
 const ROW_HEAD: usize = 11;
-/// Longest value that may be a report.
-const MAX_REPORT: usize = 1024;
+/// Longest value that may be a load report.
+const MAX_LOAD_REPORT: usize = 1024;
+/// The body of ReadyForQuery outside of a transaction.
+const IDLE_TRANSACTION_STATUS: &[u8] = b"I";
+
+/// SQLSTATE codes that tell what became of a query.
+mod sqlstate {
+    pub const READ_ONLY_TRANSACTION: &str = "25006";
+    pub const SNAPSHOT_TOO_OLD: &str = "72000";
+    pub const TOO_MANY_CONNECTIONS: &str = "53300";
+    pub const CANNOT_CONNECT_NOW: &str = "57P03";
+}
+
+/// Whether an error with this SQLSTATE says that the host had no capacity for the query, and has not run it.
+pub fn is_rejection(code: &str) -> bool {
+    matches!(code, sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW)
+}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Greeting,
+    /// The first ReadyForQuery is awaited.
+    Startup,
+    /// It takes a query.
     Idle,
-    /// A request is out, and this much of its answer has come.
-    Busy(Stage),
+    /// A query is out, and this much of its response has come.
+    Busy(ResponseProgress),
+    /// Nothing more is read.
     Closed,
 }
 
-/// How far an answer has come. Its parts come in this order, each once.
+/// How far a response has come. Its messages come in this order, each once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum ResponseProgress {
     Nothing,
-    Described,
-    /// A long row flows, and so many bytes of it are still to come.
-    Flowing(usize),
-    Row,
-    /// The last word on the request: only its report and ReadyForQuery are still to come.
-    Told,
+    RowDescription,
+    /// A long row is streamed, and so many bytes of it are still to come.
+    StreamingRow(usize),
+    DataRow,
+    /// CommandComplete or ErrorResponse: only ParameterStatus messages and ReadyForQuery are still to come.
+    Completed,
 }
 
-/// Longest message of a type in this state, by its own word; a type that does not belong there has
-/// none. What is out of place is so told at its first byte, and no length is waited for in vain.
-fn longest(state: State, tag: u8) -> usize {
+/// Longest message of a type in this state, by its own length; zero for a type that does not belong there. What is out
+/// of place is so known at its first byte, and no length is awaited in vain.
+fn max_message_length(state: State, tag: u8) -> usize {
     match (tag, state) {
-        (b'N' | b'E', _) => 8 * 1024,
-        (b'S', _) => 4 * 1024,
-        (b'K' | b'v' | b'R', State::Greeting) => 1024,
-        (b'Z', State::Greeting | State::Busy(Stage::Told)) => 5,
-        (b'T', State::Busy(Stage::Nothing)) => 1024,
-        (b'D', State::Busy(Stage::Described)) => MAX_HELD + ROW_HEAD,
-        (b'C', State::Busy(Stage::Row)) => 256,
+        (backend::NOTICE_RESPONSE | backend::ERROR_RESPONSE, _) => 8 * 1024,
+        (backend::PARAMETER_STATUS, _) => 4 * 1024,
+        (
+            backend::BACKEND_KEY_DATA | backend::NEGOTIATE_PROTOCOL_VERSION | backend::AUTHENTICATION,
+            State::Startup,
+        ) => 1024,
+        (backend::READY_FOR_QUERY, State::Startup | State::Busy(ResponseProgress::Completed)) => 5,
+        (backend::ROW_DESCRIPTION, State::Busy(ResponseProgress::Nothing)) => 1024,
+        (backend::DATA_ROW, State::Busy(ResponseProgress::RowDescription)) => MAX_BUFFERED_VALUE + ROW_HEAD,
+        (backend::COMMAND_COMPLETE, State::Busy(ResponseProgress::DataRow)) => 256,
         _ => 0,
     }
 }
 
-/// A host's whole answer.
+/// A host's complete response to a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// What it says.
-    pub said: ResponseStatus,
+pub struct HostResponse {
+    /// What became of the query.
+    pub status: ResponseStatus,
     /// The messages that a client gets to see.
     pub rows: Vec<u8>,
-    /// The value of its row, if it is short enough for a report.
+    /// The value of its row, if it is short enough for a load report.
     pub value: Option<Vec<u8>>,
     /// The host's role.
     pub role: Option<Role>,
@@ -64,81 +91,87 @@
     pub position: Option<f64>,
 }
 
-/// What a host has come to.
+impl HostResponse {
+    /// A response with a status and nothing else.
+    pub fn empty(status: ResponseStatus) -> HostResponse {
+        HostResponse { status, rows: Vec::new(), value: None, role: None, position: None }
+    }
+}
+
+/// What a host's bytes amount to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Turn {
-    /// It has welcomed the gateway and takes a request.
-    Welcome,
-    /// It turned the connection away while greeting, with this code.
-    Unwelcome(String),
-    /// A long answer has begun: [`Host::flow`] gives out what comes of it.
-    Flows,
-    /// It has answered the request; of one that flowed the rest.
-    Answered(Answer),
-    /// It does not keep to the protocol: what came is no answer, and the connection is of no use.
-    Nonsense,
+pub enum HostEvent {
+    /// The startup is over: it takes a query.
+    Ready,
+    /// It rejected the connection during the startup, with this SQLSTATE.
+    StartupRejected(String),
+    /// A long response has begun: [`HostConnection::take_streamed`] returns what comes of it.
+    StreamingStarted,
+    /// It has responded to the query; of a response that was streamed this is the rest.
+    Response(HostResponse),
+    /// It violates the protocol: what came is no response, and the connection is of no use.
+    ProtocolViolation,
 }
 
+/// What a host sent does not belong there.
+struct ProtocolViolation;
+
 /// A connection to a host.
 #[derive(Debug)]
-pub struct Host {
+pub struct HostConnection {
     inbox: Inbox,
     /// Bytes for the host.
     pub out: Outbox,
     state: State,
-    answer: Answer,
-    /// A request is on the connection.
-    asked: bool,
-    /// The answer flows.
-    flows: bool,
-    /// What the host says of itself beside this answer cannot be read.
-    garbled: bool,
+    response: HostResponse,
+    /// A query is on the connection.
+    has_query: bool,
+    /// The response is streamed.
+    is_streamed: bool,
+    /// What the host says of itself beside this response cannot be read.
+    has_invalid_status: bool,
 }
 
-impl Default for Host {
+impl Default for HostConnection {
     fn default() -> Self {
-        let mut host = Host {
+        let mut host = HostConnection {
             inbox: Inbox::default(),
             out: Outbox::default(),
-            state: State::Greeting,
-            answer: blank(),
-            asked: false,
-            flows: false,
-            garbled: false,
+            state: State::Startup,
+            response: HostResponse::empty(ResponseStatus::Failed),
+            has_query: false,
+            is_streamed: false,
+            has_invalid_status: false,
         };
-        codec::startup(&mut host.out.bytes, "app", "shop");
+        codec::startup(&mut host.out.bytes, USER, DATABASE);
         host
     }
 }
 
-fn blank() -> Answer {
-    Answer { said: ResponseStatus::Failed, rows: Vec::new(), value: None, role: None, position: None }
-}
-
-impl Host {
-    /// Whether it takes a request: the last answer is whole and nothing is left of it.
+impl HostConnection {
+    /// Whether it takes a query: the last response is complete and nothing is left of it.
     pub fn is_idle(&self) -> bool {
         self.state == State::Idle && self.inbox.is_empty() && self.out.is_empty()
     }
 
-    /// Puts a request on the connection. False, and nothing is put, unless it is idle.
+    /// Puts a query on the connection. False, and nothing is put, unless it is idle.
     #[must_use]
-    pub fn ask(&mut self, text: &str) -> bool {
+    pub fn send_query(&mut self, text: &str) -> bool {
         let idle = self.is_idle();
         if idle {
-            self.answer = blank();
-            self.garbled = false;
-            self.flows = false;
-            self.asked = true;
-            self.state = State::Busy(Stage::Nothing);
+            self.response = HostResponse::empty(ResponseStatus::Failed);
+            self.has_invalid_status = false;
+            self.is_streamed = false;
+            self.has_query = true;
+            self.state = State::Busy(ResponseProgress::Nothing);
             codec::query(&mut self.out.bytes, text);
         }
         idle
     }
 
-    /// Whether its answer flows.
-    pub fn flows(&self) -> bool {
-        self.flows && matches!(self.state, State::Busy(_))
+    /// Whether its response is being streamed.
+    pub fn is_streaming(&self) -> bool {
+        self.is_streamed && matches!(self.state, State::Busy(_))
     }
 
     /// Takes bytes in.
@@ -146,201 +179,202 @@
         self.inbox.push(bytes);
     }
 
-    /// Whether an answer has begun and the rest of it is awaited.
-    pub fn is_half(&self) -> bool {
+    /// Whether a response has begun and the rest of it is awaited.
+    pub fn has_partial_response(&self) -> bool {
         match self.state {
-            State::Busy(Stage::Nothing) => !self.inbox.is_empty(),
+            State::Busy(ResponseProgress::Nothing) => !self.inbox.is_empty(),
             State::Busy(_) => true,
             _ => false,
         }
     }
 
-    /// The next thing that the bytes so far amount to.
-    pub fn turn(&mut self) -> Option<Turn> {
+    /// The next thing that the bytes so far amount to; `None` until more come.
+    pub fn next_event(&mut self) -> Option<HostEvent> {
         while self.state != State::Closed {
             let state = self.state;
             match state {
-                State::Busy(Stage::Described) if self.begins_to_flow() => return Some(Turn::Flows),
-                // Whether a row is too long shows once its head is whole.
-                State::Busy(Stage::Described)
-                    if self.inbox.rest().starts_with(b"D") && self.inbox.len() < ROW_HEAD =>
-                {
-                    return None
+                State::Busy(ResponseProgress::RowDescription) if self.starts_streaming() => {
+                    return Some(HostEvent::StreamingStarted)
                 }
-                State::Busy(Stage::Flowing(left)) => {
-                    let bytes = self.inbox.cut_off(left);
-                    self.answer.rows.extend_from_slice(bytes);
-                    let left = left - bytes.len();
-                    if left > 0 {
-                        self.state = State::Busy(Stage::Flowing(left));
+                // Whether a row is too long shows once its head is complete.
+                State::Busy(ResponseProgress::RowDescription) if self.has_partial_row_head() => return None,
+                State::Busy(ResponseProgress::StreamingRow(left)) => {
+                    if !self.continue_streaming(left) {
                         return None;
                     }
-                    self.state = State::Busy(Stage::Row);
                     continue;
                 }
                 _ => {}
             }
-            let turn = match self.inbox.frame_within(|tag| longest(state, tag)) {
-                Ok(frame) => self.take(&frame?),
-                Err(_) => Err(Nonsense),
+            let event = match self.inbox.frame_within(|tag| max_message_length(state, tag)) {
+                Ok(frame) => self.handle_message(&frame?),
+                Err(_) => Err(ProtocolViolation),
             };
-            match turn {
+            match event {
                 Ok(None) => {}
-                Ok(turn) => return turn,
-                Err(Nonsense) => return Some(self.close(Turn::Nonsense)),
+                Ok(event) => return event,
+                Err(ProtocolViolation) => return Some(self.close(HostEvent::ProtocolViolation)),
             }
         }
         None
     }
 
+    fn has_partial_row_head(&self) -> bool {
+        self.inbox.rest().first() == Some(&backend::DATA_ROW) && self.inbox.len() < ROW_HEAD
+    }
+
     /// Whether the head of a long row is there: one column, and lengths that fit. Any other row of its
-    /// length is nonsense at once.
-    fn begins_to_flow(&mut self) -> bool {
+    /// length violates the protocol.
+    fn starts_streaming(&mut self) -> bool {
         let Some((head, _)) = self.inbox.rest().split_first_chunk::<ROW_HEAD>() else { return false };
         let [tag, a, b, c, d, columns @ .., e, f, g, h] = *head;
         let row = u32::from_be_bytes([a, b, c, d]) as usize;
         let value = u32::from_be_bytes([e, f, g, h]) as usize;
-        let fits =
-            tag == b'D' && columns == [0, 1] && row == value.saturating_add(ROW_HEAD - 1) && row <= MAX_ROW;
-        if fits && value > MAX_HELD {
-            self.state = State::Busy(Stage::Flowing(row + 1));
-            self.flows = true;
+        let has_one_column = columns == [0, 1] && row == value.saturating_add(ROW_HEAD - 1);
+        let streams =
+            tag == backend::DATA_ROW && has_one_column && row <= MAX_ROW && value > MAX_BUFFERED_VALUE;
+        if streams {
+            self.state = State::Busy(ResponseProgress::StreamingRow(row + 1));
+            self.is_streamed = true;
         }
-        fits && value > MAX_HELD
+        streams
     }
 
-    /// What has come of an answer that flows, up to the end of its row: the last word on it is kept
+    /// Moves what has come of a streamed row to the response. False while some of it is still to come.
+    fn continue_streaming(&mut self, left: usize) -> bool {
+        let bytes = self.inbox.cut_off(left);
+        self.response.rows.extend_from_slice(bytes);
+        let left = left - bytes.len();
+        self.state = State::Busy(match left {
+            0 => ResponseProgress::DataRow,
+            left => ResponseProgress::StreamingRow(left),
+        });
+        left == 0
+    }
+
+    /// What has come of a response that is streamed, up to the end of its row: CommandComplete is kept back
     /// until all has been checked.
-    pub fn flow(&mut self) -> Vec<u8> {
+    pub fn take_streamed(&mut self) -> Vec<u8> {
         match self.state {
-            State::Busy(Stage::Flowing(_) | Stage::Row) if self.flows => {
-                std::mem::take(&mut self.answer.rows)
+            State::Busy(ResponseProgress::StreamingRow(_) | ResponseProgress::DataRow)
+                if self.is_streamed =>
+            {
+                std::mem::take(&mut self.response.rows)
             }
             _ => Vec::new(),
         }
     }
 
-    fn take(&mut self, frame: &Frame) -> Result<Option<Turn>, Nonsense> {
+    fn handle_message(&mut self, frame: &Frame) -> Result<Option<HostEvent>, ProtocolViolation> {
         let body = frame.body.as_slice();
         match (frame.tag, self.state) {
-            (b'S', _) => self.note(body),
-            (b'Z', State::Greeting) => {
+            (backend::PARAMETER_STATUS, _) => self.handle_parameter_status(body),
+            (backend::READY_FOR_QUERY, State::Startup) => {
                 self.state = State::Idle;
-                return Ok(Some(Turn::Welcome));
+                return Ok(Some(HostEvent::Ready));
             }
-            (b'E', State::Greeting) => {
-                let code = codec::error_code(body).ok_or(Nonsense)?.to_string();
-                return Ok(Some(self.close(Turn::Unwelcome(code))));
+            (backend::ERROR_RESPONSE, State::Startup) => {
+                let code = codec::error_code(body).ok_or(ProtocolViolation)?.to_string();
+                return Ok(Some(self.close(HostEvent::StartupRejected(code))));
             }
-            (b'E', State::Busy(stage)) if stage != Stage::Told => {
-                self.answer.said = match codec::error_code(body).ok_or(Nonsense)? {
-                    "25006" | "72000" => ResponseStatus::Unsuitable,
-                    "53300" | "57P03" => ResponseStatus::Rejected,
-                    _ => ResponseStatus::Failed,
-                };
-                self.answer.rows.clear();
-                self.answer.value = None;
-                self.state = State::Busy(Stage::Told);
-                if matches!(codec::error_field(body, b'S'), Some("FATAL" | "PANIC")) {
-                    let answer = self.whole();
-                    return Ok(Some(self.close(Turn::Answered(answer))));
-                }
+            (backend::ERROR_RESPONSE, State::Busy(progress)) if progress != ResponseProgress::Completed => {
+                return self.handle_error(body);
             }
-            (b'T', _) if codec::describes_one_column(body) => self.pass_on(frame, Stage::Described),
-            (b'D', _) => {
-                let value = codec::only_column(body).ok_or(Nonsense)?;
-                self.answer.value = (value.len() <= MAX_REPORT).then(|| value.to_vec());
-                self.pass_on(frame, Stage::Row);
+            (backend::ROW_DESCRIPTION, _) if codec::describes_one_column(body) => {
+                self.forward(frame, ResponseProgress::RowDescription);
             }
-            (b'C', _) if body.ends_with(&[0]) && body[..body.len() - 1].is_ascii() => {
-                self.pass_on(frame, Stage::Told);
-                self.answer.said = ResponseStatus::Served;
+            (backend::DATA_ROW, _) => {
+                let value = codec::only_column(body).ok_or(ProtocolViolation)?;
+                self.response.value = (value.len() <= MAX_LOAD_REPORT).then(|| value.to_vec());
+                self.forward(frame, ResponseProgress::DataRow);
             }
-            (b'Z', _) if body == b"I" => {
+            (backend::COMMAND_COMPLETE, _) if body.ends_with(&[0]) && body[..body.len() - 1].is_ascii() => {
+                self.forward(frame, ResponseProgress::Completed);
+                self.response.status = ResponseStatus::Served;
+            }
+            (backend::READY_FOR_QUERY, _) if body == IDLE_TRANSACTION_STATUS => {
                 self.state = State::Idle;
-                self.asked = false;
-                return Ok(Some(Turn::Answered(self.whole())));
+                self.has_query = false;
+                return Ok(Some(HostEvent::Response(self.take_response())));
             }
-            (b'N' | b'K' | b'v' | b'R', _) => {}
-            _ => return Err(Nonsense),
+            (
+                backend::NOTICE_RESPONSE
+                | backend::BACKEND_KEY_DATA
+                | backend::NEGOTIATE_PROTOCOL_VERSION
+                | backend::AUTHENTICATION,
+                _,
+            ) => {}
+            _ => return Err(ProtocolViolation),
         }
         Ok(None)
     }
 
-    fn pass_on(&mut self, frame: &Frame, stage: Stage) {
-        codec::frame(&mut self.answer.rows, frame.tag, &frame.body);
-        self.state = State::Busy(stage);
+    /// An error in place of a response, or of the rest of one.
+    fn handle_error(&mut self, body: &[u8]) -> Result<Option<HostEvent>, ProtocolViolation> {
+        self.response.status = match codec::error_code(body).ok_or(ProtocolViolation)? {
+            sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => ResponseStatus::Unsuitable,
+            code if is_rejection(code) => ResponseStatus::Rejected,
+            _ => ResponseStatus::Failed,
+        };
+        self.response.rows.clear();
+        self.response.value = None;
+        self.state = State::Busy(ResponseProgress::Completed);
+        if matches!(codec::error_field(body, b'S'), Some("FATAL" | "PANIC")) {
+            let response = self.take_response();
+            return Ok(Some(self.close(HostEvent::Response(response))));
+        }
+        Ok(None)
     }
 
-    /// Hands the answer out. A report that cannot be read takes all that it says with it.
-    fn whole(&mut self) -> Answer {
-        let answer = std::mem::replace(&mut self.answer, blank());
-        match self.garbled {
-            true => Answer { role: None, position: None, ..answer },
-            false => answer,
+    /// Adds a message to what the client gets to see.
+    fn forward(&mut self, frame: &Frame, progress: ResponseProgress) {
+        codec::frame(&mut self.response.rows, frame.tag, &frame.body);
+        self.state = State::Busy(progress);
+    }
+
+    /// Takes the response out. Where the host says something of itself that cannot be read, nothing that it says of itself
+    /// counts.
+    fn take_response(&mut self) -> HostResponse {
+        let empty = HostResponse::empty(ResponseStatus::Failed);
+        let response = std::mem::replace(&mut self.response, empty);
+        match self.has_invalid_status {
+            true => HostResponse { role: None, position: None, ..response },
+            false => response,
         }
     }
 
-    /// How far the request had come, if the connection ends now.
-    pub fn reach(&self) -> AttemptProgress {
-        match (self.asked, self.out.is_empty()) {
+    /// How far the query has come, if the connection ends now.
+    pub fn attempt_progress(&self) -> AttemptProgress {
+        match (self.has_query, self.out.is_empty()) {
             (false, _) => AttemptProgress::NotConnected,
             (true, false) => AttemptProgress::PartiallyWritten,
             (true, true) => AttemptProgress::FullyWritten,
         }
     }
 
-    /// The connection has ended: the answer, if its last word had come. Without that word nothing of
+    /// The connection has ended: the response, if CommandComplete or ErrorResponse had come. Without that nothing of
     /// it may reach a client.
-    pub fn ended(&mut self) -> Option<Answer> {
-        let whole = self.state == State::Busy(Stage::Told);
+    pub fn handle_end(&mut self) -> Option<HostResponse> {
+        let is_completed = self.state == State::Busy(ResponseProgress::Completed);
         self.state = State::Closed;
-        whole.then(|| self.whole())
+        is_completed.then(|| self.take_response())
     }
 
-    fn close(&mut self, turn: Turn) -> Turn {
+    fn close(&mut self, event: HostEvent) -> HostEvent {
         self.state = State::Closed;
-        turn
+        event
     }
 
-    fn note(&mut self, body: &[u8]) {
+    /// Notes what the host says of itself.
+    fn handle_parameter_status(&mut self, body: &[u8]) {
         match codec::parameter_of(body) {
-            Some(("part", "master")) => self.answer.role = Some(Role::Primary),
-            Some(("part", "replica")) => self.answer.role = Some(Role::Replica),
-            Some(("caught_up_to", position)) if is_figure(position) => {
-                self.answer.position = position.parse().ok();
+            Some(("part", "master")) => self.response.role = Some(Role::Primary),
+            Some(("part", "replica")) => self.response.role = Some(Role::Replica),
+            Some(("caught_up_to", position)) if is_plain_number(position) => {
+                self.response.position = position.parse().ok();
             }
             Some((name, _)) if !matches!(name, "part" | "caught_up_to") => {}
-            _ => self.garbled = true,
-        }
-    }
-}
-
-/// What a host sent is no answer.
-struct Nonsense;
-
-/// Whether the text is a plain number: digits, with a point among them at most.
-fn is_figure(text: &str) -> bool {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    let digits = |text: &str| (1..=15).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
-    digits(whole) && digits(part)
-}
-
-/// Role and position in a load report such as `x0=1767225600.123,x1=1`. There alone a position is in
-/// seconds; it is handed on as Unix time in milliseconds, like any other. A report with anything in it
-/// that cannot be read says nothing: the rest of it may be spoilt as well.
-pub fn report(text: &[u8]) -> (Option<Role>, Option<f64>) {
-    let (mut role, mut position) = (None, None);
-    for pair in std::str::from_utf8(text).unwrap_or("?").split(',') {
-        match pair.trim().split_once('=') {
-            Some(("x1", "1" | "1.0")) => role = Some(Role::Primary),
-            Some(("x1", "0" | "0.0")) => role = Some(Role::Replica),
-            Some(("x0", seconds)) if is_figure(seconds) => {
-                position = seconds.parse().ok().map(|seconds: f64| seconds * 1000.0);
-            }
-            Some((name, value)) if !matches!(name, "x0" | "x1") && is_figure(value) => {}
-            _ => return (None, None),
+            _ => self.has_invalid_status = true,
         }
     }
-    (role, position)
 }
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -1,8 +1,10 @@
-//! The clients' and hosts' protocol: version 3 of PostgreSQL's, simple queries only. Nothing in here
-//! touches a socket; connection states are driven by bytes.
+//! Version 3 of PostgreSQL's protocol, simple queries only: as a server towards clients, as a client towards database
+//! hosts. Nothing in here touches a socket; connections are state machines driven by bytes.
 
 pub mod client;
 pub mod codec;
 pub mod host;
+pub mod load_report;
+pub mod message_type;
 pub mod statement;
 pub mod timed_inbox;
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,43 +1,38 @@
-//! The comment that a statement carries, and the key that it quotes.
+//! A client's statement: its comment, which says how it is to be routed, and the key that it quotes.
 
-use std::fmt;
 use std::ops::Range;
 
 use crate::{Micros, SessionKey};
 
 /// Why a statement cannot be routed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum StatementError {
     /// It ends in no comment.
+    #[error("the statement ends in no comment")]
     NoComment,
     /// This field is missing.
-    Missing(&'static str),
-    /// This field's value cannot be.
-    Bad(&'static str),
+    #[error("the comment lacks {0}")]
+    MissingField(&'static str),
+    /// This field's value cannot be used.
+    #[error("the comment's {0} has no usable value")]
+    InvalidField(&'static str),
     /// It quotes no key.
+    #[error("the statement quotes no key")]
     NoKey,
     /// It is neither a read nor a write, or holds what no text does.
+    #[error("the statement is neither SELECT nor INSERT")]
     NoStatement,
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::NoComment => write!(f, "the statement ends in no comment"),
-            Malformed::Missing(field) => write!(f, "the comment lacks {field}"),
-            Malformed::Bad(field) => write!(f, "the comment's {field} has no usable value"),
-            Malformed::NoStatement => write!(f, "the statement is neither SELECT nor INSERT"),
-            Malformed::NoKey => write!(f, "the statement quotes no key"),
-        }
-    }
-}
-
-/// Longest wait that a statement may name, in milliseconds.
-const MAX_WAIT: f64 = 600_000.0;
+/// Longest time that a client may wait, in milliseconds.
+const MAX_WAIT_MS: f64 = 600_000.0;
+/// Most characters of an id or an idempotency key.
+const MAX_NAME: usize = 64;
 
-/// Whether the text may name a request or be its key.
+/// Whether the text may be a request's id or its idempotency key.
 fn is_name(text: &str) -> bool {
-    (1..=64).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
+    (1..=MAX_NAME).contains(&text.len())
+        && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
 /// The session that a key names: FNV-1a, since the process that follows this one may be built otherwise
@@ -50,83 +45,56 @@
 /// What a statement says of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// The request's name: new with every request.
+    /// The request's id: new with every request.
     pub id: String,
     /// It is a write.
-    pub writes: bool,
+    pub is_write: bool,
     /// It carries an idempotency key.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// The class's name.
     pub class: String,
-    /// The group.
-    pub cluster: u64,
-    /// How long the client waits, from when it sent.
+    /// The group: `cluster` in the comment.
+    pub group: u64,
+    /// How long the client waits, from when it sent: `d` in the comment.
     pub wait: Micros,
     /// The session that the quoted key names.
     pub session: SessionKey,
     /// The client's mark of a retry.
-    pub repeat: bool,
-    /// The session's last commit as Unix time in milliseconds, where clients carry it.
-    pub after: Option<f64>,
+    pub is_retry: bool,
+    /// The session's last commit as Unix time in milliseconds, where clients carry it: `after` in the comment.
+    pub last_commit_ms: Option<f64>,
     text: String,
-    wait_at: Range<usize>,
+    wait_range: Range<usize>,
 }
 
 impl Statement {
     /// Reads a statement.
-    pub fn parse(text: String) -> Result<Statement, Malformed> {
-        let writes = match text.get(..7).map(str::to_ascii_uppercase).as_deref() {
-            Some("SELECT ") => false,
-            Some("INSERT ") => true,
-            _ => return Err(Malformed::NoStatement),
-        };
-        if text.contains(|c: char| c.is_control() && !c.is_ascii_whitespace()) {
-            return Err(Malformed::NoStatement);
-        }
-        let open = text.rfind("/*").ok_or(Malformed::NoComment)?;
-        let close = text.rfind("*/").filter(|close| *close >= open + 2).ok_or(Malformed::NoComment)?;
-        if !text[close + 2..].trim().trim_end_matches(';').is_empty() {
-            return Err(Malformed::NoComment);
-        }
-        let (mut id, mut class, mut cluster, mut wait, mut keyed) = (None, None, None, None, false);
-        let (mut repeat, mut after, mut wait_at) = (false, None, 0..0);
-        for field in text[open + 2..close].split(',') {
+    ///
+    /// # Errors
+    /// It cannot be routed.
+    pub fn parse(text: String) -> Result<Statement, StatementError> {
+        let is_write = parse_kind(&text)?;
+        let comment = comment_range(&text)?;
+        let before_comment = &text[..comment.start - COMMENT_START.len()];
+        let mut fields = Fields::default();
+        for field in text[comment].split(',') {
             let Some((name, value)) = field.split_once('=') else { continue };
             let value = value.trim();
-            let value_at = value.as_ptr() as usize - text.as_ptr() as usize;
-            match name.trim() {
-                "id" if id.is_some() || !is_name(value) => return Err(Malformed::Bad("id")),
-                "id" => id = Some(value.to_string()),
-                "k" if !is_name(value) => return Err(Malformed::Bad("k")),
-                "k" => keyed = true,
-                "c" => class = Some(value.to_string()),
-                "cluster" => cluster = Some(value.parse().map_err(|_| Malformed::Bad("cluster"))?),
-                "d" => {
-                    let ms: f64 = value.parse().map_err(|_| Malformed::Bad("d"))?;
-                    if !(0.0..=MAX_WAIT).contains(&ms) || wait.is_some() {
-                        return Err(Malformed::Bad("d"));
-                    }
-                    wait = Some(Micros((ms * 1000.0) as u64));
-                    wait_at = value_at..value_at + value.len();
-                }
-                "r" => repeat = value == "1",
-                "after" => after = Some(value.parse().map_err(|_| Malformed::Bad("after"))?),
-                _ => {}
-            }
+            let offset = value.as_ptr() as usize - text.as_ptr() as usize;
+            fields.set(name.trim(), value, offset)?;
         }
-        let mut quoted = text[..open].split('\'');
-        let key = quoted.nth(1).filter(|_| quoted.next().is_some()).ok_or(Malformed::NoKey)?;
+        let key = quoted_key(before_comment).ok_or(StatementError::NoKey)?;
         Ok(Statement {
-            id: id.ok_or(Malformed::Missing("id"))?,
-            writes,
-            keyed,
-            class: class.ok_or(Malformed::Missing("c"))?,
-            cluster: cluster.ok_or(Malformed::Missing("cluster"))?,
-            wait: wait.ok_or(Malformed::Missing("d"))?,
+            id: fields.id.ok_or(StatementError::MissingField("id"))?,
+            is_write,
+            has_idempotency_key: fields.has_idempotency_key,
+            class: fields.class.ok_or(StatementError::MissingField("c"))?,
+            group: fields.group.ok_or(StatementError::MissingField("cluster"))?,
+            wait: fields.wait.ok_or(StatementError::MissingField("d"))?,
             session: session_of(key),
-            repeat,
-            after,
-            wait_at,
+            is_retry: fields.is_retry,
+            last_commit_ms: fields.last_commit_ms,
+            wait_range: fields.wait_range,
             text,
         })
     }
@@ -134,6 +102,85 @@
     /// The statement as it came but for `d`, which says how long the gateway waits.
     pub fn with_wait(&self, wait: Micros) -> String {
         let ms = (wait.0 / 1000).max(1);
-        format!("{}{ms}{}", &self.text[..self.wait_at.start], &self.text[self.wait_at.end..])
+        format!("{}{ms}{}", &self.text[..self.wait_range.start], &self.text[self.wait_range.end..])
+    }
+}
+
+const COMMENT_START: &str = "/*";
+const COMMENT_END: &str = "*/";
+
+/// Whether a statement is a write.
+fn parse_kind(text: &str) -> Result<bool, StatementError> {
+    let is_write = match text.get(..7).map(str::to_ascii_uppercase).as_deref() {
+        Some("SELECT ") => false,
+        Some("INSERT ") => true,
+        _ => return Err(StatementError::NoStatement),
+    };
+    if text.contains(|c: char| c.is_control() && !c.is_ascii_whitespace()) {
+        return Err(StatementError::NoStatement);
+    }
+    Ok(is_write)
+}
+
+/// Where the text of the comment at the end stands.
+fn comment_range(text: &str) -> Result<Range<usize>, StatementError> {
+    let start = text.rfind(COMMENT_START).ok_or(StatementError::NoComment)? + COMMENT_START.len();
+    let end = text.rfind(COMMENT_END).filter(|end| *end >= start).ok_or(StatementError::NoComment)?;
+    match text[end + COMMENT_END.len()..].trim().trim_end_matches(';').is_empty() {
+        true => Ok(start..end),
+        false => Err(StatementError::NoComment),
+    }
+}
+
+/// The first quoted text.
+fn quoted_key(text: &str) -> Option<&str> {
+    let mut parts = text.split('\'');
+    parts.nth(1).filter(|_| parts.next().is_some())
+}
+
+/// The fields of a comment.
+#[derive(Default)]
+struct Fields {
+    id: Option<String>,
+    class: Option<String>,
+    group: Option<u64>,
+    wait: Option<Micros>,
+    wait_range: Range<usize>,
+    has_idempotency_key: bool,
+    is_retry: bool,
+    last_commit_ms: Option<f64>,
+}
+
+impl Fields {
+    /// Sets a field whose value stands at an offset of the statement. Fields that are not known are ignored.
+    fn set(&mut self, name: &str, value: &str, offset: usize) -> Result<(), StatementError> {
+        match name {
+            "id" if self.id.is_some() || !is_name(value) => return Err(StatementError::InvalidField("id")),
+            "id" => self.id = Some(value.to_string()),
+            "k" if !is_name(value) => return Err(StatementError::InvalidField("k")),
+            "k" => self.has_idempotency_key = true,
+            "c" => self.class = Some(value.to_string()),
+            "cluster" => {
+                self.group = Some(value.parse().map_err(|_| StatementError::InvalidField("cluster"))?)
+            }
+            "d" => {
+                self.wait = Some(self.parse_wait(value)?);
+                self.wait_range = offset..offset + value.len();
+            }
+            "r" => self.is_retry = value == "1",
+            "after" => {
+                self.last_commit_ms = Some(value.parse().map_err(|_| StatementError::InvalidField("after"))?)
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn parse_wait(&self, value: &str) -> Result<Micros, StatementError> {
+        let ms: f64 = value.parse().map_err(|_| StatementError::InvalidField("d"))?;
+        if !(0.0..=MAX_WAIT_MS).contains(&ms) || self.wait.is_some() {
+            return Err(StatementError::InvalidField("d"));
+        }
+        Ok(Micros((ms * 1000.0) as u64))
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,10 +2,10 @@
 //! a query in order, and a host's answer counts only once it is whole.
 
 use dunemount::attempt::{AttemptProgress, ResponseStatus};
-use dunemount::pg::client::{Client, Demand, Handover};
+use dunemount::pg::client::{ClientConnection, ClientHandover, ClientRequest};
 use dunemount::pg::codec::{self, Inbox};
-use dunemount::pg::host::{Answer, Host, Turn};
-use dunemount::pg::statement::{Malformed, Statement};
+use dunemount::pg::host::{HostConnection, HostEvent, HostResponse};
+use dunemount::pg::statement::{Statement, StatementError};
 use dunemount::pg::timed_inbox::{Arrival, TimedInbox};
 use dunemount::{Micros, Role};
 use proptest::prelude::*;
@@ -95,30 +95,30 @@
         for tag in [b'T', b'D', b'C'] {
             codec::frame(&mut rows, tag, &[0, 0]);
         }
-        let (mut client, mut asked) = (Client::default(), Vec::new());
+        let (mut client, mut asked) = (ClientConnection::default(), Vec::new());
         for part in bytes.chunks(chunk) {
             client.receive(part, Micros(0));
-            while let Some(demand) = client.demand() {
-                let Demand::Query(text, _) = demand else { panic!("closed for {commands:?}") };
-                prop_assert!(client.is_busy() && client.demand().is_none(), "asked while one is owed");
+            while let Some(demand) = client.next_request() {
+                let ClientRequest::Query(text, _) = demand else { panic!("closed for {commands:?}") };
+                prop_assert!(client.is_busy() && client.next_request().is_none(), "asked while one is owed");
                 let kind = queries.get(asked.len()).map_or(9, |(_, kind)| *kind);
                 asked.push((text, kind));
                 match kind {
-                    0 => client.serve(&rows),
-                    1 => client.refuse(Some(Micros(1_500))),
-                    _ => client.fail("58000", "no"),
+                    0 => client.send_rows(&rows),
+                    1 => client.reject(Some(Micros(1_500))),
+                    _ => client.send_error("58000", "no"),
                 }
             }
         }
         prop_assert_eq!(asked, queries);
         prop_assert_eq!(tags(&client.out.bytes), expected);
-        prop_assert!(client.wants_more());
+        prop_assert!(client.wants_read());
     }
 
     /// Guards against a panic, an endless wait or an endless buffer on bytes that are no protocol.
     #[test]
     fn junk_is_turned_away(junk in prop::collection::vec(any::<u8>(), 0..200), started in any::<bool>()) {
-        let (mut client, mut host) = (Client::default(), Host::default());
+        let (mut client, mut host) = (ClientConnection::default(), HostConnection::default());
         if started {
             let mut bytes = Vec::new();
             codec::startup(&mut bytes, "app", "shop");
@@ -126,10 +126,10 @@
         }
         client.receive(&junk, Micros(0));
         host.receive(&junk);
-        while let Some(Demand::Query(..)) = client.demand() {
-            client.refuse(None);
+        while let Some(ClientRequest::Query(..)) = client.next_request() {
+            client.reject(None);
         }
-        while host.turn().is_some() {}
+        while host.next_event().is_some() {}
         prop_assert!(!host.is_idle() || host.out.is_empty());
     }
 
@@ -143,7 +143,7 @@
         chunk in 1..40usize,
     ) {
         let mut host = welcomed();
-        prop_assert!(host.ask("q"));
+        prop_assert!(host.send_query("q"));
         let (mut bytes, mut told_at) = (Vec::new(), usize::MAX);
         let said = [ResponseStatus::Served, ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][kind];
         codec::frame(&mut bytes, b'N', b"SNOTICE\0\0");
@@ -161,30 +161,30 @@
         codec::parameter(&mut bytes, "part", "replica");
         codec::parameter(&mut bytes, "caught_up_to", "1767225600123");
         codec::ready(&mut bytes);
-        prop_assert_eq!(host.reach(), AttemptProgress::PartiallyWritten);
+        prop_assert_eq!(host.attempt_progress(), AttemptProgress::PartiallyWritten);
         host.out.flush(&mut Vec::new()).expect("written");
         let whole = cut >= bytes.len();
         bytes.truncate(cut);
         let mut turns = Vec::new();
         for part in bytes.chunks(chunk) {
             host.receive(part);
-            while let Some(turn) = host.turn() {
+            while let Some(turn) = host.next_event() {
                 turns.push(turn);
             }
         }
         prop_assert_eq!(host.is_idle(), whole);
         let reach = if whole { AttemptProgress::NotConnected } else { AttemptProgress::FullyWritten };
-        prop_assert_eq!(host.reach(), reach, "of the request now on the connection");
+        prop_assert_eq!(host.attempt_progress(), reach, "of the request now on the connection");
         if whole {
-            let Some(Turn::Answered(answer)) = turns.pop() else { panic!("no answer") };
-            prop_assert_eq!((answer.said, answer.role), (said, Some(Role::Replica)));
+            let Some(HostEvent::Response(answer)) = turns.pop() else { panic!("no answer") };
+            prop_assert_eq!((answer.status, answer.role), (said, Some(Role::Replica)));
             prop_assert_eq!(answer.position, Some(1_767_225_600_123.0));
             prop_assert_eq!(answer.value, (said == ResponseStatus::Served).then_some(value));
             prop_assert_eq!(tags(&answer.rows), if said == ResponseStatus::Served { "TDC" } else { "" });
-            prop_assert!(host.ended().is_none(), "told twice");
+            prop_assert!(host.handle_end().is_none(), "told twice");
         } else {
-            prop_assert!(!host.ask("next"), "asked into an unfinished reply");
-            prop_assert_eq!(host.ended().map(|answer| answer.said), (cut >= told_at).then_some(said));
+            prop_assert!(!host.send_query("next"), "asked into an unfinished reply");
+            prop_assert_eq!(host.handle_end().map(|answer| answer.status), (cut >= told_at).then_some(said));
         }
         prop_assert!(turns.is_empty());
     }
@@ -194,7 +194,7 @@
     fn only_the_wait_is_rewritten(key in "[a-z0-9]{1,16}", wait in 1..90_000u64, left in 0..90_000u64) {
         let text = |d: u64| format!("SELECT doc FROM items WHERE id = '{key}' /* id=ab,c=look,d={d},k=5,cluster=2 */");
         let statement = Statement::parse(text(wait)).expect("well formed");
-        prop_assert_eq!((statement.wait, statement.cluster), (Micros::millis(wait), 2));
+        prop_assert_eq!((statement.wait, statement.group), (Micros::millis(wait), 2));
         prop_assert_eq!(statement.with_wait(Micros::millis(left)), text(left.max(1)));
     }
 }
@@ -213,7 +213,7 @@
         lost in prop::option::of(0.0..1.0f64),
     ) {
         let mut host = welcomed();
-        prop_assert!(host.ask("q"));
+        prop_assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
         let (mut bytes, value) = (Vec::new(), vec![7; length]);
         codec::frame(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
@@ -227,14 +227,14 @@
         for cut in cuts.iter().cycle() {
             let (part, later) = rest.split_at((*cut).min(rest.len()));
             host.receive(part);
-            while let Some(turn) = host.turn() {
+            while let Some(turn) = host.next_event() {
                 match turn {
-                    Turn::Flows => flowed = true,
-                    Turn::Answered(answer) => ended = Some(answer),
+                    HostEvent::StreamingStarted => flowed = true,
+                    HostEvent::Response(answer) => ended = Some(answer),
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
-            let flow = host.flow();
+            let flow = host.take_streamed();
             prop_assert!(flow.len() <= cut + 40 && flow.is_empty() | flowed, "{} held", flow.len());
             seen.extend(flow);
             rest = later;
@@ -242,9 +242,9 @@
                 break;
             }
         }
-        match (lost, ended.or_else(|| host.ended())) {
+        match (lost, ended.or_else(|| host.handle_end())) {
             (None, Some(answer)) => {
-                prop_assert_eq!((flowed, answer.said), (length > 64 * 1024, ResponseStatus::Served));
+                prop_assert_eq!((flowed, answer.status), (length > 64 * 1024, ResponseStatus::Served));
                 seen.extend(answer.rows);
                 prop_assert!(seen == bytes[..shown]);
             }
@@ -339,7 +339,7 @@
         for end in queries {
             bytes[end - 1] = 0;
         }
-        let (mut client, mut stamps, mut now) = (Client::default(), Vec::new(), Micros(50));
+        let (mut client, mut stamps, mut now) = (ClientConnection::default(), Vec::new(), Micros(50));
         let (mut asked, mut pieces) = (0, pieces.iter().cycle());
         while asked < queries.len() || client.is_busy() {
             let (length, pause, answers, goes_over) = *pieces.next().expect("without end");
@@ -348,16 +348,16 @@
             client.receive(&bytes[stamps.len()..stamps.len() + length], now);
             stamps.resize(stamps.len() + length, now);
             if client.is_busy() && (answers || length == 0) {
-                client.refuse(None);
+                client.reject(None);
             }
             client.out.flush(&mut Vec::new()).expect("written");
             if goes_over {
-                if let Some(left) = client.part() {
-                    client = Client::resume(codec::MAX_MESSAGE, left, now);
+                if let Some(left) = client.to_handover() {
+                    client = ClientConnection::resume(codec::MAX_MESSAGE, left, now);
                 }
             }
-            while let Some(demand) = client.demand() {
-                let Demand::Query(text, arrived) = demand else { panic!("closed") };
+            while let Some(demand) = client.next_request() {
+                let ClientRequest::Query(text, arrived) = demand else { panic!("closed") };
                 // Its body alone: a query of one byte is empty and is answered on the spot.
                 while lengths[asked] == 1 {
                     asked += 1;
@@ -366,7 +366,7 @@
                 prop_assert_eq!(arrived, stamps[queries[asked] - 1]);
                 asked += 1;
                 if answers {
-                    client.refuse(None);
+                    client.reject(None);
                 }
             }
             while asked < lengths.len() && lengths[asked] == 1 && stamps.len() >= queries[asked] {
@@ -391,12 +391,20 @@
         (vec![Arrival(Micros(400), 2), Arrival(Micros(2000), 1)], [400, 400, 1000]),
         (vec![Arrival(Micros(400), 0), Arrival(Micros(600), 9)], [600, 600, 600]),
     ] {
-        let left =
-            Handover { key: Default::default(), greeted: true, bytes: bytes.clone(), arrivals: told.clone() };
-        let mut client = Client::resume(codec::MAX_MESSAGE, left, now);
+        let left = ClientHandover {
+            key: Default::default(),
+            greeted: true,
+            bytes: bytes.clone(),
+            arrivals: told.clone(),
+        };
+        let mut client = ClientConnection::resume(codec::MAX_MESSAGE, left, now);
         for (text, arrived) in ["one", "two", "three"].into_iter().zip(arrived) {
-            assert_eq!(client.demand(), Some(Demand::Query(text.into(), Micros(arrived))), "{told:?}");
-            client.refuse(None);
+            assert_eq!(
+                client.next_request(),
+                Some(ClientRequest::Query(text.into(), Micros(arrived))),
+                "{told:?}"
+            );
+            client.reject(None);
         }
     }
 }
@@ -422,25 +430,25 @@
 fn a_long_row_that_does_not_fit_is_nonsense() {
     for (row, value) in [(100_010u32, 100_001u32), (0x7fff_ffff, 0x7fff_fff9), (u32::MAX, u32::MAX - 6)] {
         let mut host = welcomed();
-        assert!(host.ask("q"));
+        assert!(host.send_query("q"));
         let mut bytes = Vec::new();
         codec::frame(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
         bytes.push(b'D');
         bytes.extend([&row.to_be_bytes()[..], &[0, 1], &value.to_be_bytes(), &[7; 100]].concat());
         host.receive(&bytes);
-        assert_eq!(host.turn(), Some(Turn::Nonsense), "{row}");
-        assert!(host.flow().is_empty());
+        assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation), "{row}");
+        assert!(host.take_streamed().is_empty());
     }
 }
 
-fn welcomed() -> Host {
-    let (mut host, mut bytes) = (Host::default(), Vec::new());
+fn welcomed() -> HostConnection {
+    let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
     codec::frame(&mut bytes, b'R', &[0; 4]);
     codec::parameter(&mut bytes, "server_version", "15");
     codec::ready(&mut bytes);
     host.receive(&bytes);
-    assert!(!host.ask("before the startup is written"));
-    assert_eq!(host.turn(), Some(Turn::Welcome));
+    assert!(!host.send_query("before the startup is written"));
+    assert_eq!(host.next_event(), Some(HostEvent::Ready));
     host.out.flush(&mut Vec::new()).expect("written");
     host
 }
@@ -449,23 +457,23 @@
 #[test]
 fn lengths_that_cannot_be_close_the_connection() {
     for length in [u32::MAX, 0, 3, codec::MAX_MESSAGE as u32 + 1] {
-        let (mut client, mut bytes) = (Client::default(), Vec::new());
+        let (mut client, mut bytes) = (ClientConnection::default(), Vec::new());
         codec::startup(&mut bytes, "app", "shop");
         bytes.push(b'Q');
         bytes.extend_from_slice(&length.to_be_bytes());
         client.receive(&bytes, Micros(0));
-        assert_eq!(client.demand(), Some(Demand::Close));
+        assert_eq!(client.next_request(), Some(ClientRequest::Close));
         assert!(tags(&client.out.bytes).ends_with('E'));
         client.receive(&[0; 64], Micros(0));
-        assert!(client.demand().is_none() && !client.wants_more());
+        assert!(client.next_request().is_none() && !client.wants_read());
     }
 }
 
 /// Guards the advice on when to come back: whole milliseconds in field D, never rounded to nothing.
 #[test]
 fn a_refusal_tells_when_to_come_back() {
-    let mut client = Client::default();
-    client.refuse(Some(Micros(1_500)));
+    let mut client = ClientConnection::default();
+    client.reject(Some(Micros(1_500)));
     let mut inbox = Inbox::default();
     inbox.push(&client.out.bytes);
     let refusal = inbox.frame().expect("framed").expect("whole");
@@ -476,11 +484,11 @@
 /// Guards the greeting: a host that has no room says so before any request is out.
 #[test]
 fn a_host_may_turn_the_connection_away() {
-    let (mut host, mut bytes) = (Host::default(), Vec::new());
+    let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
     codec::error(&mut bytes, "FATAL", "53300", "too many connections", None);
     host.receive(&bytes);
-    assert_eq!(host.turn(), Some(Turn::Unwelcome("53300".into())));
-    assert!(!host.ask("q") && host.ended().is_none());
+    assert_eq!(host.next_event(), Some(HostEvent::StartupRejected("53300".into())));
+    assert!(!host.send_query("q") && host.handle_end().is_none());
 }
 
 /// Guards against taking an answer that nobody asked for as that of the next request.
@@ -489,7 +497,7 @@
     let (mut host, mut bytes) = (welcomed(), Vec::new());
     codec::frame(&mut bytes, b'C', b"SELECT 1\0");
     host.receive(&bytes);
-    assert_eq!(host.turn(), Some(Turn::Nonsense));
+    assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation));
     assert!(!host.is_idle());
 }
 
@@ -497,48 +505,48 @@
 #[test]
 fn nonsense_for_an_answer_may_have_run() {
     let (mut host, mut bytes) = (welcomed(), Vec::new());
-    assert!(host.ask("q"));
+    assert!(host.send_query("q"));
     host.out.flush(&mut Vec::new()).expect("written");
     codec::frame(&mut bytes, b'?', &[]);
     host.receive(&bytes);
-    assert_eq!(host.turn(), Some(Turn::Nonsense));
-    assert_eq!(host.reach(), AttemptProgress::FullyWritten);
+    assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation));
+    assert_eq!(host.attempt_progress(), AttemptProgress::FullyWritten);
 }
 
 /// Guards against statements that cannot be routed: each is told what is wrong with it.
 #[test]
 fn malformed_statements_are_told_apart() {
     let parse = |comment: &str| Statement::parse(format!("SELECT doc FROM items WHERE id = 'k' {comment}"));
-    assert_eq!(parse("").unwrap_err(), Malformed::NoComment);
-    assert_eq!(parse("*/ /*").unwrap_err(), Malformed::NoComment);
-    assert_eq!(parse("/* c=a,d=5,cluster=1 */").unwrap_err(), Malformed::Missing("id"));
-    assert_eq!(parse("/* id=1,d=5,cluster=1 */").unwrap_err(), Malformed::Missing("c"));
-    assert_eq!(parse("/* id=1,c=a,cluster=1 */").unwrap_err(), Malformed::Missing("d"));
-    assert_eq!(parse("/* id=1,c=a,d=5 */").unwrap_err(), Malformed::Missing("cluster"));
-    assert_eq!(parse("/* id=1,c=a,d=-5,cluster=1 */").unwrap_err(), Malformed::Bad("d"));
-    assert_eq!(parse("/* id=1,c=a,d=NaN,cluster=1 */").unwrap_err(), Malformed::Bad("d"));
-    assert_eq!(parse("/* id=1,c=a,d=5,cluster=x */").unwrap_err(), Malformed::Bad("cluster"));
+    assert_eq!(parse("").unwrap_err(), StatementError::NoComment);
+    assert_eq!(parse("*/ /*").unwrap_err(), StatementError::NoComment);
+    assert_eq!(parse("/* c=a,d=5,cluster=1 */").unwrap_err(), StatementError::MissingField("id"));
+    assert_eq!(parse("/* id=1,d=5,cluster=1 */").unwrap_err(), StatementError::MissingField("c"));
+    assert_eq!(parse("/* id=1,c=a,cluster=1 */").unwrap_err(), StatementError::MissingField("d"));
+    assert_eq!(parse("/* id=1,c=a,d=5 */").unwrap_err(), StatementError::MissingField("cluster"));
+    assert_eq!(parse("/* id=1,c=a,d=-5,cluster=1 */").unwrap_err(), StatementError::InvalidField("d"));
+    assert_eq!(parse("/* id=1,c=a,d=NaN,cluster=1 */").unwrap_err(), StatementError::InvalidField("d"));
+    assert_eq!(parse("/* id=1,c=a,d=5,cluster=x */").unwrap_err(), StatementError::InvalidField("cluster"));
     let no_key = Statement::parse("SELECT 1 /* id=1,c=a,d=5,cluster=1 */".into());
-    assert_eq!(no_key.unwrap_err(), Malformed::NoKey);
+    assert_eq!(no_key.unwrap_err(), StatementError::NoKey);
     for bad in ["id=1,id=2", "id=a'b", "id=1,k=", "id=1,d=5,d=6", "id=1,d=inf", "id=1,d=700000", "id=1,d=x"] {
         let text = format!("/* {bad},c=a,cluster=1 */");
-        assert!(matches!(parse(&text), Err(Malformed::Bad(_))), "{bad}");
+        assert!(matches!(parse(&text), Err(StatementError::InvalidField(_))), "{bad}");
     }
-    assert_eq!(parse("/* id=1,c=a,d=5,cluster=1 */ AND more").unwrap_err(), Malformed::NoComment);
+    assert_eq!(parse("/* id=1,c=a,d=5,cluster=1 */ AND more").unwrap_err(), StatementError::NoComment);
     for text in
         ["GRANT 'k' /* id=1,c=a,d=5,cluster=1 */", "SELECT '\u{1}' /* id=1,c=a,d=5,cluster=1 */", "\u{e9}"]
     {
-        assert_eq!(Statement::parse(text.into()).unwrap_err(), Malformed::NoStatement);
+        assert_eq!(Statement::parse(text.into()).unwrap_err(), StatementError::NoStatement);
     }
     assert!(parse("/* id=1, c=a , d= 5 ,cluster=1 */;").is_ok());
-    assert_eq!(Malformed::Missing("c").to_string(), "the comment lacks c");
+    assert_eq!(StatementError::MissingField("c").to_string(), "the comment lacks c");
 }
 
 /// Guards the reading of load reports: their positions are in seconds, where answers have milliseconds,
 /// and taken for those they would lie before all time. They say nothing of a field that they lack.
 #[test]
 fn load_reports_tell_role_and_position() {
-    use dunemount::pg::host::report;
+    use dunemount::pg::load_report::parse as report;
     assert_eq!(report(b"x0=1767225600.125,x1=1"), (Some(Role::Primary), Some(1_767_225_600_125.0)));
     assert_eq!(report(b"x1=0"), (Some(Role::Replica), None));
     assert_eq!(report(&[0xff]), (None, None));
@@ -549,7 +557,7 @@
 fn answers_do_not_run_into_each_other() {
     let mut host = welcomed();
     for round in 0..2u8 {
-        assert!(host.ask("q"));
+        assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
         host.receive(&answer(&[
             (b'T', DOC),
@@ -557,7 +565,9 @@
             (b'C', b"SELECT 1\0"),
             READY,
         ]));
-        let Some(Turn::Answered(Answer { rows, value, position, .. })) = host.turn() else { panic!("none") };
+        let Some(HostEvent::Response(HostResponse { rows, value, position, .. })) = host.next_event() else {
+            panic!("none")
+        };
         assert_eq!((tags(&rows).as_str(), value, position), ("TDC", Some(vec![round]), None));
     }
 }
@@ -598,20 +608,24 @@
     ];
     for parts in spoilt {
         let mut host = welcomed();
-        assert!(host.ask("q"));
+        assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
         host.receive(&answer(parts));
-        assert_eq!(host.turn(), Some(Turn::Nonsense), "{parts:?}");
-        assert_eq!((host.reach(), host.ended()), (AttemptProgress::FullyWritten, None), "{parts:?}");
+        assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation), "{parts:?}");
+        assert_eq!(
+            (host.attempt_progress(), host.handle_end()),
+            (AttemptProgress::FullyWritten, None),
+            "{parts:?}"
+        );
     }
     // A value that claims 3 GB, and noise, are told at once: nothing more is waited for.
     for bytes in [b"T\0\0\0\x1d".to_vec(), b"D\xc0\0\0\0".to_vec(), b"C\0\0\x7f\xff".to_vec(), vec![7]] {
         let mut host = welcomed();
-        assert!(host.ask("q"));
+        assert!(host.send_query("q"));
         host.receive(&bytes);
         let whole_is_awaited = bytes[0] == b'T';
-        assert_eq!(host.turn().is_none(), whole_is_awaited, "{bytes:?}");
-        assert_eq!(host.is_half(), whole_is_awaited);
+        assert_eq!(host.next_event().is_none(), whole_is_awaited, "{bytes:?}");
+        assert_eq!(host.has_partial_response(), whole_is_awaited);
     }
 }
 
@@ -619,7 +633,7 @@
 /// replica that lags would look current, while the value beside it is good.
 #[test]
 fn a_spoilt_report_says_nothing() {
-    use dunemount::pg::host::report;
+    use dunemount::pg::load_report::parse as report;
     for text in
         ["x0=inf,x1=0", "x0=NaN,x1=0", "x0=-5,x1=0", "x0=1e99,x1=0", "x0=5,x1=7", "x0=5,x1", "x0=5;x1=0"]
     {
@@ -627,7 +641,7 @@
     }
     for note in [&b"caught_up_to\0inf\0"[..], b"caught_up_to\x0099", b"part\0mast\0", b"\xff\0\0"] {
         let mut host = welcomed();
-        assert!(host.ask("q"));
+        assert!(host.send_query("q"));
         host.receive(&answer(&[
             (b'T', DOC),
             (b'D', &[0, 1, 0, 0, 0, 0]),
@@ -637,9 +651,11 @@
             (b'S', note),
             READY,
         ]));
-        let Some(Turn::Answered(answer)) = host.turn() else { panic!("no answer beside {note:?}") };
+        let Some(HostEvent::Response(answer)) = host.next_event() else {
+            panic!("no answer beside {note:?}")
+        };
         assert_eq!(
-            (answer.said, answer.role, answer.position),
+            (answer.status, answer.role, answer.position),
             (ResponseStatus::Served, None, None),
             "{note:?}"
         );
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -19,7 +19,7 @@
 use dunemount::hot_restart::message::{GatewaySnapshot, Message};
 use dunemount::net::clock::{Clock, Reading};
 use dunemount::net::discovery::Directory;
-use dunemount::pg::client::{Client, Demand};
+use dunemount::pg::client::{ClientConnection, ClientRequest};
 use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
 use dunemount::pg::timed_inbox::Arrival;
 use dunemount::settings::Zones;
@@ -237,15 +237,15 @@
 const VERSION_3: u32 = 3 << 16;
 
 /// What a client is sent for these bytes before anything is asked of the gateway, and what it then wants.
-fn said_to(bytes: &[u8]) -> (Vec<u8>, Option<Demand>) {
-    let mut client = Client::taking(MAX_MESSAGE, KEY);
+fn said_to(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
+    let mut client = ClientConnection::new(MAX_MESSAGE, KEY);
     client.receive(bytes, Micros(5));
-    let demand = client.demand();
+    let demand = client.next_request();
     (client.out.bytes, demand)
 }
 
 /// What a greeted client is sent for these bytes, and what it then wants.
-fn said_after_greeting(bytes: &[u8]) -> (Vec<u8>, Option<Demand>) {
+fn said_after_greeting(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
     let (greeting, _) = said_to(&startup(VERSION_3));
     let (said, demand) = said_to(&[&startup(VERSION_3), bytes].concat());
     (said.strip_prefix(greeting.as_slice()).expect("the greeting first").to_vec(), demand)
@@ -272,29 +272,33 @@
         ("client-startup-bad-length-v1.bin", 3u32.to_be_bytes().to_vec()),
     ] {
         let (said, demand) = said_to(&bytes);
-        assert_eq!(demand, Some(Demand::Close));
+        assert_eq!(demand, Some(ClientRequest::Close));
         assert_bytes(name, &said);
     }
     let mut bytes = Vec::new();
     codec::cancel(&mut bytes, KEY);
     assert_bytes("cancel-request-v1.bin", &bytes);
-    assert_eq!(said_to(&bytes), (Vec::new(), Some(Demand::Cancel(KEY))));
+    assert_eq!(said_to(&bytes), (Vec::new(), Some(ClientRequest::Cancel(KEY))));
 }
 
 /// Guards what a client gets for messages that are no routable query.
 #[test]
 fn messages_are_rejected_with_these_bytes() {
     for (name, bytes, wanted) in [
-        ("client-too-long-v1.bin", [b"Q".as_slice(), &i32::MAX.to_be_bytes()].concat(), Some(Demand::Close)),
-        ("client-bad-length-v1.bin", b"Q\0\0\0\x03".to_vec(), Some(Demand::Close)),
-        ("client-unknown-message-v1.bin", framed(b'?', b""), Some(Demand::Close)),
-        ("client-bad-query-v1.bin", framed(b'Q', b"SELECT 1"), Some(Demand::Close)),
+        (
+            "client-too-long-v1.bin",
+            [b"Q".as_slice(), &i32::MAX.to_be_bytes()].concat(),
+            Some(ClientRequest::Close),
+        ),
+        ("client-bad-length-v1.bin", b"Q\0\0\0\x03".to_vec(), Some(ClientRequest::Close)),
+        ("client-unknown-message-v1.bin", framed(b'?', b""), Some(ClientRequest::Close)),
+        ("client-bad-query-v1.bin", framed(b'Q', b"SELECT 1"), Some(ClientRequest::Close)),
         ("client-not-utf8-v1.bin", framed(b'Q', b"\xff\0"), None),
         ("client-empty-query-v1.bin", framed(b'Q', b" ;\0"), None),
         ("client-function-call-v1.bin", framed(b'F', b""), None),
         ("client-extended-v1.bin", [framed(b'P', b"x"), framed(b'B', b""), framed(b'S', b"")].concat(), None),
         ("client-sync-v1.bin", framed(b'S', b""), None),
-        ("client-terminate-v1.bin", framed(b'X', b""), Some(Demand::Close)),
+        ("client-terminate-v1.bin", framed(b'X', b""), Some(ClientRequest::Close)),
     ] {
         let (said, demand) = said_after_greeting(&bytes);
         assert_eq!(demand, wanted, "{name}");
@@ -308,11 +312,11 @@
     for (name, wait) in
         [("client-refused-v1.bin", None), ("client-refused-wait-v1.bin", Some(Micros(120_001)))]
     {
-        let mut client = Client::taking(MAX_MESSAGE, KEY);
+        let mut client = ClientConnection::new(MAX_MESSAGE, KEY);
         client.receive(&[startup(VERSION_3), framed(b'Q', b"SELECT 1\0")].concat(), Micros(5));
-        assert_eq!(client.demand(), Some(Demand::Query("SELECT 1".to_string(), Micros(5))));
+        assert_eq!(client.next_request(), Some(ClientRequest::Query("SELECT 1".to_string(), Micros(5))));
         client.out.bytes.clear();
-        client.refuse(wait);
+        client.reject(wait);
         assert_bytes(name, &client.out.bytes);
     }
 }
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -9,7 +9,7 @@
 
 use dunemount::net::discovery::Watch;
 use dunemount::pg::codec::{self, CancelKey, Inbox, Startup};
-use dunemount::pg::host::Host;
+use dunemount::pg::host::HostConnection;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
 use harness::{listing, local, Harness};
@@ -118,7 +118,7 @@
     assert_eq!(inbox.startup(), Ok(Some(Startup::Session(3, 0))));
     assert!(inbox.is_empty());
     assert_eq!(&fixture[8..], b"user\0app\0database\0shop\0\0");
-    assert_eq!(Host::default().out.bytes, fixture);
+    assert_eq!(HostConnection::default().out.bytes, fixture);
 }
 
 /// Guards forwarded statements: all keys of the comment pass unchanged but `d`, the time that the gateway will wait.
@@ -132,15 +132,15 @@
     ];
     for (statement, fixture, time_left, d) in cases {
         assert_eq!(query_text(fixture), statement.replace("d=30000", &format!("d={d}")));
-        let mut host = Host::default();
+        let mut host = HostConnection::default();
         host.out.flush(&mut std::io::sink()).expect("a sink takes all");
         let mut greeting = Vec::new();
         codec::frame(&mut greeting, b'R', &[0; 4]);
         codec::ready(&mut greeting);
         host.receive(&greeting);
-        assert!(host.turn().is_some());
+        assert!(host.next_event().is_some());
         let forwarded = Statement::parse(statement.to_string()).expect("a statement").with_wait(time_left);
-        assert!(host.ask(&forwarded));
+        assert!(host.send_query(&forwarded));
         assert_eq!(host.out.bytes, fixture, "{forwarded}");
     }
 }
