--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -7,7 +7,7 @@
 use super::StartError;
 use crate::config::version::overlay;
 use crate::config::{ActiveConfig, ConfigError, ConfigFile, ConfigResult, LoadedConfig};
-use crate::fleet::rollout::gateway;
+use crate::fleet::rollout::gateway::{self, StoredVersionError};
 use crate::hot_restart::handover_socket::HandoverState;
 use crate::settings::Zones;
 use crate::text_file::{AtLine, ReadError};
@@ -33,8 +33,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum UnusableVersion {
     /// Its file cannot be read, or holds no version.
-    #[error("{0}")]
-    File(String),
+    #[error(transparent)]
+    File(StoredVersionError),
     /// Over the gateway's own file it makes no usable configuration.
     #[error("version {number}: {source}")]
     Config {
@@ -92,7 +92,7 @@
 
     /// The persisted version.
     fn read_version(&mut self, file: &Path) -> Option<Document> {
-        gateway::kept(file).unwrap_or_else(|error| {
+        gateway::stored_version(file).unwrap_or_else(|error| {
             self.unusable_version = Some(UnusableVersion::File(error));
             None
         })
