--- a/crates/mailbox/benches/wakeup.rs
+++ b/crates/mailbox/benches/wakeup.rs
@@ -9,66 +9,80 @@
 use dunemount_mailbox::{Mailbox, Wake};
 use polling::Poller;
 
+/// How long each measurement takes.
+const DURATION: Duration = Duration::from_secs(1);
+/// Most messages that wait in a mailbox.
+const CAPACITY: usize = 1024;
+
 #[derive(Clone)]
-struct Bell(Arc<Poller>);
+struct Waker(Arc<Poller>);
 
-impl Wake for Bell {
+impl Wake for Waker {
     fn wake(&self) {
         let _ = self.0.notify();
     }
 }
 
-type Own = Arc<Mailbox<u64, Bell>>;
-
-fn own() -> (Own, Bell) {
-    let bell = Bell(Arc::new(Poller::new().expect("a poller")));
-    (Arc::new(Mailbox::new(1024, bell.clone())), bell)
+/// A thread's mailbox and the poller that it sleeps in.
+#[derive(Clone)]
+struct Endpoint {
+    mailbox: Arc<Mailbox<u64, Waker>>,
+    poller: Arc<Poller>,
 }
 
-fn wait(bell: &Bell, post: &Own, into: &mut VecDeque<u64>) {
-    if post.may_sleep() {
-        let mut events = Vec::new();
-        let _ = bell.0.wait(&mut events, Some(Duration::from_millis(100)));
+impl Endpoint {
+    fn new() -> Endpoint {
+        let poller = Arc::new(Poller::new().expect("a poller"));
+        Endpoint { mailbox: Arc::new(Mailbox::new(CAPACITY, Waker(poller.clone()))), poller }
+    }
+
+    /// Sleeps until there are messages, or for a while, and takes them.
+    fn receive(&self, messages: &mut VecDeque<u64>) {
+        if self.mailbox.prepare_sleep() {
+            let mut events = Vec::new();
+            let _ = self.poller.wait(&mut events, Some(Duration::from_millis(100)));
+        }
+        self.mailbox.drain_into(messages);
     }
-    post.take(into);
 }
 
-/// Keeps `out` messages out at a neighbour and counts how many come back in a second.
-fn hops(out: u64) -> (f64, f64) {
-    let ((here, bell), (there, far)) = (own(), own());
+/// Keeps so many messages in flight to a neighbour that returns them: round trips a second, and the time of each in
+/// microseconds.
+fn round_trips(in_flight: u64) -> (f64, f64) {
+    let (here, there) = (Endpoint::new(), Endpoint::new());
     let stop = Arc::new(AtomicBool::new(false));
     let neighbour = {
         let (here, there, stop) = (here.clone(), there.clone(), stop.clone());
         std::thread::spawn(move || {
             let mut batch = VecDeque::new();
             while !stop.load(Ordering::Relaxed) {
-                wait(&far, &there, &mut batch);
+                there.receive(&mut batch);
                 for number in batch.drain(..) {
-                    here.deliver(number);
+                    here.mailbox.send(number);
                 }
             }
         })
     };
-    let (mut batch, mut back) = (VecDeque::new(), 0u64);
-    let from = Instant::now();
-    for number in 0..out {
-        let _ = there.offer(number);
+    let (mut batch, mut returned) = (VecDeque::new(), 0u64);
+    let start = Instant::now();
+    for number in 0..in_flight {
+        let _ = there.mailbox.try_send(number);
     }
-    while from.elapsed() < Duration::from_secs(1) {
-        wait(&bell, &here, &mut batch);
+    while start.elapsed() < DURATION {
+        here.receive(&mut batch);
         for number in batch.drain(..) {
-            back += 1;
-            let _ = there.offer(number);
+            returned += 1;
+            let _ = there.mailbox.try_send(number);
         }
     }
-    let took = from.elapsed();
+    let elapsed = start.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
     neighbour.join().expect("it ends");
-    (back as f64 / took.as_secs_f64(), took.as_secs_f64() * 1e6 * out as f64 / back as f64)
+    (returned as f64 / elapsed, elapsed * 1e6 * in_flight as f64 / returned as f64)
 }
 
 /// Steps of this length under one lock, by so many threads that do as much work again without it.
-fn locked(threads: usize, step: Duration) -> f64 {
+fn steps_under_lock(threads: usize, step: Duration) -> f64 {
     let lock = Arc::new(Mutex::new(0u64));
     let work = move || {
         let from = Instant::now();
@@ -82,7 +96,7 @@
             let lock = lock.clone();
             std::thread::spawn(move || {
                 let from = Instant::now();
-                while from.elapsed() < Duration::from_secs(1) {
+                while from.elapsed() < DURATION {
                     for _ in 0..9 {
                         work();
                     }
@@ -99,12 +113,12 @@
 }
 
 fn main() {
-    for out in [1, 4, 16, 64, 256] {
-        let (rate, trip) = hops(out);
-        println!("hop: {out} out: {rate:.0} there and back a second, {trip:.1} us each way and back");
+    for in_flight in [1, 4, 16, 64, 256] {
+        let (rate, trip) = round_trips(in_flight);
+        println!("hop: {in_flight} out: {rate:.0} there and back a second, {trip:.1} us each way and back");
     }
     for threads in [1, 2, 4] {
-        let rate = locked(threads, Duration::from_micros(3));
+        let rate = steps_under_lock(threads, Duration::from_micros(3));
         println!("lock: {threads} threads, 3 us under the lock in 30: {rate:.0} a second");
     }
 }
--- a/crates/mailbox/src/lib.rs
+++ b/crates/mailbox/src/lib.rs
@@ -1,16 +1,16 @@
 //! Bounded queues between threads that each sleep in a poller of their own.
 //!
-//! A [`Mailbox`] belongs to one thread, which takes everything out of it at once, and to any number of others
-//! that put messages in. Nothing here ever waits: a post that is full says so, and the sender refuses.
+//! A [`Mailbox`] belongs to one thread, its owner, which drains it at once, and any number of other threads send messages
+//! to it. Nothing here ever waits: a mailbox that is full rejects the message.
 //!
 //! Two kinds of messages go through one queue, so that they stay in the order in which they were sent:
 //!
-//! - those that ask for something, [`Mailbox::offer`]: no more than a fixed number of them lie in the post;
-//! - those that are owed because the receiver asked before, [`Mailbox::deliver`]: always taken. Their number is
-//!   bounded by what was asked for, and [`Mailbox::peak`] shows the most that ever lay there.
+//! - requests, by [`Mailbox::try_send`]: no more than a fixed number of them are queued;
+//! - what the owner has asked for before, by [`Mailbox::send`]: never rejected. The number of these is bounded by what was
+//!   asked for, and [`Mailbox::stats`] shows the most messages that were ever queued.
 //!
-//! A receiver that is about to sleep says so with [`Mailbox::may_sleep`]; the first message after that wakes it,
-//! later ones do not, since a wake-up is a system call.
+//! An owner that is about to sleep calls [`Mailbox::prepare_sleep`]; the first message after that wakes it, later ones do
+//! not, since a wake-up is a system call.
 
 use std::collections::VecDeque;
 
@@ -19,91 +19,101 @@
 #[cfg(not(feature = "shuttle"))]
 use std::sync::{Mutex, MutexGuard};
 
-/// Ends the sleep of the thread that owns a post.
+/// Wakes the thread that owns a mailbox.
 pub trait Wake {
-    /// Called at most once for each sleep, without the post's lock. A wake-up that comes before the sleep
+    /// Called at most once for each sleep, without the mailbox's lock. A wake-up that comes before the sleep
     /// must end that sleep at once.
     fn wake(&self);
 }
 
-/// One thread's post.
+/// What has become of messages since the mailbox was made.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Stats {
+    /// The most messages that were ever queued.
+    pub peak: usize,
+    /// Messages that were rejected.
+    pub rejected: u64,
+}
+
+/// One thread's mailbox.
 #[derive(Debug)]
 pub struct Mailbox<T, W> {
-    messages: Mutex<Messages<T>>,
-    most: usize,
+    state: Mutex<State<T>>,
+    capacity: usize,
     waker: W,
 }
 
 #[derive(Debug)]
-struct Messages<T> {
+struct State<T> {
     queue: VecDeque<T>,
-    /// How many of them were offered since the owner last took them.
-    offered: usize,
+    /// How many messages of the queue count against the capacity.
+    bounded: usize,
     /// The owner sleeps, or is about to.
-    asleep: bool,
-    peak: usize,
-    refused: u64,
+    is_asleep: bool,
+    stats: Stats,
 }
 
 impl<T, W: Wake> Mailbox<T, W> {
-    /// A post in which at most so many offered messages lie.
-    pub fn new(most: usize, waker: W) -> Self {
-        let messages = Messages { queue: VecDeque::new(), offered: 0, asleep: false, peak: 0, refused: 0 };
-        Mailbox { messages: Mutex::new(messages), most, waker }
+    /// A mailbox in which at most `capacity` messages of [`Mailbox::try_send`] are queued.
+    pub fn new(capacity: usize, waker: W) -> Self {
+        let state = State { queue: VecDeque::new(), bounded: 0, is_asleep: false, stats: Stats::default() };
+        Mailbox { state: Mutex::new(state), capacity, waker }
     }
 
-    /// Puts a message in that asks for something; gives it back, counted, where too many lie there.
-    pub fn offer(&self, text: T) -> Result<(), T> {
-        let mut messages = self.open();
-        if messages.offered >= self.most {
-            messages.refused += 1;
-            return Err(text);
+    /// Sends a message that counts against the capacity.
+    ///
+    /// # Errors
+    /// The mailbox is full: the message.
+    pub fn try_send(&self, message: T) -> Result<(), T> {
+        let mut state = self.lock();
+        if state.bounded >= self.capacity {
+            state.stats.rejected += 1;
+            return Err(message);
         }
-        messages.offered += 1;
-        self.put(messages, text);
+        state.bounded += 1;
+        self.push(state, message);
         Ok(())
     }
 
-    /// Puts a message in that the owner is owed.
-    pub fn deliver(&self, text: T) {
-        self.put(self.open(), text);
+    /// Sends a message that is never rejected.
+    pub fn send(&self, message: T) {
+        self.push(self.lock(), message);
     }
 
-    fn put(&self, mut messages: MutexGuard<'_, Messages<T>>, text: T) {
-        messages.queue.push_back(text);
-        messages.peak = messages.peak.max(messages.queue.len());
+    fn push(&self, mut state: MutexGuard<'_, State<T>>, message: T) {
+        state.queue.push_back(message);
+        state.stats.peak = state.stats.peak.max(state.queue.len());
         // Under the lock: the owner has either seen this message or will be woken for it.
-        let wake = std::mem::take(&mut messages.asleep);
-        drop(messages);
-        if wake {
+        let must_wake = std::mem::take(&mut state.is_asleep);
+        drop(state);
+        if must_wake {
             self.waker.wake();
         }
     }
 
-    /// Moves all messages to the end of `into`, in the order in which they were put in.
-    pub fn take(&self, into: &mut VecDeque<T>) {
-        let mut messages = self.open();
-        messages.asleep = false;
-        messages.offered = 0;
-        into.append(&mut messages.queue);
+    /// Moves all messages to the end of a queue, in the order in which they were sent.
+    pub fn drain_into(&self, messages: &mut VecDeque<T>) {
+        let mut state = self.lock();
+        state.is_asleep = false;
+        state.bounded = 0;
+        messages.append(&mut state.queue);
     }
 
-    /// Says that the owner is about to sleep. False if there is something to take first: then it must not.
+    /// Notes that the owner is about to sleep. False if there are messages to drain first: then it must not.
     #[must_use]
-    pub fn may_sleep(&self) -> bool {
-        let mut messages = self.open();
-        messages.asleep = messages.queue.is_empty();
-        messages.asleep
+    pub fn prepare_sleep(&self) -> bool {
+        let mut state = self.lock();
+        state.is_asleep = state.queue.is_empty();
+        state.is_asleep
     }
 
-    /// The most messages that ever lay there, and how many were given back.
-    pub fn peak(&self) -> (usize, u64) {
-        let messages = self.open();
-        (messages.peak, messages.refused)
+    /// What has become of messages so far.
+    pub fn stats(&self) -> Stats {
+        self.lock().stats
     }
 
-    /// A thread that panicked with the lock leaves the queue whole: each change to it is one call.
-    fn open(&self) -> MutexGuard<'_, Messages<T>> {
-        self.messages.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    /// A thread that panicked with the lock leaves the queue consistent: each change to it is one call.
+    fn lock(&self) -> MutexGuard<'_, State<T>> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/src/net/event_loop/workers.rs
+++ b/src/net/event_loop/workers.rs
@@ -183,7 +183,7 @@
 
     /// Tells a worker what it is owed.
     pub(super) fn deliver(&self, to: usize, message: WorkerMessage) {
-        self.posts[to].deliver(message);
+        self.posts[to].send(message);
     }
 
     /// Tells all but one.
@@ -201,14 +201,14 @@
     /// A worker has died: the others end as well.
     pub(super) fn lose(&self) {
         self.lost.store(true, Ordering::SeqCst);
-        self.posts.iter().for_each(|post| post.deliver(WorkerMessage::Close(Micros(0))));
+        self.posts.iter().for_each(|post| post.send(WorkerMessage::Close(Micros(0))));
     }
 }
 
 impl Gateway {
     /// Whether this worker may sleep: nothing lies in its post.
     pub(super) fn may_sleep(&self) -> bool {
-        self.workers.size() == 1 || self.workers.posts[self.me].may_sleep()
+        self.workers.size() == 1 || self.workers.posts[self.me].prepare_sleep()
     }
 
     /// Reads what other workers have told. A panic ends the connection that the message was about.
@@ -217,7 +217,7 @@
             return;
         }
         let mut mailbox = std::mem::take(&mut self.mailbox);
-        self.workers.posts[self.me].take(&mut mailbox);
+        self.workers.posts[self.me].drain_into(&mut mailbox);
         if self.me == 0 {
             // What was told on the line before any of these requests came counts for them.
             self.guard(usize::MAX, Gateway::hear_peers);
@@ -286,7 +286,7 @@
                 true => self.take_on(owner, *statement, until),
                 false => {
                     if self.workers.posts[home]
-                        .offer(WorkerMessage::Request { owner, statement, until })
+                        .try_send(WorkerMessage::Request { owner, statement, until })
                         .is_err()
                     {
                         self.counts.refused += 1;
@@ -334,8 +334,10 @@
     pub(super) fn forward(&mut self, home: usize, key: Key, statement: Statement, until: Micros) -> bool {
         let (owner, statement) = (Owner { worker: self.me, key }, Box::new(statement));
         if self.me != 0 && self.workers.linked.load(Ordering::SeqCst) {
-            return self.workers.posts[0].offer(WorkerMessage::Via { home, owner, statement, until }).is_ok();
+            return self.workers.posts[0]
+                .try_send(WorkerMessage::Via { home, owner, statement, until })
+                .is_ok();
         }
-        self.workers.posts[home].offer(WorkerMessage::Request { owner, statement, until }).is_ok()
+        self.workers.posts[home].try_send(WorkerMessage::Request { owner, statement, until }).is_ok()
     }
 }
