--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -13,7 +13,7 @@
 use super::mailboxes::WorkerMessage;
 use super::timers::Timer;
 use super::{Gateway, Phase};
-use crate::pg::client::{Client, Demand};
+use crate::pg::client::{ClientProtocol, ClientRequest};
 use crate::Micros;
 
 /// Most connections accepted in one iteration.
@@ -85,7 +85,7 @@
     /// Serves a client that is counted as this worker's, and may have waited in the queue since a time.
     pub(super) fn serve_client(&mut self, socket: TcpStream, waiting_since: Micros) {
         let key = self.admission.cancel_keys.issue();
-        let protocol = Client::taking(self.admission.limits.message, key);
+        let protocol = ClientProtocol::new(self.admission.limits.message, key);
         let client = ClientConnection::new(protocol, self.now);
         self.add_client(socket, ClientConnection { waiting_since: Some(waiting_since), ..client });
     }
@@ -186,7 +186,7 @@
 
     fn close_with_timeout(&mut self, id: ConnectionId) {
         if let Some(client) = self.connections.client(id) {
-            client.protocol.turn_out("57014", "no whole command came in time");
+            client.protocol.close_with_error("57014", "no whole command came in time");
             client.is_closing = true;
             self.write(id);
         }
@@ -197,21 +197,22 @@
         if self.try_hand_over_client(id) {
             return;
         }
-        while let Some(demand) = self.connections.client(id).and_then(|client| client.protocol.demand()) {
+        while let Some(demand) = self.connections.client(id).and_then(|client| client.protocol.next_request())
+        {
             match demand {
-                Demand::Query(text, arrived_at) => self.handle_query(id, text, arrived_at),
-                Demand::Cancel(key) => {
+                ClientRequest::Query(text, arrived_at) => self.handle_query(id, text, arrived_at),
+                ClientRequest::Cancel(key) => {
                     self.mark_closing(id);
                     self.cancel(key);
                 }
-                Demand::Close => self.mark_closing(id),
+                ClientRequest::Close => self.mark_closing(id),
             }
         }
         let (now, is_ending) = (self.now, self.phase == Phase::Closing);
         if let Some(client) = self.connections.client(id) {
             client.is_closing |= is_ending && !client.protocol.is_busy();
             let incomplete_since = client.incomplete_since.unwrap_or(now);
-            client.incomplete_since = client.protocol.is_half().then_some(incomplete_since);
+            client.incomplete_since = client.protocol.has_partial_message().then_some(incomplete_since);
         }
         self.write(id);
     }
--- a/src/net/event_loop/queries.rs
+++ b/src/net/event_loop/queries.rs
@@ -26,7 +26,7 @@
         let deadline = arrived_at + (statement.wait - DEADLINE_MARGIN);
         let deadline = self.final_answers_by.map_or(deadline, |by| deadline.min(by));
         let owner = Owner { worker: self.this_worker, connection: client };
-        let worker = self.workers.owning_worker(GroupId(statement.cluster));
+        let worker = self.workers.owning_worker(GroupId(statement.group));
         if self.decides_directly(worker) {
             self.accept_request(owner, statement, deadline);
         } else {
@@ -74,10 +74,10 @@
         }
         let request = RoutingRequest {
             class,
-            group: GroupId(statement.cluster),
+            group: GroupId(statement.group),
             session: statement.session,
-            committed: statement.after.map(|after| self.clock.at_unix_ms(after)),
-            repeat: statement.repeat,
+            committed: statement.last_commit_ms.map(|after| self.clock.at_unix_ms(after)),
+            repeat: statement.is_retry,
             time_left,
         };
         let (request_id, decision) = self.balancer.pick(self.now, request);
@@ -98,11 +98,11 @@
     /// The class of a statement that can be routed here, or why it cannot.
     fn routable_class(&self, statement: &Statement) -> Result<ClassId, Unroutable> {
         let class = self.classes.id(self.now, &statement.class).ok_or(Unroutable::UnknownClass)?;
-        if !self.balancer.has_group(GroupId(statement.cluster)) {
+        if !self.balancer.has_group(GroupId(statement.group)) {
             return Err(Unroutable::UnknownGroup);
         }
-        let lacks_key = self.balancer.is_keyed_class(class) && !statement.keyed;
-        if self.balancer.is_write_class(class) != statement.writes || lacks_key {
+        let lacks_key = self.balancer.is_keyed_class(class) && !statement.has_idempotency_key;
+        if self.balancer.is_write_class(class) != statement.is_write || lacks_key {
             return Err(Unroutable::UnfitForClass);
         }
         if self.requests.has_client_id(&statement.id) {
