--- a/crates/loadtest/src/capacity/measure/members.rs
+++ b/crates/loadtest/src/capacity/measure/members.rs
@@ -15,7 +15,7 @@
 use crate::capacity::slopes::Point;
 
 const SIZES: [usize; 5] = [45, 90, 180, 355, 710];
-/// As `src/fleet/driver.rs` sets it from a probe each 500 ms.
+/// As `src/fleet/node_settings.rs` sets it from a probe each 500 ms.
 const PROBE: Duration = Duration::from_millis(500);
 /// How long nothing happens, from a start to where all know all, and from there to where the news of it has ended.
 const SETTLE: Duration = Duration::from_secs(30);
--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use dunemount::fleet::status::Status;
+use dunemount::fleet::status::NodeStatus;
 use rustix::process::{kill_process, Pid, Signal};
 
 use super::convergence::{ConvergenceTarget, ConvergenceTracker};
@@ -163,7 +163,7 @@
 
     /// Asks at its door whom it knows, and how it stands with versions: its log leaves out lines where many come in a second.
     pub fn poll_status(&self, gateways: usize) {
-        let Ok(status) = Status::ask(self.spec.admin) else { return };
+        let Ok(status) = NodeStatus::fetch(self.spec.admin) else { return };
         let at = Instant::now();
         self.is_up.store(true, Ordering::Relaxed);
         let mut starts = vec![0; gateways];
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -15,8 +15,8 @@
 use dunemount::balancer::Balancer;
 use dunemount::config::{version, ActiveConfig, ConfigResult};
 use dunemount::fleet::acceptor_file::AcceptorFile;
-use dunemount::fleet::driver;
 use dunemount::fleet::durable_file;
+use dunemount::fleet::node_settings::{node_settings, NodeStart};
 use dunemount::fleet::rollout::follower_driver::FollowerDriver;
 use dunemount::fleet::rollout::gateway;
 use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
@@ -436,9 +436,9 @@
         let listen = fleet.listen.ok_or("no address")?;
         let socket = UdpSocket::bind(listen).map_err(said)?;
         socket.set_nonblocking(true).map_err(said)?;
-        let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
+        let beginning = NodeStart { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) =
-            driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
+            node_settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
         let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
         let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,11 @@
-//! What a gateway does as one of a fleet: the thread that carries `dunemount-fleet` over UDP, and a voter's file.
-//! Without `[fleet]` in the settings nothing of it is started.
+//! A gateway as a member of a fleet: `dunemount-fleet` over UDP in a thread of its own, its acceptor's file, and its status.
+//! Nothing of it is started without `[fleet]` in the settings.
 
 pub mod acceptor_file;
-pub mod driver;
 pub mod durable_file;
+mod event_log;
+pub mod event_loop;
+pub mod node_settings;
 pub mod rollout;
 pub mod status;
 pub mod transport;
--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -21,7 +21,8 @@
 use self::setup::{node_with_voter, settings, Sockets};
 use self::store::{read_state, FileStore};
 use super::connections::{ConnectionEvent, Connections};
-use crate::fleet::driver::{self, LEAVE};
+use crate::fleet::event_log::log_event;
+use crate::fleet::event_loop::LEAVE_TIMEOUT;
 use crate::fleet::transport::NodeTransport;
 use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
 
@@ -166,7 +167,7 @@
                 info!(self.log, "signal to end");
                 self.transport.node.leave(now);
                 self.transport.node.tick(now);
-                leave_until = Some(now + LEAVE);
+                leave_until = Some(now + LEAVE_TIMEOUT);
             }
             self.transport.send_datagrams(&self.socket);
         }
@@ -274,7 +275,7 @@
                 if matches!(event, NodeEvent::Membership(_)) {
                     self.control.set_members(members(&self.transport.node));
                 }
-                driver::log_event(&self.log, event);
+                log_event(&self.log, event);
             }
         }
     }
--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -14,7 +14,7 @@
     Start, StartError, FRESHNESS, LISTENER_KEY, PROPOSAL_TIMEOUT, READ_INTERVAL, SHUTDOWN_KEY, SOCKET_KEY,
 };
 use crate::fleet::acceptor_file::AcceptorFile;
-use crate::fleet::driver;
+use crate::fleet::node_settings::{node_settings, NodeStart};
 use crate::settings_file::LocalSettings;
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 
@@ -24,8 +24,8 @@
     start: &Start,
 ) -> Result<(NodeSettings, Option<(usize, AcceptorFile)>), StartError> {
     let node =
-        driver::Start { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
-    let node = driver::settings(&options.fleet, node).map_err(|e| StartError::Fleet(e.to_string()))?;
+        NodeStart { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
+    let node = node_settings(&options.fleet, node).map_err(|e| StartError::Fleet(e.to_string()))?;
     let (node, index) = node.ok_or(StartError::NoFleet)?;
     let voter = options.fleet.voter(&start.name).map_err(|e| StartError::Fleet(e.to_string()))?;
     let file = voter.map(|(_, path)| AcceptorFile::new(path));
--- a/src/fleet/rollout/gateway.rs
+++ b/src/fleet/rollout/gateway.rs
@@ -27,7 +27,7 @@
 use self::status_log::StatusLog;
 use super::follower_driver::FollowerDriver;
 use super::version_channel::{self, VersionReceiver};
-use crate::fleet::status::{Board, Configuration};
+use crate::fleet::status::{ConfigurationStatus, SharedStatus};
 use crate::shortage::{may_pass, retry};
 
 /// How long a read of the file is retried that fails for a moment: the gateway has to be ready soon.
@@ -73,7 +73,7 @@
     /// The version that the gateway was started with.
     pub in_force: Option<Version>,
     /// Where the status is published.
-    pub board: Board,
+    pub board: SharedStatus,
 }
 
 /// The thread that follows the control servers.
@@ -127,7 +127,7 @@
     started_at: Instant,
     installer: Installer,
     status_log: StatusLog,
-    board: Board,
+    board: SharedStatus,
 }
 
 impl FollowerLoop {
@@ -168,8 +168,9 @@
         let servers = &self.driver.follower.settings().servers;
         let server = status.server.and_then(|index| servers.get(index));
         let unstored = self.installer.storage_error().map(str::to_string);
-        let configuration = Configuration { unstored, ..Configuration::of(&status, server) };
+        let configuration =
+            ConfigurationStatus { unstored, ..ConfigurationStatus::from_follower(&status, server) };
         self.status_log.update(status, server);
-        self.board.configure(configuration);
+        self.board.update_configuration(configuration);
     }
 }
--- a/src/fleet/status/tests.rs
+++ b/src/fleet/status/tests.rs
@@ -1,35 +1,43 @@
-//! What the door and the command say, kept from the first version.
+//! What the admin interface and the command say, kept from the first version.
 
 use super::*;
 
-fn member(index: u64) -> Member {
-    Member { name: format!("gw-{index}"), address: format!("127.0.0.{index}:7400"), start: 1_000 + index }
+fn member(index: u64) -> MemberStatus {
+    MemberStatus {
+        name: format!("gw-{index}"),
+        address: format!("127.0.0.{index}:7400"),
+        start: 1_000 + index,
+    }
 }
 
-fn full() -> Status {
-    let configuration = Configuration {
+fn full() -> NodeStatus {
+    let configuration = ConfigurationStatus {
         version: Some(12),
         digest: Some("0011223344556677".into()),
         machine: Some("ctl-1".into()),
         cut_off_ms: 0,
-        refused: Some(Refused { version: 13, digest: "8899aabbccddeeff".into(), why: "no hosts".into() }),
+        refused: Some(RejectedVersion {
+            version: 13,
+            digest: "8899aabbccddeeff".into(),
+            why: "no hosts".into(),
+        }),
         unstored: Some("no space left".into()),
         older: 2,
         conflicts: 1,
     };
-    let role = |name: &str, epoch, owner: Option<&str>, held| Role {
+    let role = |name: &str, epoch, owner: Option<&str>, held| RoleStatus {
         name: name.into(),
         epoch,
         owner: owner.map(str::to_string),
         held,
     };
-    Status {
+    NodeStatus {
         fleet: "sand".into(),
         me: member(1),
         members: vec![member(2), member(3)],
         voters: vec![
-            Voter { name: "gw-1".into(), generation: 0, present: true },
-            Voter { name: "gw-9".into(), generation: 4_294_967_303, present: false },
+            VoterStatus { name: "gw-1".into(), generation: 0, present: true },
+            VoterStatus { name: "gw-9".into(), generation: 4_294_967_303, present: false },
         ],
         voting: Some(true),
         registers: 3,
@@ -49,20 +57,20 @@
 }
 
 /// Without a voter's file, and without configurations from control machines.
-fn plain() -> Status {
-    Status { fleet: "sand".into(), me: member(1), voting: Some(false), ..Status::default() }
+fn plain() -> NodeStatus {
+    NodeStatus { fleet: "sand".into(), me: member(1), voting: Some(false), ..NodeStatus::default() }
 }
 
 /// Guards `GET /ops/fleet`, which scripts and the command read: names and forms are those of the first version.
 #[test]
-fn the_doors_answer() {
+fn the_admin_interfaces_response() {
     let kept = [
         (full(), include_str!("../../../tests/fixtures/fleet-status-v1.json")),
         (plain(), include_str!("../../../tests/fixtures/fleet-status-plain-v1.json")),
     ];
     for (status, json) in kept {
         assert_eq!(serde_json::to_string(&status).expect("JSON"), json);
-        assert_eq!(serde_json::from_str::<Status>(json).expect("a status"), status);
+        assert_eq!(serde_json::from_str::<NodeStatus>(json).expect("a status"), status);
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use dunemount::cli::{self, Cli, Command, FleetCommand, LogFormat};
 use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
 use dunemount::fleet::rollout::control_server;
-use dunemount::fleet::status::Status;
+use dunemount::fleet::status::NodeStatus;
 use dunemount::settings_file::SettingsFile;
 use dunemount::startup::{self, signals};
 use dunemount::{logging, validation};
@@ -64,7 +64,7 @@
         FleetCommand::Found { files, name } => {
             println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
         }
-        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin).map_err(failed)?, json),
+        FleetCommand::Status { admin, json } => print_as(&NodeStatus::fetch(admin).map_err(failed)?, json),
         FleetCommand::Control { name, settings, log } => {
             run_control_server(name, settings.settings.as_deref(), log)?;
         }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -43,7 +43,7 @@
 use crate::classes::Classes;
 use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::version_channel::VersionReceiver;
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 use crate::hot_restart::handover_socket::HandoverState;
 use crate::ops::figures::Figures;
 use crate::pg::codec;
@@ -115,7 +115,7 @@
     /// What the process before hands over.
     pub predecessor: Option<HandoverState>,
     /// Where the state of the fleet is put, if the gateway is in one.
-    pub fleet: Option<Board>,
+    pub fleet: Option<SharedStatus>,
 }
 
 /// Takes a version of the configuration, or reads the file anew where there is none; with the zones that are known.
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -12,7 +12,7 @@
 use super::timers::Timer;
 use super::workers::WorkerMessage;
 use super::{Gateway, Phase, ADMIN};
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 use crate::ops::call::{Call, Order, Status};
 use crate::ops::figures::Figures;
 use crate::Micros;
@@ -28,7 +28,7 @@
     pub(super) listener: Option<TcpListener>,
     pub(super) down: BTreeSet<String>,
     /// What is known of the fleet, if this gateway is in one.
-    pub(super) fleet: Option<Board>,
+    pub(super) fleet: Option<SharedStatus>,
 }
 
 /// An operator's connection.
@@ -134,7 +134,7 @@
             Order::Down(name) => self.order(key, &name, true),
             Order::Up(name) => self.order(key, &name, false),
             Order::Fleet => {
-                match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
+                match self.admin.fleet.as_ref().map(|status| serde_json::to_string(&status.snapshot())) {
                     Some(Ok(text)) => self.reply(key, Status::Ok, &text),
                     Some(Err(_)) => {
                         self.reply(key, Status::Unavailable, "the fleet's state cannot be told\n")
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -16,10 +16,11 @@
 use crate::cli::{LogFormat, ServeArgs};
 use crate::config::version::ConfigSource;
 use crate::config::{address, AddressError, ConfigError, LoadedConfig};
-use crate::fleet::driver;
+use crate::fleet::event_loop::{self as fleet_event_loop, FleetThread};
+use crate::fleet::node_settings::NodeStart;
 use crate::fleet::rollout::gateway::{self, FollowerThread};
 use crate::fleet::rollout::version_channel::VersionReceiver;
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 use crate::logging;
 use crate::net::event_loop::{Config, Gateway};
 use crate::settings::Zones;
@@ -113,7 +114,7 @@
         let fleet = self.join_fleet(&log)?;
         let follower = self.follow_control_servers(fleet.as_ref(), &log)?;
         let (follower, versions) = follower.unzip();
-        let board = fleet.as_ref().map(|fleet| fleet.board.clone());
+        let board = fleet.as_ref().map(|fleet| fleet.status.clone());
         let cores = self.settings_file.settings.cores;
         let (config, source) = self.into_event_loop_parts(&addresses, board);
         let ended = run_event_loop(config, source, versions, cores, &log);
@@ -136,22 +137,22 @@
         }
     }
 
-    fn join_fleet(&self, log: &Logger) -> Result<Option<driver::Running>, StartError> {
+    fn join_fleet(&self, log: &Logger) -> Result<Option<FleetThread>, StartError> {
         let mut groups: Vec<u32> = self.initial.loaded.file.known.groups().collect();
         groups.sort_unstable();
         groups.dedup();
-        let start = driver::Start {
+        let start = NodeStart {
             name: self.name.clone(),
             start: start_number(),
             roles: groups.into_iter().map(|group| format!("survey/{group}")).collect(),
             seed: random_seed(),
         };
-        driver::start(&self.settings_file.settings.fleet, start, log).map_err(StartError::JoinFleet)
+        fleet_event_loop::start(&self.settings_file.settings.fleet, start, log).map_err(StartError::JoinFleet)
     }
 
     fn follow_control_servers(
         &self,
-        fleet: Option<&driver::Running>,
+        fleet: Option<&FleetThread>,
         log: &Logger,
     ) -> Result<Option<(FollowerThread, VersionReceiver)>, StartError> {
         let (Some(own), Some(fleet)) = (self.settings_file.follower()?, fleet) else { return Ok(None) };
@@ -168,13 +169,17 @@
             addresses: settings.control.machines.iter().map(|(_, address)| *address).collect(),
             file: own.file.to_path_buf(),
             in_force: self.initial.version.as_ref().map(Document::version),
-            board: fleet.board.clone(),
+            board: fleet.status.clone(),
         };
         gateway::start(start, log).map(Some).map_err(StartError::FollowControlServers)
     }
 
     /// What the event loop is opened with, and where it gets further configurations from.
-    fn into_event_loop_parts(self, addresses: &Addresses, fleet: Option<Board>) -> (Config, ConfigSource) {
+    fn into_event_loop_parts(
+        self,
+        addresses: &Addresses,
+        fleet: Option<SharedStatus>,
+    ) -> (Config, ConfigSource) {
         let InitialConfig { loaded, active, zones, own_text, version, .. } = self.initial;
         let config = Config {
             listen: addresses.listen,
