--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -9,7 +9,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 use crate::fleet::rollout::version_channel::VersionReceiver;
-use crate::net::event_loop::{Reread, Signals};
+use crate::net::event_loop::{ReadConfig, Signals};
 use crate::shortage::{is_shortage, retry, START_PATIENCE};
 
 type Signal = libc::c_int;
@@ -21,9 +21,16 @@
 ///
 /// # Errors
 /// The system does not give a pipe.
-pub fn watch(versions: Option<VersionReceiver>, reread: Reread) -> io::Result<Signals> {
-    let told = [flag(&TERMINATION)?, flag(&RELOAD)?];
-    Ok(Signals { end: termination()?, reload: pipe(&RELOAD)?, told, versions, reread })
+pub fn watch(versions: Option<VersionReceiver>, read_config: ReadConfig) -> io::Result<Signals> {
+    let (shutdown_requested, reload_requested) = (flag(&TERMINATION)?, flag(&RELOAD)?);
+    Ok(Signals {
+        shutdown: termination()?,
+        reload: pipe(&RELOAD)?,
+        shutdown_requested,
+        reload_requested,
+        versions,
+        read_config,
+    })
 }
 
 /// A pipe that becomes readable when the process is to end.
