--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -18,8 +18,8 @@
 const FLEET: &str = "formats";
 const ROLE: &str = "survey/1";
 const CONFIGURATION: &str = "config/version";
-/// Number of the file that has been let in at place 2.
-const OTHER_FILE: u64 = 0x0000_0001_8000_0007;
+/// Generation of the file that has been admitted in slot 2.
+const OTHER_GENERATION: u64 = 0x0000_0001_8000_0007;
 
 fn fixture(name: &str) -> Vec<u8> {
     let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
@@ -30,7 +30,7 @@
     SocketAddr::from(([127, 0, 0, index + 1], 7400))
 }
 
-fn peer(index: u8, start: u64) -> MemberIdentity {
+fn identity(index: u8, start: u64) -> MemberIdentity {
     MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address: address(index) }
 }
 
@@ -39,10 +39,10 @@
 }
 
 fn acceptors() -> AcceptorSet {
-    AcceptorSet::default().with(AcceptorSlot(2), OTHER_FILE)
+    AcceptorSet::default().with(AcceptorSlot(2), OTHER_GENERATION)
 }
 
-fn owned() -> LeaseRecord {
+fn held_lease() -> LeaseRecord {
     LeaseRecord {
         epoch: 300,
         holder: Some(NodeId(0xfeed_0001)),
@@ -55,53 +55,55 @@
     let chosen = RegisterState {
         promised: ballot(5, 9),
         accepted: ballot(4, 0xfeed_0001),
-        value: Some(owned().encode()),
+        value: Some(held_lease().encode()),
     };
     let promised = RegisterState { promised: ballot(200, 3), accepted: Ballot::default(), value: None };
     BTreeMap::from([(CONFIGURATION.to_string(), promised), (ROLE.to_string(), chosen)])
 }
 
-fn ask(voter: &mut Acceptor, call: AcceptorRequest) -> AcceptorReply {
-    match voter.handle_request(call) {
+fn handle_request(acceptor: &mut Acceptor, request: AcceptorRequest) -> AcceptorReply {
+    match acceptor.handle_request(request) {
         RequestOutcome::Reply(reply) => reply,
         RequestOutcome::Store(pending) => pending.stored(),
     }
 }
 
-/// Acceptor 1, which goes by a view with a file let in at place 2, and keeps two registers.
-fn voter() -> Acceptor {
-    let mut voter = Acceptor::founding(AcceptorSlot(1));
+/// Acceptor 1, whose acceptor set has a file admitted in slot 2, and which keeps two registers.
+fn acceptor() -> Acceptor {
+    let mut acceptor = Acceptor::founding(AcceptorSlot(1));
     let role = || ROLE.to_string();
     let operations = [
         Operation::Reconfigure { after: Key::new() },
         Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) },
-        Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().encode() },
+        Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: held_lease().encode() },
         Operation::Prepare { key: role(), ballot: ballot(5, 9) },
         Operation::Prepare { key: CONFIGURATION.to_string(), ballot: ballot(200, 3) },
     ];
     for operation in operations {
-        let reply = ask(&mut voter, AcceptorRequest { acceptors: acceptors(), nonce: 1, operation });
+        let reply =
+            handle_request(&mut acceptor, AcceptorRequest { acceptors: acceptors(), nonce: 1, operation });
         assert!(!matches!(reply.answer, Answer::Rejected(_)), "{reply:?}");
     }
-    voter
+    acceptor
 }
 
-/// Guards a voter's promises across versions: its file from the first one says the same, and is written the same.
+/// Guards an acceptor's promises across versions: its file from the first one means the same, and is written the same.
 #[test]
-fn a_voters_file() {
+fn an_acceptors_file() {
     let kept = fixture("voter-file-v1.bin");
-    assert_eq!(voter().file_bytes().expect("it votes"), kept);
+    assert_eq!(acceptor().file_bytes().expect("it votes"), kept);
     let mut resumed = Acceptor::from_file(AcceptorSlot(1), &kept).expect("a whole file");
     assert_eq!(resumed.file_bytes().expect("it votes"), kept);
     assert_eq!(
         resumed,
-        Acceptor::from_file(AcceptorSlot(1), &voter().file_bytes().expect("it votes")).expect("whole")
+        Acceptor::from_file(AcceptorSlot(1), &acceptor().file_bytes().expect("it votes")).expect("whole")
     );
     assert!(!resumed.is_uninitialized());
     assert_eq!((resumed.generation(), resumed.register_count()), (0, 2));
     assert_eq!(resumed.acceptors(), Some(&acceptors()));
     let all = Operation::Reconfigure { after: Key::new() };
-    let reply = ask(&mut resumed, AcceptorRequest { acceptors: acceptors(), nonce: 6, operation: all });
+    let reply =
+        handle_request(&mut resumed, AcceptorRequest { acceptors: acceptors(), nonce: 6, operation: all });
     let answer = Answer::Reconfigured { after: Key::new(), registers: registers(), more: false };
     assert_eq!(
         reply,
@@ -109,27 +111,29 @@
     );
 }
 
-/// Guards a role's epoch across versions: what its register holds is read and written the same.
+/// Guards a role's epoch across versions: its lease record is read and written the same.
 #[test]
 fn the_value_of_a_roles_register() {
-    for (name, tenure) in [("role-register-owned-v1.bin", owned()), ("role-register-free-v1.bin", free())] {
+    for (name, record) in
+        [("role-register-owned-v1.bin", held_lease()), ("role-register-free-v1.bin", released_lease())]
+    {
         let kept = fixture(name);
-        assert_eq!(LeaseRecord::decode(&kept), Some(tenure.clone()), "{name}");
-        assert_eq!(tenure.encode(), kept, "{name}");
+        assert_eq!(LeaseRecord::decode(&kept), Some(record.clone()), "{name}");
+        assert_eq!(record.encode(), kept, "{name}");
     }
 }
 
-fn free() -> LeaseRecord {
+fn released_lease() -> LeaseRecord {
     LeaseRecord { epoch: 2, holder: None, renewal: 3, requested_by: None }
 }
 
-fn calls() -> Vec<(&'static str, AcceptorRequest)> {
+fn requests() -> Vec<(&'static str, AcceptorRequest)> {
     let role = || ROLE.to_string();
     let operations = [
         ("call-prepare", Operation::Prepare { key: role(), ballot: ballot(4, 0xfeed_0001) }),
         (
             "call-accept",
-            Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: owned().encode() },
+            Operation::Accept { key: role(), ballot: ballot(4, 0xfeed_0001), value: held_lease().encode() },
         ),
         ("call-read", Operation::Read { key: role() }),
         ("call-admit", Operation::Reconfigure { after: CONFIGURATION.to_string() }),
@@ -143,7 +147,7 @@
     let answers = [
         (
             "reply-promise",
-            Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(owned().encode()) },
+            Answer::Promise { accepted: ballot(4, 0xfeed_0001), value: Some(held_lease().encode()) },
         ),
         ("reply-promise-empty", Answer::Promise { accepted: Ballot::default(), value: None }),
         ("reply-accepted", Answer::Accepted),
@@ -162,7 +166,7 @@
     let reply = |answer| AcceptorReply {
         nonce: 0x0102_0304_0506,
         slot: AcceptorSlot(2),
-        generation: OTHER_FILE,
+        generation: OTHER_GENERATION,
         store_count: 300,
         answer,
     };
@@ -191,18 +195,18 @@
     assert_eq!(datagram(kind, message), kept, "{name}");
 }
 
-/// Guards talk between versions: each message between proposers and voters, and an order, is read and written the same.
+/// Guards messages between versions: each between proposers and acceptors, and an order, is read and written the same.
 #[test]
-fn datagrams_of_voters_and_orders() {
-    calls().iter().for_each(|(name, call)| check(name, MessageKind::AcceptorRequest, call));
+fn datagrams_of_acceptors_and_orders() {
+    requests().iter().for_each(|(name, request)| check(name, MessageKind::AcceptorRequest, request));
     replies().iter().for_each(|(name, reply)| check(name, MessageKind::AcceptorReply, reply));
     check("order", MessageKind::Order, &order());
 }
 
-/// A disk that forgets.
-struct Nowhere;
+/// Stores nothing.
+struct NullStorage;
 
-impl AcceptorStorage for Nowhere {
+impl AcceptorStorage for NullStorage {
     fn store(&mut self, _: &[u8]) -> bool {
         true
     }
@@ -217,14 +221,14 @@
     }
 }
 
-fn node(voter: Option<Acceptor>) -> Node {
-    let voters: Vec<MemberIdentity> =
-        (0..3).map(|index| MemberIdentity::with_address(&peer(index, 0).name, address(index))).collect();
+fn node(acceptor: Option<Acceptor>) -> Node {
+    let acceptors: Vec<MemberIdentity> =
+        (0..3).map(|index| MemberIdentity::with_address(&identity(index, 0).name, address(index))).collect();
     let settings = NodeSettings {
         fleet: FLEET.into(),
-        local: peer(1, 7),
-        seeds: voters.clone(),
-        acceptors: voters,
+        local: identity(1, 7),
+        seeds: acceptors.clone(),
+        acceptors,
         fleet_size: 3,
         roles: Vec::new(),
         lease: LeaseSettings {
@@ -235,22 +239,22 @@
         membership: timeouts(),
         rng_seed: 1,
     };
-    Node::new(settings, voter)
+    Node::new(settings, acceptor)
 }
 
-/// Guards the same through a whole node: a kept call is answered with the kept reply, a kept order is taken.
+/// Guards the same through a whole node: a kept request gets the kept reply, a kept order is taken.
 #[test]
-fn a_node_takes_in_kept_datagrams_and_answers_with_kept_ones() {
+fn a_node_handles_kept_datagrams_and_replies_with_kept_ones() {
     let mut node =
         node(Some(Acceptor::from_file(AcceptorSlot(1), &fixture("voter-file-v1.bin")).expect("whole")));
     for name in ["read", "prepare", "accept"] {
-        let call = fixture(&format!("datagram-call-{name}-v1.bin"));
-        node.handle_datagram(Duration::ZERO, address(2), &call, &mut Nowhere).expect("this fleet's");
+        let request = fixture(&format!("datagram-call-{name}-v1.bin"));
+        node.handle_datagram(Duration::ZERO, address(2), &request, &mut NullStorage).expect("this fleet's");
         let answer = fixture(&format!("datagram-node-answers-{name}-v1.bin"));
         assert_eq!(node.next_datagram(), Some((address(2), answer)), "{name}");
     }
     let kept = fixture("datagram-order-v1.bin");
-    node.handle_datagram(Duration::ZERO, address(0), &kept, &mut Nowhere).expect("this fleet's");
+    node.handle_datagram(Duration::ZERO, address(0), &kept, &mut NullStorage).expect("this fleet's");
     assert_eq!(node.next_event(), Some(NodeEvent::Order { order: order(), is_first_of_epoch: true }));
 }
 
@@ -258,20 +262,20 @@
 #[test]
 fn datagrams_of_membership() {
     let announce = fixture("datagram-membership-announce-v1.bin");
-    // A process without a voter announces itself first of all.
+    // A process without an acceptor announces itself first of all.
     let mut announcing = node(None);
     announcing.tick(Duration::ZERO);
     assert_eq!(announcing.next_datagram(), Some((address(0), announce.clone())));
     let (kind, message) = frame::decode(frame::fleet_tag(FLEET), &announce).expect("this fleet's");
     assert_eq!(kind, MessageKind::Membership);
-    let mut seed = Membership::new(peer(0, 3), Vec::new(), 3, timeouts(), 2);
+    let mut seed = Membership::new(identity(0, 3), Vec::new(), 3, timeouts(), 2);
     seed.handle_message(Duration::ZERO, message);
-    assert_eq!(seed.next_change(), Some(MembershipChange::Up(peer(1, 7))));
+    assert_eq!(seed.next_change(), Some(MembershipChange::Up(identity(1, 7))));
 
     // One with that name that has started later tells it so.
     let later = fixture("datagram-membership-later-start-v1.bin");
     let mut namesake =
-        Membership::new(MemberIdentity { incarnation: 4, ..peer(1, 8) }, Vec::new(), 3, timeouts(), 3);
+        Membership::new(MemberIdentity { incarnation: 4, ..identity(1, 8) }, Vec::new(), 3, timeouts(), 3);
     namesake.handle_message(Duration::ZERO, message);
     let (to, told) = namesake.next_message().expect("it says so");
     assert_eq!(
@@ -280,7 +284,7 @@
     );
     let (_, message) = frame::decode(frame::fleet_tag(FLEET), &later).expect("this fleet's");
     let namesake: MemberIdentity = postcard::from_bytes(&message[1..]).expect("a peer");
-    assert_eq!((message[0], namesake), (1, MemberIdentity { incarnation: 4, ..peer(1, 8) }));
-    announcing.handle_datagram(Duration::ZERO, address(1), &later, &mut Nowhere).expect("this fleet's");
+    assert_eq!((message[0], namesake), (1, MemberIdentity { incarnation: 4, ..identity(1, 8) }));
+    announcing.handle_datagram(Duration::ZERO, address(1), &later, &mut NullStorage).expect("this fleet's");
     assert_eq!(announcing.next_event(), Some(NodeEvent::Membership(MembershipChange::Superseded)));
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! The agreement exhaustively: the voters and rounds that ship, with every order of messages, losses and doubles, and
-//! a crash of a voter with or without its file.
+//! Model checking of the agreement: the acceptors and proposers that ship, with every order of messages, with losses and
+//! duplicates, and a crash of an acceptor with or without its file.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,133 +12,138 @@
 use dunemount_fleet::register::*;
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 
-const VOTERS: u8 = 3;
+const ACCEPTORS: u8 = 3;
 const KEY: &str = "survey/1";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Letter {
-    Ask { slot: u8, from: usize, call: CallKey },
-    Reply { to: usize, reply: ReplyKey },
+enum Message {
+    Request { slot: u8, from: usize, request: RequestBytes },
+    Reply { to: usize, reply: ReplyBytes },
 }
 
-/// Calls and replies have no order of their own; their bytes do.
-type CallKey = Vec<u8>;
-type ReplyKey = Vec<u8>;
+/// Requests and replies have no order of their own; their bytes do.
+type RequestBytes = Vec<u8>;
+type ReplyBytes = Vec<u8>;
 
-fn pack<T: serde::Serialize>(value: &T) -> Vec<u8> {
+fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).expect("bytes")
 }
 
-fn unpack<'a, T: serde::Deserialize<'a>>(bytes: &'a [u8]) -> T {
-    postcard::from_bytes(bytes).expect("what was packed")
+fn decode<'a, T: serde::Deserialize<'a>>(bytes: &'a [u8]) -> T {
+    postcard::from_bytes(bytes).expect("what was encoded")
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Contender {
+struct Process {
     round: Option<ProposerRound>,
-    begun: u8,
-    view: AcceptorSet,
-    admission: Option<Reconfiguration>,
-    highest: u64,
+    rounds_begun: u8,
+    known_acceptors: AcceptorSet,
+    reconfiguration: Option<Reconfiguration>,
+    highest_counter: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    voters: Vec<Acceptor>,
-    contenders: Vec<Contender>,
-    /// Any letter may come never or late, and so many of them again.
-    links: BTreeSet<Letter>,
-    doubled: u8,
-    owners: BTreeMap<u64, BTreeSet<NodeId>>,
+    acceptors: Vec<Acceptor>,
+    processes: Vec<Process>,
+    /// Any message may arrive late or never, and some of them again.
+    in_transit: BTreeSet<Message>,
+    duplicated: u8,
+    holders: BTreeMap<u64, BTreeSet<NodeId>>,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    Begin(usize),
-    Deliver(Letter),
-    /// Delivers a letter that comes once more.
-    Double(Letter),
+    BeginRound(usize),
+    Deliver(Message),
+    /// Delivers a message that will arrive once more.
+    DeliverCopy(Message),
     Crash {
         slot: u8,
-        loses_file: bool,
+        file_is_lost: bool,
     },
 }
 
 struct Agreement {
-    /// Changes that each contender may begin.
-    rounds: Vec<u8>,
-    crashes: u8,
-    loses_file: bool,
-    doubles: u8,
-    /// A voter comes back from a crash as if the fleet were new.
-    forgets: bool,
-    /// Contenders take the role whatever the register holds by then.
-    blind: bool,
+    /// How many changes each process may begin.
+    rounds_by_process: Vec<u8>,
+    max_crashes: u8,
+    file_is_lost: bool,
+    max_duplicates: u8,
+    /// Injected bug: an acceptor comes back from a crash as if the fleet were new.
+    acceptors_forget: bool,
+    /// Injected bug: processes acquire the lease whatever the register holds by then.
+    ignores_current_record: bool,
 }
 
-fn id(index: usize) -> NodeId {
+fn node_id(index: usize) -> NodeId {
     NodeId(index as u64 + 1)
 }
 
 impl Agreement {
-    fn post(state: &mut State, from: usize, calls: Vec<(AcceptorSlot, AcceptorRequest)>) {
-        for (slot, call) in calls {
-            state.links.insert(Letter::Ask { slot: slot.0, from, call: pack(&call) });
+    fn send(state: &mut State, from: usize, requests: Vec<(AcceptorSlot, AcceptorRequest)>) {
+        for (slot, request) in requests {
+            state.in_transit.insert(Message::Request { slot: slot.0, from, request: encode(&request) });
         }
     }
 
-    fn hear(&self, state: &mut State, to: usize, reply: &AcceptorReply) {
-        let contender = &mut state.contenders[to];
-        if let Some(admission) = contender.admission.as_mut().filter(|a| a.nonce() == reply.nonce) {
-            let over = admission.handle_reply(reply) != RoundEvent::None || admission.is_done();
-            contender.view = contender.view.join(admission.acceptors());
-            let calls = if over { Vec::new() } else { admission.pending_requests() };
-            contender.admission = contender.admission.take().filter(|_| !over);
-            return Self::post(state, to, calls);
+    fn handle_reply(&self, state: &mut State, to: usize, reply: &AcceptorReply) {
+        let process = &mut state.processes[to];
+        if let Some(reconfiguration) = process.reconfiguration.as_mut().filter(|a| a.nonce() == reply.nonce) {
+            let is_over =
+                reconfiguration.handle_reply(reply) != RoundEvent::None || reconfiguration.is_done();
+            process.known_acceptors = process.known_acceptors.join(reconfiguration.acceptors());
+            let requests = if is_over { Vec::new() } else { reconfiguration.pending_requests() };
+            process.reconfiguration = process.reconfiguration.take().filter(|_| !is_over);
+            return Self::send(state, to, requests);
         }
-        let Some(round) = contender.round.as_mut() else { return };
+        let Some(round) = process.round.as_mut() else { return };
         match round.handle_reply(reply) {
             RoundEvent::Prepared(value) => {
-                let known = value
-                    .map_or(LeaseRecord::default(), |value| LeaseRecord::decode(&value).expect("a tenure"));
-                // Time is left out: whoever tries may have waited for long enough.
-                let next = match self.blind {
-                    true => {
-                        Some(LeaseRecord { epoch: 1, holder: Some(id(to)), renewal: 0, requested_by: None })
-                    }
-                    false => next_record(LeaseChange::Acquire, id(to), &known, Some(&known)),
+                let known = value.map_or(LeaseRecord::default(), |value| {
+                    LeaseRecord::decode(&value).expect("a lease record")
+                });
+                // There is no time here: any process may have waited for long enough.
+                let next = match self.ignores_current_record {
+                    true => Some(LeaseRecord {
+                        epoch: 1,
+                        holder: Some(node_id(to)),
+                        renewal: 0,
+                        requested_by: None,
+                    }),
+                    false => next_record(LeaseChange::Acquire, node_id(to), &known, Some(&known)),
                 };
                 if let Some(next) = next {
                     round.propose(next.encode());
-                    let calls = round.pending_requests();
-                    Self::post(state, to, calls);
+                    let requests = round.pending_requests();
+                    Self::send(state, to, requests);
                 }
             }
             RoundEvent::Chosen(value) => {
-                let tenure = LeaseRecord::decode(&value).expect("a tenure");
-                contender.round = None;
+                let tenure = LeaseRecord::decode(&value).expect("a lease record");
+                process.round = None;
                 if let Some(owner) = tenure.holder {
-                    state.owners.entry(tenure.epoch).or_default().insert(owner);
+                    state.holders.entry(tenure.epoch).or_default().insert(owner);
                 }
             }
-            RoundEvent::Preempted(by) => (contender.round, contender.highest) = (None, by.counter),
-            RoundEvent::NewerAcceptorSet(view) => {
-                (contender.round, contender.view) = (None, contender.view.join(&view))
+            RoundEvent::Preempted(by) => (process.round, process.highest_counter) = (None, by.counter),
+            RoundEvent::NewerAcceptorSet(set) => {
+                (process.round, process.known_acceptors) = (None, process.known_acceptors.join(&set))
             }
-            RoundEvent::UninitializedAcceptor(slot, generation) if contender.admission.is_none() => {
+            RoundEvent::UninitializedAcceptor(slot, generation) if process.reconfiguration.is_none() => {
                 let nonce = 100 + u64::from(slot.0) + 10 * to as u64;
-                let admission = Reconfiguration::new(
+                let reconfiguration = Reconfiguration::new(
                     slot,
                     generation,
-                    &contender.view,
+                    &process.known_acceptors,
                     nonce,
-                    VOTERS,
+                    ACCEPTORS,
                     StoreCounts::default(),
                 );
-                let calls = admission.pending_requests();
-                contender.admission = Some(admission);
-                Self::post(state, to, calls);
+                let requests = reconfiguration.pending_requests();
+                process.reconfiguration = Some(reconfiguration);
+                Self::send(state, to, requests);
             }
             _ => {}
         }
@@ -150,78 +155,84 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let contender =
-            Contender { round: None, begun: 0, view: AcceptorSet::default(), admission: None, highest: 0 };
+        let process = Process {
+            round: None,
+            rounds_begun: 0,
+            known_acceptors: AcceptorSet::default(),
+            reconfiguration: None,
+            highest_counter: 0,
+        };
         vec![State {
-            voters: (0..VOTERS).map(|slot| Acceptor::founding(AcceptorSlot(slot))).collect(),
-            contenders: vec![contender; self.rounds.len()],
-            links: BTreeSet::new(),
-            doubled: 0,
-            owners: BTreeMap::new(),
+            acceptors: (0..ACCEPTORS).map(|slot| Acceptor::founding(AcceptorSlot(slot))).collect(),
+            processes: vec![process; self.rounds_by_process.len()],
+            in_transit: BTreeSet::new(),
+            duplicated: 0,
+            holders: BTreeMap::new(),
             crashes: 0,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for (index, contender) in state.contenders.iter().enumerate() {
-            if contender.begun < self.rounds[index] {
-                actions.push(Action::Begin(index));
+        for (index, process) in state.processes.iter().enumerate() {
+            if process.rounds_begun < self.rounds_by_process[index] {
+                actions.push(Action::BeginRound(index));
             }
         }
-        actions.extend(state.links.iter().cloned().map(Action::Deliver));
-        if state.doubled < self.doubles {
-            actions.extend(state.links.iter().cloned().map(Action::Double));
+        actions.extend(state.in_transit.iter().cloned().map(Action::Deliver));
+        if state.duplicated < self.max_duplicates {
+            actions.extend(state.in_transit.iter().cloned().map(Action::DeliverCopy));
         }
-        if state.crashes < self.crashes {
-            let crash = |slot| Action::Crash { slot, loses_file: self.loses_file };
-            actions.extend((0..VOTERS).map(crash));
+        if state.crashes < self.max_crashes {
+            let crash = |slot| Action::Crash { slot, file_is_lost: self.file_is_lost };
+            actions.extend((0..ACCEPTORS).map(crash));
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match &action {
-            Action::Deliver(letter) => drop(state.links.remove(letter)),
-            Action::Double(_) => state.doubled += 1,
+            Action::Deliver(message) => drop(state.in_transit.remove(message)),
+            Action::DeliverCopy(_) => state.duplicated += 1,
             _ => {}
         }
         match action {
-            Action::Begin(index) => {
-                let contender = &mut state.contenders[index];
-                contender.begun += 1;
-                contender.highest += 1;
-                let ballot = Ballot { counter: contender.highest, proposer: id(index) };
-                let nonce = u64::from(contender.begun);
+            Action::BeginRound(index) => {
+                let process = &mut state.processes[index];
+                process.rounds_begun += 1;
+                process.highest_counter += 1;
+                let ballot = Ballot { counter: process.highest_counter, proposer: node_id(index) };
+                let nonce = u64::from(process.rounds_begun);
                 let round = ProposerRound::change(
                     KEY.into(),
                     ballot,
-                    contender.view.clone(),
+                    process.known_acceptors.clone(),
                     nonce,
-                    VOTERS,
+                    ACCEPTORS,
                     StoreCounts::default(),
                 );
-                let calls = round.pending_requests();
-                contender.round = Some(round);
-                Self::post(&mut state, index, calls);
+                let requests = round.pending_requests();
+                process.round = Some(round);
+                Self::send(&mut state, index, requests);
             }
-            Action::Deliver(Letter::Ask { slot, from, call })
-            | Action::Double(Letter::Ask { slot, from, call }) => {
-                let reply = match state.voters[usize::from(slot)].handle_request(unpack(&call)) {
+            Action::Deliver(Message::Request { slot, from, request })
+            | Action::DeliverCopy(Message::Request { slot, from, request }) => {
+                let reply = match state.acceptors[usize::from(slot)].handle_request(decode(&request)) {
                     RequestOutcome::Reply(reply) => reply,
                     RequestOutcome::Store(pending) => pending.stored(),
                 };
-                state.links.insert(Letter::Reply { to: from, reply: pack(&reply) });
+                state.in_transit.insert(Message::Reply { to: from, reply: encode(&reply) });
             }
-            Action::Deliver(Letter::Reply { to, reply }) | Action::Double(Letter::Reply { to, reply }) => {
-                self.hear(&mut state, to, &unpack(&reply));
+            Action::Deliver(Message::Reply { to, reply })
+            | Action::DeliverCopy(Message::Reply { to, reply }) => {
+                self.handle_reply(&mut state, to, &decode(&reply));
             }
-            Action::Crash { slot, loses_file } => {
+            Action::Crash { slot, file_is_lost } => {
                 state.crashes += 1;
-                let voter = &mut state.voters[usize::from(slot)];
-                *voter = match voter.file_bytes() {
-                    _ if self.forgets => Acceptor::founding(AcceptorSlot(slot)),
-                    Some(file) if !loses_file => {
-                        Acceptor::from_file(AcceptorSlot(slot), &file).expect("a whole file")
+                let acceptor = &mut state.acceptors[usize::from(slot)];
+                *acceptor = match acceptor.file_bytes() {
+                    _ if self.acceptors_forget => Acceptor::founding(AcceptorSlot(slot)),
+                    Some(file) if !file_is_lost => {
+                        Acceptor::from_file(AcceptorSlot(slot), &file).expect("a complete file")
                     }
                     _ => Acceptor::uninitialized(AcceptorSlot(slot), 7),
                 };
@@ -232,63 +243,69 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("an epoch has one owner", |_, state: &State| {
-                state.owners.values().all(|owners| owners.len() == 1)
+            Property::always("an epoch has one holder", |_, state: &State| {
+                state.holders.values().all(|holders| holders.len() == 1)
             }),
-            Property::sometimes("somebody holds the role", |_, state: &State| !state.owners.is_empty()),
-            Property::sometimes("it passes on", |_, state: &State| state.owners.len() > 1),
+            Property::sometimes("somebody holds the lease", |_, state: &State| !state.holders.is_empty()),
+            Property::sometimes("the holder changes", |_, state: &State| state.holders.len() > 1),
         ]
     }
 }
 
-fn checked(model: Agreement) -> (usize, usize) {
-    let checked = model.checker().threads(4).spawn_bfs().join();
-    checked.assert_no_discovery("an epoch has one owner");
-    checked.assert_any_discovery("somebody holds the role");
-    (checked.unique_state_count(), checked.max_depth())
+fn check_all(model: Agreement) -> (usize, usize) {
+    let check_all = model.checker().threads(4).spawn_bfs().join();
+    check_all.assert_no_discovery("an epoch has one holder");
+    check_all.assert_any_discovery("somebody holds the lease");
+    (check_all.unique_state_count(), check_all.max_depth())
 }
 
 /// Guards the agreement under every order of its messages, to the stated sizes.
 #[test]
 fn every_order_of_messages() {
-    let whole = Agreement {
-        rounds: vec![1, 1],
-        crashes: 0,
-        loses_file: false,
-        doubles: 0,
-        forgets: false,
-        blind: false,
+    let two_processes = Agreement {
+        rounds_by_process: vec![1, 1],
+        max_crashes: 0,
+        file_is_lost: false,
+        max_duplicates: 0,
+        acceptors_forget: false,
+        ignores_current_record: false,
+    };
+    println!("two processes: {:?} states and depth", check_all(two_processes));
+    let lost_file = Agreement {
+        rounds_by_process: vec![1],
+        max_crashes: 1,
+        file_is_lost: true,
+        max_duplicates: 1,
+        acceptors_forget: false,
+        ignores_current_record: false,
     };
-    println!("two contenders: {:?} states and depth", checked(whole));
-    let lost =
-        Agreement { rounds: vec![1], crashes: 1, loses_file: true, doubles: 1, forgets: false, blind: false };
-    println!("one, a file lost, a letter doubled: {:?}", checked(lost));
+    println!("one process, a lost file, a duplicate: {:?}", check_all(lost_file));
 }
 
-/// Guards the checks: a blind contender is found, and so is a voter that forgets.
+/// Guards the checks: each injected bug is found.
 #[test]
-fn broken_variants_are_found() {
-    let blind = Agreement {
-        rounds: vec![1, 1],
-        crashes: 0,
-        loses_file: false,
-        doubles: 0,
-        forgets: false,
-        blind: true,
+fn injected_bugs_are_found() {
+    let ignores_current_record = Agreement {
+        rounds_by_process: vec![1, 1],
+        max_crashes: 0,
+        file_is_lost: false,
+        max_duplicates: 0,
+        acceptors_forget: false,
+        ignores_current_record: true,
     };
-    let failing = |model: Agreement| {
+    let fails = |model: Agreement| {
         let checker = model.checker().finish_when(HasDiscoveries::AnyFailures).target_state_count(20_000_000);
-        let found = checker.spawn_simulation(7, UniformChooser).join();
-        found.discovery("an epoch has one owner").is_some()
+        let finished = checker.spawn_simulation(7, UniformChooser).join();
+        finished.discovery("an epoch has one holder").is_some()
     };
-    assert!(failing(blind), "a contender that does not look at what it is told");
-    let forgets = Agreement {
-        rounds: vec![1, 1],
-        crashes: 1,
-        loses_file: false,
-        doubles: 0,
-        forgets: true,
-        blind: false,
+    assert!(fails(ignores_current_record), "a process that ignores the current record");
+    let acceptors_forget = Agreement {
+        rounds_by_process: vec![1, 1],
+        max_crashes: 1,
+        file_is_lost: false,
+        max_duplicates: 0,
+        acceptors_forget: true,
+        ignores_current_record: false,
     };
-    assert!(failing(forgets), "a voter that forgets");
+    assert!(fails(acceptors_forget), "an acceptor that forgets");
 }
