--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -24,7 +24,7 @@
 use crate::fleet::event_log::log_event;
 use crate::fleet::event_loop::LEAVE_TIMEOUT;
 use crate::fleet::transport::NodeTransport;
-use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
+use crate::settings_file::{LocalSettings, SettingsFileError, MAX_CONTROL_SERVERS};
 
 /// Time between two reads of the register: one may fail, and the next succeed, before the last is no longer fresh.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
@@ -55,8 +55,8 @@
     #[error("[fleet] name: missing")]
     NoFleet,
     /// The settings of the fleet cannot be used.
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    Fleet(#[from] SettingsFileError),
     /// The file with its state cannot be read.
     #[error("cannot read {}: {source}", .path.display())]
     ReadState {
--- a/src/net/discovery/answer.rs
+++ b/src/net/discovery/answer.rs
@@ -76,9 +76,9 @@
     bytes: &[u8],
     has_ended: bool,
 ) -> Result<Option<Vec<u8>>, BadAnswer> {
-    let extent =
+    let length =
         http::body_length(headers, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Head))?;
-    let body = match extent {
+    let body = match length {
         BodyLength::Chunked => {
             http::decode_chunked(bytes, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Body))?
         }
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -69,7 +69,7 @@
         let mut zones = self.directory.zones().clone();
         let Some(signals) = &mut self.signals else { return Err(AtLine::whole(ConfigError::NotFirstWorker)) };
         let (text, config) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
-            self.figures.config_rejected += u64::from(!why.error.is_transient());
+            self.metrics.config_rejected += u64::from(!why.error.is_transient());
         })?;
         let what =
             if version.is_some() { "configuration's version taken" } else { "configuration read anew" };
@@ -78,7 +78,7 @@
         self.workers.send_to_others(self.this_worker, message);
         self.directory.set_zones(zones);
         self.config_text = text;
-        self.figures.config_applied += 1;
+        self.metrics.config_applied += 1;
         self.apply_site(config.settings);
         Ok(config.discovery)
     }
@@ -88,7 +88,7 @@
         self.connect_timeout = connect_timeout(&site);
         let SiteSettings { router: mut settings, class_names, .. } = site;
         for class in &class_names {
-            self.figures.class_mut(class);
+            self.metrics.class_mut(class);
         }
         let named = class_names.into_iter().zip(std::mem::take(&mut settings.classes)).collect();
         settings.classes = self.classes.adopt(self.now, named, |class| self.balancer.has_requests_of(class));
--- a/src/net/event_loop/worker_messages.rs
+++ b/src/net/event_loop/worker_messages.rs
@@ -55,8 +55,8 @@
             WorkerMessage::Settings(site, zones) => self.handle_settings(*site, zones),
             WorkerMessage::SetDown { host, down, call } => self.handle_set_down(&host, down, call),
             WorkerMessage::SetDownDone(call) => self.handle_set_down_done(call),
-            WorkerMessage::CollectFigures(call) => self.send_figures(call),
-            WorkerMessage::Figures(call, figures) => self.add_figures(call, &figures),
+            WorkerMessage::CollectMetrics(call) => self.send_metrics(call),
+            WorkerMessage::Metrics(call, metrics) => self.add_metrics(call, &metrics),
             WorkerMessage::PublishCommit { commit, answer } => self.publish_commit(commit, answer),
             WorkerMessage::RecordCommit(commit) => self.record_commit(commit),
             WorkerMessage::CollectSnapshot => self.send_worker_snapshot(),
@@ -121,9 +121,9 @@
         }
     }
 
-    fn send_figures(&mut self, call: ConnectionId) {
-        let figures = Box::new(self.current_figures());
-        self.workers.send(0, WorkerMessage::Figures(call, figures));
+    fn send_metrics(&mut self, call: ConnectionId) {
+        let metrics = Box::new(self.current_metrics());
+        self.workers.send(0, WorkerMessage::Metrics(call, metrics));
     }
 
     pub(super) fn record_commit(&mut self, commit: Commit) {
