--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,12 +1,19 @@
-//! Every decision of the router, one kind in each of the modules below. Its types, events and actions are in
-//! `src/api.rs`.
+//! The router: the decision module's state, and the way of an event through it. Its types, events and actions
+//! are in `src/api.rs`; each module below makes one kind of decision.
 //!
-//! The ordinary path: a read goes to a replica whose last known log position covers the read's
-//! token or bound, drawn by weight and load with the primary left out; otherwise to the primary.
+//! The ordinary path: a read goes to a replica whose last known log position covers the read's token or
+//! bound, drawn by weight and load with the primary left out; otherwise to the primary.
+//!
+//! Inputs of decisions: [`member`] and [`group`] hold what is known, [`log_time`] and [`class_latencies`]
+//! what is estimated. A request arrives in [`queue`], [`choice`] picks its member by [`capacity`] and
+//! [`positions`], [`attempts`] sends it, [`outcomes`] takes its end in, and [`final_answer`] ends it
+//! unserved. [`membership`] follows the endpoint list and the roles, [`housekeeping`] and [`health_checks`]
+//! what is due in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use indexmap::IndexMap;
+use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxBuildHasher;
 
@@ -14,7 +21,6 @@
 use crate::notice::Notice;
 
 mod attempts;
-mod bookkeeping;
 mod capacity;
 mod choice;
 mod class_latencies;
@@ -45,7 +51,7 @@
 use class_latencies::ClassLatencies;
 use group::Group;
 use health_checks::HealthCheckCandidate;
-use housekeeping::{RefreshProgress, SWEEP};
+use housekeeping::{RefreshProgress, HEALTH_CHECK_BURST, SWEEP};
 use idle_connections::IdleConnections;
 use log_time::LogTime;
 use member::Member;
@@ -98,6 +104,51 @@
 }
 
 impl Router {
+    /// A router that knows nothing but its settings; `seed` feeds its draws.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Router {
+            latencies: ClassLatencies::new(&settings.classes),
+            idle_connections: IdleConnections::new(settings.connection_idle_timeout),
+            limit_share: limit_share(&settings),
+            settings,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            members: IndexMap::default(),
+            groups: IndexMap::default(),
+            administratively_down: BTreeSet::new(),
+            open: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            request_index: RequestIndex::default(),
+            sessions: Sessions::default(),
+            weighted_scratch: Vec::new(),
+            refreshed_at: Micros(0),
+            refresh: None,
+            due_health_checks: Vec::new(),
+            last_retried: None,
+            next_sweep: Micros(0),
+            health_check_tokens: HEALTH_CHECK_BURST,
+            served_span: 0.0,
+            log_time: LogTime::new(true),
+            log_time_checked_at: Micros(0),
+            notices: Vec::new(),
+            traced: false,
+        }
+    }
+
+    /// A router whose clock is its own: the offset of the log's time is learned from what primaries answer.
+    pub fn with_own_clock(settings: Settings, seed: u64) -> Self {
+        Router { log_time: LogTime::new(false), ..Router::new(settings, seed) }
+    }
+
+    /// Gives notice of single requests as well from now on.
+    pub fn trace(&mut self) {
+        self.traced = true;
+    }
+
+    /// The longest that any client waits, by the settings.
+    pub fn longest_deadline(&self) -> Micros {
+        self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
+    }
+
     /// Goes on under new settings. Their classes stand at the old places wherever a request is open.
     pub fn retune(&mut self, settings: Settings) {
         self.latencies.retune(&self.settings.classes, &settings.classes);
@@ -145,4 +196,12 @@
         }
         actions.extend(self.notices.drain(..).map(Action::Notice));
     }
+
+    /// Gives notice at the end of the event under way. A router whose clock is the log's gives none: its
+    /// caller keeps its own record.
+    fn notify(&mut self, notice: Notice) {
+        if !self.log_time.is_same_clock() {
+            self.notices.push(notice);
+        }
+    }
 }
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -1,16 +1,18 @@
-//! Which members a family has and what is known of their health: the list, the operators' word, and signs of
-//! life.
+//! Which members a group has and which of them is its primary: by the endpoint list, by the operators, and by
+//! the members' own claims.
 
 use std::collections::{BTreeSet, HashSet};
 
 use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
+use crate::notice::Notice;
 
 /// Concurrency limit of a member never tried, in usual requests; it adapts within a second.
-const LIMIT_START: f64 = 8.0;
+const INITIAL_LIMIT: f64 = 8.0;
 
 impl Router {
+    /// The endpoint list has been updated.
     pub(super) fn endpoints_updated(
         &mut self,
         now: Micros,
@@ -21,50 +23,74 @@
         match update {
             EndpointUpdate::Failed if self.settings.watch_required => actions.push(Action::Watch),
             EndpointUpdate::Failed | EndpointUpdate::Incremental => {}
-            EndpointUpdate::Full => {
-                let named: HashSet<MemberId> = endpoints.iter().map(|e| e.member).collect();
-                for member in self.members.values_mut().filter(|m| !named.contains(&m.endpoint().member)) {
-                    member.mark_removed();
-                }
-            }
+            EndpointUpdate::Full => self.remove_unlisted(&endpoints),
         }
-        let start = LIMIT_START * self.limit_share.sqrt();
         let mut changed: BTreeSet<GroupId> = endpoints.iter().map(|endpoint| endpoint.group).collect();
         for endpoint in endpoints {
-            let role = if endpoint.primary { Role::Primary } else { Role::Replica };
-            let (offset, new) = (self.offset(endpoint.group), !self.members.contains_key(&endpoint.member));
-            let member =
-                self.members.entry(endpoint.member).or_insert_with(|| Member::new(endpoint, role, start));
-            if member.group() != endpoint.group {
-                let before = self.groups.entry(member.group()).or_default();
-                before.members.retain(|id| *id != endpoint.member);
-                member.leave_group(role);
-                changed.insert(member.group());
-            }
-            let group = self.groups.entry(endpoint.group).or_default();
-            if let Err(place) = group.members.binary_search(&endpoint.member) {
-                group.members.insert(place, endpoint.member);
-            }
-            let told = new || endpoint.started != member.endpoint().started;
-            let started =
-                offset.map_or(endpoint.started, |offset| offset.local(now, endpoint.started).min(now));
-            let started = if endpoint.started == Micros(0) { endpoint.started } else { started };
-            if told && started > member.slow_start.started_at() {
-                member.restart_as_listed(started, &mut self.rng);
-                if now - started < self.settings.slow_start_window {
-                    member.load.reset_limit(start);
-                }
+            let listed_before = self.members.get(&endpoint.member).map(|member| member.endpoint().started);
+            changed.extend(self.join_group(&endpoint));
+            if listed_before != Some(endpoint.started) {
+                self.adopt_listed_start(now, &endpoint);
             }
             let down = self.administratively_down.contains(&endpoint.member);
-            member.relist(endpoint, down, self.settings.removed_may_serve);
+            if let Some(member) = self.members.get_mut(&endpoint.member) {
+                member.relist(endpoint, down, self.settings.removed_may_serve);
+            }
         }
         for group in changed {
             self.recount(group);
         }
     }
 
-    /// Leaves a member out by hand, or puts it back. It may have been started anew meanwhile: it comes back
-    /// cold, with its old position and no say in who leads, and nothing else of it counts any more.
+    /// A full list does not name these members: they have been removed.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: HashSet<MemberId> = endpoints.iter().map(|endpoint| endpoint.member).collect();
+        for (id, member) in &mut self.members {
+            if !listed.contains(id) {
+                member.mark_removed();
+            }
+        }
+    }
+
+    /// Puts an endpoint into its group, as a new member where it is not known. The group that it has left, if
+    /// it was in another one.
+    fn join_group(&mut self, endpoint: &Endpoint) -> Option<GroupId> {
+        let (id, limit) = (endpoint.member, self.initial_limit());
+        let role = if endpoint.primary { Role::Primary } else { Role::Replica };
+        let member = self.members.entry(id).or_insert_with(|| Member::new(*endpoint, role, limit));
+        let before = Some(member.group()).filter(|before| *before != endpoint.group);
+        if let Some(before) = before {
+            self.groups.entry(before).or_default().members.retain(|member| *member != id);
+            member.leave_group(role);
+        }
+        let group = self.groups.entry(endpoint.group).or_default();
+        if let Err(place) = group.members.binary_search(&id) {
+            group.members.insert(place, id);
+        }
+        before
+    }
+
+    /// The list names a start of a member: if it is later than the known one, slow start begins there.
+    fn adopt_listed_start(&mut self, now: Micros, endpoint: &Endpoint) {
+        let (offset, limit) = (self.offset(endpoint.group), self.initial_limit());
+        let Some(member) = self.members.get_mut(&endpoint.member) else { return };
+        let started = match offset {
+            Some(offset) if endpoint.started != Micros(0) => offset.local(now, endpoint.started).min(now),
+            _ => endpoint.started,
+        };
+        if started > member.slow_start.started_at() {
+            member.restart_as_listed(started, &mut self.rng);
+            if now - started < self.settings.slow_start_window {
+                member.load.reset_limit(limit);
+            }
+        }
+    }
+
+    fn initial_limit(&self) -> f64 {
+        INITIAL_LIMIT * self.limit_share.sqrt()
+    }
+
+    /// Operators take a member out of service, or put it back.
     pub(super) fn set_administratively_down(
         &mut self,
         now: Micros,
@@ -75,18 +101,19 @@
         let all = &mut self.administratively_down;
         let changed = if down { all.insert(id) } else { all.remove(&id) };
         actions.push(Action::CloseIdle { member: id });
+        let limit = self.initial_limit();
         let Some(member) = self.members.get_mut(&id).filter(|_| changed) else { return };
         if down {
             member.take_out_of_service();
         } else {
-            member.put_back(now, LIMIT_START * self.limit_share.sqrt(), &mut self.rng);
+            member.put_back(now, limit, &mut self.rng);
         }
         let group = member.group();
         self.recount(group);
         self.sweep_by(now, actions);
     }
 
-    /// A member has answered a request or a probe.
+    /// A member has responded to a request or a health check.
     pub(super) fn member_responded(&mut self, now: Micros, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.outlier.responded(now) {
@@ -95,9 +122,36 @@
         }
     }
 
-    /// The member believed to be the group's primary.
+    /// Counts a group's members in service and finds its primary anew: after a list, a claim, or one that no
+    /// longer holds.
+    pub(super) fn recount(&mut self, id: GroupId) {
+        let Some(group) = self.groups.get_mut(&id) else { return };
+        let before = group.primary;
+        let members = group.members.iter().filter_map(|id| Some((self.members.get(id)?, *id)));
+        let in_service = members.clone().filter(|(member, _)| member.is_in_service()).count();
+        let claims = members.filter(|(member, _)| member.role.role() == Role::Primary);
+        group.primary = claims.max_by_key(|(member, _)| member.role.claimed_at()).map(|(_, id)| id);
+        group.live_members = in_service as f64;
+        let after = group.primary;
+        if before != after {
+            self.notify(Notice::Primary { group: id, before, after });
+        }
+    }
+
+    /// The group's primary, if it is known and usable.
     pub(super) fn primary(&self, group: GroupId) -> Option<MemberId> {
-        let leader = self.groups.get(&group)?.primary?;
-        self.members.get(&leader)?.is_usable().then_some(leader)
+        let primary = self.groups.get(&group)?.primary?;
+        self.members.get(&primary)?.is_usable().then_some(primary)
+    }
+
+    /// Whether a member may be sent anything new.
+    pub fn admits(&self, id: MemberId) -> bool {
+        self.members.get(&id).is_some_and(Member::is_in_service)
+    }
+
+    /// Whether a member is administratively down or ejected.
+    pub fn avoids(&self, id: MemberId) -> bool {
+        let member = self.members.get(&id);
+        self.administratively_down.contains(&id) || member.is_some_and(|member| member.outlier.is_ejected())
     }
 }
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -91,6 +91,31 @@
         }
     }
 
+    /// A session's write was committed, here or at the process beside this one.
+    pub fn committed(&mut self, group: GroupId, key: SessionKey, commit: Micros) {
+        self.sessions.committed(group, key, commit);
+    }
+
+    /// The latest known commit of a session in a group, or the moment up to which it may have committed.
+    pub fn commit(&self, group: GroupId, key: SessionKey) -> Option<Micros> {
+        self.sessions.commit(group, key).filter(|commit| *commit > Micros(0))
+    }
+
+    /// An answer has begun to stream: the request has its final answer, and the member has capacity again.
+    pub(super) fn started(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
+        let Some(open) = self.open.get(&id) else { return };
+        for (attempt, to) in &open.in_flight {
+            let attempt = self.attempts.get_mut(&(id, *attempt));
+            if let (Some(attempt), Some(member)) = (attempt, self.members.get_mut(to)) {
+                attempt.streaming = true;
+                member.load.end(attempt.cost);
+            }
+        }
+        let group = open.request.group;
+        self.close(id);
+        self.send_waiting(now, group, actions);
+    }
+
     /// Records an outcome at its member: load, limit, latency and failures.
     fn record_outcome(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
         let Some(member) = self.members.get_mut(&outcome.member) else { return };
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -1,13 +1,14 @@
-//! How far members have applied the log, how the log's time stands to this clock, and what a read must see.
+//! How far members have applied the log, and what a read must see.
 
 use super::log_clock::Offset;
+use super::member::Member;
 use super::open_request::OpenRequest;
 use super::Router;
 use crate::api::*;
 use crate::notice::{PositionSource, ReadBasis};
 
 impl Router {
-    /// Takes in what a member said. A position stays valid for ever; the latest word on the role wins.
+    /// Takes in a member's role and position, claimed at this time.
     pub(super) fn observe_member(
         &mut self,
         now: Micros,
@@ -17,35 +18,36 @@
         position: Option<Micros>,
         source: PositionSource,
     ) {
-        let Some(group) = self.members.get(&id).map(|member| member.group()) else { return };
-        let (offset, latest) = (self.offset(group), self.log_now(now, group));
-        // What cannot be is spoilt, and so may the rest of it be.
-        if position.is_some_and(|at| {
-            !self.log_time.is_same_clock() && offset.is_some_and(|offset| !offset.allows(now, at))
-        }) {
+        let Some(group) = self.members.get(&id).map(Member::group) else { return };
+        // A position that cannot be is corrupt, and so may the rest of the answer be.
+        if position.is_some_and(|position| !self.is_possible(now, group, position)) {
             return;
         }
+        let latest = self.log_now(now, group);
         let Some(member) = self.members.get_mut(&id) else { return };
-        let mut contested = false;
-        if let Some(role) = role.filter(|role| member.role.observe(*role, at, position)) {
-            let leads = self.groups.get(&group).and_then(|g| g.primary) == Some(id);
-            contested = leads != (role == Role::Primary);
-        }
+        let claimed = role.filter(|role| member.role.observe(*role, at, position));
         member.log.observe(now, position, latest, source);
-        if contested {
+        let is_primary = self.groups.get(&group).and_then(|group| group.primary) == Some(id);
+        if claimed.is_some_and(|role| is_primary != (role == Role::Primary)) {
             self.recount(group);
         }
     }
 
-    /// Takes in a member's report of itself. Its position dates the rest of it.
+    /// Whether a group's log may stand at a position by now.
+    fn is_possible(&self, now: Micros, group: GroupId, position: Micros) -> bool {
+        let offset = self.offset(group).filter(|_| !self.log_time.is_same_clock());
+        offset.is_none_or(|offset| offset.allows(now, position))
+    }
+
+    /// Takes in a member's health report. Its position says when the rest of it was true.
     pub(super) fn observe_report(&mut self, now: Micros, id: MemberId, report: HealthReport) {
-        let Some(group) = self.members.get(&id).map(|member| member.group()) else { return };
+        let Some(group) = self.members.get(&id).map(Member::group) else { return };
         let local = |position| self.offset(group).map(|offset| offset.local_earliest(now, position));
         let at = report.position.and_then(local).unwrap_or_default();
         self.observe_member(now, id, report.role, at, report.position, PositionSource::Report);
     }
 
-    /// What the choice of the member that a request is out at rested on.
+    /// What the choice of the member that a request was sent to rested on.
     pub fn read_basis(&self, now: Micros, id: RequestId) -> Option<ReadBasis> {
         let open = self.open.get(&id)?;
         let member = self.members.get(&open.in_flight.last()?.1)?;
@@ -75,22 +77,27 @@
         self.log_time.latest(now, self.groups.get(&group))
     }
 
-    /// The position that a read sent now must see; none where nobody has told the log's time yet.
+    /// The position that a request sent now must see; none where the log's time is not known yet.
     pub(super) fn needed(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
-        Some(match (self.settings.classes[open.request.class.0].consistency, self.settings.session_tokens) {
-            (Consistency::Write | Consistency::Eventual, _) => Micros(0),
-            (Consistency::BoundedStaleness(bound), _) => self.log_now(now, open.request.group)? - bound,
-            // It may have arrived up to a hold after the clock was read.
-            (Consistency::Strong, _) => {
-                self.log_now(now, open.request.group)? + self.hold() - (now - open.arrived_at)
-            }
-            (Consistency::Session, SessionTokens::Carried) => open.request.committed.unwrap_or_default(),
-            (Consistency::Session, SessionTokens::Remembered) => {
-                let commit =
-                    open.request.session.and_then(|key| self.sessions.commit(open.request.group, key));
-                let floor = self.groups.get(&open.request.group).map_or(Micros(0), |g| g.forgotten_commit);
-                commit.map_or(floor, |commit| commit.max(floor))
+        let group = open.request.group;
+        match self.settings.classes[open.request.class.0].consistency {
+            Consistency::Write | Consistency::Eventual => Some(Micros(0)),
+            Consistency::BoundedStaleness(bound) => Some(self.log_now(now, group)? - bound),
+            Consistency::Strong => {
+                // The request may have arrived up to a hold after the clock was read.
+                Some(self.log_now(now, group)? + self.hold() - (now - open.arrived_at))
             }
-        })
+            Consistency::Session => Some(self.session_token(&open.request)),
+        }
+    }
+
+    /// The position of the latest commit that a read of a session must see.
+    fn session_token(&self, request: &Request) -> Micros {
+        if self.settings.session_tokens == SessionTokens::Carried {
+            return request.committed.unwrap_or_default();
+        }
+        let commit = request.session.and_then(|key| self.sessions.commit(request.group, key));
+        let forgotten = self.groups.get(&request.group).map_or(Micros(0), |group| group.forgotten_commit);
+        commit.map_or(forgotten, |commit| commit.max(forgotten))
     }
 }
