--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: the loop, its clock, the connections to hosts and the watch on discovery.
+//! Sockets: the event loop, its clock, the pool of connections to hosts, and discovery.
 
 pub mod clock;
 pub mod discovery;
