--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -242,7 +242,7 @@
     assert!(!balancer.is_attempt_valid(START, request_id), "a request that has ended");
 }
 
-/// Guards that a client's leaving frees the member at once: the attempt counts as called off.
+/// Guards that a client's leaving frees the member at once: the attempt counts as cancelled.
 #[test]
 fn a_request_that_is_gone_gets_no_decision() {
     let mut balancer = balancer(true);
@@ -280,10 +280,10 @@
     assert!(!requests.has_client_id("name"), "an ended request leaves its name");
 }
 
-/// Guards against a request overdue: a client's last try may come with less time than the module needs
-/// to notice, and is told so at once, harmlessly, instead of at its deadline.
+/// Guards against a request overdue: a client's last retry may come with less time than the router needs
+/// to notice, and is rejected at once, harmlessly, instead of at its deadline.
 #[test]
-fn a_try_without_time_is_refused_at_once() {
+fn an_attempt_without_time_is_rejected_at_once() {
     for class in 0..4 {
         let mut balancer = balancer(true);
         let (_, decision) = balancer.pick(START, request(class, 1, Micros::millis(8)));
@@ -294,7 +294,7 @@
 /// Guards the client's chance to come again: a request that never reached a host gets its answer before
 /// half of its time is over, in every class, though its group has no primary all the while.
 #[test]
-fn what_never_reached_a_host_is_not_held_for_long() {
+fn what_never_reached_a_host_is_not_queued_for_long() {
     for class in 0..4 {
         let (mut balancer, mut now) = (balancer(true), START);
         let (request_id, mut decision) = balancer.pick(now, request(class, 1, LONG));
@@ -324,7 +324,7 @@
 /// again, nothing new goes there until the call back, not even what waits for a connection. Back up, a
 /// host counts as cold and gets its share within seconds.
 #[test]
-fn a_member_put_down_gets_nothing_until_it_is_back_up() {
+fn a_member_that_is_administratively_down_gets_nothing_until_it_is_up() {
     let (mut balancer, out) = (balancer(true), MemberId(2));
     let entry = |id: u64, listed| Endpoint {
         member: MemberId(id),
@@ -387,7 +387,7 @@
 /// that it is passed on as. A session reads what it has written there, a replica's position counts, and
 /// who was put down stays down.
 #[test]
-fn what_another_process_knew_binds_this_one() {
+fn what_another_process_knew_is_restored() {
     let mut before = balancer(true);
     for member in [2, 3] {
         before.health_checked(
@@ -420,7 +420,7 @@
 /// others waiting. The end of the answer is booked once, and a write's commit binds its session though
 /// its request was closed at the first byte.
 #[test]
-fn a_member_has_room_again_once_its_answer_flows() {
+fn a_member_has_capacity_again_once_its_response_streams() {
     let mut balancer = balancer(true);
     for member in [2, 3] {
         balancer.health_checked(
@@ -463,7 +463,7 @@
 /// Guards slow start where the time of day of this machine is off: a host whose start the list tells is cold or warm by the
 /// databases' time, as soon as a primary has told it, whether its start seems to lie ahead, or long ago.
 #[test]
-fn a_host_is_cold_by_the_time_of_the_databases() {
+fn a_host_is_in_slow_start_by_the_time_of_the_databases() {
     let now = Micros::millis(20_000_000);
     for off in [-3_600_000_000i64, -3_000_000, 0, 3_000_000, 3_600_000_000] {
         let start = now;
@@ -516,7 +516,7 @@
 /// Guards session reads of a gateway that was held up for 0.15 s between its clock and the answer to a write: the commit is of
 /// later than its clock shows, and is what the session has to see all the same.
 #[test]
-fn a_commit_heard_while_the_gateway_was_held_up_is_kept_as_it_was_told() {
+fn a_commit_received_while_the_gateway_was_held_up_counts_as_it_was_reported() {
     for held in [1, 10, 60, 100, 149] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
@@ -549,7 +549,7 @@
 /// Guards bounded reads after an answer of the primary whose position was spoilt: later, as a replica that is far behind, it is
 /// not taken for as fresh as that said.
 #[test]
-fn a_spoilt_position_of_the_primary_is_not_believed_of_it_later() {
+fn a_wrong_position_of_the_primary_is_not_believed_of_it_later() {
     for beyond in [200, 2_000, 3_600_000] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
@@ -576,7 +576,7 @@
 /// Guards hosts from what is this gateway's own doing: a read that was written too late is asked elsewhere, and nothing is held
 /// against the host; one that may not be repeated fails, since it may have run.
 #[test]
-fn a_read_that_was_written_too_late_is_asked_elsewhere() {
+fn a_read_that_was_written_too_late_is_retried_elsewhere() {
     for late in [10, 150, 2_000] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
