--- a/src/net/event_loop/client_connection.rs
+++ b/src/net/event_loop/client_connection.rs
@@ -1,6 +1,6 @@
 //! The state of a client's connection, and how long one may stay.
 
-use crate::pg::client::Client;
+use crate::pg::client::ClientProtocol;
 use crate::{Micros, RequestId};
 
 /// How long a client may take for its first query, and for the rest of a command that it has begun.
@@ -42,7 +42,7 @@
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    pub(super) protocol: Client,
+    pub(super) protocol: ClientProtocol,
     /// Where its request is decided, while one is in flight.
     pub(super) in_flight: Option<RequestLocation>,
     /// The owning worker of its streamed response waits for it to read on.
@@ -65,7 +65,7 @@
 
 impl ClientConnection {
     /// A client that has just connected.
-    pub(super) fn new(protocol: Client, now: Micros) -> Self {
+    pub(super) fn new(protocol: ClientProtocol, now: Micros) -> Self {
         ClientConnection {
             protocol,
             in_flight: None,
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -124,7 +124,7 @@
         let Some(connection) = self.connections.get(id) else { return };
         let (readable, writable) = match &connection.kind {
             ConnectionKind::Client(client) => {
-                (is_reading_clients && client.protocol.wants_more(), !client.protocol.out.is_empty())
+                (is_reading_clients && client.protocol.wants_read(), !client.protocol.out.is_empty())
             }
             ConnectionKind::Host(host) => (!host.is_reading_paused, !host.protocol.out.is_empty()),
             ConnectionKind::Discovery(out) => (true, !out.is_empty()),
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -16,7 +16,7 @@
 use crate::hot_restart::handover_socket::{self, HandoverSocket};
 use crate::hot_restart::message::{GatewaySnapshot, Message};
 use crate::net::discovery::Watch;
-use crate::pg::client::{Client, Handover};
+use crate::pg::client::{ClientProtocol, ProtocolHandover};
 use crate::pg::codec::CancelKey;
 use crate::{ClassId, Micros};
 
@@ -249,7 +249,7 @@
                     peer.held_clients = peer.held_clients.saturating_sub(1);
                 }
                 if let Some(socket) = with {
-                    let state = Handover { key, greeted, bytes, arrivals };
+                    let state = ProtocolHandover { key, greeted, bytes, arrivals };
                     let client = ClientHandover { socket: socket.into(), has_asked: has_queried, state };
                     self.adopt_client(client);
                 }
@@ -305,7 +305,7 @@
 
     /// Serves a client that the process before has handed over.
     fn adopt_client(&mut self, ClientHandover { socket, has_asked, state }: ClientHandover) {
-        let protocol = Client::resume(self.admission.limits.message, state, self.now);
+        let protocol = ClientProtocol::resume(self.admission.limits.message, state, self.now);
         let client = ClientConnection { has_asked, ..ClientConnection::new(protocol, self.now) };
         self.workers.add_client(self.this_worker);
         self.add_client(socket, client);
@@ -321,7 +321,7 @@
             return false;
         }
         let has_asked = client.has_asked;
-        let Some(state) = client.protocol.part() else { return false };
+        let Some(state) = client.protocol.to_handover() else { return false };
         // Counted until it is on the handover socket: the first worker does not end before.
         self.workers.add_client(0);
         let Some(connection) = self.remove_connection(id) else {
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -16,7 +16,7 @@
 use crate::admin::metrics::Metrics;
 use crate::balancer;
 use crate::net::discovery::Listing;
-use crate::pg::client::Handover;
+use crate::pg::client::ProtocolHandover;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
 use crate::settings::{SiteSettings, Zones};
@@ -75,7 +75,7 @@
 pub(super) struct ClientHandover {
     pub(super) socket: TcpStream,
     pub(super) has_asked: bool,
-    pub(super) state: Handover,
+    pub(super) state: ProtocolHandover,
 }
 
 /// What one worker knows, for the next process.
@@ -232,7 +232,7 @@
 
     /// Sends a worker what it is owed.
     pub(super) fn send(&self, to: usize, message: WorkerMessage) {
-        self.mailboxes[to].deliver(message);
+        self.mailboxes[to].send(message);
     }
 
     /// Sends all but one worker what they are owed.
@@ -244,18 +244,18 @@
 
     /// Offers a worker a request. False if too many lie in its mailbox.
     #[must_use]
-    pub(super) fn offer(&self, to: usize, message: WorkerMessage) -> bool {
-        self.mailboxes[to].offer(message).is_ok()
+    pub(super) fn try_send(&self, to: usize, message: WorkerMessage) -> bool {
+        self.mailboxes[to].try_send(message).is_ok()
     }
 
     /// Moves all messages to a worker to the end of a queue.
     pub(super) fn receive(&self, worker: usize, into: &mut VecDeque<WorkerMessage>) {
-        self.mailboxes[worker].take(into);
+        self.mailboxes[worker].drain_into(into);
     }
 
     /// Whether a worker may sleep: nothing lies in its mailbox.
     pub(super) fn may_sleep(&self, worker: usize) -> bool {
-        self.count() == 1 || self.mailboxes[worker].may_sleep()
+        self.count() == 1 || self.mailboxes[worker].prepare_sleep()
     }
 
     /// Whether a worker has died.
@@ -266,7 +266,7 @@
     /// A worker has died: the others end as well.
     pub(super) fn on_worker_death(&self) {
         self.has_dead_worker.store(true, Ordering::SeqCst);
-        self.mailboxes.iter().for_each(|mailbox| mailbox.deliver(WorkerMessage::Shutdown(Micros(0))));
+        self.mailboxes.iter().for_each(|mailbox| mailbox.send(WorkerMessage::Shutdown(Micros(0))));
     }
 
     /// Whether there is another process of this gateway.
--- a/src/net/event_loop/peers.rs
+++ b/src/net/event_loop/peers.rs
@@ -8,7 +8,7 @@
 use super::mailboxes::{ClientHandover, Commit, WorkerSnapshot};
 use crate::hot_restart::handover_socket::HandoverSocket;
 use crate::hot_restart::message::Message;
-use crate::pg::client::Handover;
+use crate::pg::client::ProtocolHandover;
 
 /// Descriptors that the other process takes for itself while there are two.
 const PEER_RESERVE: usize = 24;
@@ -103,7 +103,7 @@
 impl ClientHandover {
     /// As it is sent to another process: the message, and the socket that goes along.
     pub(super) fn into_message(self) -> (Message, OwnedFd) {
-        let Handover { key, greeted, bytes, arrivals } = self.state;
+        let ProtocolHandover { key, greeted, bytes, arrivals } = self.state;
         let message = Message::Client { greeted, has_queried: self.has_asked, bytes, key, arrivals };
         (message, self.socket.into())
     }
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -110,6 +110,6 @@
 
 /// Whether a response has begun on a connection and brings nothing more.
 fn is_stalled(host: &HostConnection, now: Micros) -> bool {
-    let stall = if host.protocol.flows() { STREAM_STALL } else { RESPONSE_STALL };
-    host.protocol.is_half() && !host.is_reading_paused && now - host.last_received >= stall
+    let stall = if host.protocol.is_streaming() { STREAM_STALL } else { RESPONSE_STALL };
+    host.protocol.has_partial_response() && !host.is_reading_paused && now - host.last_received >= stall
 }
