--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -14,11 +14,12 @@
 
 use dunemount::balancer::Balancer;
 use dunemount::config::{version, ActiveConfig, ConfigResult};
-use dunemount::fleet::carrier::{Carrier, Wire};
+use dunemount::fleet::acceptor_file::AcceptorFile;
 use dunemount::fleet::driver;
-use dunemount::fleet::file::{self, VoterFile};
+use dunemount::fleet::durable_file;
 use dunemount::fleet::rollout::follower_driver::FollowerDriver;
 use dunemount::fleet::rollout::gateway;
+use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
 use dunemount::net::discovery::{BadAnswer, Directory, Failed, Watch};
 use dunemount::settings::Zones;
@@ -210,7 +211,7 @@
     region: usize,
 }
 
-impl Wire for Counted<'_> {
+impl DatagramSocket for Counted<'_> {
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
@@ -272,7 +273,7 @@
 
 struct Gateway {
     region: usize,
-    carrier: Carrier,
+    carrier: NodeTransport,
     socket: UdpSocket,
     listing: Listing,
     following: Option<Following>,
@@ -438,8 +439,8 @@
         let beginning = driver::Start { name: name.clone(), start, roles: self.common.roles.clone(), seed };
         let (settings, slot) =
             driver::settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
-        let voter = slot.zip(file.as_deref().map(VoterFile::at));
-        let carrier = Carrier::new(settings, voter, Logger::root(Discard, o!()));
+        let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
+        let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
         added.map_err(said)?;
         let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
@@ -525,9 +526,9 @@
     /// Takes a version and keeps it, as the program does.
     fn take_version(&mut self, document: &Document, kept: &Path, common: &Common) -> Result<(), String> {
         let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
-        let staged = file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
+        let staged = durable_file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
         match self.take(text) {
-            Ok(()) => staged.settle().map_err(|e| e.to_string()),
+            Ok(()) => staged.commit().map_err(|e| e.to_string()),
             Err(fault) => {
                 staged.discard();
                 Err(fault.to_string())
@@ -633,7 +634,7 @@
     fn turn(&mut self, now: Duration, common: &Common) {
         let before = thread_cpu();
         let Gateway { carrier, socket, counts, region, .. } = self;
-        carrier.turn(now, Counted { socket, counts, common, region: *region });
+        carrier.poll(now, Counted { socket, counts, common, region: *region });
         while let Some(event) = self.carrier.node.next_event() {
             match event {
                 NodeEvent::Membership(MembershipChange::Up(peer)) => {
--- a/src/fleet/rollout/control_server/store.rs
+++ b/src/fleet/rollout/control_server/store.rs
@@ -11,7 +11,7 @@
 
 use super::StartError;
 use crate::config::version;
-use crate::fleet::file::put;
+use crate::fleet::durable_file;
 use crate::shortage::{may_pass, retry, START_PATIENCE};
 
 /// Validates documents, and stores the state in a file.
@@ -29,11 +29,11 @@
 impl DocumentStore for FileStore {
     fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument> {
         let previous = previous.map(|previous| &previous.bytes()[..]);
-        version::validate(document, previous).map_err(|error| InvalidDocument(error.error.to_string()))
+        version::validate(document, previous).map_err(|invalid| InvalidDocument(invalid.error.to_string()))
     }
 
     fn store(&mut self, state: &PersistentState) -> bool {
-        let stored = put(&self.file, &state.to_file());
+        let stored = durable_file::replace(&self.file, &state.to_file());
         if let Err(e) = &stored {
             warn!(self.log, "config: versions cannot be kept"; "error" => %e, "file" => %self.file.display());
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use dunemount::cli::{Cli, Command, ConfigCommand, FleetCommand, LogFormat};
-use dunemount::fleet::rollout::config_command::{CommandError, ConfigClient};
+use dunemount::cli::{self, Cli, Command, FleetCommand, LogFormat};
+use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
 use dunemount::fleet::rollout::control_server;
 use dunemount::fleet::status::Status;
 use dunemount::settings_file::SettingsFile;
@@ -26,12 +26,6 @@
     uncertain: bool,
 }
 
-impl From<String> for Failed {
-    fn from(why: String) -> Failed {
-        Failed { why, uncertain: false }
-    }
-}
-
 impl From<CommandError> for Failed {
     fn from(error: CommandError) -> Failed {
         Failed { why: error.to_string(), uncertain: error.is_uncertain() }
@@ -70,7 +64,7 @@
         FleetCommand::Found { files, name } => {
             println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
         }
-        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin)?, json),
+        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin).map_err(failed)?, json),
         FleetCommand::Control { name, settings, log } => {
             run_control_server(name, settings.settings.as_deref(), log)?;
         }
@@ -79,27 +73,27 @@
     Ok(())
 }
 
-fn run_config_command(command: ConfigCommand) -> Result<(), Failed> {
+fn run_config_command(command: cli::ConfigCommand) -> Result<(), Failed> {
     match command {
-        ConfigCommand::Put { file, settings } => {
-            let version = ConfigClient::from_settings(settings.settings.as_deref())?.put(&file)?;
+        cli::ConfigCommand::Put { file, settings } => {
+            let version = ConfigCommand::from_settings(settings.settings.as_deref())?.put(&file)?;
             println!("version {}, digest {}", version.number, version.digest);
         }
-        ConfigCommand::Show { number, settings } => {
-            let document = ConfigClient::from_settings(settings.settings.as_deref())?.show(number)?;
+        cli::ConfigCommand::Show { number, settings } => {
+            let document = ConfigCommand::from_settings(settings.settings.as_deref())?.show(number)?;
             let version = document.version();
             eprintln!("version {}, digest {}", version.number, version.digest);
             println!("{}", String::from_utf8_lossy(document.bytes()));
         }
-        ConfigCommand::Status { json, settings } => {
-            print_as(&ConfigClient::from_settings(settings.settings.as_deref())?.status()?, json);
+        cli::ConfigCommand::Status { json, settings } => {
+            print_as(&ConfigCommand::from_settings(settings.settings.as_deref())?.status()?, json);
         }
     }
     Ok(())
 }
 
 fn failed(error: impl Display) -> Failed {
-    Failed::from(error.to_string())
+    Failed { why: error.to_string(), uncertain: false }
 }
 
 /// Prints for people, or as JSON.
