--- a/tests/world/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -1,5 +1,5 @@
-//! Control machines, gateways and stand-ins for discovery on loopback, each control machine and each gateway a process of
-//! its own. What a test waits for is seen in logs, doors and the operators' tool.
+//! A deployment on loopback: control servers, gateways and simulated discovery services. Each control server and each gateway
+//! is a process of its own. Tests wait for what logs, admin interfaces and the operators' command show.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -15,39 +15,38 @@
 use crate::harness;
 use crate::harness::process::Faults;
 
-/// However busy the machine, what is waited for comes within this.
-const LONG: Duration = Duration::from_secs(90);
-/// Between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Zones, and control machines, which are the voters as well.
-pub const MACHINES: usize = 3;
+/// Longest wait, also on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(90);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of zones, and of control servers, which are the voters as well.
+pub const CONTROL_SERVERS: usize = 3;
 
-/// A stand-in for discovery that counts its calls.
+/// A simulated discovery service that counts its requests.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// Calls for the whole list, and calls that watch.
-    pub whole: Arc<AtomicUsize>,
-    pub watches: Arc<AtomicUsize>,
+    full_list_requests: Arc<AtomicUsize>,
+    watches: Arc<AtomicUsize>,
 }
 
 impl Discovery {
     pub fn start() -> Discovery {
         let listener = harness::local();
         let address = listener.local_addr().expect("bound");
-        let discovery = Discovery { address, whole: Arc::default(), watches: Arc::default() };
-        let (whole, watches) = (discovery.whole.clone(), discovery.watches.clone());
+        let discovery = Discovery { address, full_list_requests: Arc::default(), watches: Arc::default() };
+        let (full_lists, watches) = (discovery.full_list_requests.clone(), discovery.watches.clone());
         std::thread::spawn(move || {
             for mut call in listener.incoming().flatten() {
-                let (whole, watches) = (whole.clone(), watches.clone());
+                let (full_lists, watches) = (full_lists.clone(), watches.clone());
                 std::thread::spawn(move || {
-                    let mut asked = [0; 1024];
-                    let count = call.read(&mut asked).unwrap_or(0);
-                    let asked = String::from_utf8_lossy(&asked[..count]).into_owned();
-                    if asked.contains("index=") {
+                    let mut request = [0; 1024];
+                    let count = call.read(&mut request).unwrap_or(0);
+                    let request = String::from_utf8_lossy(&request[..count]).into_owned();
+                    if request.contains("index=") {
                         watches.fetch_add(1, Ordering::SeqCst);
                         std::thread::sleep(Duration::from_millis(100));
-                    } else if !asked.is_empty() {
-                        whole.fetch_add(1, Ordering::SeqCst);
+                    } else if !request.is_empty() {
+                        full_lists.fetch_add(1, Ordering::SeqCst);
                     }
                     let body = json!({"rev": 4, "all": false, "targets": []}).to_string();
                     let length = body.len();
@@ -58,8 +57,8 @@
         discovery
     }
 
-    pub fn whole(&self) -> usize {
-        self.whole.load(Ordering::SeqCst)
+    pub fn full_list_requests(&self) -> usize {
+        self.full_list_requests.load(Ordering::SeqCst)
     }
 
     pub fn watches(&self) -> usize {
@@ -73,36 +72,36 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// Where a gateway's doors are.
-pub struct Doors {
+/// Where a gateway listens.
+pub struct GatewayAddresses {
     pub clients: SocketAddr,
     pub admin: SocketAddr,
 }
 
-pub struct World {
+pub struct Deployment {
     pub folder: PathBuf,
-    /// The control machines, then the gateways.
+    /// The control servers, then the gateways.
     processes: Vec<Process>,
-    pub doors: Vec<Doors>,
+    pub addresses: Vec<GatewayAddresses>,
     pub discoveries: Vec<Discovery>,
     ended: bool,
 }
 
-/// An address of this world alone: a port that was free when it was drawn, or is free while its process is down, is nobody
-/// else's, whoever draws ports at the same moment.
+/// An address that only this deployment uses, so that a port which is free while its process is down is not taken by another
+/// test.
 fn own_address() -> IpAddr {
-    static WORLDS: AtomicUsize = AtomicUsize::new(0);
-    let world = WORLDS.fetch_add(1, Ordering::SeqCst) + 1;
+    static DEPLOYMENTS: AtomicUsize = AtomicUsize::new(0);
+    let deployment = DEPLOYMENTS.fetch_add(1, Ordering::SeqCst) + 1;
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let second = 1 + (high ^ middle) % 254;
-    Ipv4Addr::new(127, second, low, u8::try_from(world).expect("a few worlds")).into()
+    Ipv4Addr::new(127, second, low, u8::try_from(deployment).expect("a few deployments")).into()
 }
 
 fn listener(own: IpAddr) -> TcpListener {
     TcpListener::bind((own, 0)).expect("a free port")
 }
 
-/// What a test's versions differ in.
+/// A document; those with different marks differ.
 pub fn document(mark: usize) -> Value {
     let mut settings = harness::settings();
     settings["Permissions"]["MaxRetryAfterMs"] = json!(1000 + mark);
@@ -110,34 +109,36 @@
     json!({ "settings": settings })
 }
 
-impl World {
-    /// Control machines and so many gateways; gateway `n` is in the zone of control machine `n`, around the ring.
-    pub fn of(test: &str, gateways: usize) -> World {
-        World::with_hosts(test, gateways, harness::listing(&[]))
+impl Deployment {
+    /// Control servers and so many gateways; gateway `n` is in the zone of control server `n`, around the ring.
+    pub fn new(test: &str, gateways: usize) -> Deployment {
+        Deployment::with_hosts(test, gateways, harness::listing(&[]))
     }
 
-    /// The gateways know these hosts.
-    pub fn with_hosts(test: &str, gateways: usize, known: Value) -> World {
+    /// The same, with gateways that know these hosts.
+    pub fn with_hosts(test: &str, gateways: usize, known: Value) -> Deployment {
         let folder = std::env::temp_dir().join(format!("dunemount-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let own = own_address();
-        // All are held until each has its own.
-        let datagrams: Vec<UdpSocket> =
-            (0..MACHINES + gateways).map(|_| UdpSocket::bind((own, 0)).expect("a free port")).collect();
-        let streams: Vec<TcpListener> = (0..MACHINES + 2 * gateways).map(|_| listener(own)).collect();
+        // All ports are bound until each process has its own.
+        let datagrams: Vec<UdpSocket> = (0..CONTROL_SERVERS + gateways)
+            .map(|_| UdpSocket::bind((own, 0)).expect("a free port"))
+            .collect();
+        let streams: Vec<TcpListener> = (0..CONTROL_SERVERS + 2 * gateways).map(|_| listener(own)).collect();
         let datagrams_at = |index: usize| datagrams[index].local_addr().expect("bound").to_string();
         let stream_at = |index: usize| streams[index].local_addr().expect("bound");
-        let places = |form: &dyn Fn(usize) -> String| (0..MACHINES).map(form).collect::<Vec<_>>().join(", ");
+        let places =
+            |form: &dyn Fn(usize) -> String| (0..CONTROL_SERVERS).map(form).collect::<Vec<_>>().join(", ");
         let voters = places(&|index| format!("c-{index}@{}", datagrams_at(index)));
         let machines = places(&|index| format!("zone-{index}/c-{index}@{}", stream_at(index)));
-        for index in 0..MACHINES + gateways {
+        for index in 0..CONTROL_SERVERS + gateways {
             let path = |kind: &str| folder.join(format!("{kind}-{index}")).display().to_string();
             let ini = format!(
                 "[fleet]\nname = {test}\nlisten = {}\nvoters = {voters}\nlease_ms = 900\nprobe_ms = 200\nfile = {}\n\
                  [control]\nmachines = {machines}\nzone = zone-{}\nfile = {}\n",
                 datagrams_at(index),
                 path("voter"),
-                index % MACHINES,
+                index % CONTROL_SERVERS,
                 path("kept"),
             );
             std::fs::write(folder.join(format!("{index}.ini")), ini).expect("written");
@@ -149,29 +150,31 @@
         );
         std::fs::write(folder.join("back.ini"), ini).expect("written");
         let discoveries: Vec<Discovery> = (0..gateways).map(|_| Discovery::start()).collect();
-        let mut doors = Vec::new();
+        let mut addresses = Vec::new();
         for (index, discovery) in discoveries.iter().enumerate() {
-            let (clients, admin) = (stream_at(MACHINES + 2 * index), stream_at(MACHINES + 2 * index + 1));
+            let (clients, admin) =
+                (stream_at(CONTROL_SERVERS + 2 * index), stream_at(CONTROL_SERVERS + 2 * index + 1));
             let config = json!({"name": format!("gw-{index}"), "listen": clients.to_string(),
                 "admin_addr": admin.to_string(), "discovery": discovery.address.to_string(), "seed": "1f",
                 "limits": {"sockets": 200, "memory_mb": 48}, "known": known, "settings": harness::settings()});
-            std::fs::write(folder.join(format!("{}.json", MACHINES + index)), config.to_string())
+            std::fs::write(folder.join(format!("{}.json", CONTROL_SERVERS + index)), config.to_string())
                 .expect("written");
-            doors.push(Doors { clients, admin });
+            addresses.push(GatewayAddresses { clients, admin });
         }
         drop((datagrams, streams));
         let processes =
-            (0..MACHINES + gateways).map(|_| Process { child: None, log: Arc::default() }).collect();
-        let mut world = World { folder, processes, doors, discoveries, ended: false };
-        for index in 0..MACHINES {
-            let found = world.dunemount(&["fleet", "found", "--name", &format!("c-{index}")], index).output();
+            (0..CONTROL_SERVERS + gateways).map(|_| Process { child: None, log: Arc::default() }).collect();
+        let mut deployment = Deployment { folder, processes, addresses, discoveries, ended: false };
+        for index in 0..CONTROL_SERVERS {
+            let found =
+                deployment.dunemount(&["fleet", "found", "--name", &format!("c-{index}")], index).output();
             assert!(found.expect("it runs").status.success());
         }
-        (0..MACHINES + gateways).for_each(|index| world.start(index));
-        world
+        (0..CONTROL_SERVERS + gateways).for_each(|index| deployment.start(index));
+        deployment
     }
 
-    /// The program with a process's settings.
+    /// The program with the settings of a process.
     fn dunemount(&self, what: &[&str], index: usize) -> Command {
         self.with_settings(what, &format!("{index}.ini"))
     }
@@ -187,14 +190,14 @@
         command
     }
 
-    /// What the system does to a process.
+    /// The system faults that a process meets.
     pub fn faults(&self, index: usize) -> Faults {
         Faults::at(&self.folder.join(format!("faults-{index}")))
     }
 
-    /// Starts a process; its log goes on.
+    /// Starts a process, whose log is continued.
     pub fn start(&mut self, index: usize) {
-        let mut command = match index < MACHINES {
+        let mut command = match index < CONTROL_SERVERS {
             true => self.dunemount(&["fleet", "control", "--name", &format!("c-{index}")], index),
             false => self.serve(index),
         };
@@ -205,22 +208,22 @@
     fn serve(&self, index: usize) -> Command {
         let mut command = self.dunemount(&["serve"], index);
         command.arg("--config").arg(self.folder.join(format!("{index}.json")));
-        // Where the process that follows finds the one before.
+        // The successor of a process finds it there.
         let shared = self.folder.join(format!("shared-{index}"));
         std::fs::create_dir_all(&shared).expect("a folder");
         command.env("TMPDIR", shared);
         command
     }
 
-    /// Starts the process that follows a gateway's: it counts as a gateway of its own, with a door of its own.
+    /// Starts the successor of a gateway's process, which counts as a gateway with an admin interface of its own.
     pub fn start_successor(&mut self, gateway: usize) -> usize {
-        let admin = listener(self.doors[gateway].admin.ip()).local_addr().expect("bound");
-        let mut command = self.serve(MACHINES + gateway);
+        let admin = listener(self.addresses[gateway].admin.ip()).local_addr().expect("bound");
+        let mut command = self.serve(CONTROL_SERVERS + gateway);
         command.env("GW_ADMIN_ADDR", admin.to_string());
-        self.doors.push(Doors { clients: self.doors[gateway].clients, admin });
+        self.addresses.push(GatewayAddresses { clients: self.addresses[gateway].clients, admin });
         self.processes.push(Process { child: None, log: Arc::default() });
         self.run(self.processes.len() - 1, &mut command);
-        self.doors.len() - 1
+        self.addresses.len() - 1
     }
 
     fn run(&mut self, index: usize, command: &mut Command) {
@@ -257,7 +260,7 @@
         }
     }
 
-    /// Ends a process as operators do, and tells whether it did well.
+    /// Ends a process by a signal; whether it was successful.
     pub fn end_process(&mut self, index: usize) -> bool {
         self.signal(index, Signal::TERM);
         self.processes[index].child.take().expect("there").wait().expect("it ends").success()
@@ -268,41 +271,41 @@
         self.processes[index].log.lock().expect("its own").clone()
     }
 
-    /// Waits for what can be seen.
-    pub fn until(&self, what: &str, seen: impl Fn(&World) -> bool) {
+    /// Waits until a condition holds.
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Deployment) -> bool) {
         let began = Instant::now();
-        while !seen(self) {
-            if began.elapsed() > LONG {
+        while !condition(self) {
+            if began.elapsed() > TIMEOUT {
                 for (index, process) in self.processes.iter().enumerate() {
                     for line in process.log.lock().expect("its own").iter().rev().take(12).rev() {
                         eprintln!("{index}: {line}");
                     }
                 }
                 eprintln!("{}", self.status());
-                panic!("waited in vain: {what}");
+                panic!("timed out waiting for: {what}");
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    pub fn until_logged(&self, index: usize, words: &str) {
-        self.until(&format!("{words} of {index}"), |world| {
-            world.log(index).iter().any(|line| line.contains(words))
+    pub fn wait_until_logged(&self, index: usize, words: &str) {
+        self.wait_until(&format!("{words} of {index}"), |deployment| {
+            deployment.log(index).iter().any(|line| line.contains(words))
         });
     }
 
-    /// Runs `fleet config` with these words, and the tool's settings of this name.
+    /// Runs `fleet config` with these arguments and a settings file.
     pub fn config(&self, what: &[&str], settings: &str) -> Output {
         let words: Vec<&str> = ["fleet", "config"].iter().chain(what).copied().collect();
         self.with_settings(&words, settings).output().expect("it runs")
     }
 
-    /// Puts a document: the number that it got, or why none.
-    pub fn put(&self, document: &Value) -> Result<u64, String> {
-        self.put_by(document, "0.ini")
+    /// Proposes a document: its version number, or the error.
+    pub fn propose(&self, document: &Value) -> Result<u64, String> {
+        self.propose_with(document, "0.ini")
     }
 
-    pub fn put_by(&self, document: &Value, settings: &str) -> Result<u64, String> {
+    pub fn propose_with(&self, document: &Value, settings: &str) -> Result<u64, String> {
         static FILES: AtomicUsize = AtomicUsize::new(0);
         let path = self.folder.join(format!("put-{}.json", FILES.fetch_add(1, Ordering::SeqCst)));
         std::fs::write(&path, format!("{document:#}")).expect("written");
@@ -314,43 +317,43 @@
         }
     }
 
-    /// Puts a document as soon as there is a majority that has found itself.
-    pub fn put_at_last(&self, document: &Value) -> u64 {
+    /// Proposes a document again and again until it is accepted.
+    pub fn propose_until_accepted(&self, document: &Value) -> u64 {
         let began = Instant::now();
         loop {
-            match self.put(document) {
+            match self.propose(document) {
                 Ok(number) => return number,
-                Err(why) if began.elapsed() > LONG => panic!("{why}"),
-                Err(_) => std::thread::sleep(PAUSE),
+                Err(error) if began.elapsed() > TIMEOUT => panic!("{error}"),
+                Err(_) => std::thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// What `fleet config status --json` tells.
+    /// The output of `fleet config status --json`.
     pub fn status(&self) -> Value {
         let output = self.config(&["status", "--json"], "0.ini");
         serde_json::from_slice(&output.stdout).unwrap_or_default()
     }
 
-    /// What `fleet status` prints of a gateway.
+    /// The output of `fleet status` for a gateway.
     pub fn fleet_status(&self, gateway: usize) -> String {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
-        command.args(["fleet", "status", "--admin", &self.doors[gateway].admin.to_string()]);
+        command.args(["fleet", "status", "--admin", &self.addresses[gateway].admin.to_string()]);
         String::from_utf8(command.output().expect("it runs").stdout).expect("text")
     }
 
-    /// What `fleet config status` prints.
-    pub fn table(&self) -> String {
+    /// The output of `fleet config status`.
+    pub fn status_table(&self) -> String {
         let output = self.config(&["status"], "0.ini");
         String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned()
     }
 
-    /// How a gateway stands with the versions, by its door.
-    pub fn standing(&self, gateway: usize) -> Value {
-        let Ok(mut door) = TcpStream::connect(self.doors[gateway].admin) else { return Value::Null };
+    /// The configuration status of a gateway, by its admin interface.
+    pub fn configuration_status(&self, gateway: usize) -> Value {
+        let Ok(mut admin) = TcpStream::connect(self.addresses[gateway].admin) else { return Value::Null };
         let mut said = String::new();
-        let asked = door.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n");
-        if asked.and_then(|()| door.read_to_string(&mut said)).is_err() {
+        let sent = admin.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n");
+        if sent.and_then(|()| admin.read_to_string(&mut said)).is_err() {
             return Value::Null;
         }
         let body = said.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
@@ -359,40 +362,40 @@
     }
 
     /// Waits until these gateways have this version in force.
-    pub fn until_in_force(&self, gateways: impl IntoIterator<Item = usize>, version: u64) {
+    pub fn wait_until_in_force(&self, gateways: impl IntoIterator<Item = usize>, version: u64) {
         for gateway in gateways {
-            self.until(&format!("version {version} at gateway {gateway}"), |world| {
-                world.standing(gateway)["version"] == version
+            self.wait_until(&format!("version {version} at gateway {gateway}"), |deployment| {
+                deployment.configuration_status(gateway)["version"] == version
             });
         }
     }
 
-    /// Waits until a gateway hears a control machine, and knows from it.
-    pub fn until_heard(&self, gateway: usize, machine: &str) {
-        self.until(&format!("{machine} heard by {gateway}"), |world| {
-            let standing = world.standing(gateway);
-            standing["machine"] == machine && standing["cut_off_ms"] == 0
+    /// Waits until a gateway follows a fresh control server.
+    pub fn wait_until_followed(&self, gateway: usize, server: &str) {
+        self.wait_until(&format!("{server} followed by {gateway}"), |deployment| {
+            let status = deployment.configuration_status(gateway);
+            status["machine"] == server && status["cut_off_ms"] == 0
         });
     }
 
-    /// The versions that a gateway has had in force, by its log.
-    pub fn in_force(&self, gateway: usize) -> Vec<u64> {
-        let log = self.log(MACHINES + gateway);
+    /// The versions that were in force at a gateway, by its log.
+    pub fn versions_in_force(&self, gateway: usize) -> Vec<u64> {
+        let log = self.log(CONTROL_SERVERS + gateway);
         let lines = log.iter().filter(|line| line.contains("config: version in force"));
         lines.map(|line| number(line).expect("a version")).collect()
     }
 
-    /// All has been seen: the folder may go. No gateway has gone back.
+    /// Ends a successful test: no gateway has gone back, and the folder is removed.
     pub fn end(mut self) {
-        for gateway in 0..self.doors.len() {
-            let versions = self.in_force(gateway);
+        for gateway in 0..self.addresses.len() {
+            let versions = self.versions_in_force(gateway);
             assert!(versions.is_sorted(), "gateway {gateway} went back: {versions:?}");
         }
         self.ended = true;
     }
 }
 
-impl Drop for World {
+impl Drop for Deployment {
     fn drop(&mut self) {
         (0..self.processes.len()).for_each(|index| self.kill(index));
         if self.ended {
