--- a/crates/loadtest/src/clients.rs
+++ b/crates/loadtest/src/clients.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use dunemount::pg::codec::{self, Inbox};
+use dunemount::pg::codec::{self, ReceiveBuffer};
 use hdrhistogram::Histogram;
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub struct Connection {
     socket: TcpStream,
-    inbox: Inbox,
+    inbox: ReceiveBuffer,
 }
 
 impl Connection {
@@ -100,9 +100,9 @@
     pub fn open(gateway: SocketAddr) -> std::io::Result<Connection> {
         let socket = TcpStream::connect(gateway)?;
         socket.set_nodelay(true)?;
-        let mut connection = Connection { socket, inbox: Inbox::default() };
+        let mut connection = Connection { socket, inbox: ReceiveBuffer::default() };
         let mut out = Vec::new();
-        codec::startup(&mut out, "app", "shop");
+        codec::write_startup_packet(&mut out, "app", "shop");
         connection.socket.write_all(&out)?;
         connection.answer()?;
         Ok(connection)
@@ -114,7 +114,7 @@
     /// What the socket says, or that the connection ended.
     pub fn ask(&mut self, text: &str) -> std::io::Result<bool> {
         let mut out = Vec::new();
-        codec::query(&mut out, text);
+        codec::write_query(&mut out, text);
         self.socket.write_all(&out)?;
         self.answer()
     }
@@ -131,7 +131,7 @@
         let mut bytes = [0; 4096];
         let mut served = false;
         loop {
-            match self.inbox.frame_within(|_| 64 * 1024) {
+            match self.inbox.next_message_within(|_| 64 * 1024) {
                 Ok(Some(frame)) if frame.tag == b'Z' => return Ok(served),
                 Ok(Some(frame)) => served |= frame.tag == b'C',
                 Ok(None) => match self.socket.read(&mut bytes)? {
--- a/crates/loadtest/src/hosts.rs
+++ b/crates/loadtest/src/hosts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use dunemount::pg::codec::{self, Frame, Inbox};
+use dunemount::pg::codec::{self, Message, ReceiveBuffer};
 
 /// What the hosts of one family share.
 #[derive(Debug, Default)]
@@ -46,10 +46,10 @@
     Ok(address)
 }
 
-fn next(socket: &mut TcpStream, inbox: &mut Inbox) -> std::io::Result<Option<Frame>> {
+fn next(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> std::io::Result<Option<Message>> {
     let mut bytes = [0; 4096];
     loop {
-        match inbox.frame_within(|_| 64 * 1024) {
+        match inbox.next_message_within(|_| 64 * 1024) {
             Ok(Some(frame)) => return Ok(Some(frame)),
             Ok(None) => {}
             Err(_) => return Ok(None),
@@ -63,9 +63,9 @@
 
 fn session(mut socket: TcpStream, family: &Family, primary: bool, manner: Manner) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     let mut bytes = [0; 4096];
-    while matches!(inbox.startup(), Ok(None)) {
+    while matches!(inbox.next_startup_packet(), Ok(None)) {
         match socket.read(&mut bytes)? {
             0 => return Ok(()),
             count => inbox.push(&bytes[..count]),
@@ -74,8 +74,8 @@
     let value = vec![7; manner.value];
     let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat();
     let mut out = Vec::new();
-    codec::frame(&mut out, b'R', &[0; 4]);
-    codec::ready(&mut out);
+    codec::write_message(&mut out, b'R', &[0; 4]);
+    codec::write_ready_for_query(&mut out);
     loop {
         socket.write_all(&out)?;
         let Some(query) = next(&mut socket, &mut inbox)? else { return Ok(()) };
@@ -83,19 +83,19 @@
         let writes = query.body.starts_with(b"INSERT");
         let now = unix_ms();
         if writes && !primary {
-            codec::error(&mut out, "ERROR", "25006", "read only", None);
+            codec::write_error_response(&mut out, "ERROR", "25006", "read only", None);
         } else {
             family.ran.fetch_add(1, Ordering::Relaxed);
             if writes {
                 family.commit.fetch_max(now, Ordering::SeqCst);
             }
-            codec::frame(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-            codec::frame(&mut out, b'D', &row);
-            codec::frame(&mut out, b'C', if writes { b"INSERT 0 1\0" } else { b"SELECT 1\0" });
+            codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+            codec::write_message(&mut out, b'D', &row);
+            codec::write_message(&mut out, b'C', if writes { b"INSERT 0 1\0" } else { b"SELECT 1\0" });
             let position = if primary { now } else { now - manner.lag_ms };
-            codec::parameter(&mut out, "part", if primary { "master" } else { "replica" });
-            codec::parameter(&mut out, "caught_up_to", &position.to_string());
+            codec::write_parameter_status(&mut out, "part", if primary { "master" } else { "replica" });
+            codec::write_parameter_status(&mut out, "caught_up_to", &position.to_string());
         }
-        codec::ready(&mut out);
+        codec::write_ready_for_query(&mut out);
     }
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use dunemount::pg::codec::{self, Frame, Inbox};
+use dunemount::pg::codec::{self, Message, ReceiveBuffer};
 
 const GATEWAY: &str = "127.0.0.1:6543";
 const DISCOVERY: &str = "127.0.0.1:8500";
@@ -69,13 +69,13 @@
 
 /// One connection to a toy host.
 fn host(mut socket: TcpStream, index: usize, items: &Items) -> io::Result<()> {
-    let mut inbox = Inbox::default();
-    while inbox.startup().map_err(|e| io::Error::other(format!("{e:?}")))?.is_none() {
+    let mut inbox = ReceiveBuffer::default();
+    while inbox.next_startup_packet().map_err(|e| io::Error::other(format!("{e:?}")))?.is_none() {
         fill(&mut socket, &mut inbox)?;
     }
     let mut out = Vec::new();
-    codec::frame(&mut out, b'R', &[0; 4]);
-    codec::ready(&mut out);
+    codec::write_message(&mut out, b'R', &[0; 4]);
+    codec::write_ready_for_query(&mut out);
     loop {
         socket.write_all(&out)?;
         out.clear();
@@ -94,7 +94,7 @@
                 "SHOW",
             );
         } else if is_write && index > 0 {
-            codec::error(&mut out, "ERROR", "25006", "this is a replica", None);
+            codec::write_error_response(&mut out, "ERROR", "25006", "this is a replica", None);
         } else if let (true, [_, key, _, doc, ..]) = (is_write, quoted.as_slice()) {
             if let Ok(mut items) = items.lock() {
                 items.insert(key.to_string(), doc.as_bytes().to_vec());
@@ -104,28 +104,28 @@
             let value = items.lock().ok().and_then(|items| items.get(*key).cloned());
             row(&mut out, &value.unwrap_or_else(|| b"nothing yet".to_vec()), "SELECT 1");
         } else {
-            codec::error(&mut out, "ERROR", "08P01", "no statement of this form", None);
+            codec::write_error_response(&mut out, "ERROR", "08P01", "no statement of this form", None);
         }
-        codec::parameter(&mut out, "part", if index == 0 { "master" } else { "replica" });
-        codec::parameter(&mut out, "caught_up_to", &clock.to_string());
-        codec::ready(&mut out);
+        codec::write_parameter_status(&mut out, "part", if index == 0 { "master" } else { "replica" });
+        codec::write_parameter_status(&mut out, "caught_up_to", &clock.to_string());
+        codec::write_ready_for_query(&mut out);
     }
 }
 
 fn row(out: &mut Vec<u8>, value: &[u8], tag: &str) {
-    codec::frame(out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0");
-    codec::frame(out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
-    codec::frame(out, b'C', format!("{tag}\0").as_bytes());
+    codec::write_message(out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0");
+    codec::write_message(out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
+    codec::write_message(out, b'C', format!("{tag}\0").as_bytes());
 }
 
 /// Asks the gateway one question and prints what comes back.
 fn ask(statement: &str) -> io::Result<()> {
     let mut socket = TcpStream::connect(GATEWAY)?;
     let mut bytes = Vec::new();
-    codec::startup(&mut bytes, "app", "shop");
-    codec::query(&mut bytes, statement);
+    codec::write_startup_packet(&mut bytes, "app", "shop");
+    codec::write_query(&mut bytes, statement);
     socket.write_all(&bytes)?;
-    let (mut inbox, mut ready) = (Inbox::default(), 0);
+    let (mut inbox, mut ready) = (ReceiveBuffer::default(), 0);
     while ready < 2 {
         let frame = next(&mut socket, &mut inbox)?;
         match frame.tag {
@@ -133,7 +133,7 @@
             b'I' => println!("empty query answered: the gateway is ready"),
             b'D' => println!(
                 "served: {}",
-                String::from_utf8_lossy(codec::only_column(&frame.body).unwrap_or_default())
+                String::from_utf8_lossy(codec::single_column_value(&frame.body).unwrap_or_default())
             ),
             b'E' => {
                 let field = |name| codec::error_field(&frame.body, name).unwrap_or_default();
@@ -145,16 +145,16 @@
     Ok(())
 }
 
-fn next(socket: &mut TcpStream, inbox: &mut Inbox) -> io::Result<Frame> {
+fn next(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> io::Result<Message> {
     loop {
-        if let Some(frame) = inbox.frame().map_err(|e| io::Error::other(format!("{e:?}")))? {
+        if let Some(frame) = inbox.next_message().map_err(|e| io::Error::other(format!("{e:?}")))? {
             return Ok(frame);
         }
         fill(socket, inbox)?;
     }
 }
 
-fn fill(socket: &mut TcpStream, inbox: &mut Inbox) -> io::Result<()> {
+fn fill(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> io::Result<()> {
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes)? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
--- a/src/admin/connection.rs
+++ b/src/admin/connection.rs
@@ -1,14 +1,14 @@
 //! An operator's connection, driven by bytes: one request, one response, then the connection ends.
 
 use super::request::{self, AdminRequest, HttpStatus};
-use crate::pg::codec::Outbox;
+use crate::pg::codec::SendBuffer;
 
 /// An operator's connection.
 #[derive(Debug, Default)]
 pub struct AdminConnection {
     received: Vec<u8>,
     /// Bytes for the operator.
-    pub out: Outbox,
+    pub out: SendBuffer,
     has_responded: bool,
 }
 
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -9,7 +9,7 @@
 use crate::net::clock::Reading;
 use crate::net::discovery::Directory;
 use crate::pg::codec::CancelKey;
-use crate::pg::timed_inbox::Arrival;
+use crate::pg::timed_buffer::Arrival;
 use crate::{ClassId, GroupId, Micros, SessionKey};
 
 /// All that a process needs before it accepts clients.
--- a/src/net/event_loop/slots.rs
+++ b/src/net/event_loop/slots.rs
@@ -14,7 +14,7 @@
 use super::workers::{InFlight, Owner, Parting, WorkerMessage};
 use super::{flowing, Gateway, Phase};
 use crate::attempt::FailureCause;
-use crate::pg::codec::Outbox;
+use crate::pg::codec::SendBuffer;
 use crate::shortage::{is_shortage, is_to_wait};
 use crate::Micros;
 
@@ -47,7 +47,7 @@
 pub(super) enum Link {
     Client(ClientLink),
     Host(HostLink),
-    Discovery(Outbox),
+    Discovery(SendBuffer),
     Caller(AdminLink),
     /// A client whose connection is shut for writing: what it still sends is thrown away, so many bytes at most.
     Lingering(usize),
--- a/src/net/event_loop/watching.rs
+++ b/src/net/event_loop/watching.rs
@@ -20,7 +20,7 @@
 use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::net::dial;
 use crate::net::discovery::{BadAnswer, Failed, Listing, Watch};
-use crate::pg::codec::Outbox;
+use crate::pg::codec::SendBuffer;
 use crate::settings::SiteSettings;
 use crate::shortage::is_shortage;
 use crate::text_file::AtLine;
@@ -74,7 +74,7 @@
         self.watching.called = self.now;
         let timeout = self.watching.watch.timeout();
         let call = self.watching.watch.call(&self.watching.address.to_string()).into_bytes();
-        let out = Outbox::with(call);
+        let out = SendBuffer::from(call);
         let address = self.watching.address;
         let placed =
             |socket| self.insert(socket, Link::Discovery(out), true).map_err(|unplaced| unplaced.error);
--- a/src/pg/client.rs
+++ b/src/pg/client.rs
@@ -1,9 +1,9 @@
 //! A client's connection, where the gateway speaks as a server: a state machine driven by bytes, from startup through one
 //! simple query at a time.
 
-use super::codec::{self, CancelKey, Frame, FrameError, Outbox, Startup, MAX_MESSAGE};
+use super::codec::{self, CancelKey, FramingError, Message, SendBuffer, StartupPacket, MAX_MESSAGE};
 use super::message_type::{backend, frontend};
-use super::timed_inbox::{Arrival, TimedInbox};
+use super::timed_buffer::{Arrival, TimedReceiveBuffer};
 use crate::Micros;
 
 /// The major version of the protocol.
@@ -72,9 +72,9 @@
 /// A client's connection.
 #[derive(Debug)]
 pub struct ClientConnection {
-    inbox: TimedInbox,
+    input: TimedReceiveBuffer,
     /// Bytes for the client.
-    pub out: Outbox,
+    pub out: SendBuffer,
     state: State,
     /// Longest message that is accepted.
     max_message: usize,
@@ -90,8 +90,8 @@
 impl ClientConnection {
     /// A connection whose messages may be so long, and whose query may be cancelled with this key.
     pub fn new(max_message: usize, cancel_key: CancelKey) -> Self {
-        let (inbox, out) = (TimedInbox::default(), Outbox::default());
-        ClientConnection { inbox, out, state: State::Startup, max_message, cancel_key }
+        let (input, out) = (TimedReceiveBuffer::default(), SendBuffer::default());
+        ClientConnection { input, out, state: State::Startup, max_message, cancel_key }
     }
 
     /// The key with which its query may be cancelled, if the client knows it.
@@ -105,7 +105,7 @@
         if from.greeted {
             client.state = State::Idle;
         }
-        client.inbox = TimedInbox::resume(from.greeted, &from.bytes, &from.arrivals, now);
+        client.input = TimedReceiveBuffer::resume(from.greeted, &from.bytes, &from.arrivals, now);
         client
     }
 
@@ -115,8 +115,8 @@
         owed_nothing.then(|| ClientHandover {
             key: self.cancel_key,
             greeted: self.state == State::Idle,
-            bytes: self.inbox.rest().to_vec(),
-            arrivals: self.inbox.arrivals().iter().copied().collect(),
+            bytes: self.input.unparsed().to_vec(),
+            arrivals: self.input.arrivals().iter().copied().collect(),
         })
     }
 
@@ -124,7 +124,7 @@
     /// since more than is held had come count from when they are.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
         if self.state != State::Closed {
-            self.inbox.push(bytes, now);
+            self.input.push(bytes, now);
         }
     }
 
@@ -132,7 +132,7 @@
     /// the longest message.
     pub fn wants_read(&self) -> bool {
         self.state != State::Closed
-            && self.inbox.len() <= self.max_message
+            && self.input.len() <= self.max_message
             && self.out.len() <= self.max_message
     }
 
@@ -143,12 +143,12 @@
 
     /// Whether a message has begun and the rest of it is awaited.
     pub fn has_partial_message(&self) -> bool {
-        !matches!(self.state, State::Busy | State::Closed) && !self.inbox.is_empty()
+        !matches!(self.state, State::Busy | State::Closed) && !self.input.is_empty()
     }
 
     /// Whether it may be closed without loss: nothing owed, nothing partially read, nothing partially written.
     pub fn is_idle(&self) -> bool {
-        self.state != State::Busy && self.inbox.is_empty() && self.out.is_empty()
+        self.state != State::Busy && self.input.is_empty() && self.out.is_empty()
     }
 
     /// The next thing that the client asks for; `None` until more bytes come, or while an answer is owed.
@@ -163,10 +163,10 @@
                 Ok(Step::Continue) => {}
                 Ok(Step::AwaitBytes) => return None,
                 Ok(Step::Request(request)) => return Some(request),
-                Err(FrameError::TooLong) => {
+                Err(FramingError::TooLong) => {
                     return Some(self.close_with_error(sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"))
                 }
-                Err(FrameError::BadLength) => {
+                Err(FramingError::InvalidLength) => {
                     return Some(
                         self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "invalid message length"),
                     )
@@ -175,16 +175,16 @@
         }
     }
 
-    fn handle_startup(&mut self) -> Result<Step, FrameError> {
-        let Some(startup) = self.inbox.startup()? else { return Ok(Step::AwaitBytes) };
+    fn handle_startup(&mut self) -> Result<Step, FramingError> {
+        let Some(startup) = self.input.next_startup_packet()? else { return Ok(Step::AwaitBytes) };
         match startup {
-            Startup::Encryption => self.out.bytes.push(ENCRYPTION_REJECTED),
-            Startup::Cancel(key) => {
+            StartupPacket::EncryptionRequest => self.out.bytes.push(ENCRYPTION_REJECTED),
+            StartupPacket::CancelRequest(key) => {
                 self.state = State::Closed;
                 return Ok(Step::Request(ClientRequest::Cancel(key)));
             }
-            Startup::Session(PROTOCOL_MAJOR, minor) => self.greet(minor),
-            Startup::Session(..) => {
+            StartupPacket::Session(PROTOCOL_MAJOR, minor) => self.greet(minor),
+            StartupPacket::Session(..) => {
                 let error =
                     self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "unsupported protocol version");
                 return Ok(Step::Request(error));
@@ -197,19 +197,21 @@
     fn greet(&mut self, minor: u16) {
         let out = &mut self.out.bytes;
         if minor > 0 {
-            codec::frame(out, backend::NEGOTIATE_PROTOCOL_VERSION, &NEGOTIATED_VERSION);
+            codec::write_message(out, backend::NEGOTIATE_PROTOCOL_VERSION, &NEGOTIATED_VERSION);
         }
-        codec::frame(out, backend::AUTHENTICATION, &AUTHENTICATION_OK);
+        codec::write_message(out, backend::AUTHENTICATION, &AUTHENTICATION_OK);
         for (name, value) in PARAMETERS {
-            codec::parameter(out, name, value);
+            codec::write_parameter_status(out, name, value);
         }
-        codec::key_data(out, self.cancel_key);
+        codec::write_backend_key_data(out, self.cancel_key);
         self.ready_for_query();
     }
 
-    fn handle_message(&mut self) -> Result<Step, FrameError> {
-        let Some((frame, arrived)) = self.inbox.frame(self.max_message)? else { return Ok(Step::AwaitBytes) };
-        Ok(match (frame.tag, self.state) {
+    fn handle_message(&mut self) -> Result<Step, FramingError> {
+        let Some((message, arrived)) = self.input.next_message(self.max_message)? else {
+            return Ok(Step::AwaitBytes);
+        };
+        Ok(match (message.tag, self.state) {
             (frontend::TERMINATE, _) => {
                 self.state = State::Closed;
                 Step::Request(ClientRequest::Close)
@@ -219,13 +221,13 @@
                 Step::Continue
             }
             (_, State::SkippingToSync) => Step::Continue,
-            (frontend::QUERY, _) => self.handle_query(frame.body, arrived),
+            (frontend::QUERY, _) => self.handle_query(message.body, arrived),
             (frontend::FUNCTION_CALL, _) => {
                 self.reject_extended_query();
                 self.ready_for_query();
                 Step::Continue
             }
-            _ if is_extended_query(&frame) => {
+            _ if is_extended_query(&message) => {
                 self.reject_extended_query();
                 self.state = State::SkippingToSync;
                 Step::Continue
@@ -242,7 +244,7 @@
         self.state = State::Busy;
         match String::from_utf8(body) {
             Ok(text) if text.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() => {
-                codec::frame(&mut self.out.bytes, backend::EMPTY_QUERY_RESPONSE, &[]);
+                codec::write_message(&mut self.out.bytes, backend::EMPTY_QUERY_RESPONSE, &[]);
                 self.ready_for_query();
                 Step::Continue
             }
@@ -256,7 +258,13 @@
 
     fn reject_extended_query(&mut self) {
         let message = "only simple queries are served";
-        codec::error(&mut self.out.bytes, "ERROR", sqlstate::FEATURE_NOT_SUPPORTED, message, None);
+        codec::write_error_response(
+            &mut self.out.bytes,
+            "ERROR",
+            sqlstate::FEATURE_NOT_SUPPORTED,
+            message,
+            None,
+        );
     }
 
     /// Answers the query with a host's messages, as they came.
@@ -269,32 +277,38 @@
     pub fn reject(&mut self, retry_after: Option<Micros>) {
         let retry_after_ms = retry_after.map(|wait| wait.0.div_ceil(1000).to_string());
         let (out, message) = (&mut self.out.bytes, "refused, try again");
-        codec::error(out, "ERROR", sqlstate::TOO_MANY_CONNECTIONS, message, retry_after_ms.as_deref());
+        codec::write_error_response(
+            out,
+            "ERROR",
+            sqlstate::TOO_MANY_CONNECTIONS,
+            message,
+            retry_after_ms.as_deref(),
+        );
         self.ready_for_query();
     }
 
     /// Answers the query with an error.
     pub fn send_error(&mut self, code: &str, message: &str) {
-        codec::error(&mut self.out.bytes, "ERROR", code, message, None);
+        codec::write_error_response(&mut self.out.bytes, "ERROR", code, message, None);
         self.ready_for_query();
     }
 
     fn ready_for_query(&mut self) {
-        codec::ready(&mut self.out.bytes);
+        codec::write_ready_for_query(&mut self.out.bytes);
         self.state = State::Idle;
     }
 
     /// Closes the connection with an error, once that has been written.
     pub fn close_with_error(&mut self, code: &str, message: &str) -> ClientRequest {
-        codec::error(&mut self.out.bytes, "FATAL", code, message, None);
+        codec::write_error_response(&mut self.out.bytes, "FATAL", code, message, None);
         self.state = State::Closed;
         ClientRequest::Close
     }
 }
 
-fn is_extended_query(frame: &Frame) -> bool {
+fn is_extended_query(message: &Message) -> bool {
     matches!(
-        frame.tag,
+        message.tag,
         frontend::PARSE
             | frontend::BIND
             | frontend::DESCRIBE
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -1,31 +1,43 @@
-//! Framing of protocol version 3: cutting messages out of bytes and writing them.
+//! Messages of protocol version 3: cutting them out of bytes, writing them, and reading the fields that matter here.
 
 use std::io::{self, Write};
 
+use super::message_type::{backend, frontend};
 use crate::shortage::is_to_wait;
 
-/// Longest message that is taken everywhere: a value of 64 KiB in hexadecimal, with room for the
-/// statement round it. Where there is memory for more, longer ones are taken too.
+/// Longest message that is accepted everywhere: a value of 64 KiB in hexadecimal, with room for the
+/// statement round it. Where there is memory for more, longer ones are accepted too.
 pub const MAX_MESSAGE: usize = 144 * 1024;
-/// Most written bytes that an outbox keeps in front of others.
-const KEPT: usize = 32 * 1024;
-/// Longest startup packet taken, as PostgreSQL itself has it.
+/// Most written bytes that a send buffer keeps in front of others.
+const MAX_WRITTEN: usize = 32 * 1024;
+/// Longest startup packet, as PostgreSQL itself has it.
 const MAX_STARTUP: usize = 10_000;
 
+/// Capacity that an empty buffer keeps.
+const IDLE_CAPACITY: usize = 4096;
+/// Bytes of a message's length.
+const LENGTH: usize = 4;
+
+/// Version 3.0, as a startup packet gives it.
+const PROTOCOL_VERSION: u32 = 3 << 16;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
+/// Length of a CancelRequest.
+const CANCEL_REQUEST_LENGTH: u32 = 16;
 
 /// Why bytes are no message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FrameError {
-    /// Longer than is taken, by its own word.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FramingError {
+    /// Longer than is accepted, by its own length.
+    #[error("message too long")]
     TooLong,
     /// A length that cannot be.
-    BadLength,
+    #[error("invalid message length")]
+    InvalidLength,
 }
 
-/// What names a connection to those that may cancel its query: a process number and a secret.
+/// BackendKeyData: what names a connection to those that may cancel its query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CancelKey {
     /// The number that PostgreSQL gives a server process.
@@ -36,156 +48,168 @@
 
 /// The first packet of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Startup {
+pub enum StartupPacket {
     /// A session in this major and minor version.
     Session(u16, u16),
-    /// The client asks for encryption first.
-    Encryption,
-    /// The client wants the query of another connection cancelled, which got this key.
-    Cancel(CancelKey),
+    /// SSLRequest or GSSENCRequest: the client asks for encryption first.
+    EncryptionRequest,
+    /// CancelRequest: the query of the connection that got this key is to be cancelled.
+    CancelRequest(CancelKey),
 }
 
-impl Startup {
+impl StartupPacket {
     /// Reads a packet's body.
-    pub fn read(body: &[u8]) -> Result<Startup, FrameError> {
+    ///
+    /// # Errors
+    /// It is too short, or of the wrong length.
+    pub fn parse(body: &[u8]) -> Result<StartupPacket, FramingError> {
         let Some(code) = body.first_chunk::<4>().map(|code| u32::from_be_bytes(*code)) else {
-            return Err(FrameError::BadLength);
+            return Err(FramingError::InvalidLength);
         };
         Ok(match code {
-            SSL_REQUEST | GSS_REQUEST => Startup::Encryption,
+            SSL_REQUEST | GSS_REQUEST => StartupPacket::EncryptionRequest,
             CANCEL_REQUEST => {
-                let key: &[u8; 8] = body[4..].try_into().map_err(|_| FrameError::BadLength)?;
+                let key: &[u8; 8] = body[4..].try_into().map_err(|_| FramingError::InvalidLength)?;
                 let [a, b, c, d, e, f, g, h] = *key;
                 let process = u32::from_be_bytes([a, b, c, d]);
-                Startup::Cancel(CancelKey { process, secret: u32::from_be_bytes([e, f, g, h]) })
+                StartupPacket::CancelRequest(CancelKey { process, secret: u32::from_be_bytes([e, f, g, h]) })
             }
-            _ => Startup::Session((code >> 16) as u16, code as u16),
+            _ => StartupPacket::Session((code >> 16) as u16, code as u16),
         })
     }
 }
 
-/// A message: its type and what follows the length.
+/// A message: its type byte and what follows the length.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Frame {
+pub struct Message {
     /// The type byte.
     pub tag: u8,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What the length that stands `at` bytes in counts, itself included, once it is there.
-fn length_at(held: &[u8], at: usize) -> Result<Option<usize>, FrameError> {
-    let Some(length) = held.get(at..).and_then(|rest| rest.first_chunk::<4>()) else { return Ok(None) };
-    let length = usize::try_from(i32::from_be_bytes(*length)).map_err(|_| FrameError::BadLength)?;
+/// The length that stands at an offset, itself included, once it is there.
+fn length_at(bytes: &[u8], offset: usize) -> Result<Option<usize>, FramingError> {
+    let Some(length) = bytes.get(offset..).and_then(|rest| rest.first_chunk::<4>()) else { return Ok(None) };
+    let length = usize::try_from(i32::from_be_bytes(*length)).map_err(|_| FramingError::InvalidLength)?;
     match length {
-        0..4 => Err(FrameError::BadLength),
+        0..4 => Err(FramingError::InvalidLength),
         _ => Ok(Some(length)),
     }
 }
 
-/// Bytes that have come in and are not yet understood.
+/// Bytes that were received and not parsed yet.
 #[derive(Debug, Default)]
-pub struct Inbox {
+pub struct ReceiveBuffer {
     bytes: Vec<u8>,
-    taken: usize,
+    parsed: usize,
 }
 
-impl Inbox {
-    /// Adds bytes as they came.
+impl ReceiveBuffer {
+    /// Adds bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.taken > 0 {
-            self.bytes.drain(..self.taken);
-            self.taken = 0;
+        if self.parsed > 0 {
+            self.bytes.drain(..self.parsed);
+            self.parsed = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The bytes held.
-    pub fn rest(&self) -> &[u8] {
-        &self.bytes[self.taken..]
+    /// The bytes that are not parsed yet.
+    pub fn unparsed(&self) -> &[u8] {
+        &self.bytes[self.parsed..]
     }
 
-    /// Number of bytes held.
+    /// Number of bytes that are not parsed yet.
     pub fn len(&self) -> usize {
-        self.bytes.len() - self.taken
+        self.bytes.len() - self.parsed
     }
 
-    /// Whether nothing is held.
+    /// Whether all bytes are parsed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The startup packet, once it is whole.
-    pub fn startup(&mut self) -> Result<Option<Startup>, FrameError> {
-        let Some(body) = self.cut(0, MAX_STARTUP)? else { return Ok(None) };
-        Startup::read(&body).map(Some)
+    /// The startup packet, once it is complete.
+    ///
+    /// # Errors
+    /// Its length or its content cannot be.
+    pub fn next_startup_packet(&mut self) -> Result<Option<StartupPacket>, FramingError> {
+        let Some(body) = self.take_body(0, MAX_STARTUP)? else { return Ok(None) };
+        StartupPacket::parse(&body).map(Some)
     }
 
-    /// The whole message that begins so many held bytes in, with so many bytes of type before its length; `None`
-    /// while it is not whole, and for one whose length cannot be.
-    pub fn whole_at(&self, from: usize, before: usize) -> Option<&[u8]> {
-        let held = self.rest().get(from..)?;
-        let length = length_at(held, before).ok()??;
-        held.get(..before + length)
+    /// The complete message that begins at an offset, with so many bytes of type before its length; `None`
+    /// while it is not complete, and for one whose length cannot be.
+    pub fn complete_message_at(&self, offset: usize, type_length: usize) -> Option<&[u8]> {
+        let bytes = self.unparsed().get(offset..)?;
+        let length = length_at(bytes, type_length).ok()??;
+        bytes.get(..type_length + length)
     }
 
-    /// Takes out up to `most` bytes as they came.
-    pub fn cut_off(&mut self, most: usize) -> &[u8] {
-        let count = most.min(self.len());
-        self.taken += count;
-        &self.bytes[self.taken - count..self.taken]
+    /// Takes out up to `max` bytes as they came.
+    pub fn take_up_to(&mut self, max: usize) -> &[u8] {
+        let count = max.min(self.len());
+        self.parsed += count;
+        &self.bytes[self.parsed - count..self.parsed]
     }
 
-    /// The next message, once it is whole.
-    pub fn frame(&mut self) -> Result<Option<Frame>, FrameError> {
-        self.frame_within(|_| MAX_MESSAGE)
+    /// The next message, once it is complete.
+    ///
+    /// # Errors
+    /// It is longer than [`MAX_MESSAGE`], or its length cannot be.
+    pub fn next_message(&mut self) -> Result<Option<Message>, FramingError> {
+        self.next_message_within(|_| MAX_MESSAGE)
     }
 
-    /// The next message, where each type has a longest length; a type that has none is refused as soon
-    /// as its byte is there.
-    pub fn frame_within(&mut self, longest: impl Fn(u8) -> usize) -> Result<Option<Frame>, FrameError> {
-        let Some(tag) = self.bytes.get(self.taken).copied() else { return Ok(None) };
-        let longest = longest(tag);
-        if longest == 0 {
-            return Err(FrameError::TooLong);
+    /// The next message, once it is complete, where each type has a longest length; a type for which that is zero is
+    /// rejected as soon as its byte is there.
+    ///
+    /// # Errors
+    /// It is longer, or its length cannot be.
+    pub fn next_message_within(
+        &mut self,
+        max_length: impl Fn(u8) -> usize,
+    ) -> Result<Option<Message>, FramingError> {
+        let Some(tag) = self.bytes.get(self.parsed).copied() else { return Ok(None) };
+        let max_length = max_length(tag);
+        if max_length == 0 {
+            return Err(FramingError::TooLong);
         }
-        Ok(self.cut(1, longest)?.map(|body| Frame { tag, body }))
+        Ok(self.take_body(1, max_length)?.map(|body| Message { tag, body }))
     }
 
-    /// Cuts out what a length that stands `at` bytes from the front counts. Judged by its length
+    /// Takes out the body of the message in front, with so many bytes of type before its length. The length is checked
     /// before the rest is there: what is too long is never waited for.
-    fn cut(&mut self, at: usize, most: usize) -> Result<Option<Vec<u8>>, FrameError> {
-        let held = &self.bytes[self.taken..];
-        let Some(length) = length_at(held, at)? else { return Ok(None) };
-        if length > most {
-            return Err(FrameError::TooLong);
+    fn take_body(&mut self, type_length: usize, max_length: usize) -> Result<Option<Vec<u8>>, FramingError> {
+        let unparsed = &self.bytes[self.parsed..];
+        let Some(length) = length_at(unparsed, type_length)? else { return Ok(None) };
+        if length > max_length {
+            return Err(FramingError::TooLong);
         }
-        let Some(body) = held.get(at + 4..at + length).map(<[u8]>::to_vec) else { return Ok(None) };
-        self.taken += at + length;
-        if self.taken == self.bytes.len() {
-            // Large values are rare: an idle connection keeps no room for them.
-            self.taken = 0;
+        let Some(body) = unparsed.get(type_length + LENGTH..type_length + length).map(<[u8]>::to_vec) else {
+            return Ok(None);
+        };
+        self.parsed += type_length + length;
+        if self.parsed == self.bytes.len() {
+            // Large values are rare: an idle connection keeps no memory for them.
+            self.parsed = 0;
             self.bytes.clear();
-            self.bytes.shrink_to(4096);
+            self.bytes.shrink_to(IDLE_CAPACITY);
         }
         Ok(Some(body))
     }
 }
 
-/// Bytes on their way out.
+/// Bytes that are to be sent.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct SendBuffer {
     /// What was put in, the part already written included.
     pub bytes: Vec<u8>,
     written: usize,
 }
 
-impl Outbox {
-    /// An outbox that holds these bytes.
-    pub fn with(bytes: Vec<u8>) -> Self {
-        Outbox { bytes, written: 0 }
-    }
-
+impl SendBuffer {
     /// Number of bytes still to be written.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.written
@@ -197,14 +221,17 @@
     }
 
     /// Writes what can be written now; true once nothing is left.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn flush(&mut self, to: &mut impl Write) -> io::Result<bool> {
         while self.written < self.bytes.len() {
             match to.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.written += count,
                 Err(e) if is_to_wait(&e) => {
-                    // More may be put in behind for as long as a value flows: what is gone makes room.
-                    if self.written > KEPT {
+                    // More is added for as long as a value is streamed: what is written is dropped.
+                    if self.written > MAX_WRITTEN {
                         self.bytes.drain(..self.written);
                         self.written = 0;
                     }
@@ -215,95 +242,111 @@
             }
         }
         self.bytes.clear();
-        self.bytes.shrink_to(4096);
+        self.bytes.shrink_to(IDLE_CAPACITY);
         self.written = 0;
         Ok(true)
     }
 }
 
+impl From<Vec<u8>> for SendBuffer {
+    fn from(bytes: Vec<u8>) -> Self {
+        SendBuffer { bytes, written: 0 }
+    }
+}
+
 /// Writes a message.
-pub fn frame(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
+pub fn write_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
-    out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
+    out.extend_from_slice(&((body.len() + LENGTH) as u32).to_be_bytes());
     out.extend_from_slice(body);
 }
 
-/// Writes a startup packet.
-pub fn startup(out: &mut Vec<u8>, user: &str, database: &str) {
-    let mut body = 196_608u32.to_be_bytes().to_vec();
+/// Writes a StartupMessage.
+pub fn write_startup_packet(out: &mut Vec<u8>, user: &str, database: &str) {
+    let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
     for word in ["user", user, "database", database, ""] {
         body.extend_from_slice(word.as_bytes());
         body.push(0);
     }
-    out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
+    out.extend_from_slice(&((body.len() + LENGTH) as u32).to_be_bytes());
     out.extend_from_slice(&body);
 }
 
-/// Writes a simple query.
-pub fn query(out: &mut Vec<u8>, text: &str) {
+/// Writes a Query.
+pub fn write_query(out: &mut Vec<u8>, text: &str) {
     let mut body = text.as_bytes().to_vec();
     body.push(0);
-    frame(out, b'Q', &body);
+    write_message(out, frontend::QUERY, &body);
 }
 
-/// Writes a setting of the session.
-pub fn parameter(out: &mut Vec<u8>, name: &str, value: &str) {
-    frame(out, b'S', format!("{name}\0{value}\0").as_bytes());
+/// Writes a ParameterStatus.
+pub fn write_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+    write_message(out, backend::PARAMETER_STATUS, format!("{name}\0{value}\0").as_bytes());
 }
 
-/// Writes an error with its fields for severity, code, message and, if given, detail.
-pub fn error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, detail: Option<&str>) {
-    let mut body = format!("S{severity}\0V{severity}\0C{code}\0M{message}\0");
+/// Writes an ErrorResponse with its fields for severity, SQLSTATE, message and, if given, detail.
+pub fn write_error_response(
+    out: &mut Vec<u8>,
+    severity: &str,
+    sqlstate: &str,
+    message: &str,
+    detail: Option<&str>,
+) {
+    let mut body = format!("S{severity}\0V{severity}\0C{sqlstate}\0M{message}\0");
     if let Some(detail) = detail {
         body.push_str(&format!("D{detail}\0"));
     }
     body.push('\0');
-    frame(out, b'E', body.as_bytes());
+    write_message(out, backend::ERROR_RESPONSE, body.as_bytes());
 }
 
-/// Writes the key with which the connection's query may be cancelled.
-pub fn key_data(out: &mut Vec<u8>, key: CancelKey) {
-    frame(out, b'K', &[key.process.to_be_bytes(), key.secret.to_be_bytes()].concat());
+/// Writes a BackendKeyData.
+pub fn write_backend_key_data(out: &mut Vec<u8>, key: CancelKey) {
+    write_message(
+        out,
+        backend::BACKEND_KEY_DATA,
+        &[key.process.to_be_bytes(), key.secret.to_be_bytes()].concat(),
+    );
 }
 
-/// Writes a request to cancel the query of the connection with this key.
-pub fn cancel(out: &mut Vec<u8>, key: CancelKey) {
-    for word in [16, CANCEL_REQUEST, key.process, key.secret] {
+/// Writes a CancelRequest for the connection with this key.
+pub fn write_cancel_request(out: &mut Vec<u8>, key: CancelKey) {
+    for word in [CANCEL_REQUEST_LENGTH, CANCEL_REQUEST, key.process, key.secret] {
         out.extend_from_slice(&word.to_be_bytes());
     }
 }
 
-/// Writes that the next query is welcome.
-pub fn ready(out: &mut Vec<u8>) {
-    frame(out, b'Z', b"I");
+/// Writes a ReadyForQuery, outside of a transaction.
+pub fn write_ready_for_query(out: &mut Vec<u8>) {
+    write_message(out, backend::READY_FOR_QUERY, b"I");
 }
 
-/// A field of an error or notice.
+/// A field of an ErrorResponse or NoticeResponse.
 pub fn error_field(body: &[u8], field: u8) -> Option<&str> {
     let found = body.split(|byte| *byte == 0).find(|part| part.first() == Some(&field))?;
     std::str::from_utf8(&found[1..]).ok()
 }
 
-/// The code of an error that is well formed: fields that end, the last one empty, and a code among them.
-pub fn error_code(body: &[u8]) -> Option<&str> {
+/// The SQLSTATE of an ErrorResponse that is well formed: fields that end, the last one empty, and a code among them.
+pub fn sqlstate(body: &[u8]) -> Option<&str> {
     let code = error_field(body, b'C').filter(|_| body.ends_with(&[0, 0]))?;
     (code.len() == 5 && code.bytes().all(|byte| byte.is_ascii_alphanumeric())).then_some(code)
 }
 
-/// Name and value of a setting, if it is well formed.
-pub fn parameter_of(body: &[u8]) -> Option<(&str, &str)> {
+/// Name and value of a ParameterStatus, if it is well formed.
+pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let text = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
     text.split_once('\0').filter(|(_, value)| !value.contains('\0'))
 }
 
-/// Whether the body describes a row of one column and nothing else.
-pub fn describes_one_column(body: &[u8]) -> bool {
+/// Whether the body of a RowDescription describes one column and nothing else.
+pub fn describes_single_column(body: &[u8]) -> bool {
     let name_ends = body.iter().skip(2).position(|byte| *byte == 0).map(|at| at + 3);
     body.starts_with(&[0, 1]) && name_ends.is_some_and(|end| body.len() == end + 18)
 }
 
-/// The value of a data row of one column, if the lengths fit.
-pub fn only_column(body: &[u8]) -> Option<&[u8]> {
+/// The value of a DataRow of one column, if the lengths fit.
+pub fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     let value = body.strip_prefix(&[0, 1])?;
     let length = u32::from_be_bytes(*value.first_chunk()?);
     value.get(4..).filter(|value| value.len() == length as usize)
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -1,7 +1,7 @@
 //! A connection to a database host, where the gateway speaks as a client: a state machine driven by bytes, from startup
 //! through one simple query at a time.
 
-use super::codec::{self, Frame, Inbox, Outbox};
+use super::codec::{self, Message, ReceiveBuffer, SendBuffer};
 use super::load_report::is_plain_number;
 use super::message_type::backend;
 use crate::attempt::{AttemptProgress, ResponseStatus};
@@ -119,9 +119,9 @@
 /// A connection to a host.
 #[derive(Debug)]
 pub struct HostConnection {
-    inbox: Inbox,
+    input: ReceiveBuffer,
     /// Bytes for the host.
-    pub out: Outbox,
+    pub out: SendBuffer,
     state: State,
     response: HostResponse,
     /// A query is on the connection.
@@ -135,15 +135,15 @@
 impl Default for HostConnection {
     fn default() -> Self {
         let mut host = HostConnection {
-            inbox: Inbox::default(),
-            out: Outbox::default(),
+            input: ReceiveBuffer::default(),
+            out: SendBuffer::default(),
             state: State::Startup,
             response: HostResponse::empty(ResponseStatus::Failed),
             has_query: false,
             is_streamed: false,
             has_invalid_status: false,
         };
-        codec::startup(&mut host.out.bytes, USER, DATABASE);
+        codec::write_startup_packet(&mut host.out.bytes, USER, DATABASE);
         host
     }
 }
@@ -151,7 +151,7 @@
 impl HostConnection {
     /// Whether it takes a query: the last response is complete and nothing is left of it.
     pub fn is_idle(&self) -> bool {
-        self.state == State::Idle && self.inbox.is_empty() && self.out.is_empty()
+        self.state == State::Idle && self.input.is_empty() && self.out.is_empty()
     }
 
     /// Puts a query on the connection. False, and nothing is put, unless it is idle.
@@ -164,7 +164,7 @@
             self.is_streamed = false;
             self.has_query = true;
             self.state = State::Busy(ResponseProgress::Nothing);
-            codec::query(&mut self.out.bytes, text);
+            codec::write_query(&mut self.out.bytes, text);
         }
         idle
     }
@@ -176,13 +176,13 @@
 
     /// Takes bytes in.
     pub fn receive(&mut self, bytes: &[u8]) {
-        self.inbox.push(bytes);
+        self.input.push(bytes);
     }
 
     /// Whether a response has begun and the rest of it is awaited.
     pub fn has_partial_response(&self) -> bool {
         match self.state {
-            State::Busy(ResponseProgress::Nothing) => !self.inbox.is_empty(),
+            State::Busy(ResponseProgress::Nothing) => !self.input.is_empty(),
             State::Busy(_) => true,
             _ => false,
         }
@@ -206,8 +206,8 @@
                 }
                 _ => {}
             }
-            let event = match self.inbox.frame_within(|tag| max_message_length(state, tag)) {
-                Ok(frame) => self.handle_message(&frame?),
+            let event = match self.input.next_message_within(|tag| max_message_length(state, tag)) {
+                Ok(message) => self.handle_message(&message?),
                 Err(_) => Err(ProtocolViolation),
             };
             match event {
@@ -220,13 +220,13 @@
     }
 
     fn has_partial_row_head(&self) -> bool {
-        self.inbox.rest().first() == Some(&backend::DATA_ROW) && self.inbox.len() < ROW_HEAD
+        self.input.unparsed().first() == Some(&backend::DATA_ROW) && self.input.len() < ROW_HEAD
     }
 
     /// Whether the head of a long row is there: one column, and lengths that fit. Any other row of its
     /// length violates the protocol.
     fn starts_streaming(&mut self) -> bool {
-        let Some((head, _)) = self.inbox.rest().split_first_chunk::<ROW_HEAD>() else { return false };
+        let Some((head, _)) = self.input.unparsed().split_first_chunk::<ROW_HEAD>() else { return false };
         let [tag, a, b, c, d, columns @ .., e, f, g, h] = *head;
         let row = u32::from_be_bytes([a, b, c, d]) as usize;
         let value = u32::from_be_bytes([e, f, g, h]) as usize;
@@ -242,7 +242,7 @@
 
     /// Moves what has come of a streamed row to the response. False while some of it is still to come.
     fn continue_streaming(&mut self, left: usize) -> bool {
-        let bytes = self.inbox.cut_off(left);
+        let bytes = self.input.take_up_to(left);
         self.response.rows.extend_from_slice(bytes);
         let left = left - bytes.len();
         self.state = State::Busy(match left {
@@ -265,31 +265,31 @@
         }
     }
 
-    fn handle_message(&mut self, frame: &Frame) -> Result<Option<HostEvent>, ProtocolViolation> {
-        let body = frame.body.as_slice();
-        match (frame.tag, self.state) {
+    fn handle_message(&mut self, message: &Message) -> Result<Option<HostEvent>, ProtocolViolation> {
+        let body = message.body.as_slice();
+        match (message.tag, self.state) {
             (backend::PARAMETER_STATUS, _) => self.handle_parameter_status(body),
             (backend::READY_FOR_QUERY, State::Startup) => {
                 self.state = State::Idle;
                 return Ok(Some(HostEvent::Ready));
             }
             (backend::ERROR_RESPONSE, State::Startup) => {
-                let code = codec::error_code(body).ok_or(ProtocolViolation)?.to_string();
+                let code = codec::sqlstate(body).ok_or(ProtocolViolation)?.to_string();
                 return Ok(Some(self.close(HostEvent::StartupRejected(code))));
             }
             (backend::ERROR_RESPONSE, State::Busy(progress)) if progress != ResponseProgress::Completed => {
                 return self.handle_error(body);
             }
-            (backend::ROW_DESCRIPTION, _) if codec::describes_one_column(body) => {
-                self.forward(frame, ResponseProgress::RowDescription);
+            (backend::ROW_DESCRIPTION, _) if codec::describes_single_column(body) => {
+                self.forward(message, ResponseProgress::RowDescription);
             }
             (backend::DATA_ROW, _) => {
-                let value = codec::only_column(body).ok_or(ProtocolViolation)?;
+                let value = codec::single_column_value(body).ok_or(ProtocolViolation)?;
                 self.response.value = (value.len() <= MAX_LOAD_REPORT).then(|| value.to_vec());
-                self.forward(frame, ResponseProgress::DataRow);
+                self.forward(message, ResponseProgress::DataRow);
             }
             (backend::COMMAND_COMPLETE, _) if body.ends_with(&[0]) && body[..body.len() - 1].is_ascii() => {
-                self.forward(frame, ResponseProgress::Completed);
+                self.forward(message, ResponseProgress::Completed);
                 self.response.status = ResponseStatus::Served;
             }
             (backend::READY_FOR_QUERY, _) if body == IDLE_TRANSACTION_STATUS => {
@@ -311,7 +311,7 @@
 
     /// An error in place of a response, or of the rest of one.
     fn handle_error(&mut self, body: &[u8]) -> Result<Option<HostEvent>, ProtocolViolation> {
-        self.response.status = match codec::error_code(body).ok_or(ProtocolViolation)? {
+        self.response.status = match codec::sqlstate(body).ok_or(ProtocolViolation)? {
             sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => ResponseStatus::Unsuitable,
             code if is_rejection(code) => ResponseStatus::Rejected,
             _ => ResponseStatus::Failed,
@@ -327,8 +327,8 @@
     }
 
     /// Adds a message to what the client gets to see.
-    fn forward(&mut self, frame: &Frame, progress: ResponseProgress) {
-        codec::frame(&mut self.response.rows, frame.tag, &frame.body);
+    fn forward(&mut self, message: &Message, progress: ResponseProgress) {
+        codec::write_message(&mut self.response.rows, message.tag, &message.body);
         self.state = State::Busy(progress);
     }
 
@@ -367,7 +367,7 @@
 
     /// Notes what the host says of itself.
     fn handle_parameter_status(&mut self, body: &[u8]) {
-        match codec::parameter_of(body) {
+        match codec::parse_parameter_status(body) {
             Some(("part", "master")) => self.response.role = Some(Role::Primary),
             Some(("part", "replica")) => self.response.role = Some(Role::Replica),
             Some(("caught_up_to", position)) if is_plain_number(position) => {
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -7,4 +7,4 @@
 pub mod load_report;
 pub mod message_type;
 pub mod statement;
-pub mod timed_inbox;
+pub mod timed_buffer;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,10 +3,10 @@
 
 use dunemount::attempt::{AttemptProgress, ResponseStatus};
 use dunemount::pg::client::{ClientConnection, ClientHandover, ClientRequest};
-use dunemount::pg::codec::{self, Inbox};
+use dunemount::pg::codec::{self, ReceiveBuffer};
 use dunemount::pg::host::{HostConnection, HostEvent, HostResponse};
 use dunemount::pg::statement::{Statement, StatementError};
-use dunemount::pg::timed_inbox::{Arrival, TimedInbox};
+use dunemount::pg::timed_buffer::{Arrival, TimedReceiveBuffer};
 use dunemount::{Micros, Role};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,10 +19,10 @@
 }
 
 fn tags(bytes: &[u8]) -> String {
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     inbox.push(bytes);
     let mut tags = String::new();
-    while let Some(frame) = inbox.frame().expect("well framed") {
+    while let Some(frame) = inbox.next_message().expect("well framed") {
         tags.push(char::from(frame.tag));
     }
     assert!(inbox.is_empty(), "half a message was written");
@@ -60,40 +60,40 @@
         chunk in 1..60usize,
     ) {
         let mut bytes = Vec::new();
-        codec::startup(&mut bytes, "app", "shop");
+        codec::write_startup_packet(&mut bytes, "app", "shop");
         let (mut expected, mut queries, mut skipping) = (String::from("RSSSSKZ"), Vec::new(), false);
         for (index, command) in commands.iter().enumerate() {
             match command {
                 Command::Query(kind) => {
-                    codec::query(&mut bytes, &format!("q{index}"));
+                    codec::write_query(&mut bytes, &format!("q{index}"));
                     if !skipping {
                         queries.push((format!("q{index}"), *kind));
                         expected.push_str(["TDCZ", "EZ", "EZ"][usize::from(*kind)]);
                     }
                 }
                 Command::Empty => {
-                    codec::query(&mut bytes, " ; ");
+                    codec::write_query(&mut bytes, " ; ");
                     expected.push_str(if skipping { "" } else { "IZ" });
                 }
                 Command::Extended => {
-                    codec::frame(&mut bytes, b'P', b"\0select\0\0\0");
+                    codec::write_message(&mut bytes, b'P', b"\0select\0\0\0");
                     expected.push_str(if skipping { "" } else { "E" });
                     skipping = true;
                 }
                 Command::Sync => {
-                    codec::frame(&mut bytes, b'S', &[]);
+                    codec::write_message(&mut bytes, b'S', &[]);
                     expected.push('Z');
                     skipping = false;
                 }
                 Command::NotText => {
-                    codec::frame(&mut bytes, b'Q', &[0xff, 0]);
+                    codec::write_message(&mut bytes, b'Q', &[0xff, 0]);
                     expected.push_str(if skipping { "" } else { "EZ" });
                 }
             }
         }
         let mut rows = Vec::new();
         for tag in [b'T', b'D', b'C'] {
-            codec::frame(&mut rows, tag, &[0, 0]);
+            codec::write_message(&mut rows, tag, &[0, 0]);
         }
         let (mut client, mut asked) = (ClientConnection::default(), Vec::new());
         for part in bytes.chunks(chunk) {
@@ -121,7 +121,7 @@
         let (mut client, mut host) = (ClientConnection::default(), HostConnection::default());
         if started {
             let mut bytes = Vec::new();
-            codec::startup(&mut bytes, "app", "shop");
+            codec::write_startup_packet(&mut bytes, "app", "shop");
             client.receive(&bytes, Micros(0));
         }
         client.receive(&junk, Micros(0));
@@ -146,21 +146,21 @@
         prop_assert!(host.send_query("q"));
         let (mut bytes, mut told_at) = (Vec::new(), usize::MAX);
         let said = [ResponseStatus::Served, ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][kind];
-        codec::frame(&mut bytes, b'N', b"SNOTICE\0\0");
+        codec::write_message(&mut bytes, b'N', b"SNOTICE\0\0");
         if said == ResponseStatus::Served {
-            codec::frame(&mut bytes, b'T', DOC);
+            codec::write_message(&mut bytes, b'T', DOC);
             let mut row = vec![0, 1];
             row.extend_from_slice(&(value.len() as u32).to_be_bytes());
             row.extend_from_slice(&value);
-            codec::frame(&mut bytes, b'D', &row);
-            codec::frame(&mut bytes, b'C', b"SELECT 1\0");
+            codec::write_message(&mut bytes, b'D', &row);
+            codec::write_message(&mut bytes, b'C', b"SELECT 1\0");
         } else {
-            codec::error(&mut bytes, "ERROR", ["", "25006", "53300", "XX000"][kind], "no", None);
+            codec::write_error_response(&mut bytes, "ERROR", ["", "25006", "53300", "XX000"][kind], "no", None);
         }
         told_at = told_at.min(bytes.len());
-        codec::parameter(&mut bytes, "part", "replica");
-        codec::parameter(&mut bytes, "caught_up_to", "1767225600123");
-        codec::ready(&mut bytes);
+        codec::write_parameter_status(&mut bytes, "part", "replica");
+        codec::write_parameter_status(&mut bytes, "caught_up_to", "1767225600123");
+        codec::write_ready_for_query(&mut bytes);
         prop_assert_eq!(host.attempt_progress(), AttemptProgress::PartiallyWritten);
         host.out.flush(&mut Vec::new()).expect("written");
         let whole = cut >= bytes.len();
@@ -216,12 +216,12 @@
         prop_assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
         let (mut bytes, value) = (Vec::new(), vec![7; length]);
-        codec::frame(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-        codec::frame(&mut bytes, b'D', &[&[0, 1][..], &(length as u32).to_be_bytes(), &value].concat());
-        codec::frame(&mut bytes, b'C', b"SELECT 1\0");
+        codec::write_message(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+        codec::write_message(&mut bytes, b'D', &[&[0, 1][..], &(length as u32).to_be_bytes(), &value].concat());
+        codec::write_message(&mut bytes, b'C', b"SELECT 1\0");
         let shown = bytes.len();
-        codec::parameter(&mut bytes, "part", "replica");
-        codec::ready(&mut bytes);
+        codec::write_parameter_status(&mut bytes, "part", "replica");
+        codec::write_ready_for_query(&mut bytes);
         let until = lost.map_or(bytes.len(), |part| (part * shown as f64) as usize);
         let (mut rest, mut seen, mut flowed, mut ended) = (&bytes[..until], Vec::new(), false, None);
         for cut in cuts.iter().cycle() {
@@ -261,10 +261,10 @@
         bytes.extend([0, 0, 0, 8, 4, 210, 22, 47]);
         ends.push(bytes.len());
     }
-    codec::startup(&mut bytes, "app", "shop");
+    codec::write_startup_packet(&mut bytes, "app", "shop");
     ends.push(bytes.len());
     for (tag, length) in commands {
-        codec::frame(&mut bytes, *tag, &vec![b'x'; *length]);
+        codec::write_message(&mut bytes, *tag, &vec![b'x'; *length]);
         ends.push(bytes.len());
     }
     (bytes, ends)
@@ -286,7 +286,7 @@
         single in any::<bool>(),
     ) {
         let (bytes, ends) = spoken(encrypted, &commands);
-        let (mut inbox, mut stamps, mut now) = (TimedInbox::default(), Vec::new(), Micros(50));
+        let (mut inbox, mut stamps, mut now) = (TimedReceiveBuffer::default(), Vec::new(), Micros(50));
         let (mut taken, mut pieces) = (0, pieces.iter().cycle());
         let startups = 1 + usize::from(encrypted);
         while stamps.len() < bytes.len() || taken < ends.len() {
@@ -302,12 +302,12 @@
             for _ in 0..takes {
                 let arrived = inbox.arrivals().front().map(|first| first.0);
                 if taken < startups {
-                    match inbox.startup().expect("a startup") {
+                    match inbox.next_startup_packet().expect("a startup") {
                         Some(_) => prop_assert_eq!(arrived, Some(stamps[ends[taken] - 1])),
                         None => break,
                     }
                 } else {
-                    match inbox.frame(1000).expect("framed") {
+                    match inbox.next_message(1000).expect("framed") {
                         Some((_, arrived)) => prop_assert_eq!(arrived, stamps[ends[taken] - 1]),
                         None => break,
                     }
@@ -382,7 +382,7 @@
 fn what_was_told_no_arrival_of_counts_as_having_arrived_now() {
     let mut bytes = Vec::new();
     for text in ["one", "two", "three"] {
-        codec::query(&mut bytes, text);
+        codec::write_query(&mut bytes, text);
     }
     let now = Micros(1000);
     for (told, arrived) in [
@@ -413,9 +413,9 @@
 /// pieces of a message, and one entry for each that is whole.
 #[test]
 fn pieces_of_a_byte_each_leave_nothing_but_whole_messages() {
-    let mut inbox = TimedInbox::resume(true, &[], &[], Micros(0));
+    let mut inbox = TimedReceiveBuffer::resume(true, &[], &[], Micros(0));
     let mut bytes = Vec::new();
-    codec::query(&mut bytes, &"x".repeat(100_000));
+    codec::write_query(&mut bytes, &"x".repeat(100_000));
     for round in 1..=2 {
         for (at, byte) in bytes.iter().enumerate() {
             assert_eq!(inbox.arrivals().len(), round - 1, "{at}");
@@ -432,7 +432,7 @@
         let mut host = welcomed();
         assert!(host.send_query("q"));
         let mut bytes = Vec::new();
-        codec::frame(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+        codec::write_message(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
         bytes.push(b'D');
         bytes.extend([&row.to_be_bytes()[..], &[0, 1], &value.to_be_bytes(), &[7; 100]].concat());
         host.receive(&bytes);
@@ -443,9 +443,9 @@
 
 fn welcomed() -> HostConnection {
     let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
-    codec::frame(&mut bytes, b'R', &[0; 4]);
-    codec::parameter(&mut bytes, "server_version", "15");
-    codec::ready(&mut bytes);
+    codec::write_message(&mut bytes, b'R', &[0; 4]);
+    codec::write_parameter_status(&mut bytes, "server_version", "15");
+    codec::write_ready_for_query(&mut bytes);
     host.receive(&bytes);
     assert!(!host.send_query("before the startup is written"));
     assert_eq!(host.next_event(), Some(HostEvent::Ready));
@@ -458,7 +458,7 @@
 fn lengths_that_cannot_be_close_the_connection() {
     for length in [u32::MAX, 0, 3, codec::MAX_MESSAGE as u32 + 1] {
         let (mut client, mut bytes) = (ClientConnection::default(), Vec::new());
-        codec::startup(&mut bytes, "app", "shop");
+        codec::write_startup_packet(&mut bytes, "app", "shop");
         bytes.push(b'Q');
         bytes.extend_from_slice(&length.to_be_bytes());
         client.receive(&bytes, Micros(0));
@@ -474,9 +474,9 @@
 fn a_refusal_tells_when_to_come_back() {
     let mut client = ClientConnection::default();
     client.reject(Some(Micros(1_500)));
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     inbox.push(&client.out.bytes);
-    let refusal = inbox.frame().expect("framed").expect("whole");
+    let refusal = inbox.next_message().expect("framed").expect("whole");
     assert_eq!(codec::error_field(&refusal.body, b'C'), Some("53300"));
     assert_eq!(codec::error_field(&refusal.body, b'D'), Some("2"));
 }
@@ -485,7 +485,7 @@
 #[test]
 fn a_host_may_turn_the_connection_away() {
     let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
-    codec::error(&mut bytes, "FATAL", "53300", "too many connections", None);
+    codec::write_error_response(&mut bytes, "FATAL", "53300", "too many connections", None);
     host.receive(&bytes);
     assert_eq!(host.next_event(), Some(HostEvent::StartupRejected("53300".into())));
     assert!(!host.send_query("q") && host.handle_end().is_none());
@@ -495,7 +495,7 @@
 #[test]
 fn an_answer_without_a_question_is_nonsense() {
     let (mut host, mut bytes) = (welcomed(), Vec::new());
-    codec::frame(&mut bytes, b'C', b"SELECT 1\0");
+    codec::write_message(&mut bytes, b'C', b"SELECT 1\0");
     host.receive(&bytes);
     assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation));
     assert!(!host.is_idle());
@@ -507,7 +507,7 @@
     let (mut host, mut bytes) = (welcomed(), Vec::new());
     assert!(host.send_query("q"));
     host.out.flush(&mut Vec::new()).expect("written");
-    codec::frame(&mut bytes, b'?', &[]);
+    codec::write_message(&mut bytes, b'?', &[]);
     host.receive(&bytes);
     assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation));
     assert_eq!(host.attempt_progress(), AttemptProgress::FullyWritten);
@@ -578,7 +578,7 @@
 fn answer(parts: &[Part]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (tag, body) in parts {
-        codec::frame(&mut bytes, *tag, body);
+        codec::write_message(&mut bytes, *tag, body);
     }
     bytes
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use dunemount::pg::codec::{self, CancelKey, Inbox};
+use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
 use harness::{figure, listens, listing, read, tell, write, Talk};
 use serde_json::{json, Value};
@@ -58,7 +58,7 @@
     assert!(link.asked().expect("an attempt").contains("'gone'"));
     // More than is held, so that the rest is not read; the end lies behind it in the gateway's socket.
     let mut flood = Vec::new();
-    codec::query(&mut flood, &"y".repeat(80_000));
+    codec::write_query(&mut flood, &"y".repeat(80_000));
     client.socket.write_all(&flood.repeat(3)).expect("written");
     leave(client);
     // The attempt is called off at the sight of the end: the host sees its connection end before it has said a word.
@@ -148,9 +148,9 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a socket");
     socket.connect(&harness.address.into()).expect("accepted");
-    let mut client = Talk { socket: socket.into(), inbox: Inbox::default() };
+    let mut client = Talk { socket: socket.into(), inbox: ReceiveBuffer::default() };
     let mut hello = Vec::new();
-    codec::startup(&mut hello, "app", "shop");
+    codec::write_startup_packet(&mut hello, "app", "shop");
     client.socket.write_all(&hello).expect("written");
     assert_eq!(client.answer().pop().map(|frame| frame.tag), Some(b'Z'));
     client.ask(&read("large"));
@@ -166,15 +166,19 @@
     }
     let value = vec![7; 60_000];
     let mut out = Vec::new();
-    codec::frame(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-    codec::frame(&mut out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat());
-    codec::frame(&mut out, b'C', b"SELECT 1\0");
-    codec::ready(&mut out);
+    codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+    codec::write_message(
+        &mut out,
+        b'D',
+        &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat(),
+    );
+    codec::write_message(&mut out, b'C', b"SELECT 1\0");
+    codec::write_ready_for_query(&mut out);
     link.say(&out);
     harness.gateway.join().expect("it ends by itself");
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
-    assert_eq!(codec::only_column(&answer[1].body), Some(&value[..]));
+    assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
     // What crossed the close was not taken: the end comes in order, and no attempt was made of it.
     assert_eq!(client.answer().len(), 0);
     assert!(link.asked().is_none_or(|text| !text.contains("too-late")));
@@ -198,7 +202,7 @@
     let mut sender = client.socket.try_clone().expect("a socket");
     let more = std::thread::spawn(move || {
         let mut bytes = Vec::new();
-        codec::query(
+        codec::write_query(
             &mut bytes,
             "SELECT doc FROM items WHERE id = 'more' /* id=more,c=look,d=30000,cluster=1 */",
         );
@@ -289,14 +293,17 @@
         assert!(asked.contains("index=4&wait="), "{asked}");
         match way {
             "silent" | "late" => {}
-            "reset" => Link { socket: watch.try_clone().expect("a socket"), inbox: Inbox::default() }.reset(),
+            "reset" => {
+                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }.reset()
+            }
             "cut" => watch
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":9,")
                 .expect("written"),
             "unsaid" => {
                 let text = body(&list);
                 watch.write_all(&text.as_bytes()[..text.len() - 1]).expect("written");
-                Link { socket: watch.try_clone().expect("a socket"), inbox: Inbox::default() }.reset();
+                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }
+                    .reset();
             }
             _ => watch.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("written"),
         }
@@ -419,10 +426,14 @@
     link.asked().expect("an attempt");
     let value = vec![7; 200_000];
     let mut out = Vec::new();
-    codec::frame(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-    codec::frame(&mut out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat());
-    codec::frame(&mut out, b'C', b"SELECT 1\0");
-    codec::ready(&mut out);
+    codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+    codec::write_message(
+        &mut out,
+        b'D',
+        &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat(),
+    );
+    codec::write_message(&mut out, b'C', b"SELECT 1\0");
+    codec::write_ready_for_query(&mut out);
     let (half, rest) = out.split_at(100_000);
     link.say(half);
     let mut first = [0; 1000];
@@ -432,7 +443,7 @@
     link.say(rest);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
-    assert_eq!(codec::only_column(&answer[1].body), Some(&value[..]));
+    assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
     assert_eq!(figure(harness.admin, "responses.look.ok"), 1);
     harness.end();
 }
@@ -445,7 +456,7 @@
     let harness = gateway(&[&host], 1);
     let mut floods: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
     let mut flood = Vec::new();
-    codec::query(&mut flood, &"y".repeat(64 * 1024));
+    codec::write_query(&mut flood, &"y".repeat(64 * 1024));
     let mut held = Vec::new();
     for talk in &mut floods {
         talk.ask(&read("flood"));
@@ -461,7 +472,7 @@
     }
     let mut slow = harness.client();
     let mut bytes = Vec::new();
-    codec::query(&mut bytes, &read("slow"));
+    codec::write_query(&mut bytes, &read("slow"));
     for byte in bytes {
         slow.socket.write_all(&[byte]).expect("written");
     }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -21,7 +21,7 @@
 use dunemount::net::discovery::Directory;
 use dunemount::pg::client::{ClientConnection, ClientRequest};
 use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
-use dunemount::pg::timed_inbox::Arrival;
+use dunemount::pg::timed_buffer::Arrival;
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
@@ -229,7 +229,7 @@
 /// A startup packet of this protocol version.
 fn startup(version: u32) -> Vec<u8> {
     let mut packet = Vec::new();
-    codec::startup(&mut packet, "app", "shop");
+    codec::write_startup_packet(&mut packet, "app", "shop");
     packet[4..8].copy_from_slice(&version.to_be_bytes());
     packet
 }
@@ -253,7 +253,7 @@
 
 fn framed(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    codec::frame(&mut bytes, tag, body);
+    codec::write_message(&mut bytes, tag, body);
     bytes
 }
 
@@ -276,7 +276,7 @@
         assert_bytes(name, &said);
     }
     let mut bytes = Vec::new();
-    codec::cancel(&mut bytes, KEY);
+    codec::write_cancel_request(&mut bytes, KEY);
     assert_bytes("cancel-request-v1.bin", &bytes);
     assert_eq!(said_to(&bytes), (Vec::new(), Some(ClientRequest::Cancel(KEY))));
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -29,7 +29,7 @@
     for (length, text) in texts {
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
-        assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(length));
+        assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(length));
         let heard = harness.heard.recv().expect("heard");
         let (before, after) = text.split_once("d=30000").expect("a wait");
         assert!(heard.starts_with(before) && heard.ends_with(after), "{heard}");
@@ -46,7 +46,7 @@
         client.ask(&read("huge"));
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
-        assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(1024 * 1024));
+        assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(1024 * 1024));
     }
     harness.end();
 }
@@ -68,7 +68,7 @@
     client.inbox.push(&first);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
-    assert_eq!(codec::only_column(&answer[1].body).map(<[u8]>::len), Some(1 << 20));
+    assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(1 << 20));
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
     assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
@@ -141,9 +141,9 @@
     assert_eq!(client.answer().len(), 4);
     for _ in 0..6 {
         client.ask(&read("doubled"));
-        assert_eq!(codec::only_column(&client.answer()[1].body).map(<[u8]>::len), Some(3));
+        assert_eq!(codec::single_column_value(&client.answer()[1].body).map(<[u8]>::len), Some(3));
         client.ask(&read("large"));
-        assert_eq!(codec::only_column(&client.answer()[1].body).map(<[u8]>::len), Some(64 * 1024));
+        assert_eq!(codec::single_column_value(&client.answer()[1].body).map(<[u8]>::len), Some(64 * 1024));
     }
     harness.end();
 }
@@ -439,15 +439,15 @@
         assert!(long.len() > WHOLE, "the value is long");
         client.ask(&long);
         let (mut host, _) = slow.accept().expect("a dial");
-        let mut inbox = codec::Inbox::default();
+        let mut inbox = codec::ReceiveBuffer::default();
         let mut bytes = [0; 4096];
-        while inbox.startup().expect("a startup").is_none() {
+        while inbox.next_startup_packet().expect("a startup").is_none() {
             let count = host.read(&mut bytes).expect("a startup");
             inbox.push(&bytes[..count]);
         }
         let mut welcome = Vec::new();
-        codec::frame(&mut welcome, b'R', &[0; 4]);
-        codec::ready(&mut welcome);
+        codec::write_message(&mut welcome, b'R', &[0; 4]);
+        codec::write_ready_for_query(&mut welcome);
         host.write_all(&welcome).expect("written");
         // The first byte shows that the request is on its way; the rest as far as this run goes.
         let mut begun = vec![0; read_first.max(1)];
@@ -460,11 +460,11 @@
         let query = harness::next_frame(&mut host, &mut inbox).expect("the whole request");
         assert!(query.body.len() > WHOLE);
         let mut answer = Vec::new();
-        codec::frame(&mut answer, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-        codec::frame(&mut answer, b'D', &[0, 1, 0, 0, 0, 1, 7]);
-        codec::frame(&mut answer, b'C', b"INSERT 0 1\0");
-        codec::parameter(&mut answer, "part", "master");
-        codec::ready(&mut answer);
+        codec::write_message(&mut answer, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+        codec::write_message(&mut answer, b'D', &[0, 1, 0, 0, 0, 1, 7]);
+        codec::write_message(&mut answer, b'C', b"INSERT 0 1\0");
+        codec::write_parameter_status(&mut answer, "part", "master");
+        codec::write_ready_for_query(&mut answer);
         host.write_all(&answer).expect("written");
         assert_eq!(client.answer().len(), 4, "served by the host that had begun to get it");
         // Whatever comes now goes elsewhere: this host's connection ends and none is dialled.
--- a/tests/harness/family.rs
+++ b/tests/harness/family.rs
@@ -146,10 +146,10 @@
 /// An answer with an error, role and position.
 fn refusal(code: &str, role: &str, position_ms: u64) -> Vec<u8> {
     let mut out = Vec::new();
-    codec::error(&mut out, "ERROR", code, "not now", None);
-    codec::parameter(&mut out, "part", role);
-    codec::parameter(&mut out, "caught_up_to", &position_ms.to_string());
-    codec::ready(&mut out);
+    codec::write_error_response(&mut out, "ERROR", code, "not now", None);
+    codec::write_parameter_status(&mut out, "part", role);
+    codec::write_parameter_status(&mut out, "caught_up_to", &position_ms.to_string());
+    codec::write_ready_for_query(&mut out);
     out
 }
 
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -18,7 +18,7 @@
 use dunemount::config::ActiveConfig;
 use dunemount::hot_restart::handover_socket::HandoverState;
 use dunemount::net::event_loop::{Config, Gateway, Signals};
-use dunemount::pg::codec::{self, Frame, Inbox};
+use dunemount::pg::codec::{self, Message, ReceiveBuffer};
 use dunemount::settings::Zones;
 use dunemount_rollout::version::Document;
 use serde_json::{json, Value};
@@ -67,10 +67,10 @@
 }
 
 /// Reads the next message, or `None` at the end of the connection.
-pub fn next_frame(socket: &mut TcpStream, inbox: &mut Inbox) -> Option<Frame> {
+pub fn next_frame(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> Option<Message> {
     let mut bytes = [0; 4096];
     loop {
-        if let Some(frame) = inbox.frame_within(|_| usize::MAX).expect("well framed") {
+        if let Some(frame) = inbox.next_message_within(|_| usize::MAX).expect("well framed") {
             return Some(frame);
         }
         match socket.read(&mut bytes) {
@@ -103,9 +103,9 @@
 }
 
 fn host_session(index: u8, mut socket: TcpStream, mood: &Mood, heard: &Sender<String>) {
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     let mut bytes = [0; 4096];
-    while inbox.startup().expect("a startup").is_none() {
+    while inbox.next_startup_packet().expect("a startup").is_none() {
         let count = socket.read(&mut bytes).unwrap_or(0);
         inbox.push(&bytes[..count]);
     }
@@ -122,8 +122,8 @@
         socket.set_nonblocking(false).expect("a socket");
     }
     let mut out = Vec::new();
-    codec::frame(&mut out, b'R', &[0; 4]);
-    codec::ready(&mut out);
+    codec::write_message(&mut out, b'R', &[0; 4]);
+    codec::write_ready_for_query(&mut out);
     while socket.write_all(&out).is_ok() {
         let Some(query) = next_frame(&mut socket, &mut inbox) else { return };
         let text = String::from_utf8_lossy(&query.body).trim_end_matches('\0').to_string();
@@ -143,7 +143,7 @@
         }
         out.clear();
         if text.contains("'never'") {
-            codec::error(&mut out, "ERROR", "XX000", "internal", None);
+            codec::write_error_response(&mut out, "ERROR", "XX000", "internal", None);
         } else {
             let value: &[u8] = match text.split('\'').nth(1) {
                 // Who it was, of a primary and two replicas that are far behind.
@@ -152,13 +152,13 @@
                 Some("huge") => &[7; 1024 * 1024],
                 _ => b"\x01\x00\xff",
             };
-            codec::frame(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+            codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
             let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
             if text.contains("'parted'") || text.contains("'torn'") {
                 // The first half of a long row comes at once, the rest when the test says so, or never.
                 let long = [&[0, 1, 0, 0x10, 0, 0][..], &[7; 1 << 20]].concat();
                 let mut row = Vec::new();
-                codec::frame(&mut row, b'D', &long);
+                codec::write_message(&mut row, b'D', &long);
                 let (half, rest) = row.split_at(row.len() / 2);
                 out.extend_from_slice(half);
                 let _ = socket.write_all(&out);
@@ -169,21 +169,25 @@
                     return;
                 }
                 out = rest.to_vec();
-                codec::frame(&mut out, b'C', b"SELECT 1\0");
-                codec::ready(&mut out);
+                codec::write_message(&mut out, b'C', b"SELECT 1\0");
+                codec::write_ready_for_query(&mut out);
                 continue;
             }
-            codec::frame(&mut out, if spoilt { b'?' } else { b'D' }, &row);
-            codec::frame(&mut out, b'C', b"SELECT 1\0");
+            codec::write_message(&mut out, if spoilt { b'?' } else { b'D' }, &row);
+            codec::write_message(&mut out, b'C', b"SELECT 1\0");
             let who = text.contains("'who");
-            codec::parameter(&mut out, "part", if who && index > 0 { "replica" } else { "master" });
+            codec::write_parameter_status(
+                &mut out,
+                "part",
+                if who && index > 0 { "replica" } else { "master" },
+            );
             if who {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
                 let position = if index > 0 { now - 20_000 } else { now };
-                codec::parameter(&mut out, "caught_up_to", &position.to_string());
+                codec::write_parameter_status(&mut out, "caught_up_to", &position.to_string());
             }
         }
-        codec::ready(&mut out);
+        codec::write_ready_for_query(&mut out);
         if text.contains("'doubled'") {
             out.extend_from_within(..);
         }
@@ -316,7 +320,7 @@
 
 pub struct Talk {
     pub socket: TcpStream,
-    pub inbox: Inbox,
+    pub inbox: ReceiveBuffer,
 }
 
 impl Talk {
@@ -324,21 +328,21 @@
     pub fn to(address: SocketAddr) -> Talk {
         let mut socket = TcpStream::connect(address).expect("accepted");
         let mut hello = Vec::new();
-        codec::startup(&mut hello, "app", "shop");
+        codec::write_startup_packet(&mut hello, "app", "shop");
         socket.write_all(&hello).expect("written");
-        let mut talk = Talk { socket, inbox: Inbox::default() };
+        let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
         assert_eq!(talk.answer().pop().map(|frame| frame.tag), Some(b'Z'));
         talk
     }
 
     pub fn ask(&mut self, text: &str) {
         let mut bytes = Vec::new();
-        codec::query(&mut bytes, text);
+        codec::write_query(&mut bytes, text);
         self.socket.write_all(&bytes).expect("written");
     }
 
     /// The messages up to the next ReadyForQuery, that included, or to the end.
-    pub fn answer(&mut self) -> Vec<Frame> {
+    pub fn answer(&mut self) -> Vec<Message> {
         let mut frames = Vec::new();
         while let Some(frame) = next_frame(&mut self.socket, &mut self.inbox) {
             let last = frame.tag == b'Z';
--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -9,7 +9,7 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-use dunemount::pg::codec::{self, Inbox};
+use dunemount::pg::codec::{self, ReceiveBuffer};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
@@ -212,9 +212,9 @@
     pub fn client(&self) -> Talk {
         loop {
             let socket = TcpStream::connect(self.address).expect("it listens");
-            let mut talk = Talk { socket, inbox: Inbox::default() };
+            let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
             let mut hello = Vec::new();
-            codec::startup(&mut hello, "app", "shop");
+            codec::write_startup_packet(&mut hello, "app", "shop");
             talk.socket.write_all(&hello).expect("written");
             if talk.answer().pop().is_some_and(|frame| frame.tag == b'Z') {
                 return talk;
@@ -225,10 +225,10 @@
     /// A client that has sent its greeting and an empty query, and has read nothing yet.
     pub fn greeting_unread(&self) -> Talk {
         let socket = TcpStream::connect(self.address).expect("accepted by the system");
-        let mut talk = Talk { socket, inbox: Inbox::default() };
+        let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
         let mut hello = Vec::new();
-        codec::startup(&mut hello, "app", "shop");
-        codec::query(&mut hello, "");
+        codec::write_startup_packet(&mut hello, "app", "shop");
+        codec::write_query(&mut hello, "");
         talk.socket.write_all(&hello).expect("written");
         talk
     }
--- a/tests/harness/stage.rs
+++ b/tests/harness/stage.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-use dunemount::pg::codec::{self, CancelKey, Inbox};
+use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use socket2::SockRef;
 
 use super::{listing, local, next_frame, Harness, Talk};
@@ -17,7 +17,7 @@
 /// A connection of the gateway to such a host.
 pub struct Link {
     pub socket: TcpStream,
-    pub inbox: Inbox,
+    pub inbox: ReceiveBuffer,
 }
 
 impl Host {
@@ -32,8 +32,8 @@
     /// The gateway's next connection, not greeted yet.
     pub fn dialled(&self) -> Link {
         let (mut socket, _) = self.listener.accept().expect("dialled");
-        let (mut inbox, mut bytes) = (Inbox::default(), [0; 4096]);
-        while inbox.startup().expect("a startup").is_none() {
+        let (mut inbox, mut bytes) = (ReceiveBuffer::default(), [0; 4096]);
+        while inbox.next_startup_packet().expect("a startup").is_none() {
             let count = socket.read(&mut bytes).expect("a startup");
             inbox.push(&bytes[..count]);
         }
@@ -61,22 +61,22 @@
 /// An answer in one row of this value, with role and position.
 pub fn answer_with(value: &[u8], role: &str, position: Option<u64>) -> Vec<u8> {
     let mut out = Vec::new();
-    codec::frame(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-    codec::frame(&mut out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
-    codec::frame(&mut out, b'C', b"SELECT 1\0");
-    codec::parameter(&mut out, "part", role);
+    codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+    codec::write_message(&mut out, b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
+    codec::write_message(&mut out, b'C', b"SELECT 1\0");
+    codec::write_parameter_status(&mut out, "part", role);
     if let Some(position) = position {
-        codec::parameter(&mut out, "caught_up_to", &position.to_string());
+        codec::write_parameter_status(&mut out, "caught_up_to", &position.to_string());
     }
-    codec::ready(&mut out);
+    codec::write_ready_for_query(&mut out);
     out
 }
 
 impl Link {
     pub fn greet(&mut self) {
         let mut out = Vec::new();
-        codec::frame(&mut out, b'R', &[0; 4]);
-        codec::ready(&mut out);
+        codec::write_message(&mut out, b'R', &[0; 4]);
+        codec::write_ready_for_query(&mut out);
         self.socket.write_all(&out).expect("written");
     }
 
@@ -107,9 +107,9 @@
 pub fn with_key(harness: &Harness) -> (Talk, CancelKey) {
     let mut socket = TcpStream::connect(harness.address).expect("accepted");
     let mut hello = Vec::new();
-    codec::startup(&mut hello, "app", "shop");
+    codec::write_startup_packet(&mut hello, "app", "shop");
     socket.write_all(&hello).expect("written");
-    let mut talk = Talk { socket, inbox: Inbox::default() };
+    let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
     let greeting = talk.answer();
     let key = greeting.iter().find(|frame| frame.tag == b'K').expect("a key");
     let word = |at: usize| u32::from_be_bytes(key.body[at..at + 4].try_into().expect("four bytes"));
@@ -120,7 +120,7 @@
 pub fn cancel(address: SocketAddr, key: CancelKey) {
     let mut socket = TcpStream::connect(address).expect("accepted");
     let mut bytes = Vec::new();
-    codec::cancel(&mut bytes, key);
+    codec::write_cancel_request(&mut bytes, key);
     socket.write_all(&bytes).expect("written");
     let mut said = Vec::new();
     socket.read_to_end(&mut said).expect("closed in order");
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -36,7 +36,7 @@
 /// These commands as they go on the wire.
 fn commands(texts: impl IntoIterator<Item = String>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    texts.into_iter().for_each(|text| codec::query(&mut bytes, &text));
+    texts.into_iter().for_each(|text| codec::write_query(&mut bytes, &text));
     bytes
 }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -101,14 +101,14 @@
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("left", 200, place, listing(&[host.address()]));
     let mut whole = Vec::new();
-    codec::query(&mut whole, &read("gone"));
+    codec::write_query(&mut whole, &read("gone"));
     let half = whole[..whole.len() - 1].to_vec();
     let mut flood = whole.clone();
     // More than a turn reads, less than a message may have: the end lies behind it.
-    codec::query(&mut flood, &"x".repeat(100_000));
+    codec::write_query(&mut flood, &"x".repeat(100_000));
     for bytes in [whole, half, flood] {
         let mut hello = Vec::new();
-        codec::startup(&mut hello, "app", "shop");
+        codec::write_startup_packet(&mut hello, "app", "shop");
         hello.extend_from_slice(&bytes);
         // Stopped, it cannot look between the bytes and the end behind them.
         gateway.signal(Signal::STOP);
@@ -285,9 +285,9 @@
     }
     let mut waiting = TcpStream::connect(gateway.address).expect("accepted by the system");
     let mut bytes = Vec::new();
-    codec::startup(&mut bytes, "app", "shop");
+    codec::write_startup_packet(&mut bytes, "app", "shop");
     let text = "SELECT doc FROM items WHERE id = 'k' /* id=waited,c=look,d=1500,cluster=1 */";
-    codec::query(&mut bytes, text);
+    codec::write_query(&mut bytes, text);
     waiting.write_all(&bytes).expect("written");
     std::thread::sleep(WAIT);
     drop(held);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use dunemount::pg::codec::{self, Inbox};
+use dunemount::pg::codec::{self, ReceiveBuffer};
 use harness::process::{Faults, Start};
 use harness::stage::{answer, Host, Link};
 use harness::{listing, local, next_frame, settings};
@@ -126,17 +126,17 @@
             let Ok((socket, _)) = host.listener.accept() else { return };
             let record = record.clone();
             std::thread::spawn(move || {
-                let mut link = Link { socket, inbox: Inbox::default() };
+                let mut link = Link { socket, inbox: ReceiveBuffer::default() };
                 let mut bytes = [0; 4096];
-                while matches!(link.inbox.startup(), Ok(None)) {
+                while matches!(link.inbox.next_startup_packet(), Ok(None)) {
                     match link.socket.read(&mut bytes) {
                         Ok(count) if count > 0 => link.inbox.push(&bytes[..count]),
                         _ => return,
                     }
                 }
                 let mut greeting = Vec::new();
-                codec::frame(&mut greeting, b'R', &[0; 4]);
-                codec::ready(&mut greeting);
+                codec::write_message(&mut greeting, b'R', &[0; 4]);
+                codec::write_ready_for_query(&mut greeting);
                 if link.socket.write_all(&greeting).is_ok() {
                     serve(link, &record, primary, &mut Dice::of(seed << 32 | serial));
                 }
@@ -166,9 +166,9 @@
         let hangs = (80..86).contains(&draw);
         match draw {
             _ if writes && !primary => {
-                codec::error(&mut out, "ERROR", "25006", "read only", None);
-                codec::parameter(&mut out, "part", role);
-                codec::ready(&mut out);
+                codec::write_error_response(&mut out, "ERROR", "25006", "read only", None);
+                codec::write_parameter_status(&mut out, "part", role);
+                codec::write_ready_for_query(&mut out);
                 may_have_run = false;
             }
             0..70 => std::thread::sleep(dice.millis(0..25)),
@@ -177,12 +177,12 @@
             90..95 => {
                 // Some fail once a repeat would not be dropped any more.
                 std::thread::sleep(dice.millis(0..700));
-                codec::error(&mut out, "ERROR", "XX000", "internal", None);
-                codec::ready(&mut out);
+                codec::write_error_response(&mut out, "ERROR", "XX000", "internal", None);
+                codec::write_ready_for_query(&mut out);
             }
             _ => {
-                codec::error(&mut out, "ERROR", "53300", "full", None);
-                codec::ready(&mut out);
+                codec::write_error_response(&mut out, "ERROR", "53300", "full", None);
+                codec::write_ready_for_query(&mut out);
                 may_have_run = false;
             }
         }
@@ -213,10 +213,10 @@
             continue;
         };
         let mut hello = Vec::new();
-        codec::startup(&mut hello, "app", "shop");
+        codec::write_startup_packet(&mut hello, "app", "shop");
         socket.set_nodelay(true).expect("a socket");
         socket.set_read_timeout(Some(Duration::from_secs(3))).expect("a socket");
-        let mut inbox = Inbox::default();
+        let mut inbox = ReceiveBuffer::default();
         let mut used = Instant::now();
         // Some write their first query straight after the startup.
         if dice.in_hundred(40) {
@@ -238,7 +238,7 @@
 }
 
 /// The tag of the last message before the next request may be sent; none at the connection's end.
-fn last_tag(socket: &mut TcpStream, inbox: &mut Inbox) -> Option<u8> {
+fn last_tag(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> Option<u8> {
     loop {
         let frame = next_frame(socket, inbox)?;
         if frame.tag == b'Z' {
@@ -251,7 +251,7 @@
 fn ask(
     record: &Record,
     socket: &mut TcpStream,
-    inbox: &mut Inbox,
+    inbox: &mut ReceiveBuffer,
     dice: &mut Dice,
     used: Instant,
     mut bytes: Vec<u8>,
@@ -269,7 +269,7 @@
             "once" => format!("INSERT INTO items (id, doc) VALUES ('s{id}', '\\x9f') RETURNING doc {comment}"),
             _ => format!("SELECT doc FROM items WHERE id = 's{id}' {comment}"),
         };
-        codec::query(&mut bytes, &text);
+        codec::write_query(&mut bytes, &text);
         ids.push((id, class, Duration::from_millis(wait), index > 0));
     }
     let (sent, idle) = (Instant::now(), used.elapsed());
@@ -301,10 +301,10 @@
     !leaves
 }
 
-fn await_answer(socket: &mut TcpStream, inbox: &mut Inbox, until: Instant) -> End {
+fn await_answer(socket: &mut TcpStream, inbox: &mut ReceiveBuffer, until: Instant) -> End {
     let mut bytes = [0; 4096];
     loop {
-        while let Some(frame) = inbox.frame_within(|_| usize::MAX).expect("well framed") {
+        while let Some(frame) = inbox.next_message_within(|_| usize::MAX).expect("well framed") {
             if frame.tag == b'Z' {
                 return End::Answered(Instant::now());
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -12,7 +12,7 @@
 use dunemount::hot_restart::handover_socket::{self, HandoverSocket};
 use dunemount::hot_restart::message::Message;
 use dunemount::pg::codec::CancelKey;
-use dunemount::pg::timed_inbox::Arrival;
+use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
 use harness::{figure, get, order, read, write, Harness};
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 
 use dunemount::net::discovery::Watch;
-use dunemount::pg::codec::{self, CancelKey, Inbox, Startup};
+use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer, StartupPacket};
 use dunemount::pg::host::HostConnection;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
@@ -35,8 +35,8 @@
 fn record(mut socket: TcpStream, received: &Sender<Vec<u8>>) -> Option<()> {
     received.send(read_message(&mut socket, 0)?).ok()?;
     let mut reply = Vec::new();
-    codec::frame(&mut reply, b'R', &[0; 4]);
-    codec::ready(&mut reply);
+    codec::write_message(&mut reply, b'R', &[0; 4]);
+    codec::write_ready_for_query(&mut reply);
     loop {
         socket.write_all(&reply).ok()?;
         let query = read_message(&mut socket, 1)?;
@@ -44,11 +44,11 @@
         received.send(query).ok()?;
         reply.clear();
         if !is_to_stay_open {
-            codec::frame(&mut reply, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
-            codec::frame(&mut reply, b'D', b"\0\x01\0\0\0\x01\x2a");
-            codec::frame(&mut reply, b'C', b"SELECT 1\0");
-            codec::parameter(&mut reply, "part", "master");
-            codec::ready(&mut reply);
+            codec::write_message(&mut reply, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
+            codec::write_message(&mut reply, b'D', b"\0\x01\0\0\0\x01\x2a");
+            codec::write_message(&mut reply, b'C', b"SELECT 1\0");
+            codec::write_parameter_status(&mut reply, "part", "master");
+            codec::write_ready_for_query(&mut reply);
         }
     }
 }
@@ -90,9 +90,9 @@
 
 /// The text of a Query message, once its type and its length are what they are to be.
 fn query_text(message: &[u8]) -> &str {
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     inbox.push(message);
-    let frame = inbox.frame().expect("well framed").expect("a whole message");
+    let frame = inbox.next_message().expect("well framed").expect("a whole message");
     assert!(frame.tag == b'Q' && inbox.is_empty() && frame.body.ends_with(&[0]));
     std::str::from_utf8(&message[5..message.len() - 1]).expect("text")
 }
@@ -113,9 +113,9 @@
 #[test]
 fn a_connection_begins_with_the_startup_packet() {
     let fixture = include_bytes!("fixtures/host-startup-v1.bin");
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     inbox.push(fixture);
-    assert_eq!(inbox.startup(), Ok(Some(Startup::Session(3, 0))));
+    assert_eq!(inbox.next_startup_packet(), Ok(Some(StartupPacket::Session(3, 0))));
     assert!(inbox.is_empty());
     assert_eq!(&fixture[8..], b"user\0app\0database\0shop\0\0");
     assert_eq!(HostConnection::default().out.bytes, fixture);
@@ -135,8 +135,8 @@
         let mut host = HostConnection::default();
         host.out.flush(&mut std::io::sink()).expect("a sink takes all");
         let mut greeting = Vec::new();
-        codec::frame(&mut greeting, b'R', &[0; 4]);
-        codec::ready(&mut greeting);
+        codec::write_message(&mut greeting, b'R', &[0; 4]);
+        codec::write_ready_for_query(&mut greeting);
         host.receive(&greeting);
         assert!(host.next_event().is_some());
         let forwarded = Statement::parse(statement.to_string()).expect("a statement").with_wait(time_left);
@@ -180,11 +180,11 @@
 fn a_cancel_request_carries_code_process_and_secret() {
     let fixture = include_bytes!("fixtures/cancel-request-to-host-v1.bin");
     let key = CancelKey { process: 0x0102_0304, secret: 0xa1b2_c3d4 };
-    let mut inbox = Inbox::default();
+    let mut inbox = ReceiveBuffer::default();
     inbox.push(fixture);
-    assert_eq!(inbox.startup(), Ok(Some(Startup::Cancel(key))));
+    assert_eq!(inbox.next_startup_packet(), Ok(Some(StartupPacket::CancelRequest(key))));
     let mut out = Vec::new();
-    codec::cancel(&mut out, key);
+    codec::write_cancel_request(&mut out, key);
     assert_eq!(out, fixture);
 }
 
