--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -207,12 +207,12 @@
 #[test]
 fn calls_to_discovery_are_these_requests() {
     let grace = Micros::millis(1000);
-    let mut rejected = Watch::from(Some(41));
-    rejected.failed(dunemount::net::discovery::Failed::Empty, 1, grace, Micros(0), 0.5);
+    let mut rejected = Watch::from_version(Some(41));
+    rejected.on_call_failed(dunemount::net::discovery::CallFailure::Rejected, 1, grace, Micros(0), 0.5);
     let cases: [(Watch, &[u8], &str); 3] = [
-        (Watch::from(None), include_bytes!("fixtures/discovery-poll-v1.http"), "/catalog/members"),
+        (Watch::from_version(None), include_bytes!("fixtures/discovery-poll-v1.http"), "/catalog/members"),
         (
-            Watch::from(Some(41)),
+            Watch::from_version(Some(41)),
             include_bytes!("fixtures/discovery-watch-v1.http"),
             "/catalog/members?index=41&wait=2000",
         ),
@@ -227,7 +227,7 @@
         assert_eq!(found, path);
         let expected = [("Host", DISCOVERY), ("Accept", "application/json")];
         assert_eq!(headers, expected.map(|(name, value)| (name.to_string(), value.to_string())));
-        assert_eq!(watch.call(DISCOVERY).as_bytes(), fixture);
+        assert_eq!(watch.next_request(DISCOVERY).as_bytes(), fixture);
     }
 }
 
