--- a/src/balance.rs
+++ b/src/balance.rs
@@ -156,7 +156,7 @@
         if self.settings.replica_checks == ReplicaChecks::Reject
             && settings.replica_checks == ReplicaChecks::None
         {
-            // What a member that checked has served tells no position that counts where none checks.
+            // What a member that checked reads has served shows no position that counts where none checks.
             self.members.values_mut().for_each(|member| member.log.forget_position());
         }
         self.settings = settings;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Takes one event at `now` and appends what the driver must do, in order.
+    /// Handles one event at `now` and appends what the caller must do, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.next_sweep == Micros(0) {
             self.refreshed_at = now;
--- a/src/balance/group.rs
+++ b/src/balance/group.rs
@@ -4,20 +4,20 @@
 use crate::api::*;
 use crate::notice::LogTimeEvidence;
 
-/// Index among a group's members from which one choice looks at them.
+/// The members of a group that one choice looks at: from this index on.
 #[derive(Clone, Copy)]
 pub struct CandidateWindow {
     pub group: GroupId,
     pub start: usize,
 }
 
-/// A family: its members and what counts for all of them.
+/// A group: its members and what counts for all of them.
 #[derive(Default)]
 pub struct Group {
     pub members: Vec<MemberId>,
-    /// Cost served of late, over `Router::served_span`.
+    /// Cost served of late, over the router's `served_span`.
     pub served_cost: f64,
-    /// Members listed as ready.
+    /// Number of members in service.
     pub live_members: f64,
     /// What is proved of the log's time.
     pub log_clock: LogClock,
@@ -27,7 +27,8 @@
     pub forgotten_commit: Micros,
     /// The latest claim to be the primary that nothing newer disproved.
     pub primary: Option<MemberId>,
+    /// When its members were last refreshed; zero if they never were.
     pub refreshed_at: Micros,
-    /// Running share of requests that were given up before anybody was sent them.
+    /// Running share of requests that were given up before they were sent to any member.
     pub queue_drop_rate: f64,
 }
--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -1,25 +1,25 @@
-//! How the time of a family's log stands to the router's own clock.
+//! Bounds of the offset between the clock of a group's log and the router's own clock.
 //!
-//! Positions are times of the databases' clock, and the router's clock runs on its own: what this machine
-//! takes for the time of day may be off, or be stepped, and says nothing. What dates a log is proof that a
-//! primary was at its present between two moments, see [`super::progress`]: each bounds the offset between
-//! the two clocks, and all of them hold.
+//! Positions are times of the databases' clock, and the router's clock runs on its own: this machine's time
+//! of day may be off, or be stepped, and says nothing. What counts is proof that a primary was at its present
+//! between two moments, see [`super::progress`]: each proof bounds the offset between the two clocks, and all
+//! of them hold.
 
 use super::snapshot_format::{DoubtRecord, LogClockRecord, OffsetRecord};
 use crate::api::Micros;
 
-/// Most that two clocks run apart, as a part of the time that goes by: twice the fastest slew of a clock that
-/// is set.
+/// Most that two clocks drift apart, as a part of the time that passes: twice the fastest slew of a clock
+/// that is being set.
 const DRIFT: f64 = 0.001;
 /// Positions are whole milliseconds, rounded down, or up where they are commits.
 pub(super) const ROUNDING: i64 = 1_000;
-/// A router may be held up for so long between reading its clock and what it then reads or writes.
+/// Longest that a router may be held up between reading its clock and what it then reads or writes.
 pub(super) const HOLD: Micros = Micros::millis(150);
 /// How far the time of day of this machine and a position may be apart for the first proof to be enough.
 const PLAUSIBLE: i64 = 1_000_000;
 /// Proofs in a row that agree with each other and with nothing that is known: then the log's time was stepped
-/// back, or what is known came from an answer that was spoilt.
-const CONVINCING: u32 = 3;
+/// back, or what is known came from a corrupt answer.
+const CONVINCING_PROOFS: u32 = 3;
 /// Time over which they have to agree where something else is known.
 const CONVINCING_TIME: Micros = Micros::millis(3_000);
 
@@ -41,8 +41,8 @@
         Offset { at: now, least: -PLAUSIBLE, most: PLAUSIBLE }
     }
 
-    /// The log stood at this position at some time from `since` on, and an answer that says so is here. That
-    /// may have come up to a hold later than the clock shows.
+    /// The log stood at this position at some time from `since` on, by an answer that has been received: up
+    /// to a hold later than the clock shows.
     pub fn between(since: Micros, now: Micros, position: Micros) -> Offset {
         let less = |time: Micros| position.0 as i64 - time.0 as i64;
         Offset { at: now, least: less(now + HOLD) - ROUNDING, most: less(since) + ROUNDING }
@@ -53,7 +53,7 @@
         (self.least, self.most)
     }
 
-    /// How far the log's time may lie below the latest that is reckoned with.
+    /// How far the log's time may lie below the latest that it is taken for.
     pub fn width(self, now: Micros) -> Micros {
         let bounds = self.at(now);
         Micros((bounds.most - bounds.least).max(0) as u64) - HOLD
@@ -65,8 +65,8 @@
         Offset { at: self.at.max(now), least: self.least - drift, most: self.most + drift }
     }
 
-    /// What both say, if they can both be right.
-    pub fn meet(self, other: Offset) -> Option<Offset> {
+    /// The bounds that both allow, if they can both be right.
+    pub fn intersection(self, other: Offset) -> Option<Offset> {
         let at = self.at.max(other.at);
         let (one, two) = (self.at(at), other.at(at));
         let (least, most) = (one.least.max(two.least), one.most.min(two.most));
@@ -80,7 +80,7 @@
         Offset { at, least: one.least.min(two.least), most: one.most.max(two.most) }
     }
 
-    /// The same where the router's clock may have gone wrong by so much either way.
+    /// The same where the router's clock may be off by an error either way.
     fn widened(self, error: Micros) -> Offset {
         let error = error.0 as i64;
         Offset { least: self.least - error, most: self.most + error, ..self }
@@ -117,20 +117,20 @@
     }
 }
 
-/// What a proof changed.
+/// What a proof has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It fits.
+    /// It fits what was known.
     None,
     /// Nothing was known before.
     Learned,
-    /// What was known holds no more.
+    /// What was known no longer holds.
     Stepped,
 }
 
-/// Proofs that agree with each other and do not fit what is known.
+/// Proofs that agree with each other and contradict what is known.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct Contradiction {
     offset: Offset,
     proofs: u32,
     since: Micros,
@@ -140,8 +140,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogClock {
     known: Option<Offset>,
-    /// What the latest proofs say that do not fit.
-    doubt: Option<Doubt>,
+    /// The latest proofs that contradict it.
+    contradiction: Option<Contradiction>,
 }
 
 impl LogClock {
@@ -151,59 +151,60 @@
     }
 
     /// Takes in a proof; `expected` is what is plausible as long as nothing is known.
-    pub fn prove(&mut self, told: Offset, expected: Offset) -> Change {
+    pub fn add_proof(&mut self, proof: Offset, expected: Offset) -> Change {
         let Some(known) = self.known else {
-            return match expected.meet(told) {
-                Some(_) => self.adopt(told, Change::Learned),
-                None => self.doubt(told, Micros(0), Change::Learned),
+            return match expected.intersection(proof) {
+                Some(_) => self.adopt(proof, Change::Learned),
+                None => self.contradict(proof, Micros(0), Change::Learned),
             };
         };
-        if let Some(both) = known.meet(told) {
+        if let Some(both) = known.intersection(proof) {
             return self.adopt(both, Change::None);
         }
-        // The log was stepped, or this answer was spoilt. For as long as that is open the later time counts,
+        // The log was stepped, or this answer is corrupt. For as long as that is open the later time counts,
         // which makes no replica look fresher.
-        let back = told.most < known.at(told.at).least;
-        self.doubt(told, if back { CONVINCING_TIME } else { Micros(0) }, Change::Stepped)
+        let back = proof.most < known.at(proof.at).least;
+        self.contradict(proof, if back { CONVINCING_TIME } else { Micros(0) }, Change::Stepped)
     }
 
-    /// A primary has told that its log has come to this position, asked at `sent`, which proves nothing else.
-    pub fn reach(&mut self, sent: Micros, now: Micros, position: Micros) {
+    /// By a primary's answer to a request of `sent` its log has come to this position, which proves nothing
+    /// else.
+    pub fn advance_to(&mut self, sent: Micros, now: Micros, position: Micros) {
         let Some(known) = self.known else { return };
         if known.allows(now, position) {
             self.known = Some(known.reaching(now, position));
-        } else if self.latest_in_doubt(now).is_none_or(|latest| latest < position) {
+        } else if self.latest_if_contradicted(now).is_none_or(|latest| latest < position) {
             let offset = Offset::between(sent, now, position);
-            self.doubt = Some(Doubt { offset, proofs: 0, since: now });
+            self.contradiction = Some(Contradiction { offset, proofs: 0, since: now });
         }
     }
 
-    /// The log's time at the latest by what does not fit, if something does not.
-    pub fn latest_in_doubt(&self, now: Micros) -> Option<Micros> {
-        Some(self.doubt?.offset.latest(now))
+    /// The log's time at the latest by proofs that contradict what is known, if there are any.
+    pub fn latest_if_contradicted(&self, now: Micros) -> Option<Micros> {
+        Some(self.contradiction?.offset.latest(now))
     }
 
-    /// What is left of it where the router's clock may have gone wrong by so much either way.
+    /// What is left of it where the router's clock may be off by an error either way.
     pub fn after_error(self, error: Micros) -> LogClock {
-        LogClock { known: self.known.map(|known| known.widened(error)), doubt: None }
+        LogClock { known: self.known.map(|known| known.widened(error)), contradiction: None }
     }
 
     fn adopt(&mut self, offset: Offset, change: Change) -> Change {
-        *self = LogClock { known: Some(offset), doubt: None };
+        *self = LogClock { known: Some(offset), contradiction: None };
         change
     }
 
-    fn doubt(&mut self, told: Offset, time: Micros, change: Change) -> Change {
-        let agrees = |doubt: Doubt| {
-            let offset = doubt.offset.meet(told)?;
-            Some(Doubt { offset, proofs: doubt.proofs + 1, ..doubt })
+    fn contradict(&mut self, proof: Offset, time: Micros, change: Change) -> Change {
+        let agrees = |contradiction: Contradiction| {
+            let offset = contradiction.offset.intersection(proof)?;
+            Some(Contradiction { offset, proofs: contradiction.proofs + 1, ..contradiction })
         };
-        let first = Doubt { offset: told, proofs: 1, since: told.at };
-        let doubt = self.doubt.and_then(agrees).unwrap_or(first);
-        if doubt.proofs >= CONVINCING && told.at - doubt.since >= time {
-            return self.adopt(doubt.offset, change);
+        let first = Contradiction { offset: proof, proofs: 1, since: proof.at };
+        let contradiction = self.contradiction.and_then(agrees).unwrap_or(first);
+        if contradiction.proofs >= CONVINCING_PROOFS && proof.at - contradiction.since >= time {
+            return self.adopt(contradiction.offset, change);
         }
-        self.doubt = Some(doubt);
+        self.contradiction = Some(contradiction);
         Change::None
     }
 }
@@ -220,27 +221,27 @@
     }
 }
 
-impl From<Doubt> for DoubtRecord {
-    fn from(Doubt { offset, proofs, since }: Doubt) -> DoubtRecord {
+impl From<Contradiction> for DoubtRecord {
+    fn from(Contradiction { offset, proofs, since }: Contradiction) -> DoubtRecord {
         DoubtRecord { offset: offset.into(), proofs, since }
     }
 }
 
-impl From<DoubtRecord> for Doubt {
-    fn from(DoubtRecord { offset, proofs, since }: DoubtRecord) -> Doubt {
-        Doubt { offset: offset.into(), proofs, since }
+impl From<DoubtRecord> for Contradiction {
+    fn from(DoubtRecord { offset, proofs, since }: DoubtRecord) -> Contradiction {
+        Contradiction { offset: offset.into(), proofs, since }
     }
 }
 
 impl From<LogClock> for LogClockRecord {
-    fn from(LogClock { known, doubt }: LogClock) -> LogClockRecord {
-        LogClockRecord { known: known.map(Into::into), doubt: doubt.map(Into::into) }
+    fn from(LogClock { known, contradiction }: LogClock) -> LogClockRecord {
+        LogClockRecord { known: known.map(Into::into), doubt: contradiction.map(Into::into) }
     }
 }
 
 impl From<LogClockRecord> for LogClock {
     fn from(LogClockRecord { known, doubt }: LogClockRecord) -> LogClock {
-        LogClock { known: known.map(Into::into), doubt: doubt.map(Into::into) }
+        LogClock { known: known.map(Into::into), contradiction: doubt.map(Into::into) }
     }
 }
 
--- a/src/balance/log_clock/tests.rs
+++ b/src/balance/log_clock/tests.rs
@@ -133,9 +133,9 @@
         let mut changes = Vec::new();
         for Coming { evidence, at } in here {
             if let Some(proof) = self.progress.observe(&evidence) {
-                changes.push(self.clock.prove(proof, Offset::plausible(evidence.received)));
+                changes.push(self.clock.add_proof(proof, Offset::plausible(evidence.received)));
             } else {
-                self.clock.reach(evidence.sent, evidence.received, evidence.position);
+                self.clock.advance_to(evidence.sent, evidence.received, evidence.position);
             }
             self.check(at);
         }
@@ -154,7 +154,7 @@
     fn ahead(&self, at: f64) -> Option<f64> {
         let now = Micros(at as u64);
         let known = self.clock.known()?.latest(now);
-        let known = known.max(self.clock.latest_in_doubt(now).unwrap_or_default());
+        let known = known.max(self.clock.latest_if_contradicted(now).unwrap_or_default());
         Some(known.0 as f64 - self.present_after(at - self.now))
     }
 
@@ -206,7 +206,7 @@
             world.commit = 0.0;
             // What is told between the step and the first answer cannot be known.
             let first = world.present().max(0.0) as u64 + 1_000;
-            world.clock.reach(world.now(), world.now(), Micros(first));
+            world.clock.advance_to(world.now(), world.now(), Micros(first));
             let changes = world.go_on(8e6, &(100.0..200_000.0));
             let stepped = changes.iter().filter(|change| **change == Change::Stepped).count();
             assert_eq!(stepped, 1, "seed {seed}, step {step}");
@@ -227,11 +227,11 @@
             world.settle();
             let (now, before) = (world.now(), world.clock.known());
             let spoilt = Micros(world.present() as u64 + beyond);
-            world.clock.reach(now, now, spoilt);
-            assert!(world.clock.latest_in_doubt(now) >= Some(spoilt), "it may be true");
+            world.clock.advance_to(now, now, spoilt);
+            assert!(world.clock.latest_if_contradicted(now) >= Some(spoilt), "it may be true");
             assert_eq!(world.clock.known(), before, "nobody's position is believed for it");
             world.go_on(5e6, &(100.0..200_000.0));
-            assert_eq!(world.clock.latest_in_doubt(world.now()), None, "seed {seed}");
+            assert_eq!(world.clock.latest_if_contradicted(world.now()), None, "seed {seed}");
             assert!(world.ahead(world.now).is_some_and(|ahead| ahead <= 100_000.0), "seed {seed}");
         }
     }
--- a/src/balance/log_time.rs
+++ b/src/balance/log_time.rs
@@ -66,9 +66,9 @@
         if self.same_clock {
             return Some(latest);
         }
-        let own = group.and_then(|group| group.log_clock.latest_in_doubt(now));
-        let doubt = own.or_else(|| self.common.latest_in_doubt(now));
-        Some(doubt.map_or(latest, |doubt| doubt.max(latest)))
+        let own = group.and_then(|group| group.log_clock.latest_if_contradicted(now));
+        let contradiction = own.or_else(|| self.common.latest_if_contradicted(now));
+        Some(contradiction.map_or(latest, |contradiction| contradiction.max(latest)))
     }
 
     /// Whether the time of all logs is known this closely.
@@ -87,11 +87,11 @@
     ) -> Change {
         let change = proof.map_or(Change::None, |proof| {
             group.evidence = Some(*answer);
-            self.common.prove(proof, Offset::plausible(now));
-            group.log_clock.prove(proof, self.usual.unwrap_or(Offset::plausible(now)))
+            self.common.add_proof(proof, Offset::plausible(now));
+            group.log_clock.add_proof(proof, self.usual.unwrap_or(Offset::plausible(now)))
         });
-        self.common.reach(answer.sent, now, answer.position);
-        group.log_clock.reach(answer.sent, now, answer.position);
+        self.common.advance_to(answer.sent, now, answer.position);
+        group.log_clock.advance_to(answer.sent, now, answer.position);
         change
     }
 
@@ -114,7 +114,7 @@
 
     /// What is proved of a group's log, closer where the proofs of all groups fit.
     fn within_common(&self, own: Offset) -> Offset {
-        let common = self.common.known().and_then(|common| common.meet(own));
+        let common = self.common.known().and_then(|common| common.intersection(own));
         common.unwrap_or(own)
     }
 }
--- a/src/balance/random.rs
+++ b/src/balance/random.rs
@@ -1,17 +1,16 @@
-//! Draws from the router's seeded generator. What is drawn from, and with which weights, is decided
-//! elsewhere.
+//! Draws from the router's seeded generator. The candidates and their weights are decided elsewhere.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
 use crate::api::MemberId;
 
-/// An even draw between 0 and 1.
+/// A uniform draw between 0 and 1.
 pub fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Draws one by weight.
+/// Draws a member by weight.
 pub fn weighted_draw(rng: &mut Pcg64Mcg, weighted: &[(MemberId, f64)]) -> Option<MemberId> {
     let mut point = uniform(rng) * weighted.iter().map(|(_, weight)| weight).sum::<f64>();
     for (id, weight) in weighted {
--- a/src/balance/request_index.rs
+++ b/src/balance/request_index.rs
@@ -1,45 +1,45 @@
-//! Open requests in the orders in which the router looks at them, so that no step walks what has not
-//! fallen due. Nothing is decided here: the router says when something falls due and who comes first.
+//! Open requests in the orders in which the router looks at them, so that no step walks what has not fallen
+//! due. Nothing is decided here: the router says when something falls due and which comes first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::*;
 
-/// A request that waits: its place in its family's queue and when it is looked at again.
+/// A request that waits: its place in its group's queue and when it is looked at again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueEntry {
     /// The request.
     pub id: RequestId,
-    /// Its family.
+    /// Its group.
     pub group: GroupId,
     /// Its class.
     pub class: ClassId,
-    /// After this an answer is worth nothing: looked at a mean latency of its class earlier.
+    /// After this an answer counts for nothing: it is looked at a mean latency of its class earlier.
     pub give_up_at: Micros,
-    /// When it is looked at whatever the latencies are.
+    /// When it has waited for its time, whatever the latencies are.
     pub wait_until: Micros,
     /// Its place: the higher, the later it joined.
     pub place: u64,
 }
 
-/// All open requests, and of those that wait the queues of their families.
+/// All open requests, and the queues of those that wait.
 #[derive(Debug, Default)]
 pub struct RequestIndex {
     places: u64,
     ends: BTreeSet<(Micros, RequestId)>,
     wait_until: BTreeSet<(Micros, RequestId)>,
-    /// Of each class, by when an answer is worth nothing.
+    /// Of each class, by when an answer counts for nothing.
     useful_until: Vec<BTreeSet<(Micros, RequestId)>>,
     queues: BTreeMap<GroupId, BTreeSet<(ClassId, u64, RequestId)>>,
 }
 
 impl RequestIndex {
-    /// Takes a request on that ends then.
+    /// Adds a request that ends at this time.
     pub fn open(&mut self, id: RequestId, end: Micros) {
         self.ends.insert((end, id));
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn close(&mut self, id: RequestId, end: Micros, queue_entry: Option<QueueEntry>) {
         self.ends.remove(&(end, id));
         if let Some(queue_entry) = queue_entry {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Puts a request into its family's queue, behind all that wait; gives its place.
+    /// Puts a request into its group's queue, behind all that wait, and sets its place.
     pub fn wait(&mut self, mut queue_entry: QueueEntry) -> QueueEntry {
         self.places += 1;
         queue_entry.place = self.places;
@@ -83,19 +83,19 @@
         !self.queues.is_empty()
     }
 
-    /// Whether requests of this family wait.
+    /// Whether requests of this group wait.
     pub fn waits(&self, group: GroupId) -> bool {
         self.queues.contains_key(&group)
     }
 
-    /// At most so many families of which requests wait, in order, those after this one.
+    /// At most so many groups whose requests wait, in order, those after this one.
     pub fn groups(&self, after: Option<GroupId>, most: usize) -> Vec<GroupId> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
         self.queues.range((from, Unbounded)).take(most).map(|(group, _)| *group).collect()
     }
 
-    /// The classes of a family's waiting requests, each once, in order.
+    /// The classes of a group's waiting requests, each once, in order.
     pub fn classes(&self, group: GroupId) -> Vec<ClassId> {
         let (mut classes, mut from) = (Vec::new(), ClassId(0));
         let Some(queue) = self.queues.get(&group) else { return classes };
@@ -106,7 +106,7 @@
         classes
     }
 
-    /// Of a family's waiting requests of a class the latest that joined before this place, at most so many.
+    /// Of a group's waiting requests of a class the latest that joined before this place, at most so many.
     pub fn newest(&self, group: GroupId, class: ClassId, before: u64, most: usize) -> Vec<(u64, RequestId)> {
         let Some(queue) = self.queues.get(&group) else { return Vec::new() };
         let older = queue.range((class, 0, RequestId(0))..(class, before, RequestId(0)));
@@ -114,7 +114,7 @@
     }
 
     /// The requests that something falls due for, in order: those that end, have waited for their time, or
-    /// are worth nothing a mean latency of their class (in microseconds) from now.
+    /// whose answer counts for nothing a mean latency of their class (in microseconds) from now.
     pub fn due(&self, now: Micros, mean_latencies: &[f64]) -> Vec<RequestId> {
         let mut due = Vec::new();
         let mut take = |set: &BTreeSet<(Micros, RequestId)>, until: Micros| {
--- a/src/balance/sessions.rs
+++ b/src/balance/sessions.rs
@@ -1,5 +1,5 @@
 //! Sessions by their commits, so that they are forgotten in that order and in bounded steps. Nothing is
-//! decided here: the router says what every live member has passed.
+//! decided here: the router says what every replica in service has passed.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,10 +7,10 @@
 
 use crate::api::*;
 
-/// What is known of a session in one family. Its commits in another say nothing here.
+/// What is known of a session in one group. Its commits in another say nothing here.
 #[derive(Debug)]
 struct Session {
-    /// Attempts of its writes that are out: each may have committed unheard.
+    /// Attempts of its writes in flight: each may have committed already.
     pending: u32,
     /// Its latest commit.
     commit: Micros,
@@ -20,12 +20,12 @@
 #[derive(Debug, Default)]
 pub struct Sessions {
     known: HashMap<(GroupId, SessionKey), Session>,
-    /// Of each family the sessions that await nothing, by commit.
+    /// Of each group the sessions without a write in flight, by commit.
     settled: FxHashMap<GroupId, BTreeSet<(Micros, SessionKey)>>,
 }
 
 impl Sessions {
-    /// An attempt of a session's write is on its way.
+    /// An attempt of a session's write has been sent.
     pub fn begin(&mut self, group: GroupId, key: SessionKey) {
         self.change(group, key, |session| session.pending += 1);
     }
@@ -63,13 +63,13 @@
         self.known.get(&(group, key)).map(|session| session.commit)
     }
 
-    /// Whether a session awaits a write's answer.
+    /// Whether a write of a session is in flight.
     pub fn is_pending(&self, group: GroupId, key: SessionKey) -> bool {
         self.known.get(&(group, key)).is_some_and(|session| session.pending > 0)
     }
 
-    /// Forgets a family's sessions whose commits were passed, the earliest first and at most so many; gives
-    /// the latest commit among them.
+    /// Forgets a group's sessions whose commits were passed, the earliest first and at most so many. The
+    /// latest commit among them.
     pub fn forget(&mut self, group: GroupId, passed: Micros, most: usize) -> Option<Micros> {
         let settled = self.settled.get_mut(&group)?;
         let mut latest = None;
@@ -82,8 +82,7 @@
         latest
     }
 
-    /// Lowers commits beyond this position to it, so many at most: they were told as later than the log can
-    /// be.
+    /// Lowers commits beyond this position to it, so many at most: they are later than the log can be.
     pub fn lower(&mut self, group: GroupId, latest: Micros, most: usize) {
         let Some(settled) = self.settled.get_mut(&group) else { return };
         for _ in 0..most {
--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -98,7 +98,7 @@
     Report,
 }
 
-/// How the attempt ended whose answer told a position.
+/// How the attempt ended whose answer had a position.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub enum StatusRecord {
     Ok,
