--- a/benches/scene/mod.rs
+++ b/benches/scene/mod.rs
@@ -102,7 +102,7 @@
     /// A site whose sessions have all written; their commits lie ahead of every replica.
     pub fn new(size: Size) -> Scene {
         let mut balancer = Balancer::new(settings(), 7);
-        let entry = |family: u64, place: u64| Endpoint {
+        let endpoint = |family: u64, place: u64| Endpoint {
             member: MemberId(family * size.members + place + 1),
             group: GroupId(family),
             zone: ZoneId(place as usize % 3),
@@ -110,7 +110,7 @@
             primary: place == 0,
             ..Endpoint::default()
         };
-        let all = (0..size.families).flat_map(|f| (0..size.members).map(move |m| entry(f, m)));
+        let all = (0..size.families).flat_map(|f| (0..size.members).map(move |m| endpoint(f, m)));
         balancer.update_endpoints(START, true, all.collect());
         for session in 0..size.sessions {
             let commit = START + Micros::millis(1_000_000) + Micros(session);
--- a/src/balance/request_index.rs
+++ b/src/balance/request_index.rs
@@ -40,40 +40,36 @@
     }
 
     /// Removes a request.
-    pub fn close(&mut self, id: RequestId, end: Micros, queue_entry: Option<QueueEntry>) {
+    pub fn close(&mut self, id: RequestId, end: Micros, entry: Option<QueueEntry>) {
         self.ends.remove(&(end, id));
-        if let Some(queue_entry) = queue_entry {
-            self.leave(queue_entry);
+        if let Some(entry) = entry {
+            self.leave(entry);
         }
     }
 
     /// Puts a request into its group's queue, behind all that wait, and sets its place.
-    pub fn wait(&mut self, mut queue_entry: QueueEntry) -> QueueEntry {
+    pub fn wait(&mut self, mut entry: QueueEntry) -> QueueEntry {
         self.places += 1;
-        queue_entry.place = self.places;
-        if self.useful_until.len() <= queue_entry.class.0 {
-            self.useful_until.resize_with(queue_entry.class.0 + 1, BTreeSet::new);
+        entry.place = self.places;
+        if self.useful_until.len() <= entry.class.0 {
+            self.useful_until.resize_with(entry.class.0 + 1, BTreeSet::new);
         }
-        self.useful_until[queue_entry.class.0].insert((queue_entry.give_up_at, queue_entry.id));
-        self.wait_until.insert((queue_entry.wait_until, queue_entry.id));
-        self.queues.entry(queue_entry.group).or_default().insert((
-            queue_entry.class,
-            queue_entry.place,
-            queue_entry.id,
-        ));
-        queue_entry
+        self.useful_until[entry.class.0].insert((entry.give_up_at, entry.id));
+        self.wait_until.insert((entry.wait_until, entry.id));
+        self.queues.entry(entry.group).or_default().insert((entry.class, entry.place, entry.id));
+        entry
     }
 
     /// Takes a request out of its queue.
-    pub fn leave(&mut self, queue_entry: QueueEntry) {
-        if let Some(useful_until) = self.useful_until.get_mut(queue_entry.class.0) {
-            useful_until.remove(&(queue_entry.give_up_at, queue_entry.id));
+    pub fn leave(&mut self, entry: QueueEntry) {
+        if let Some(useful_until) = self.useful_until.get_mut(entry.class.0) {
+            useful_until.remove(&(entry.give_up_at, entry.id));
         }
-        self.wait_until.remove(&(queue_entry.wait_until, queue_entry.id));
-        if let Some(queue) = self.queues.get_mut(&queue_entry.group) {
-            queue.remove(&(queue_entry.class, queue_entry.place, queue_entry.id));
+        self.wait_until.remove(&(entry.wait_until, entry.id));
+        if let Some(queue) = self.queues.get_mut(&entry.group) {
+            queue.remove(&(entry.class, entry.place, entry.id));
             if queue.is_empty() {
-                self.queues.remove(&queue_entry.group);
+                self.queues.remove(&entry.group);
             }
         }
     }
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -59,7 +59,7 @@
     }
 }
 
-fn entry(member: MemberId, state: EndpointState, started: Micros) -> Endpoint {
+fn endpoint(member: MemberId, state: EndpointState, started: Micros) -> Endpoint {
     let primary = member == PRIMARY;
     Endpoint { member, group: GROUP, zone: ZoneId(0), state, weight: 1.0, started, primary }
 }
@@ -76,7 +76,7 @@
         let mut harness = Harness { router: Router::new(settings, 7), now: Micros::millis(100_000), next: 0 };
         harness.list(
             EndpointUpdate::Full,
-            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+            [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0))).to_vec(),
         );
         harness
     }
@@ -132,7 +132,7 @@
         }))
     }
 
-    fn probed(&mut self, member: MemberId, position: Micros) {
+    fn health_checked(&mut self, member: MemberId, position: Micros) {
         let role = Some(if member == PRIMARY { Role::Primary } else { Role::Replica });
         let report = HealthReport { position: Some(position), role };
         self.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report });
@@ -147,7 +147,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-fn asked(actions: &[Action]) -> Vec<MemberId> {
+fn health_checks(actions: &[Action]) -> Vec<MemberId> {
     let probe = |a: &Action| if let Action::HealthCheck { member } = a { Some(*member) } else { None };
     actions.iter().filter_map(probe).collect()
 }
@@ -166,8 +166,8 @@
     let mut harness = Harness::new(settings());
     assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, PRIMARY, "no position is known");
     let now = harness.now;
-    harness.probed(NEAR, now - Micros::millis(400));
-    harness.probed(FAR, now - Micros::millis(900));
+    harness.health_checked(NEAR, now - Micros::millis(400));
+    harness.health_checked(FAR, now - Micros::millis(900));
     for _ in 0..3 {
         assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, NEAR);
     }
@@ -185,23 +185,23 @@
     let behind = |harness: &Harness| Micros(harness.now.0 - 3_000_000);
     for member in [NEAR, FAR] {
         let word = behind(&harness);
-        harness.probed(member, word);
+        harness.health_checked(member, word);
     }
     // Both are seconds behind as far as is known: nobody is asked.
     let (id, actions) = harness.request(BOUNDED, 1);
-    assert_eq!((sends(&actions), asked(&actions)), (vec![(id, PRIMARY)], vec![]));
+    assert_eq!((sends(&actions), health_checks(&actions)), (vec![(id, PRIMARY)], vec![]));
     harness.end(id, 0, PRIMARY, AttemptStatus::Ok, None);
     for member in [NEAR, FAR] {
         let word = Micros(harness.now.0 - 20_000);
-        harness.probed(member, word);
+        harness.health_checked(member, word);
     }
     // Long after their last word, one is asked for two reads.
     harness.now = harness.now + Micros::millis(5_000);
     let (first, actions) = harness.request(BOUNDED, 1);
-    let [member] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
+    let [member] = health_checks(&actions)[..] else { panic!("asked {:?}", health_checks(&actions)) };
     assert_eq!(sends(&actions), []);
     let (second, actions) = harness.request(BOUNDED, 2);
-    assert_eq!((sends(&actions), asked(&actions)), (vec![], vec![]));
+    assert_eq!((sends(&actions), health_checks(&actions)), (vec![], vec![]));
     harness.now = harness.now + Micros::millis(2);
     let report = HealthReport { position: Some(harness.now), role: Some(Role::Replica) };
     let mut sent = sends(&harness.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report }));
@@ -210,17 +210,17 @@
     // The word of one that is behind, or none in time, sends the next on: to the other, then to the primary.
     harness.now = harness.now + Micros::millis(5_000);
     let (third, actions) = harness.request(BOUNDED, 3);
-    let [member] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
+    let [member] = health_checks(&actions)[..] else { panic!("asked {:?}", health_checks(&actions)) };
     let report = HealthReport { position: Some(behind(&harness)), role: Some(Role::Replica) };
     let actions = harness.event(Event::HealthChecked { member, status: AttemptStatus::Ok, report });
-    let [other] = asked(&actions)[..] else { panic!("asked {:?}", asked(&actions)) };
+    let [other] = health_checks(&actions)[..] else { panic!("asked {:?}", health_checks(&actions)) };
     assert!(other != member && sends(&actions).is_empty());
     assert_eq!(sends(&harness.sweep(30)), [(third, PRIMARY)]);
     // A primary that answers faster than the mean has room to spare: nobody is asked.
     harness.end(third, 0, PRIMARY, AttemptStatus::Ok, None);
     for member in [NEAR, FAR] {
         let word = Micros(harness.now.0 - 20_000);
-        harness.probed(member, word);
+        harness.health_checked(member, word);
     }
     for _ in 0..30 {
         let (write, _) = harness.request(WRITE, 9);
@@ -228,7 +228,7 @@
     }
     harness.now = harness.now + Micros::millis(5_000);
     let (fourth, actions) = harness.request(BOUNDED, 4);
-    assert_eq!((sends(&actions), asked(&actions)), (vec![(fourth, PRIMARY)], vec![]));
+    assert_eq!((sends(&actions), health_checks(&actions)), (vec![(fourth, PRIMARY)], vec![]));
 }
 
 /// Guards classes with short aims: a read waits for the word for a part of its aim, and one that hears nothing
@@ -244,15 +244,19 @@
         harness.sweep(100);
         for member in [NEAR, FAR] {
             let word = Micros(harness.now.0 - 20_000);
-            harness.probed(member, word);
+            harness.health_checked(member, word);
         }
         harness.now = harness.now + Micros::millis(5_000);
         let (id, actions) = harness.request(BOUNDED, 1);
-        assert_eq!((sends(&actions), asked(&actions).len()), (vec![], 1), "aim {latency_objective:?}");
+        assert_eq!(
+            (sends(&actions), health_checks(&actions).len()),
+            (vec![], 1),
+            "aim {latency_objective:?}"
+        );
         let (mut sent, mut others) = (vec![], 0);
         for _ in 0..latency_objective.0 / 1_000 {
             let actions = harness.sweep(1);
-            others += asked(&actions).iter().filter(|member| **member != PRIMARY).count();
+            others += health_checks(&actions).iter().filter(|member| **member != PRIMARY).count();
             sent.extend(sends(&actions));
         }
         assert_eq!((sent, others), (vec![(id, PRIMARY)], 1), "aim {latency_objective:?}");
@@ -267,7 +271,7 @@
         let mut harness = Harness::new(Settings { gateways, health_check_price: 0.08, ..settings() });
         harness.sweep(100);
         let word = Micros(harness.now.0 - 20_000);
-        harness.probed(NEAR, word);
+        harness.health_checked(NEAR, word);
         let (id, actions) = harness.request(BOUNDED, 1);
         assert_eq!(sends(&actions), [(id, NEAR)]);
         harness.now = harness.now + Micros::millis(100);
@@ -276,7 +280,7 @@
         harness.now = harness.now + Micros::millis(200);
         let (id, actions) = harness.request(BOUNDED, 1);
         assert_eq!(
-            (!asked(&actions).is_empty(), sends(&actions).is_empty()),
+            (!health_checks(&actions).is_empty(), sends(&actions).is_empty()),
             (asks, asks),
             "{gateways} gateways"
         );
@@ -295,8 +299,8 @@
 fn a_position_never_goes_back() {
     let mut harness = Harness::new(settings());
     let now = harness.now;
-    harness.probed(NEAR, now - Micros::millis(100));
-    harness.probed(NEAR, now - Micros::millis(5000));
+    harness.health_checked(NEAR, now - Micros::millis(100));
+    harness.health_checked(NEAR, now - Micros::millis(5000));
     assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, NEAR);
 }
 
@@ -304,7 +308,7 @@
 fn a_position_from_the_future_is_not_believed() {
     let mut harness = Harness::new(settings());
     let now = harness.now;
-    harness.probed(NEAR, now + Micros::millis(60_000));
+    harness.health_checked(NEAR, now + Micros::millis(60_000));
     harness.now = now + Micros::millis(600);
     assert_eq!(sends(&harness.request(BOUNDED, 1).1)[0].1, PRIMARY);
 }
@@ -320,7 +324,7 @@
     harness.now = harness.now + Micros::millis(20);
     harness.end(write, 0, PRIMARY, AttemptStatus::Ok, Some(commit));
     assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, PRIMARY, "no replica is known to have it");
-    harness.probed(FAR, commit);
+    harness.health_checked(FAR, commit);
     assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, FAR);
 }
 
@@ -330,7 +334,7 @@
 fn a_session_whose_write_is_out_reads_at_no_replica_though_the_primary_is_ejected() {
     let mut harness = Harness::new(settings());
     for member in [NEAR, FAR] {
-        harness.probed(member, Micros::millis(99_990));
+        harness.health_checked(member, Micros::millis(99_990));
     }
     let (id, actions) = harness.request(WRITE, 7);
     assert_eq!(sends(&actions), [(id, PRIMARY)]);
@@ -363,7 +367,7 @@
     for status in lost.into_iter().chain(unrun) {
         let mut harness = Harness::new(Settings { max_attempts: 1, ..settings() });
         for member in [NEAR, FAR] {
-            harness.probed(member, Micros::millis(99_990));
+            harness.health_checked(member, Micros::millis(99_990));
         }
         let (id, actions) = harness.request(UNSAFE, 7);
         assert_eq!(sends(&actions), [(id, PRIMARY)]);
@@ -377,7 +381,7 @@
         assert_eq!(binds, lost.contains(&status), "{status:?}");
         assert_ne!(to(&mut harness, 8), Some(PRIMARY), "{status:?}: another session is held to nothing");
         let now = harness.now;
-        harness.probed(FAR, now);
+        harness.health_checked(FAR, now);
         assert!(!binds || to(&mut harness, 7) == Some(FAR), "{status:?}: it has come past");
     }
 }
@@ -392,8 +396,8 @@
     for class in [BOUNDED, SESSION, WRITE, UNSAFE] {
         let mut harness = Harness::new(settings.clone());
         let lagging = Micros(harness.now.0 - 5_000_000);
-        harness.probed(NEAR, lagging);
-        harness.probed(FAR, lagging);
+        harness.health_checked(NEAR, lagging);
+        harness.health_checked(FAR, lagging);
         // Filled with writes: their answers are owed longer than those of reads.
         while !sends(&harness.request(WRITE, 100).1).is_empty() {}
         while !sends(&harness.request(BOUNDED, 100).1).is_empty() {}
@@ -486,7 +490,7 @@
     let mut settings = one_of(1);
     settings.classes = vec![class(Consistency::Eventual, Idempotency::Idempotent, 0.0)];
     let mut harness = Harness::new(settings);
-    harness.list(EndpointUpdate::Full, vec![entry(NEAR, EndpointState::Ready, Micros(0))]);
+    harness.list(EndpointUpdate::Full, vec![endpoint(NEAR, EndpointState::Ready, Micros(0))]);
     let fill = |harness: &mut Harness| {
         let mut out = Vec::new();
         loop {
@@ -531,18 +535,18 @@
     let commit = harness.now;
     harness.end(id, 0, PRIMARY, AttemptStatus::Ok, Some(commit));
     harness.sweep(100);
-    harness.probed(NEAR, commit);
-    harness.probed(FAR, commit);
+    harness.health_checked(NEAR, commit);
+    harness.health_checked(FAR, commit);
     harness.sweep(300);
     let late = MemberId(13);
-    let draining = [NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0)));
+    let draining = [NEAR, FAR].map(|m| endpoint(m, EndpointState::Draining, Micros(0)));
     harness.list(
         EndpointUpdate::Incremental,
-        [&[entry(late, EndpointState::Ready, Micros(0))], &draining[..]].concat(),
+        [&[endpoint(late, EndpointState::Ready, Micros(0))], &draining[..]].concat(),
     );
-    harness.probed(late, Micros(commit.0 - 1));
+    harness.health_checked(late, Micros(commit.0 - 1));
     assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, PRIMARY);
-    harness.probed(late, commit);
+    harness.health_checked(late, commit);
     assert_eq!(sends(&harness.request(SESSION, 5).1)[0].1, late);
 }
 
@@ -713,7 +717,7 @@
 fn nothing_goes_to_a_member_that_drains_or_is_gone() {
     for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings());
-        harness.list(EndpointUpdate::Incremental, vec![entry(NEAR, listed, Micros(0))]);
+        harness.list(EndpointUpdate::Incremental, vec![endpoint(NEAR, listed, Micros(0))]);
         for _ in 0..6 {
             assert!(sends(&harness.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR));
         }
@@ -721,7 +725,10 @@
     let mut harness = Harness::new(settings());
     harness.list(
         EndpointUpdate::Full,
-        vec![entry(PRIMARY, EndpointState::Ready, Micros(0)), entry(FAR, EndpointState::Ready, Micros(0))],
+        vec![
+            endpoint(PRIMARY, EndpointState::Ready, Micros(0)),
+            endpoint(FAR, EndpointState::Ready, Micros(0)),
+        ],
     );
     assert!((0..6).all(|_| sends(&harness.request(ANY, 1).1).iter().all(|(_, m)| *m != NEAR)));
 }
@@ -731,7 +738,7 @@
 fn a_cold_member_gets_a_bounded_trickle_even_when_it_rejects() {
     let mut harness = Harness::new(settings());
     let now = harness.now;
-    harness.list(EndpointUpdate::Full, vec![entry(NEAR, EndpointState::Ready, now)]);
+    harness.list(EndpointUpdate::Full, vec![endpoint(NEAR, EndpointState::Ready, now)]);
     let mut sent = 0;
     for _ in 0..2000 {
         let mut actions = harness.request(ANY, 1).1;
@@ -792,7 +799,7 @@
         for action in &actions {
             if let Action::HealthCheck { member } = action {
                 asked += 1;
-                harness.probed(*member, Micros(0));
+                harness.health_checked(*member, Micros(0));
             }
         }
     }
@@ -820,8 +827,8 @@
         let mut harness = Harness::new(one_of(gateways));
         harness.router = Router::new(one_of(gateways), u64::from(seed));
         let now = harness.now;
-        let started =
-            [PRIMARY, NEAR].map(|m| entry(m, EndpointState::Ready, if m == NEAR { now } else { Micros(0) }));
+        let started = [PRIMARY, NEAR]
+            .map(|m| endpoint(m, EndpointState::Ready, if m == NEAR { now } else { Micros(0) }));
         harness.list(EndpointUpdate::Full, started.to_vec());
         for step in 0..20 {
             let due = step == seed % 20;
@@ -847,7 +854,7 @@
         harness.router = Router::new(one_of(60), seed);
         harness.list(
             EndpointUpdate::Full,
-            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+            [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0))).to_vec(),
         );
         *first.entry(sends(&harness.request(BOUNDED, 1).1)[0].1).or_insert(0) += 1;
     }
@@ -877,7 +884,7 @@
         for member in [NEAR, FAR] {
             let mut settings = one_of(gateways);
             settings.classes[ANY.0].latency_objective = Micros::millis(5);
-            let gone = [PRIMARY, member].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+            let gone = [PRIMARY, member].map(|m| endpoint(m, EndpointState::Ready, Micros(0)));
             harness = Harness::new(settings);
             harness.list(EndpointUpdate::Full, gone.to_vec());
             let (id, actions) = harness.request(ANY, 1);
@@ -897,7 +904,7 @@
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
     let mut harness = Harness::new(settings);
-    harness.list(EndpointUpdate::Full, vec![entry(PRIMARY, EndpointState::Ready, Micros(0))]);
+    harness.list(EndpointUpdate::Full, vec![endpoint(PRIMARY, EndpointState::Ready, Micros(0))]);
     let (late, actions) = harness.request(BOUNDED, 1);
     assert_eq!(sends(&actions), [(late, PRIMARY)]);
     harness.now = harness.now + Micros::millis(190);
@@ -923,7 +930,7 @@
         for member in [NEAR, FAR] {
             let lag = if behind.contains(&member) { 20_000 } else { 10 };
             let position = harness.now - Micros::millis(lag);
-            harness.probed(member, position);
+            harness.health_checked(member, position);
         }
         (0..100).take_while(|session| !sends(&harness.request(WRITE, *session).1).is_empty()).count()
     };
@@ -939,7 +946,7 @@
     settings.classes.push(class(Consistency::Strong, Idempotency::Idempotent, 0.0));
     let fresh = ClassId(settings.classes.len() - 1);
     let mut harness = Harness::new(settings);
-    harness.list(EndpointUpdate::Full, vec![entry(PRIMARY, EndpointState::Ready, Micros(0))]);
+    harness.list(EndpointUpdate::Full, vec![endpoint(PRIMARY, EndpointState::Ready, Micros(0))]);
     let count = |harness: &mut Harness, class| {
         let sent = |harness: &mut Harness| !sends(&harness.request(class, 1).1).is_empty();
         (0..100).take_while(|_| sent(harness)).count()
@@ -962,7 +969,7 @@
     harness.event(Event::HealthChecked { member: NEAR, status: AttemptStatus::Ok, report: lead });
     for second in 1..=4 {
         harness.sweep(1_000);
-        let old = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+        let old = [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0)));
         harness.list(
             if second % 2 == 0 { EndpointUpdate::Full } else { EndpointUpdate::Incremental },
             old.to_vec(),
@@ -1102,7 +1109,7 @@
         for drained in [false, true] {
             let mut harness = Harness::new(Settings { removed_may_serve, ..settings() });
             if drained {
-                let drains = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0)));
+                let drains = [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Draining, Micros(0)));
                 harness.list(EndpointUpdate::Incremental, drains.to_vec());
             }
             harness.list(EndpointUpdate::Full, vec![]);
@@ -1113,7 +1120,7 @@
             if let Some((_, member)) = sends(&actions).pop() {
                 harness.end(id, 0, member, AttemptStatus::Ok, None);
             }
-            let back = [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+            let back = [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0)));
             harness.list(EndpointUpdate::Full, back.to_vec());
             let (id, actions) = harness.request(ANY, 1);
             assert!(sends(&actions).iter().any(|(sent, _)| *sent == id), "the true list counts again");
@@ -1126,7 +1133,7 @@
 fn idle_connections_that_lose_requests_are_closed_before_a_send() {
     for (gap, closes) in [(2000, true), (20, false)] {
         let mut harness = Harness::new(settings());
-        let only = [PRIMARY, NEAR].map(|m| entry(m, EndpointState::Ready, Micros(0)));
+        let only = [PRIMARY, NEAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0)));
         harness.list(EndpointUpdate::Full, only.to_vec());
         let (id, actions) = harness.request(ANY, 1);
         harness.end(id, 0, sends(&actions)[0].1, AttemptStatus::Ok, None);
@@ -1245,7 +1252,7 @@
                 if state != EndpointState::Removed {
                     drained.insert(member, state == EndpointState::Draining);
                 }
-                harness.list(EndpointUpdate::Incremental, vec![entry(member, state, Micros(0))])
+                harness.list(EndpointUpdate::Incremental, vec![endpoint(member, state, Micros(0))])
             }
             7 => {
                 let member = [PRIMARY, NEAR, FAR][random(3) as usize];
@@ -1343,7 +1350,7 @@
         let since = harness.now;
         assert!(harness.router.avoids(NEAR));
         if started {
-            let new = entry(NEAR, EndpointState::Ready, harness.now);
+            let new = endpoint(NEAR, EndpointState::Ready, harness.now);
             harness.list(EndpointUpdate::Incremental, vec![new]);
         }
         while harness.router.avoids(NEAR) {
@@ -1369,7 +1376,7 @@
                 harness.sweep(1_000);
                 for member in [PRIMARY, NEAR, FAR] {
                     let word = Micros(harness.now.0 - 20_000);
-                    harness.probed(member, word);
+                    harness.health_checked(member, word);
                 }
             }
             harness.now = harness.now + Micros::millis(3_000);
@@ -1401,7 +1408,7 @@
         let mut harness = Harness::new(settings);
         harness.list(
             EndpointUpdate::Full,
-            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Draining, Micros(0))).to_vec(),
+            [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Draining, Micros(0))).to_vec(),
         );
         let mut ids = BTreeMap::new();
         for class in [SESSION, ANY] {
@@ -1411,7 +1418,7 @@
         }
         harness.list(
             EndpointUpdate::Full,
-            [PRIMARY, NEAR, FAR].map(|m| entry(m, EndpointState::Ready, Micros(0))).to_vec(),
+            [PRIMARY, NEAR, FAR].map(|m| endpoint(m, EndpointState::Ready, Micros(0))).to_vec(),
         );
         let sent: Vec<ClassId> = sends(&harness.sweep(10)).iter().map(|(id, _)| ids[id]).collect();
         assert_eq!(sent.first(), Some(&first), "{weight_basis:?}: {sent:?}");
@@ -1424,13 +1431,13 @@
 fn a_member_that_moves_to_another_family_tells_its_position_anew() {
     let mut harness = Harness::new(settings());
     let now = harness.now;
-    harness.probed(NEAR, now);
+    harness.health_checked(NEAR, now);
     harness.end(RequestId(0), 0, NEAR, AttemptStatus::Ok, None);
     let other = GroupId(2);
     let moved = [(NEAR, false), (MemberId(20), true)].map(|(member, primary)| Endpoint {
         group: other,
         primary,
-        ..entry(member, EndpointState::Ready, Micros(0))
+        ..endpoint(member, EndpointState::Ready, Micros(0))
     });
     harness.list(EndpointUpdate::Incremental, moved.to_vec());
     let request = |harness: &mut Harness, id| {
--- a/tests/state_formats.rs
+++ b/tests/state_formats.rs
@@ -127,7 +127,7 @@
     }
 }
 
-fn entry(member: u64) -> Endpoint {
+fn endpoint(member: u64) -> Endpoint {
     Endpoint {
         member: MemberId(member),
         group: group_of(member),
@@ -201,7 +201,7 @@
 fn scenario() -> Balancer {
     let mut balancer = balancer(7);
     let all = [1, 2, 3, 4, 5, 6, 11, 12, 13];
-    balancer.update_endpoints(START, true, all.map(entry).to_vec());
+    balancer.update_endpoints(START, true, all.map(endpoint).to_vec());
     run(&mut balancer, START, RESTART, &[]);
     balancer.update_endpoints(RESTART, false, vec![listed_at_the_end(WARMING_UP)]);
     run(&mut balancer, RESTART, LAST_WRITES, &[]);
@@ -220,7 +220,7 @@
 
 fn listed_at_the_end(member: u64) -> Endpoint {
     let started = if member == WARMING_UP { RESTART } else { Micros(0) };
-    Endpoint { started, ..entry(member) }
+    Endpoint { started, ..endpoint(member) }
 }
 
 /// The connection of a read that is out at a member breaks.
