--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback: roles pass on when their owner is killed or stopped, and voters come back.
+//! A fleet of real processes on loopback: leases pass on when their holder is killed or stopped, and voters come back.
 
 mod harness;
 
@@ -13,69 +13,72 @@
 use harness::process::Faults;
 use rustix::process::{kill_process, Pid, Signal};
 
-/// However busy the machine, what is waited for comes within this.
-const LONG: Duration = Duration::from_secs(60);
-/// And a test that waits for a line while others come ends at all.
-const LONGEST: Duration = Duration::from_secs(300);
+/// However busy the machine, an awaited log line comes within this.
+const LINE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Bounds a wait during which other log lines come.
+const TEST_TIMEOUT: Duration = Duration::from_secs(300);
 
 struct Fleet {
-    folder: PathBuf,
+    directory: PathBuf,
     voters: String,
     processes: Vec<Option<Child>>,
-    said: Sender<(usize, String)>,
-    heard: Receiver<(usize, String)>,
-    /// Who took the role under each epoch, by the logs.
-    owners: BTreeMap<u64, BTreeSet<usize>>,
-    doors: Vec<SocketAddr>,
+    line_sender: Sender<(usize, String)>,
+    lines: Receiver<(usize, String)>,
+    /// Who acquired the lease under each epoch, by the logs.
+    holders: BTreeMap<u64, BTreeSet<usize>>,
+    admin_addresses: Vec<SocketAddr>,
     /// What the system does to each process.
     faults: Vec<Faults>,
-    ended: bool,
+    passed: bool,
 }
 
 impl Fleet {
-    fn of(count: usize, test: &str) -> Fleet {
-        let folder = std::env::temp_dir().join(format!("dunemount-{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        // All are held until each has its own.
+    fn start_all(count: usize, test: &str) -> Fleet {
+        let directory = std::env::temp_dir().join(format!("dunemount-{test}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("a folder");
+        // All are kept bound until each has its own.
         let sockets: Vec<UdpSocket> =
             (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
-        let doors: Vec<TcpListener> =
+        let admin_listeners: Vec<TcpListener> =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
         let address = |index: usize| sockets[index].local_addr().expect("bound").to_string();
-        let places: Vec<String> = (0..count).map(|index| format!("gw-{index}@{}", address(index))).collect();
-        let voters = places[..count.min(3)].join(", ");
-        for (index, door) in doors.iter().enumerate() {
-            let file = folder.join(format!("voter-{index}"));
+        let voters_at: Vec<String> =
+            (0..count).map(|index| format!("gw-{index}@{}", address(index))).collect();
+        let voters = voters_at[..count.min(3)].join(", ");
+        for (index, admin) in admin_listeners.iter().enumerate() {
+            let file = directory.join(format!("voter-{index}"));
             let ini = format!(
                 "[fleet]\nname = {test}\nlisten = {}\nvoters = {voters}\nlease_ms = 900\nprobe_ms = 200\nfile = {}\n",
                 address(index),
                 file.display()
             );
-            std::fs::write(folder.join(format!("{index}.ini")), ini).expect("written");
+            std::fs::write(directory.join(format!("{index}.ini")), ini).expect("written");
             let example = include_str!("../examples/config.json");
             let mut config: serde_json::Value = serde_json::from_str(example).expect("JSON");
             config["name"] = format!("gw-{index}").into();
             (config["listen"], config["discovery"]) = ("127.0.0.1:0".into(), "127.0.0.1:1".into());
-            config["admin_addr"] = door.local_addr().expect("bound").to_string().into();
-            std::fs::write(folder.join(format!("{index}.json")), config.to_string()).expect("written");
+            config["admin_addr"] = admin.local_addr().expect("bound").to_string().into();
+            std::fs::write(directory.join(format!("{index}.json")), config.to_string()).expect("written");
         }
-        let (said, heard) = channel();
+        let (line_sender, lines) = channel();
         let processes = (0..count).map(|_| None).collect();
         let mut fleet = Fleet {
-            folder,
+            directory,
             voters,
             processes,
-            said,
-            heard,
-            owners: BTreeMap::new(),
-            doors: Vec::new(),
+            line_sender,
+            lines,
+            holders: BTreeMap::new(),
+            admin_addresses: Vec::new(),
             faults: Vec::new(),
-            ended: false,
+            passed: false,
         };
-        fleet.doors = doors.iter().map(|door| door.local_addr().expect("bound")).collect();
-        drop((sockets, doors));
-        fleet.faults =
-            (0..count).map(|index| Faults::none_yet(&fleet.folder.join(format!("faults-{index}")))).collect();
+        fleet.admin_addresses =
+            admin_listeners.iter().map(|listener| listener.local_addr().expect("bound")).collect();
+        drop((sockets, admin_listeners));
+        fleet.faults = (0..count)
+            .map(|index| Faults::none_yet(&fleet.directory.join(format!("faults-{index}"))))
+            .collect();
         for index in 0..count {
             if index < 3 {
                 assert!(fleet.command(index, &["fleet", "found"]).status().expect("it runs").success());
@@ -87,8 +90,8 @@
 
     fn command(&self, index: usize, what: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
-        command.args(what).arg("--config").arg(self.folder.join(format!("{index}.json")));
-        command.arg("--settings").arg(self.folder.join(format!("{index}.ini")));
+        command.args(what).arg("--config").arg(self.directory.join(format!("{index}.json")));
+        command.arg("--settings").arg(self.directory.join(format!("{index}.ini")));
         for variable in ["GW_CONFIG", "GW_SETTINGS", "GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"]
         {
             command.env_remove(variable);
@@ -101,23 +104,23 @@
     fn start(&mut self, index: usize) {
         let mut child = self.command(index, &["serve"]).spawn().expect("it starts");
         let output = child.stdout.take().expect("piped");
-        let said = self.said.clone();
+        let line_sender = self.line_sender.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let _ = said.send((index, line));
+                let _ = line_sender.send((index, line));
             }
         });
         self.processes[index] = Some(child);
     }
 
-    /// Reads logs up to a line with these words; who wrote it, and the line.
-    fn until(&mut self, wanted: impl Fn(usize, &str) -> bool) -> (usize, String) {
-        let end = Instant::now() + LONGEST;
+    /// Reads logs up to such a line: who wrote it, and the line.
+    fn wait_for_line(&mut self, wanted: impl Fn(usize, &str) -> bool) -> (usize, String) {
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             assert!(Instant::now() < end, "other lines come, and not the one that is waited for");
-            let (index, line) = self.heard.recv_timeout(LONG).expect("a line that was waited for");
+            let (index, line) = self.lines.recv_timeout(LINE_TIMEOUT).expect("a line that was waited for");
             if let Some(epoch) = line.contains("fleet: role taken").then(|| epoch(&line)) {
-                self.owners.entry(epoch).or_default().insert(index);
+                self.holders.entry(epoch).or_default().insert(index);
             }
             if wanted(index, &line) {
                 return (index, line);
@@ -125,38 +128,38 @@
         }
     }
 
-    /// Reads logs until each of these has written a line with these words.
-    fn until_all(&mut self, who: &[usize], words: &str) {
+    /// Reads logs until each of these has written a line that contains the text.
+    fn wait_for_line_of_each(&mut self, who: &[usize], words: &str) {
         let mut left: BTreeSet<usize> = who.iter().copied().collect();
         while !left.is_empty() {
-            let (index, _) = self.until(|index, line| left.contains(&index) && line.contains(words));
+            let (index, _) = self.wait_for_line(|index, line| left.contains(&index) && line.contains(words));
             left.remove(&index);
         }
     }
 
-    fn taken(&mut self, after: u64) -> (usize, u64) {
-        let taken = |_, line: &str| line.contains("fleet: role taken") && epoch(line) > after;
-        let (index, line) = self.until(taken);
+    fn wait_for_acquisition(&mut self, after: u64) -> (usize, u64) {
+        let is_acquisition = |_, line: &str| line.contains("fleet: role taken") && epoch(line) > after;
+        let (index, line) = self.wait_for_line(is_acquisition);
         (index, epoch(&line))
     }
 
-    /// Who owns the role under the last epoch behind this one, as far as logs were read; waits for one if there is none.
-    fn owner_after(&mut self, after: u64) -> (usize, u64) {
+    /// Who holds the lease under the last epoch after this one, as far as logs were read; waits for one if there is none.
+    fn holder_after(&mut self, after: u64) -> (usize, u64) {
         loop {
-            if let Some((epoch, owners)) = self.owners.range(after + 1..).next_back() {
-                return (*owners.first().expect("one at least"), *epoch);
+            if let Some((epoch, holders)) = self.holders.range(after + 1..).next_back() {
+                return (*holders.first().expect("one at least"), *epoch);
             }
-            self.until(|_, line| line.contains("fleet: role taken"));
+            self.wait_for_line(|_, line| line.contains("fleet: role taken"));
         }
     }
 
-    /// The same, somebody else than the one that is gone: what it took before is read first.
-    fn other_owner_after(&mut self, gone: usize, after: u64) -> (usize, u64) {
-        let (mut owner, mut epoch) = self.owner_after(after);
-        while owner == gone {
-            (owner, epoch) = self.owner_after(epoch);
+    /// The same, but another process than the one that is gone: its own earlier acquisitions are read first.
+    fn other_holder_after(&mut self, gone: usize, after: u64) -> (usize, u64) {
+        let (mut holder, mut epoch) = self.holder_after(after);
+        while holder == gone {
+            (holder, epoch) = self.holder_after(epoch);
         }
-        (owner, epoch)
+        (holder, epoch)
     }
 
     fn signal(&self, index: usize, signal: Signal) {
@@ -164,11 +167,11 @@
         kill_process(Pid::from_child(child), signal).expect("its own child");
     }
 
-    /// What the command tells of a gateway.
+    /// What the command prints of a gateway.
     fn status(&self, index: usize, json: bool) -> String {
-        let door = self.doors[index].to_string();
+        let admin = self.admin_addresses[index].to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
-        command.args(["fleet", "status", "--admin", &door]).args(json.then_some("--json"));
+        command.args(["fleet", "status", "--admin", &admin]).args(json.then_some("--json"));
         String::from_utf8(command.output().expect("it runs").stdout).expect("text")
     }
 
@@ -180,20 +183,20 @@
     }
 
     fn end(mut self) {
-        for (epoch, owners) in &self.owners {
-            assert_eq!(owners.len(), 1, "epoch {epoch} was taken by {owners:?}");
+        for (epoch, holders) in &self.holders {
+            assert_eq!(holders.len(), 1, "epoch {epoch} was acquired by {holders:?}");
         }
-        self.ended = true;
+        self.passed = true;
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         (0..self.processes.len()).for_each(|index| self.kill(index));
-        if self.ended {
-            let _ = std::fs::remove_dir_all(&self.folder);
+        if self.passed {
+            let _ = std::fs::remove_dir_all(&self.directory);
         } else {
-            eprintln!("voters: {}; logs and settings in {}", self.voters, self.folder.display());
+            eprintln!("voters: {}; logs and settings in {}", self.voters, self.directory.display());
         }
     }
 }
@@ -203,202 +206,202 @@
     text.split(|c: char| !c.is_ascii_digit()).next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// Guards a role through the death of its owner: one of the others has it under a later epoch, and the one that was
-/// killed comes back as a member and takes no epoch twice.
+/// Guards a lease through the death of its holder: one of the others acquires it under a later epoch, and the killed one
+/// returns as a member and acquires no epoch twice.
 #[test]
-fn a_role_passes_on_when_its_owner_is_killed() {
-    let mut fleet = Fleet::of(3, "killed");
-    let (mut owner, mut last) = fleet.taken(0);
+fn a_lease_passes_on_when_its_holder_is_killed() {
+    let mut fleet = Fleet::start_all(3, "killed");
+    let (mut holder, mut last_epoch) = fleet.wait_for_acquisition(0);
     for _ in 0..4 {
-        fleet.kill(owner);
-        let (next, epoch) = fleet.taken(last);
-        assert_ne!(next, owner);
-        let back = owner;
-        fleet.start(back);
-        fleet.until(|index, line| index == back && line.contains("fleet: member came"));
-        (owner, last) = (next, epoch);
+        fleet.kill(holder);
+        let (next, epoch) = fleet.wait_for_acquisition(last_epoch);
+        assert_ne!(next, holder);
+        let restarted = holder;
+        fleet.start(restarted);
+        fleet.wait_for_line(|index, line| index == restarted && line.contains("fleet: member came"));
+        (holder, last_epoch) = (next, epoch);
     }
     fleet.end();
 }
 
-/// Guards a role through the stop of its owner: somebody else has it meanwhile, and the owner that is woken knows
-/// that it has it no more.
+/// Guards a lease through a stop of its holder: another process acquires it meanwhile, and the former holder knows that it
+/// has lost it once it continues.
 #[test]
-fn an_owner_that_was_stopped_has_its_role_no_more() {
-    let mut fleet = Fleet::of(4, "stopped");
-    let (owner, epoch) = fleet.taken(0);
-    fleet.signal(owner, Signal::STOP);
-    let (next, _) = fleet.taken(epoch);
-    assert_ne!(next, owner);
-    fleet.signal(owner, Signal::CONT);
-    fleet.until(|index, line| index == owner && line.contains("fleet: role ended"));
+fn a_holder_that_was_stopped_loses_its_lease() {
+    let mut fleet = Fleet::start_all(4, "stopped");
+    let (holder, epoch) = fleet.wait_for_acquisition(0);
+    fleet.signal(holder, Signal::STOP);
+    let (next, _) = fleet.wait_for_acquisition(epoch);
+    assert_ne!(next, holder);
+    fleet.signal(holder, Signal::CONT);
+    fleet.wait_for_line(|index, line| index == holder && line.contains("fleet: role ended"));
     fleet.end();
 }
 
-/// Guards voters: one that has lost its file is let in by the others; all killed at once go on under later epochs.
+/// Guards voters: one that has lost its file is admitted by the others; all killed at once go on under later epochs.
 #[test]
 fn voters_come_back_without_their_file_and_all_at_once() {
-    let mut fleet = Fleet::of(3, "voters");
-    let (_, epoch) = fleet.taken(0);
+    let mut fleet = Fleet::start_all(3, "voters");
+    let (_, epoch) = fleet.wait_for_acquisition(0);
     fleet.kill(1);
-    std::fs::remove_file(fleet.folder.join("voter-1")).expect("it was there");
+    std::fs::remove_file(fleet.directory.join("voter-1")).expect("it was there");
     fleet.start(1);
-    fleet.until(|index, line| index == 1 && line.contains("fleet: the voter is let in"));
+    fleet.wait_for_line(|index, line| index == 1 && line.contains("fleet: the voter is let in"));
     (0..3).for_each(|index| fleet.kill(index));
     (0..3).for_each(|index| fleet.start(index));
-    let (_, later) = fleet.taken(epoch);
+    let (_, later) = fleet.wait_for_acquisition(epoch);
     assert!(later > epoch);
     fleet.end();
 }
 
-/// Guards a good end: the role is given back, so that nobody waits for a lease, and the program ends by itself.
+/// Guards a graceful shutdown: the lease is released, so that nobody waits for it to expire, and the program ends.
 #[test]
-fn who_ends_in_good_order_gives_its_role_back() {
-    let mut fleet = Fleet::of(3, "leaves");
-    let (mut owner, mut held) = fleet.taken(0);
+fn a_graceful_shutdown_releases_the_lease() {
+    let mut fleet = Fleet::start_all(3, "leaves");
+    let (mut holder, mut held) = fleet.wait_for_acquisition(0);
     let given_back = loop {
-        fleet.signal(owner, Signal::TERM);
+        fleet.signal(holder, Signal::TERM);
         let over = |line: &str| line.contains("why: GivenBack") || line.contains("fleet: left");
-        let (_, line) = fleet.until(|index, line| index == owner && over(line));
+        let (_, line) = fleet.wait_for_line(|index, line| index == holder && over(line));
         if line.contains("why: GivenBack") {
             break epoch(&line);
         }
-        // On a busy machine the lease ran out before the signal was heard, and there was no role to give back.
-        fleet.kill(owner);
-        fleet.start(owner);
-        (owner, held) = fleet.owner_after(held);
+        // On a busy machine the lease expired before the signal was handled, and there was none to release.
+        fleet.kill(holder);
+        fleet.start(holder);
+        (holder, held) = fleet.holder_after(held);
     };
-    fleet.owner_after(given_back);
-    let mut child = fleet.processes[owner].take().expect("there");
+    fleet.holder_after(given_back);
+    let mut child = fleet.processes[holder].take().expect("there");
     assert!(child.wait().expect("it ends").success());
     fleet.end();
 }
 
-/// Guards the operators' view: the door tells of members, voters and the role's owner, and the command prints it; a
-/// gateway in no fleet says so.
+/// Guards the operators' view: the admin interface shows members, voters and the lease's holder, and the command prints
+/// them.
 #[test]
-fn the_status_tells_who_is_there_and_who_owns_what() {
-    let mut fleet = Fleet::of(3, "status");
-    let (owner, epoch) = fleet.taken(0);
-    // Each has heard of the others before its board tells so.
-    let told = loop {
-        let told: serde_json::Value = serde_json::from_str(&fleet.status(owner, true)).unwrap_or_default();
-        if told["members"].as_array().is_some_and(|members| members.len() == 2)
-            && told["roles"][0]["held"] == true
+fn the_status_shows_members_voters_and_the_holder() {
+    let mut fleet = Fleet::start_all(3, "status");
+    let (holder, epoch) = fleet.wait_for_acquisition(0);
+    // Each knows of the others before its status shows them.
+    let status = loop {
+        let status: serde_json::Value = serde_json::from_str(&fleet.status(holder, true)).unwrap_or_default();
+        if status["members"].as_array().is_some_and(|members| members.len() == 2)
+            && status["roles"][0]["held"] == true
         {
-            break told;
+            break status;
         }
         std::thread::sleep(Duration::from_millis(20));
     };
-    assert_eq!(told["roles"][0]["owner"], format!("gw-{owner}"));
-    assert_eq!(told["roles"][0]["epoch"], epoch);
-    assert_eq!(told["voting"], true);
-    let table = fleet.status(owner, false);
+    assert_eq!(status["roles"][0]["owner"], format!("gw-{holder}"));
+    assert_eq!(status["roles"][0]["epoch"], epoch);
+    assert_eq!(status["voting"], true);
+    let table = fleet.status(holder, false);
     for word in ["fleet status", "gw-0", "gw-1", "gw-2", "survey/1", "(here)", "votes"] {
         assert!(table.contains(word), "{word} in {table}");
     }
     fleet.end();
 }
 
-/// Guards voters whose folder fails for a while, at each of the calls that store: none is silenced for good. A role passes
-/// on once the folder takes what they promise; until then nobody takes it, and log and status say why.
+/// Guards voters whose directory fails for a while, at each of the calls that store: none is silenced for good. The lease
+/// passes on once the directory works again; until then nobody acquires it, and log and status say why.
 #[test]
-fn a_folder_that_fails_for_a_while_silences_voters_for_that_while() {
+fn a_directory_that_fails_for_a_while_silences_voters_for_that_while() {
     for fault in ["open 28 1 voter", "write 28 1 voter", "fsync 5 1 voter", "rename 5 1 voter", "fsync 5 2"] {
-        let mut fleet = Fleet::of(3, "folder");
-        let (owner, epoch) = fleet.taken(0);
+        let mut fleet = Fleet::start_all(3, "folder");
+        let (holder, epoch) = fleet.wait_for_acquisition(0);
         fleet.faults.iter().for_each(|faults| faults.set(fault));
-        let others: Vec<usize> = (0..3).filter(|index| *index != owner).collect();
-        fleet.until_all(&others, "cannot store");
-        let told = loop {
-            let told = fleet.status(others[0], true);
-            if told.contains("\"unstored\": \"") {
+        let others: Vec<usize> = (0..3).filter(|index| *index != holder).collect();
+        fleet.wait_for_line_of_each(&others, "cannot store");
+        let status = loop {
+            let status = fleet.status(others[0], true);
+            if status.contains("\"unstored\": \"") {
                 break fleet.status(others[0], false);
             }
             std::thread::sleep(Duration::from_millis(20));
         };
-        assert!(told.contains("cannot store"), "{fault}: {told}");
-        fleet.kill(owner);
+        assert!(status.contains("cannot store"), "{fault}: {status}");
+        fleet.kill(holder);
         fleet.faults.iter().for_each(|faults| faults.set(""));
-        fleet.until_all(&others, "stores again");
-        fleet.other_owner_after(owner, epoch);
+        fleet.wait_for_line_of_each(&others, "stores again");
+        fleet.other_holder_after(holder, epoch);
         fleet.end();
     }
 }
 
 /// Guards the same where some of the calls fail all the time.
 #[test]
-fn a_folder_that_fails_now_and_then_holds_no_role_up() {
-    let mut fleet = Fleet::of(3, "now-and-then");
+fn a_directory_that_fails_now_and_then_blocks_no_lease() {
+    let mut fleet = Fleet::start_all(3, "now-and-then");
     fleet.faults.iter().for_each(|faults| faults.set("fsync 5 7\nwrite 28 11 voter\n"));
-    let (mut owner, mut last) = fleet.taken(0);
+    let (mut holder, mut last_epoch) = fleet.wait_for_acquisition(0);
     for _ in 0..3 {
-        fleet.kill(owner);
-        let next = fleet.other_owner_after(owner, last);
-        fleet.start(owner);
-        (owner, last) = next;
+        fleet.kill(holder);
+        let next = fleet.other_holder_after(holder, last_epoch);
+        fleet.start(holder);
+        (holder, last_epoch) = next;
     }
     fleet.end();
 }
 
-/// Guards promises against a file that cannot be read at a start: its voter is not taken for one that has lost it, and
+/// Guards promises against a file that cannot be read at a start: its voter is not mistaken for one that has lost it, and
 /// votes once it can be read.
 #[test]
-fn a_file_that_cannot_be_read_for_a_while_is_not_taken_for_none() {
+fn a_file_that_cannot_be_read_for_a_while_is_not_mistaken_for_none() {
     for fault in ["open 5 1 voter-1", "open 24 1 voter-1"] {
-        let mut fleet = Fleet::of(3, "unread");
-        let (_, epoch) = fleet.taken(0);
+        let mut fleet = Fleet::start_all(3, "unread");
+        let (_, epoch) = fleet.wait_for_acquisition(0);
         fleet.kill(1);
         fleet.faults[1].set(fault);
         fleet.start(1);
-        fleet.until(|index, line| {
+        fleet.wait_for_line(|index, line| {
             assert!(!line.contains("cannot be used"), "{line}");
             index == 1 && line.contains("cannot be read yet")
         });
         fleet.faults[1].set("");
-        fleet.until(|index, line| {
+        fleet.wait_for_line(|index, line| {
             assert!(!(index == 1 && line.contains("let in")), "{line}");
             index == 1 && line.contains("the voter's file is read")
         });
         // With only one of the others left, its vote is needed.
-        let (owner, last) = fleet.owner_after(epoch - 1);
-        let killed = if owner == 1 { 0 } else { owner };
+        let (holder, last_epoch) = fleet.holder_after(epoch - 1);
+        let killed = if holder == 1 { 0 } else { holder };
         fleet.kill(killed);
-        if owner != 1 {
-            fleet.taken(last);
+        if holder != 1 {
+            fleet.wait_for_acquisition(last_epoch);
         }
         fleet.end();
     }
 }
 
-/// Guards promises against a kill between any two steps of storing them, half of a write included: the voter goes on from
-/// what is whole, and no epoch has two owners.
+/// Guards promises against a kill between any two steps of storing them, half of a write included: the voter continues from
+/// a complete file, and no epoch has two holders.
 #[test]
-fn a_voter_that_is_killed_while_it_stores_goes_on_from_what_is_whole() {
-    for moment in [
+fn a_voter_that_is_killed_while_it_stores_continues_from_a_complete_file() {
+    for fault in [
         "open kill 3 voter",
         "write half 2 voter",
         "fsync kill 2 voter",
         "rename kill 2 voter",
         "fsync kill 3",
     ] {
-        let mut fleet = Fleet::of(3, "stores");
-        let (mut owner, mut last) = fleet.taken(0);
+        let mut fleet = Fleet::start_all(3, "stores");
+        let (mut holder, mut last_epoch) = fleet.wait_for_acquisition(0);
         for _ in 0..2 {
-            // The owner stores what it renews; the process is gone in the middle of it.
-            fleet.faults[owner].set(moment);
-            let mut child = fleet.processes[owner].take().expect("there");
-            assert!(!child.wait().expect("killed").success(), "{moment}");
-            fleet.faults[owner].set("");
-            let (_, epoch) = fleet.other_owner_after(owner, last);
-            fleet.start(owner);
-            let back = owner;
-            fleet.until(|index, line| {
-                assert!(!line.contains("cannot be used"), "{moment}: {line}");
-                index == back && line.contains("fleet: member came")
+            // The holder stores its renewal; the process is gone in the middle of it.
+            fleet.faults[holder].set(fault);
+            let mut child = fleet.processes[holder].take().expect("there");
+            assert!(!child.wait().expect("killed").success(), "{fault}");
+            fleet.faults[holder].set("");
+            let (_, epoch) = fleet.other_holder_after(holder, last_epoch);
+            fleet.start(holder);
+            let restarted = holder;
+            fleet.wait_for_line(|index, line| {
+                assert!(!line.contains("cannot be used"), "{fault}: {line}");
+                index == restarted && line.contains("fleet: member came")
             });
-            // On a busy machine it may have passed on once more meanwhile.
-            (owner, last) = fleet.owner_after(epoch - 1);
+            // On a busy machine the lease may have passed on once more meanwhile.
+            (holder, last_epoch) = fleet.holder_after(epoch - 1);
         }
         fleet.end();
     }
