--- a/src/net/event_loop/host_connection.rs
+++ b/src/net/event_loop/host_connection.rs
@@ -1,7 +1,7 @@
 //! The state of a connection to a database host.
 
 use crate::attempt::FailureCause;
-use crate::pg::host::Host;
+use crate::pg::host::HostProtocol;
 use crate::{MemberId, Micros, RequestId};
 
 /// What a connection to a host is used for at present.
@@ -32,7 +32,7 @@
 
 /// A connection to a host.
 pub(super) struct HostConnection {
-    pub(super) protocol: Host,
+    pub(super) protocol: HostProtocol,
     pub(super) member: MemberId,
     /// The host has accepted the session.
     pub(super) is_ready: bool,
@@ -51,7 +51,7 @@
     /// A connection to a member that is being opened.
     pub(super) fn new(member: MemberId, now: Micros) -> Self {
         HostConnection {
-            protocol: Host::default(),
+            protocol: HostProtocol::default(),
             member,
             is_ready: false,
             is_attempt_counted: false,
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -10,14 +10,13 @@
 use super::Gateway;
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::net::dial;
-use crate::pg::host::{self, Answer, Turn};
+use crate::pg::host::{is_rejection, HostEvent, HostResponse};
+use crate::pg::load_report;
 use crate::shortage::is_shortage;
 use crate::{MemberId, Micros};
 
 /// How long a health check may take.
 const HEALTH_CHECK_TIMEOUT: Micros = Micros::millis(250);
-/// Codes with which a host rejects a connection for the time being.
-const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
 
 impl Gateway {
     /// Begins to connect to a member, which has its time for it.
@@ -72,27 +71,27 @@
 
     /// Handles what has come on a connection to a host.
     pub(super) fn process_host(&mut self, id: ConnectionId) {
-        while let Some(event) = self.connections.host(id).and_then(|host| host.protocol.turn()) {
+        while let Some(event) = self.connections.host(id).and_then(|host| host.protocol.next_event()) {
             self.handle_host_event(id, event);
         }
         self.forward_stream(id);
     }
 
-    fn handle_host_event(&mut self, id: ConnectionId, event: Turn) {
+    fn handle_host_event(&mut self, id: ConnectionId, event: HostEvent) {
         let Some(host) = self.connections.host(id) else { return };
         let (member, task) = (host.member, host.task);
         match event {
-            Turn::Welcome => {
+            HostEvent::Ready => {
                 host.is_ready = true;
                 self.start_task(id);
             }
-            Turn::Unwelcome(code) => self.handle_session_rejected(id, &code),
-            Turn::Flows => match task {
+            HostEvent::StartupRejected(code) => self.handle_session_rejected(id, &code),
+            HostEvent::StreamingStarted => match task {
                 HostTask::Attempt(request_id) => self.start_streaming(request_id),
                 // No load report is that long.
                 _ => self.handle_host_lost(id, FailureCause::MalformedResponse),
             },
-            Turn::Answered(answer) => {
+            HostEvent::Response(answer) => {
                 self.release_connection(id);
                 match task {
                     HostTask::Attempt(request_id) => self.handle_response(request_id, member, answer),
@@ -100,7 +99,7 @@
                     HostTask::None => {}
                 }
             }
-            Turn::Nonsense => {
+            HostEvent::ProtocolViolation => {
                 self.log_protocol_violation(member);
                 self.handle_host_lost(id, FailureCause::MalformedResponse);
             }
@@ -113,9 +112,9 @@
         let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
         self.close(id);
         debug!(self.log, "host turned a connection away"; "host" => self.directory.name(member), "code" => code);
-        let is_rejection = REJECTION_CODES.contains(&code);
+        let is_rejection = is_rejection(code);
         let status = if is_rejection { ResponseStatus::Rejected } else { ResponseStatus::Failed };
-        let answer = Answer { said: status, rows: Vec::new(), value: None, role: None, position: None };
+        let answer = HostResponse::empty(status);
         match task {
             HostTask::Attempt(request_id) if is_rejection => {
                 self.handle_response(request_id, member, answer);
@@ -143,8 +142,8 @@
     pub(super) fn handle_host_lost(&mut self, id: ConnectionId, cause: FailureCause) {
         let Some(host) = self.connections.host(id) else { return };
         let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
-        let (progress, is_ready) = (host.protocol.reach(), host.is_ready);
-        let answer = host.protocol.ended();
+        let (progress, is_ready) = (host.protocol.attempt_progress(), host.is_ready);
+        let answer = host.protocol.handle_end();
         if cause != FailureCause::ConnectionLost {
             self.log_host_closed(id, CloseReason::Failed(cause));
         }
@@ -185,10 +184,10 @@
         }
     }
 
-    fn handle_health_response(&mut self, member: MemberId, answer: Answer) {
-        let (role, position) = host::report(&answer.value.unwrap_or_default());
+    fn handle_health_response(&mut self, member: MemberId, answer: HostResponse) {
+        let (role, position) = load_report::parse(&answer.value.unwrap_or_default());
         let position = self.to_position(position);
-        self.health_checked(member, AttemptOutcome::Response { status: answer.said, role, position });
+        self.health_checked(member, AttemptOutcome::Response { status: answer.status, role, position });
     }
 
     fn health_checked(&mut self, member: MemberId, outcome: AttemptOutcome) {
--- a/src/net/event_loop/streaming.rs
+++ b/src/net/event_loop/streaming.rs
@@ -21,7 +21,7 @@
     pub(super) fn forward_stream(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id) else { return };
         let HostTask::Attempt(request_id) = host.task else { return };
-        let bytes = host.protocol.flow();
+        let bytes = host.protocol.take_streamed();
         let Some(request) = self.requests.get(request_id).filter(|request| request.is_streaming()) else {
             return;
         };
--- a/src/net/event_loop/worker_messages.rs
+++ b/src/net/event_loop/worker_messages.rs
@@ -77,7 +77,7 @@
         let owner = request.owner;
         if worker == self.this_worker {
             self.handle_request(request);
-        } else if !self.workers.offer(worker, WorkerMessage::Request(request)) {
+        } else if !self.workers.try_send(worker, WorkerMessage::Request(request)) {
             self.counts.rejected += 1;
             self.send_answer(owner, FinalAnswer::Rejected(None));
         }
@@ -167,9 +167,9 @@
     #[must_use]
     pub(super) fn offer_request(&self, worker: usize, request: RequestMessage) -> bool {
         if self.is_relayed() {
-            self.workers.offer(0, WorkerMessage::RelayRequest { worker, request })
+            self.workers.try_send(0, WorkerMessage::RelayRequest { worker, request })
         } else {
-            self.workers.offer(worker, WorkerMessage::Request(request))
+            self.workers.try_send(worker, WorkerMessage::Request(request))
         }
     }
 }
