--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -23,9 +23,11 @@
 mod acceptors;
 mod leases;
 mod registers;
+mod storage;
 
 use acceptors::ActiveReconfiguration;
 pub use registers::MAX_REGISTER_CLIENTS;
+pub use storage::AcceptorStorage;
 
 /// Longest body of an order, in bytes.
 pub const MAX_ORDER_BYTES: usize = 1_024;
@@ -53,12 +55,6 @@
     pub rng_seed: u64,
 }
 
-/// Where an acceptor's file is kept.
-pub trait AcceptorStorage {
-    /// Replaces the whole file durably; false if that is not certain.
-    fn store(&mut self, file: &[u8]) -> bool;
-}
-
 /// What has happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
