--- a/src/net/event_loop/config.rs
+++ b/src/net/event_loop/config.rs
@@ -10,7 +10,7 @@
 
 use crate::config::{ConfigResult, LoadedConfig};
 use crate::fleet::rollout::version_channel::VersionReceiver;
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 use crate::hot_restart::handover_socket::HandoverState;
 use crate::net::discovery::Listing;
 use crate::settings::{SiteSettings, Zones};
@@ -42,7 +42,7 @@
     /// What the process before hands over.
     pub predecessor: Option<HandoverState>,
     /// Where the state of the fleet is shown, if the gateway is in one.
-    pub fleet: Option<Board>,
+    pub fleet: Option<SharedStatus>,
 }
 
 /// Takes a version of the configuration, or reads the file again where there is none; with the zones that are known.
--- a/src/net/event_loop/connections.rs
+++ b/src/net/event_loop/connections.rs
@@ -10,7 +10,7 @@
 use super::admin_session::AdminSession;
 use super::client_connection::ClientConnection;
 use super::host_connection::HostConnection;
-use crate::pg::codec::Outbox;
+use crate::pg::codec::SendBuffer;
 
 /// Identifies a connection: its index in the table, and a generation, since indices are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
     Client(ClientConnection),
     Host(HostConnection),
     /// A call to discovery.
-    Discovery(Outbox),
+    Discovery(SendBuffer),
     /// An operator's call.
     Admin(AdminSession),
     /// A client's connection that is shut for writing: what the client still sends is discarded, so many bytes at most.
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -15,7 +15,7 @@
 use crate::balance::random::uniform;
 use crate::net::dial;
 use crate::net::discovery::{BadAnswer, CallFailure, Listing, Watch};
-use crate::pg::codec::Outbox;
+use crate::pg::codec::SendBuffer;
 use crate::shortage::is_shortage;
 use crate::{EndpointState, Micros, Settings};
 
@@ -135,7 +135,7 @@
         self.discovery.called_at = self.now;
         let timeout = self.discovery.watch.timeout();
         let request = self.discovery.watch.next_request(&address.to_string());
-        let kind = ConnectionKind::Discovery(Outbox::with(request.into_bytes()));
+        let kind = ConnectionKind::Discovery(SendBuffer::from(request.into_bytes()));
         let added = dial(address).and_then(|socket| {
             self.add_connection(socket, kind, true).map_err(|unregistered| unregistered.error)
         });
