--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::log_clock::{LogClock, Offset};
+use super::log_clock::LogClock;
 use super::snapshot_format::SessionRecord;
 pub use super::snapshot_format::Snapshot;
 use super::Router;
@@ -53,9 +53,9 @@
             members: self.members.iter().map(|(id, member)| (*id, member.into())).collect(),
             groups: self.groups.iter().map(|(id, group)| (*id, group.into())).collect(),
             administratively_down: self.administratively_down.clone(),
-            common_clock: self.common_clock.into(),
+            common_clock: self.log_time.common().into(),
             span: self.served_span,
-            means: self.mean_latencies.clone(),
+            means: self.latencies.all().to_vec(),
             ..Snapshot::default()
         };
         for (key, group, commit) in self.sessions.commits() {
@@ -72,16 +72,13 @@
         for group in self.groups.values_mut() {
             group.log_clock = group.log_clock.after_error(error);
         }
-        self.common_clock = LogClock::from(snapshot.common_clock).after_error(error);
-        let groups = self.groups.values().filter_map(|group| self.within_common(group.log_clock.known()?));
-        self.usual_offset = groups.reduce(Offset::hull);
+        let common = LogClock::from(snapshot.common_clock).after_error(error);
+        self.log_time.restore(common, self.groups.values());
         let sessions = snapshot.sessions.into_iter().chain(snapshot.roaming);
         self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
         self.administratively_down = snapshot.administratively_down;
         self.served_span = snapshot.span;
-        for (mean, known) in self.mean_latencies.iter_mut().zip(mean_latencies) {
-            *mean = known.unwrap_or(*mean);
-        }
+        self.latencies.restore(mean_latencies);
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
         groups.into_iter().for_each(|group| self.recount(group));
     }
