--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -23,7 +23,7 @@
 use super::connections::{ConnectionEvent, Connections};
 use crate::fleet::driver::{self, LEAVE};
 use crate::fleet::transport::NodeTransport;
-use crate::settings_file::{LocalSettings, MAX_CONTROL_SERVERS};
+use crate::settings_file::{LocalSettings, SettingsFileError, MAX_CONTROL_SERVERS};
 
 /// Time between two reads of the register: one may fail, and the next succeed, before the last is no longer fresh.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
@@ -54,8 +54,8 @@
     #[error("[fleet] name: missing")]
     NoFleet,
     /// The settings of the fleet cannot be used.
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    Fleet(#[from] SettingsFileError),
     /// The file with its state cannot be read.
     #[error("cannot read {}: {source}", .path.display())]
     ReadState {
--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -25,9 +25,9 @@
 ) -> Result<(NodeSettings, Option<(usize, AcceptorFile)>), StartError> {
     let node =
         driver::Start { name: start.name.clone(), start: start.start, roles: Vec::new(), seed: start.seed };
-    let node = driver::settings(&options.fleet, node).map_err(|e| StartError::Fleet(e.to_string()))?;
+    let node = driver::settings(&options.fleet, node)?;
     let (node, index) = node.ok_or(StartError::NoFleet)?;
-    let voter = options.fleet.voter(&start.name).map_err(|e| StartError::Fleet(e.to_string()))?;
+    let voter = options.fleet.voter(&start.name)?;
     let file = voter.map(|(_, path)| AcceptorFile::new(path));
     Ok((node, index.zip(file)))
 }
--- a/src/pg/client.rs
+++ b/src/pg/client.rs
@@ -58,7 +58,7 @@
 
 /// What another process needs to go on with a client that is owed nothing.
 #[derive(Debug)]
-pub struct ClientHandover {
+pub struct ProtocolHandover {
     /// The key with which its query may be cancelled.
     pub key: CancelKey,
     /// It has been greeted.
@@ -71,7 +71,7 @@
 
 /// A client's connection.
 #[derive(Debug)]
-pub struct ClientConnection {
+pub struct ClientProtocol {
     input: TimedReceiveBuffer,
     /// Bytes for the client.
     pub out: SendBuffer,
@@ -81,17 +81,17 @@
     cancel_key: CancelKey,
 }
 
-impl Default for ClientConnection {
+impl Default for ClientProtocol {
     fn default() -> Self {
-        ClientConnection::new(MAX_MESSAGE, CancelKey::default())
+        ClientProtocol::new(MAX_MESSAGE, CancelKey::default())
     }
 }
 
-impl ClientConnection {
+impl ClientProtocol {
     /// A connection whose messages may be so long, and whose query may be cancelled with this key.
     pub fn new(max_message: usize, cancel_key: CancelKey) -> Self {
         let (input, out) = (TimedReceiveBuffer::default(), SendBuffer::default());
-        ClientConnection { input, out, state: State::Startup, max_message, cancel_key }
+        ClientProtocol { input, out, state: State::Startup, max_message, cancel_key }
     }
 
     /// The key with which its query may be cancelled, if the client knows it.
@@ -100,8 +100,8 @@
     }
 
     /// A client of another process. Messages whose arrival that did not tell count as having arrived now.
-    pub fn resume(max_message: usize, from: ClientHandover, now: Micros) -> Self {
-        let mut client = ClientConnection::new(max_message, from.key);
+    pub fn resume(max_message: usize, from: ProtocolHandover, now: Micros) -> Self {
+        let mut client = ClientProtocol::new(max_message, from.key);
         if from.greeted {
             client.state = State::Idle;
         }
@@ -109,10 +109,10 @@
         client
     }
 
-    /// What [`ClientConnection::resume`] needs, unless the client is owed something or is about to end.
-    pub fn to_handover(&self) -> Option<ClientHandover> {
+    /// What [`ClientProtocol::resume`] needs, unless the client is owed something or is about to end.
+    pub fn to_handover(&self) -> Option<ProtocolHandover> {
         let owed_nothing = matches!(self.state, State::Startup | State::Idle) && self.out.is_empty();
-        owed_nothing.then(|| ClientHandover {
+        owed_nothing.then(|| ProtocolHandover {
             key: self.cancel_key,
             greeted: self.state == State::Idle,
             bytes: self.input.unparsed().to_vec(),
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -105,7 +105,7 @@
     Ready,
     /// It rejected the connection during the startup, with this SQLSTATE.
     StartupRejected(String),
-    /// A long response has begun: [`HostConnection::take_streamed`] returns what comes of it.
+    /// A long response has begun: [`HostProtocol::take_streamed`] returns what comes of it.
     StreamingStarted,
     /// It has responded to the query; of a response that was streamed this is the rest.
     Response(HostResponse),
@@ -118,7 +118,7 @@
 
 /// A connection to a host.
 #[derive(Debug)]
-pub struct HostConnection {
+pub struct HostProtocol {
     input: ReceiveBuffer,
     /// Bytes for the host.
     pub out: SendBuffer,
@@ -132,9 +132,9 @@
     has_invalid_status: bool,
 }
 
-impl Default for HostConnection {
+impl Default for HostProtocol {
     fn default() -> Self {
-        let mut host = HostConnection {
+        let mut host = HostProtocol {
             input: ReceiveBuffer::default(),
             out: SendBuffer::default(),
             state: State::Startup,
@@ -148,7 +148,7 @@
     }
 }
 
-impl HostConnection {
+impl HostProtocol {
     /// Whether it takes a query: the last response is complete and nothing is left of it.
     pub fn is_idle(&self) -> bool {
         self.state == State::Idle && self.input.is_empty() && self.out.is_empty()
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,9 +2,9 @@
 //! a query in order, and a host's answer counts only once it is whole.
 
 use dunemount::attempt::{AttemptProgress, ResponseStatus};
-use dunemount::pg::client::{ClientConnection, ClientHandover, ClientRequest};
+use dunemount::pg::client::{ClientProtocol, ClientRequest, ProtocolHandover};
 use dunemount::pg::codec::{self, ReceiveBuffer};
-use dunemount::pg::host::{HostConnection, HostEvent, HostResponse};
+use dunemount::pg::host::{HostEvent, HostProtocol, HostResponse};
 use dunemount::pg::statement::{Statement, StatementError};
 use dunemount::pg::timed_buffer::{Arrival, TimedReceiveBuffer};
 use dunemount::{Micros, Role};
@@ -95,7 +95,7 @@
         for tag in [b'T', b'D', b'C'] {
             codec::write_message(&mut rows, tag, &[0, 0]);
         }
-        let (mut client, mut asked) = (ClientConnection::default(), Vec::new());
+        let (mut client, mut asked) = (ClientProtocol::default(), Vec::new());
         for part in bytes.chunks(chunk) {
             client.receive(part, Micros(0));
             while let Some(demand) = client.next_request() {
@@ -118,7 +118,7 @@
     /// Guards against a panic, an endless wait or an endless buffer on bytes that are no protocol.
     #[test]
     fn junk_is_turned_away(junk in prop::collection::vec(any::<u8>(), 0..200), started in any::<bool>()) {
-        let (mut client, mut host) = (ClientConnection::default(), HostConnection::default());
+        let (mut client, mut host) = (ClientProtocol::default(), HostProtocol::default());
         if started {
             let mut bytes = Vec::new();
             codec::write_startup_packet(&mut bytes, "app", "shop");
@@ -339,7 +339,7 @@
         for end in queries {
             bytes[end - 1] = 0;
         }
-        let (mut client, mut stamps, mut now) = (ClientConnection::default(), Vec::new(), Micros(50));
+        let (mut client, mut stamps, mut now) = (ClientProtocol::default(), Vec::new(), Micros(50));
         let (mut asked, mut pieces) = (0, pieces.iter().cycle());
         while asked < queries.len() || client.is_busy() {
             let (length, pause, answers, goes_over) = *pieces.next().expect("without end");
@@ -353,7 +353,7 @@
             client.out.flush(&mut Vec::new()).expect("written");
             if goes_over {
                 if let Some(left) = client.to_handover() {
-                    client = ClientConnection::resume(codec::MAX_MESSAGE, left, now);
+                    client = ClientProtocol::resume(codec::MAX_MESSAGE, left, now);
                 }
             }
             while let Some(demand) = client.next_request() {
@@ -391,13 +391,13 @@
         (vec![Arrival(Micros(400), 2), Arrival(Micros(2000), 1)], [400, 400, 1000]),
         (vec![Arrival(Micros(400), 0), Arrival(Micros(600), 9)], [600, 600, 600]),
     ] {
-        let left = ClientHandover {
+        let left = ProtocolHandover {
             key: Default::default(),
             greeted: true,
             bytes: bytes.clone(),
             arrivals: told.clone(),
         };
-        let mut client = ClientConnection::resume(codec::MAX_MESSAGE, left, now);
+        let mut client = ClientProtocol::resume(codec::MAX_MESSAGE, left, now);
         for (text, arrived) in ["one", "two", "three"].into_iter().zip(arrived) {
             assert_eq!(
                 client.next_request(),
@@ -441,8 +441,8 @@
     }
 }
 
-fn welcomed() -> HostConnection {
-    let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
+fn welcomed() -> HostProtocol {
+    let (mut host, mut bytes) = (HostProtocol::default(), Vec::new());
     codec::write_message(&mut bytes, b'R', &[0; 4]);
     codec::write_parameter_status(&mut bytes, "server_version", "15");
     codec::write_ready_for_query(&mut bytes);
@@ -457,7 +457,7 @@
 #[test]
 fn lengths_that_cannot_be_close_the_connection() {
     for length in [u32::MAX, 0, 3, codec::MAX_MESSAGE as u32 + 1] {
-        let (mut client, mut bytes) = (ClientConnection::default(), Vec::new());
+        let (mut client, mut bytes) = (ClientProtocol::default(), Vec::new());
         codec::write_startup_packet(&mut bytes, "app", "shop");
         bytes.push(b'Q');
         bytes.extend_from_slice(&length.to_be_bytes());
@@ -472,7 +472,7 @@
 /// Guards the advice on when to come back: whole milliseconds in field D, never rounded to nothing.
 #[test]
 fn a_refusal_tells_when_to_come_back() {
-    let mut client = ClientConnection::default();
+    let mut client = ClientProtocol::default();
     client.reject(Some(Micros(1_500)));
     let mut inbox = ReceiveBuffer::default();
     inbox.push(&client.out.bytes);
@@ -484,7 +484,7 @@
 /// Guards the greeting: a host that has no room says so before any request is out.
 #[test]
 fn a_host_may_turn_the_connection_away() {
-    let (mut host, mut bytes) = (HostConnection::default(), Vec::new());
+    let (mut host, mut bytes) = (HostProtocol::default(), Vec::new());
     codec::write_error_response(&mut bytes, "FATAL", "53300", "too many connections", None);
     host.receive(&bytes);
     assert_eq!(host.next_event(), Some(HostEvent::StartupRejected("53300".into())));
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -19,7 +19,7 @@
 use dunemount::hot_restart::message::{GatewaySnapshot, Message};
 use dunemount::net::clock::{Clock, Reading};
 use dunemount::net::discovery::Directory;
-use dunemount::pg::client::{ClientConnection, ClientRequest};
+use dunemount::pg::client::{ClientProtocol, ClientRequest};
 use dunemount::pg::codec::{self, CancelKey, MAX_MESSAGE};
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::settings::Zones;
@@ -62,7 +62,7 @@
     zones.id("a".to_string());
     let mut directory = Directory::new(zones);
     let known = serde_json::from_value(harness::listing(&[([10, 0, 0, 5], 5432).into()])).expect("a listing");
-    directory.take(known, &Clock::start());
+    directory.update(known, &Clock::start());
     let configuration = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
         "limits": {"sockets": 200, "memory_mb": 48}, "known": harness::listing(&[]), "settings": harness::settings()});
     let taken = ActiveConfig::default()
@@ -238,7 +238,7 @@
 
 /// What a client is sent for these bytes before anything is asked of the gateway, and what it then wants.
 fn said_to(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
-    let mut client = ClientConnection::new(MAX_MESSAGE, KEY);
+    let mut client = ClientProtocol::new(MAX_MESSAGE, KEY);
     client.receive(bytes, Micros(5));
     let demand = client.next_request();
     (client.out.bytes, demand)
@@ -312,7 +312,7 @@
     for (name, wait) in
         [("client-refused-v1.bin", None), ("client-refused-wait-v1.bin", Some(Micros(120_001)))]
     {
-        let mut client = ClientConnection::new(MAX_MESSAGE, KEY);
+        let mut client = ClientProtocol::new(MAX_MESSAGE, KEY);
         client.receive(&[startup(VERSION_3), framed(b'Q', b"SELECT 1\0")].concat(), Micros(5));
         assert_eq!(client.next_request(), Some(ClientRequest::Query("SELECT 1".to_string(), Micros(5))));
         client.out.bytes.clear();
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -9,7 +9,7 @@
 
 use dunemount::net::discovery::Watch;
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer, StartupPacket};
-use dunemount::pg::host::HostConnection;
+use dunemount::pg::host::HostProtocol;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
 use harness::{listing, local, Harness};
@@ -118,7 +118,7 @@
     assert_eq!(inbox.next_startup_packet(), Ok(Some(StartupPacket::Session(3, 0))));
     assert!(inbox.is_empty());
     assert_eq!(&fixture[8..], b"user\0app\0database\0shop\0\0");
-    assert_eq!(HostConnection::default().out.bytes, fixture);
+    assert_eq!(HostProtocol::default().out.bytes, fixture);
 }
 
 /// Guards forwarded statements: all keys of the comment pass unchanged but `d`, the time that the gateway will wait.
@@ -132,7 +132,7 @@
     ];
     for (statement, fixture, time_left, d) in cases {
         assert_eq!(query_text(fixture), statement.replace("d=30000", &format!("d={d}")));
-        let mut host = HostConnection::default();
+        let mut host = HostProtocol::default();
         host.out.flush(&mut std::io::sink()).expect("a sink takes all");
         let mut greeting = Vec::new();
         codec::write_message(&mut greeting, b'R', &[0; 4]);
@@ -207,12 +207,12 @@
 #[test]
 fn calls_to_discovery_are_these_requests() {
     let grace = Micros::millis(1000);
-    let mut rejected = Watch::from(Some(41));
-    rejected.failed(dunemount::net::discovery::Failed::Empty, 1, grace, Micros(0), 0.5);
+    let mut rejected = Watch::from_version(Some(41));
+    rejected.on_call_failed(dunemount::net::discovery::CallFailure::Rejected, 1, grace, Micros(0), 0.5);
     let cases: [(Watch, &[u8], &str); 3] = [
-        (Watch::from(None), include_bytes!("fixtures/discovery-poll-v1.http"), "/catalog/members"),
+        (Watch::from_version(None), include_bytes!("fixtures/discovery-poll-v1.http"), "/catalog/members"),
         (
-            Watch::from(Some(41)),
+            Watch::from_version(Some(41)),
             include_bytes!("fixtures/discovery-watch-v1.http"),
             "/catalog/members?index=41&wait=2000",
         ),
@@ -227,7 +227,7 @@
         assert_eq!(found, path);
         let expected = [("Host", DISCOVERY), ("Accept", "application/json")];
         assert_eq!(headers, expected.map(|(name, value)| (name.to_string(), value.to_string())));
-        assert_eq!(watch.call(DISCOVERY).as_bytes(), fixture);
+        assert_eq!(watch.next_request(DISCOVERY).as_bytes(), fixture);
     }
 }
 
