--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -18,7 +18,7 @@
 use super::{Gateway, Phase};
 use crate::admin::metrics::Metrics;
 use crate::admin::request::{AdminRequest, HttpStatus};
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 
 /// Most operators' connections at a time.
 const MAX_CONNECTIONS: usize = 12;
@@ -30,7 +30,7 @@
     /// Names of the hosts that are administratively down.
     pub(super) down: BTreeSet<String>,
     /// What is known of the fleet, if this gateway is in one.
-    pub(super) fleet: Option<Board>,
+    pub(super) fleet: Option<SharedStatus>,
 }
 
 impl Gateway {
@@ -116,7 +116,7 @@
     }
 
     fn reply_fleet(&mut self, id: ConnectionId) {
-        match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
+        match self.admin.fleet.as_ref().map(|status| serde_json::to_string(&status.snapshot())) {
             Some(Ok(text)) => self.reply(id, HttpStatus::Ok, &text),
             Some(Err(_)) => {
                 self.reply(id, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n")
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -244,7 +244,7 @@
 
     /// Offers a worker a request. False if too many lie in its mailbox.
     #[must_use]
-    pub(super) fn offer(&self, to: usize, message: WorkerMessage) -> bool {
+    pub(super) fn try_send(&self, to: usize, message: WorkerMessage) -> bool {
         self.mailboxes[to].try_send(message).is_ok()
     }
 
