--- a/src/cli.rs
+++ b/src/cli.rs
@@ -42,7 +42,8 @@
 pub enum FleetCommand {
     /// Lay out this gateway's file as a voter of a NEW fleet. Never for a voter that has lost its file: the others let
     /// it in again by themselves.
-    Found {
+    #[command(name = "found")]
+    CreateVoterFile {
         /// The files that name it and its fleet.
         #[command(flatten)]
         files: FileArgs,
--- a/src/fleet/rollout/gateway.rs
+++ b/src/fleet/rollout/gateway.rs
@@ -28,7 +28,7 @@
 use super::follower_driver::FollowerDriver;
 use super::version_channel::{self, VersionReceiver};
 use crate::fleet::status::{ConfigurationStatus, SharedStatus};
-use crate::shortage::{may_pass, retry};
+use crate::shortage::{is_transient_file_error, retry};
 
 /// How long a read of the file is retried that fails for a moment: the gateway has to be ready soon.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -55,7 +55,7 @@
 /// # Errors
 /// The file cannot be used.
 pub fn stored_version(path: &Path) -> Result<Option<Document>, StoredVersionError> {
-    match retry(Instant::now() + READ_TIMEOUT, may_pass, || fs::read(path)) {
+    match retry(Instant::now() + READ_TIMEOUT, is_transient_file_error, || fs::read(path)) {
         Ok(bytes) => Ok(Some(Document::from_file(&bytes)?)),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e.into()),
--- a/src/fleet/rollout/gateway/installer.rs
+++ b/src/fleet/rollout/gateway/installer.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::durable_file::{self, StagedFile};
 use crate::fleet::rollout::version_channel::{ApplyResult, VersionSender};
-use crate::shortage::may_pass;
+use crate::shortage::is_transient_file_error;
 
 /// Time between two attempts to store a version.
 pub(super) const STORE_INTERVAL: Duration = Duration::from_millis(250);
@@ -82,7 +82,7 @@
                 self.stage = Some(Stage::Apply(document, staged));
                 None
             }
-            Err(error) if may_pass(&error) => {
+            Err(error) if is_transient_file_error(&error) => {
                 self.record_storage_error(&document, &error);
                 self.stage = Some(Stage::Store(document, self.next_attempt()));
                 None
@@ -127,7 +127,7 @@
     /// The version that the event loop has applied is in the file's place, or is to be written there again.
     fn finish(&mut self, document: Document, committed: io::Result<()>) -> Option<Installed> {
         match committed {
-            Err(error) if may_pass(&error) => {
+            Err(error) if is_transient_file_error(&error) => {
                 self.record_storage_error(&document, &error);
                 self.stage = Some(Stage::Commit(document, self.next_attempt()));
                 None
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -11,68 +11,68 @@
 
 use crate::cli::LogFormat;
 
-/// Most log lines in a second, of level debug and of all others; what is beyond is counted and dropped.
-const LINES_A_SECOND: u32 = 100;
-/// Lines that wait for the writer at most.
-const QUEUE: usize = 512;
+/// Most log lines in a second, of level debug and of all others; what is beyond is dropped.
+const MAX_LINES_PER_SECOND: u32 = 100;
+/// Most lines that wait for the writer.
+const QUEUE_CAPACITY: usize = 512;
 
 /// Opens the log; it is flushed when the guard is dropped.
-pub fn open(name: String, form: LogFormat, level: Level) -> (Logger, AsyncGuard) {
-    match form {
+pub fn open(name: String, format: LogFormat, level: Level) -> (Logger, AsyncGuard) {
+    match format {
         LogFormat::Text => {
             let plain = slog_term::PlainDecorator::new(stdout());
-            queued(name, level, slog_term::FullFormat::new(plain).use_utc_timestamp().build())
+            open_with(name, level, slog_term::FullFormat::new(plain).use_utc_timestamp().build())
         }
-        LogFormat::Json => queued(name, level, Mutex::new(slog_json::Json::default(stdout()))),
+        LogFormat::Json => open_with(name, level, Mutex::new(slog_json::Json::default(stdout()))),
     }
 }
 
-fn queued<D>(name: String, level: Level, lines: D) -> (Logger, AsyncGuard)
+fn open_with<D>(name: String, level: Level, lines: D) -> (Logger, AsyncGuard)
 where
     D: Drain + Send + 'static,
     D::Err: std::fmt::Debug,
 {
     // A line that cannot be written is lost; the thread that writes, and whoever logs, go on.
     let (lines, guard) = Async::new(lines.ignore_res())
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_CAPACITY)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(Throttle::over(lines.ignore_res(), level), o!("gateway" => name)), guard)
+    (Logger::root(RateLimited::new(lines.ignore_res(), level), o!("gateway" => name)), guard)
 }
 
-/// Admits lines of a level, and so many of them a second.
-struct Throttle<D> {
+/// A drain that passes lines of a level on, and so many of them a second.
+struct RateLimited<D> {
     lines: D,
     level: Level,
-    /// Lines on single requests, which a busy second has many of, and all others: none takes the others' place.
-    single: Allowance,
-    others: Allowance,
+    /// Lines on single requests, of which a busy second has many, are limited apart from all others.
+    debug_limit: RateLimit,
+    other_limit: RateLimit,
 }
 
-/// Lines written since the second that is counted began.
-struct Allowance(Mutex<Cell<(Instant, u32)>>);
+/// A number of lines a second: when the present second began, and the lines since.
+struct RateLimit(Mutex<Cell<(Instant, u32)>>);
 
-impl Allowance {
-    fn whole() -> Self {
-        Allowance(Mutex::new(Cell::new((Instant::now(), 0))))
+impl RateLimit {
+    fn new() -> Self {
+        RateLimit(Mutex::new(Cell::new((Instant::now(), 0))))
     }
 
-    fn admits(&self) -> bool {
+    fn try_acquire(&self) -> bool {
         let Ok(state) = self.0.lock() else { return false };
         let (since, lines) = state.get();
-        let fresh = since.elapsed() >= Duration::from_secs(1);
-        state.set(if fresh { (Instant::now(), 1) } else { (since, lines.saturating_add(1)) });
-        fresh || lines < LINES_A_SECOND
+        let is_new_second = since.elapsed() >= Duration::from_secs(1);
+        state.set(if is_new_second { (Instant::now(), 1) } else { (since, lines.saturating_add(1)) });
+        is_new_second || lines < MAX_LINES_PER_SECOND
     }
 }
 
-impl<D> Throttle<D> {
-    fn over(lines: D, level: Level) -> Self {
-        Throttle { lines, level, single: Allowance::whole(), others: Allowance::whole() }
+impl<D> RateLimited<D> {
+    fn new(lines: D, level: Level) -> Self {
+        RateLimited { lines, level, debug_limit: RateLimit::new(), other_limit: RateLimit::new() }
     }
 }
 
-impl<D> Drain for Throttle<D>
+impl<D> Drain for RateLimited<D>
 where
     D: SendSyncRefUnwindSafeDrain<Ok = (), Err = Never>,
 {
@@ -80,8 +80,9 @@
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
-        let allowance = if record.level().is_at_least(Level::Info) { &self.others } else { &self.single };
-        if record.level().is_at_least(self.level) && allowance.admits() {
+        let is_debug = !record.level().is_at_least(Level::Info);
+        let limit = if is_debug { &self.debug_limit } else { &self.other_limit };
+        if record.level().is_at_least(self.level) && limit.try_acquire() {
             self.lines.log(record, values)?;
         }
         Ok(())
--- a/src/main.rs
+++ b/src/main.rs
@@ -61,7 +61,7 @@
 
 fn run_fleet_command(command: FleetCommand) -> Result<(), Failed> {
     match command {
-        FleetCommand::Found { files, name } => {
+        FleetCommand::CreateVoterFile { files, name } => {
             println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
         }
         FleetCommand::Status { admin, json } => print_as(&NodeStatus::fetch(admin).map_err(failed)?, json),
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -12,7 +12,7 @@
 use super::timers::Timer;
 use super::{Gateway, Phase};
 use crate::attempt::FailureCause;
-use crate::shortage::{is_shortage, is_to_wait};
+use crate::shortage::{is_shortage, should_try_later};
 use crate::Micros;
 
 /// Most reads of one connection in one iteration.
@@ -221,7 +221,7 @@
                         break;
                     }
                 }
-                Err(e) if is_to_wait(&e) => break,
+                Err(e) if should_try_later(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 // A reset is no end: what had come before it may be incomplete.
                 Err(_) => {
--- a/src/net/event_loop/sockets.rs
+++ b/src/net/event_loop/sockets.rs
@@ -7,7 +7,7 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::shortage::is_to_wait;
+use crate::shortage::should_try_later;
 
 /// Most connections that the system keeps for a listener.
 pub(super) const BACKLOG: i32 = 1024;
@@ -33,7 +33,7 @@
     match socket.peek(&mut [0]) {
         Ok(0) => true,
         Ok(_) => has_event(PollFd::new(socket, PollFlags::RDHUP)),
-        Err(e) => !is_to_wait(&e) && e.kind() != io::ErrorKind::Interrupted,
+        Err(e) => !should_try_later(&e) && e.kind() != io::ErrorKind::Interrupted,
     }
 }
 
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 
 use super::message_type::{backend, frontend};
-use crate::shortage::is_to_wait;
+use crate::shortage::should_try_later;
 
 /// Longest message that is accepted everywhere: a value of 64 KiB in hexadecimal, with room for the
 /// statement round it. Where there is memory for more, longer ones are accepted too.
@@ -229,7 +229,7 @@
             match to.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.written += count,
-                Err(e) if is_to_wait(&e) => {
+                Err(e) if should_try_later(&e) => {
                     // More is added for as long as a value is streamed: what is written is dropped.
                     if self.written > MAX_WRITTEN {
                         self.bytes.drain(..self.written);
--- a/src/shortage.rs
+++ b/src/shortage.rs
@@ -1,12 +1,12 @@
-//! Shortages of this machine: calls of the system that fail for a while because descriptors, ports, buffers, memory or a
-//! route are lacking. They pass, and they say nothing of whoever is at the other end.
+//! Shortages of this machine: system calls that fail for a while because descriptors, ports, buffers, memory or a
+//! route are lacking. They are transient, and they say nothing of the other end of a connection.
 
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Time between two tries.
-const PAUSE: Duration = Duration::from_millis(20);
-/// How long a start tries again: a process has 30 s to be ready.
+/// Time between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a start retries: a process has 30 s to be ready.
 pub const START_PATIENCE: Duration = Duration::from_secs(20);
 
 /// Whether an error says that this machine lacks something at the moment.
@@ -26,14 +26,14 @@
     )
 }
 
-/// Whether a call that reads or writes without waiting is to be made again later: nothing was done, and nothing is wrong
+/// Whether a call that reads or writes without blocking is to be made again later: nothing was done, and nothing is wrong
 /// with the other end.
-pub fn is_to_wait(error: &io::Error) -> bool {
+pub fn should_try_later(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock || is_shortage(error)
 }
 
-/// Whether reading or storing a file may do better soon.
-pub fn may_pass(error: &io::Error) -> bool {
+/// Whether reading or storing a file may succeed soon.
+pub fn is_transient_file_error(error: &io::Error) -> bool {
     is_shortage(error)
         || matches!(
             error.raw_os_error(),
@@ -41,19 +41,19 @@
         )
 }
 
-/// Takes a step again as long as `passes` says that its error may pass, up to a moment.
+/// Retries an operation as long as its error is transient, up to a deadline.
 ///
 /// # Errors
 /// The last one.
 pub fn retry<T>(
-    until: Instant,
-    passes: impl Fn(&io::Error) -> bool,
-    mut step: impl FnMut() -> io::Result<T>,
+    deadline: Instant,
+    is_transient: impl Fn(&io::Error) -> bool,
+    mut operation: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     loop {
-        match step() {
-            Err(e) if passes(&e) && Instant::now() < until => std::thread::sleep(PAUSE),
-            done => return done,
+        match operation() {
+            Err(e) if is_transient(&e) && Instant::now() < deadline => std::thread::sleep(RETRY_INTERVAL),
+            result => return result,
         }
     }
 }
--- a/src/text_file.rs
+++ b/src/text_file.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use crate::shortage::{may_pass, retry};
+use crate::shortage::{is_transient_file_error, retry};
 
 /// A file that cannot be read.
 #[derive(Debug, thiserror::Error)]
@@ -21,7 +21,7 @@
 impl ReadError {
     /// Whether the file may be readable soon: the error says nothing of what it holds.
     pub fn is_transient(&self) -> bool {
-        may_pass(&self.source)
+        is_transient_file_error(&self.source)
     }
 }
 
@@ -39,7 +39,7 @@
 /// That of the last attempt.
 pub fn read_within(patience: Duration, path: &Path) -> Result<String, ReadError> {
     let attempt = || std::fs::read_to_string(path);
-    retry(Instant::now() + patience, may_pass, attempt)
+    retry(Instant::now() + patience, is_transient_file_error, attempt)
         .map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
