--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -16,7 +16,7 @@
 use crate::fleet::acceptor_file::AcceptorFile;
 use crate::fleet::node_settings::{node_settings, NodeStart};
 use crate::settings_file::LocalSettings;
-use crate::shortage::{is_shortage, retry, START_PATIENCE};
+use crate::shortage::{is_shortage, retry, START_RETRY_TIMEOUT};
 
 /// The settings of the fleet's node, and its index among the voters with its file if it is one.
 pub(super) fn node_with_voter(
@@ -60,7 +60,7 @@
         listen: SocketAddr,
         shutdown: &UnixStream,
     ) -> Result<Sockets, StartError> {
-        let until = Instant::now() + START_PATIENCE;
+        let until = Instant::now() + START_RETRY_TIMEOUT;
         let socket = retry(until, is_shortage, || UdpSocket::bind(datagrams))
             .map_err(|source| StartError::BindSocket { address: datagrams, source })?;
         let listener = retry(until, is_shortage, || TcpListener::bind(listen))
--- a/src/fleet/rollout/control_server/store.rs
+++ b/src/fleet/rollout/control_server/store.rs
@@ -12,7 +12,7 @@
 use super::StartError;
 use crate::config::version;
 use crate::fleet::durable_file;
-use crate::shortage::{is_transient_file_error, retry, START_PATIENCE};
+use crate::shortage::{is_transient_file_error, retry, START_RETRY_TIMEOUT};
 
 /// Validates documents, and stores the state in a file.
 pub(super) struct FileStore {
@@ -46,7 +46,7 @@
 /// # Errors
 /// The file cannot be read, also after a while. It must not be overwritten, since its content may not be lost.
 pub(super) fn read_state(path: &Path, log: &Logger) -> Result<PersistentState, StartError> {
-    match retry(Instant::now() + START_PATIENCE, is_transient_file_error, || fs::read(path)) {
+    match retry(Instant::now() + START_RETRY_TIMEOUT, is_transient_file_error, || fs::read(path)) {
         Ok(bytes) => Ok(PersistentState::from_file(&bytes).unwrap_or_else(|error| {
             warn!(log, "config: what was kept cannot be used, the others have to give it"; "why" => %error);
             PersistentState::default()
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -33,7 +33,7 @@
 use crate::pg::codec;
 use crate::request::InFlightRequests;
 use crate::settings::SiteSettings;
-use crate::shortage::{is_shortage, retry, START_PATIENCE};
+use crate::shortage::{is_shortage, retry, START_RETRY_TIMEOUT};
 use crate::Micros;
 
 /// Descriptors kept back: standard streams, poller, signals, listeners, discovery, operators, half-closed connections,
@@ -158,7 +158,7 @@
     /// Opens the pollers and the listeners, or takes over the listener of the process before. What fails for a shortage of
     /// this machine is tried again for a while.
     fn open(config: &mut Config, signals: &Signals, workers: usize) -> io::Result<Self> {
-        let until = Instant::now() + START_PATIENCE;
+        let until = Instant::now() + START_RETRY_TIMEOUT;
         // A signal to end is not kept waiting by a shortage.
         let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
         let pollers: Vec<_> = (0..workers)
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -7,7 +7,7 @@
 use dunemount_rollout::settings::ControlServerInfo;
 use ini::Ini;
 
-use crate::shortage::START_PATIENCE;
+use crate::shortage::START_RETRY_TIMEOUT;
 use crate::text_file::{self, AtLine, InFile, ReadError};
 
 mod keys;
@@ -322,7 +322,7 @@
     /// It cannot be read, also after some retries, or cannot be used.
     pub fn load(path: Option<&Path>) -> Result<SettingsFile, LoadError> {
         let Some(path) = path else { return Ok(SettingsFile::default()) };
-        let text = text_file::read_within(START_PATIENCE, path)?;
+        let text = text_file::read_within(START_RETRY_TIMEOUT, path)?;
         let settings = LocalSettings::parse(&text).map_err(|error| error.in_file(path))?;
         Ok(SettingsFile { path: path.to_path_buf(), settings })
     }
--- a/src/shortage.rs
+++ b/src/shortage.rs
@@ -7,7 +7,7 @@
 /// Time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a start retries: a process has 30 s to be ready.
-pub const START_PATIENCE: Duration = Duration::from_secs(20);
+pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Whether an error says that this machine lacks something at the moment.
 pub fn is_shortage(error: &io::Error) -> bool {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -25,7 +25,7 @@
 use crate::net::event_loop::{Config, Gateway};
 use crate::settings::Zones;
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
-use crate::shortage::START_PATIENCE;
+use crate::shortage::START_RETRY_TIMEOUT;
 use crate::text_file::{self, InFile, ReadError};
 
 mod initial_config;
@@ -86,7 +86,7 @@
     let path = args.files.config.ok_or(StartError::NoConfig)?;
     let settings_file = SettingsFile::load(args.files.settings.as_deref())?;
     let version_file = settings_file.follower()?.map(|follower| follower.file);
-    let text = text_file::read_within(START_PATIENCE, &path);
+    let text = text_file::read_within(START_RETRY_TIMEOUT, &path);
     let name = variable("GW_NAME").or_else(|| initial_config::configured_name(text.as_ref().ok()?));
     let takeover = Takeover::attempt(name.as_deref());
     let initial = InitialConfig::load(&path, text, takeover.state.as_ref(), version_file)?;
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::net::event_loop::{ReadConfig, Signals};
-use crate::shortage::{is_shortage, retry, START_PATIENCE};
+use crate::shortage::{is_shortage, retry, START_RETRY_TIMEOUT};
 
 type Signal = libc::c_int;
 
@@ -52,7 +52,7 @@
 
 /// A pipe that becomes readable when one of the signals arrives.
 fn pipe(signals: &[Signal]) -> io::Result<UnixStream> {
-    let (writer, reader) = retry(Instant::now() + START_PATIENCE, is_shortage, UnixStream::pair)?;
+    let (writer, reader) = retry(Instant::now() + START_RETRY_TIMEOUT, is_shortage, UnixStream::pair)?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
     }
--- a/src/startup/takeover.rs
+++ b/src/startup/takeover.rs
@@ -8,7 +8,7 @@
 use crate::shortage::{is_shortage, retry};
 
 /// How long the process before may take to hand over.
-const HANDOVER_PATIENCE: Duration = Duration::from_secs(3);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What came of the attempt to take over.
 #[derive(Default)]
@@ -25,8 +25,8 @@
     /// Takes over from the process of the gateway with this name, if one waits for it.
     pub fn attempt(name: Option<&str>) -> Takeover {
         let Some(path) = name.and_then(socket_path) else { return Takeover::default() };
-        let until = Instant::now() + HANDOVER_PATIENCE;
-        let (state, error) = match retry(until, is_shortage, || take_over(&path, HANDOVER_PATIENCE)) {
+        let until = Instant::now() + HANDOVER_TIMEOUT;
+        let (state, error) = match retry(until, is_shortage, || take_over(&path, HANDOVER_TIMEOUT)) {
             Ok(state) => (Some(state), None),
             Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => (None, None),
             Err(e) => (None, Some(e)),
--- a/src/text_file.rs
+++ b/src/text_file.rs
@@ -37,9 +37,9 @@
 ///
 /// # Errors
 /// That of the last attempt.
-pub fn read_within(patience: Duration, path: &Path) -> Result<String, ReadError> {
+pub fn read_within(timeout: Duration, path: &Path) -> Result<String, ReadError> {
     let attempt = || std::fs::read_to_string(path);
-    retry(Instant::now() + patience, is_transient_file_error, attempt)
+    retry(Instant::now() + timeout, is_transient_file_error, attempt)
         .map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
