--- a/crates/loadtest/src/scale/run.rs
+++ b/crates/loadtest/src/scale/run.rs
@@ -13,6 +13,7 @@
 mod versions;
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::net::TcpListener;
 use std::sync::atomic::AtomicBool;
 use std::sync::mpsc::{Receiver, Sender};
 use std::sync::Arc;
@@ -66,6 +67,7 @@
     proposed: u64,
     common: Arc<Common>,
     discovery: Discovery,
+    _port_claims: Vec<TcpListener>,
     _folder: Folder,
 }
 
--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
 use std::sync::mpsc::{channel, Sender};
@@ -39,6 +39,7 @@
     machines: Machines,
     acceptors: Vec<NamedAddress>,
     discovery: Discovery,
+    port_claims: Vec<TcpListener>,
 }
 
 fn text(error: io::Error) -> String {
@@ -50,12 +51,12 @@
         let folder = Folder::new().map_err(text)?;
         let discovery =
             Discovery::start(plan.hosts, plan.group_size, plan.zones, plan.whole).map_err(text)?;
-        let Addresses { fleet, mut tcp } =
+        let Addresses { fleet, mut tcp, claims: port_claims } =
             Addresses::draw(plan.gateways() + plan.control, plan.real + plan.control).map_err(text)?;
         let listeners = tcp.split_off(plan.real);
         let machines = Machines(Arc::new(listeners.into_iter().enumerate().map(control_server).collect()));
         let acceptors = (0..plan.voters).map(|index| acceptor(plan, &fleet, index)).collect();
-        Ok(Setup { plan, folder, fleet, admin: tcp, machines, acceptors, discovery })
+        Ok(Setup { plan, folder, fleet, admin: tcp, machines, acceptors, discovery, port_claims })
     }
 
     /// The file of the acceptor with this index, founded; none for whoever is no acceptor.
@@ -233,6 +234,7 @@
             proposed: 0,
             common,
             discovery: setup.discovery,
+            _port_claims: setup.port_claims,
             _folder: setup.folder,
         })
     }
