--- a/src/fleet/rollout/connections/tests.rs
+++ b/src/fleet/rollout/connections/tests.rs
@@ -1,12 +1,12 @@
-//! Connections of one thread.
+//! Tests of the connections of one thread.
 
 use std::net::{Shutdown, TcpListener};
 use std::time::Duration;
 
 use super::*;
 
-fn connections(most: usize) -> Connections {
-    Connections::new(Arc::new(Poller::new().expect("a poller")), 5, most)
+fn connections(max_connections: usize) -> Connections {
+    Connections::new(Arc::new(Poller::new().expect("a poller")), 5, max_connections)
 }
 
 fn listener() -> (TcpListener, SocketAddr) {
@@ -15,29 +15,30 @@
     (listener, address)
 }
 
-/// One turn: whether a connection came up, and the bytes that came.
+/// One turn: whether a connection was established, and the number of bytes received.
 fn turn(connections: &mut Connections) -> (bool, usize) {
     let mut ready = Vec::new();
     let wait = Some(Duration::from_millis(10));
     connections.poller.wait(&mut ready, wait).expect("it waits");
-    let (mut up, mut count) = (false, 0);
+    let (mut is_established, mut count) = (false, 0);
     connections.handle_ready(&ready, |_, event| match event {
-        ConnectionEvent::Established => up = true,
+        ConnectionEvent::Established => is_established = true,
         ConnectionEvent::Received(bytes) => count += bytes.len(),
     });
-    (up, count)
+    (is_established, count)
 }
 
-/// Guards memory: whoever does not read is let go once more than a few documents wait for it, and is told of once.
+/// Guards memory: a receiver that does not read is disconnected once more than a few documents wait for it, which is reported
+/// once.
 #[test]
-fn who_does_not_read_is_let_go() {
+fn a_receiver_that_does_not_read_is_disconnected() {
     let (listener, address) = listener();
     let mut connections = connections(1);
     connections.connect(ConnectionId(1), address);
     let (_silent, _) = listener.accept().expect("it comes");
     while !turn(&mut connections).0 {}
     let bytes: Arc<[u8]> = vec![7; MAX_FRAME_BYTES].into();
-    // What the system takes is not bounded here; what waits behind it is.
+    // The system's buffers are not limited here; what waits behind them is.
     let sent = (0..1_000).take_while(|_| {
         connections.send(ConnectionId(1), bytes.clone());
         connections.lost.is_empty()
@@ -47,9 +48,9 @@
     assert!(connections.open.is_empty() && connections.indices.is_empty());
 }
 
-/// Guards the other connections of a thread: one that sends without end gets its part of a turn.
+/// Guards the other connections of a thread: one that sends without end is read a limited number of times in a turn.
 #[test]
-fn a_turn_reads_its_part_and_no_more() {
+fn a_turn_reads_a_limited_number_of_bytes() {
     let (listener, address) = listener();
     let mut connections = connections(1);
     connections.connect(ConnectionId(1), address);
@@ -73,9 +74,9 @@
     );
 }
 
-/// Guards the last word: what was said before the end arrives, and nothing more is told of the connection.
+/// Guards the last message: what was sent before the close is received, and nothing more is reported of the connection.
 #[test]
-fn what_was_said_arrives_before_the_end() {
+fn what_was_sent_is_received_before_the_close() {
     let (listener, address) = listener();
     let mut client = TcpStream::connect(address).expect("accepted");
     let (socket, _) = listener.accept().expect("it comes");
@@ -100,9 +101,9 @@
     assert_eq!(connections.next_lost(), None);
 }
 
-/// Guards whoever waits for a connection: one that cannot be made, one too many and one that ends are told.
+/// Guards the report of connections that cannot be established, exceed the limit or end.
 #[test]
-fn what_cannot_be_had_is_told() {
+fn lost_connections_are_reported() {
     let (listener, address) = listener();
     drop(listener);
     let mut connections = connections(1);
@@ -114,7 +115,7 @@
     let (listener, address) = self::listener();
     connections.connect(ConnectionId(2), address);
     connections.connect(ConnectionId(3), address);
-    assert_eq!(connections.next_lost(), Some(ConnectionId(3)), "there is room for one");
+    assert_eq!(connections.next_lost(), Some(ConnectionId(3)), "the limit is one");
     let (socket, _) = listener.accept().expect("it comes");
     while !turn(&mut connections).0 {}
     socket.shutdown(Shutdown::Both).expect("shut");
@@ -126,6 +127,6 @@
     connections.close(ConnectionId(4));
     assert!(
         connections.open.is_empty() && connections.lost.is_empty(),
-        "nothing more is said of one that was closed"
+        "nothing more is reported of one that was closed"
     );
 }
