--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -12,8 +12,9 @@
 use dunemount::pg::codec::{self, ReceiveBuffer};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
+use socket2::{Domain, Protocol, Socket, Type};
 
-use super::{local, settings, Talk};
+use super::{settings, Talk};
 
 /// Time between two looks at something that is waited for.
 pub const PAUSE: Duration = Duration::from_millis(2);
@@ -93,6 +94,18 @@
     pub address: SocketAddr,
     pub admin: SocketAddr,
     pub folder: PathBuf,
+    /// Its ports, where they were chosen for it.
+    reserved: Vec<Socket>,
+}
+
+/// Reserves a port of loopback: bound and not listened on, the system assigns it to nobody else, however long a process
+/// takes until it listens there; sockets that reuse addresses may be bound to it.
+fn reserve_port() -> Socket {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
+    socket.set_reuse_address(true).expect("an option");
+    rustix::net::sockopt::set_socket_reuseport(&socket, true).expect("an option");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    socket
 }
 
 /// What a process is started with beside its ports and its list.
@@ -134,11 +147,13 @@
 
     /// Starts one on ports that are free now.
     pub fn spawn(&self, known: &Value) -> Process {
-        // Both ports are held until both are known.
-        let (listen, door) = (local(), local());
-        let (address, admin) = (listen.local_addr().expect("bound"), door.local_addr().expect("bound"));
-        drop((listen, door));
-        self.spawn_at(address, admin, known)
+        let reserved = [reserve_port(), reserve_port()];
+        let [address, admin] = reserved
+            .each_ref()
+            .map(|socket| socket.local_addr().expect("bound").as_socket().expect("an address"));
+        let mut process = self.spawn_at(address, admin, known);
+        process.reserved.extend(reserved);
+        process
     }
 
     /// Starts one on these ports; the log of one that was started before in the same folder goes on in its own file.
@@ -163,7 +178,7 @@
         if let Some(faults) = &self.faults {
             faults.meet(&mut command);
         }
-        Process { child: command.spawn().expect("it starts"), address, admin, folder }
+        Process { child: command.spawn().expect("it starts"), address, admin, folder, reserved: Vec::new() }
     }
 }
 
