--- a/src/main.rs
+++ b/src/main.rs
@@ -5,10 +5,10 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use dunemount::cli::{self, Cli, Command, FleetCommand, LogFormat};
-use dunemount::fleet::rollout::config_command::{CommandError, ConfigCommand};
+use dunemount::cli::{Cli, Command, ConfigCommand, FleetCommand, LogFormat};
+use dunemount::fleet::rollout::config_command::{CommandError, ConfigClient};
 use dunemount::fleet::rollout::control_server;
-use dunemount::fleet::status::Status;
+use dunemount::fleet::status::NodeStatus;
 use dunemount::settings_file::SettingsFile;
 use dunemount::startup::{self, signals};
 use dunemount::{logging, validation};
@@ -64,7 +64,7 @@
         FleetCommand::Found { files, name } => {
             println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
         }
-        FleetCommand::Status { admin, json } => print_as(&Status::ask(admin).map_err(failed)?, json),
+        FleetCommand::Status { admin, json } => print_as(&NodeStatus::fetch(admin).map_err(failed)?, json),
         FleetCommand::Control { name, settings, log } => {
             run_control_server(name, settings.settings.as_deref(), log)?;
         }
@@ -73,20 +73,20 @@
     Ok(())
 }
 
-fn run_config_command(command: cli::ConfigCommand) -> Result<(), Failed> {
+fn run_config_command(command: ConfigCommand) -> Result<(), Failed> {
     match command {
-        cli::ConfigCommand::Put { file, settings } => {
-            let version = ConfigCommand::from_settings(settings.settings.as_deref())?.put(&file)?;
+        ConfigCommand::Put { file, settings } => {
+            let version = ConfigClient::from_settings(settings.settings.as_deref())?.put(&file)?;
             println!("version {}, digest {}", version.number, version.digest);
         }
-        cli::ConfigCommand::Show { number, settings } => {
-            let document = ConfigCommand::from_settings(settings.settings.as_deref())?.show(number)?;
+        ConfigCommand::Show { number, settings } => {
+            let document = ConfigClient::from_settings(settings.settings.as_deref())?.show(number)?;
             let version = document.version();
             eprintln!("version {}, digest {}", version.number, version.digest);
             println!("{}", String::from_utf8_lossy(document.bytes()));
         }
-        cli::ConfigCommand::Status { json, settings } => {
-            print_as(&ConfigCommand::from_settings(settings.settings.as_deref())?.status()?, json);
+        ConfigCommand::Status { json, settings } => {
+            print_as(&ConfigClient::from_settings(settings.settings.as_deref())?.status()?, json);
         }
     }
     Ok(())
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -1,5 +1,5 @@
 //! Operators: their listener, their calls, and the hosts that they take down. Their connections have descriptors of their
-//! own, so that neither clients keep them out nor they the clients, and those without a complete call go first.
+//! own, so that neither clients nor operators keep each other out; those without a complete call are closed first.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -9,7 +9,7 @@
 use polling::{Event, PollMode};
 use slog::{info, warn};
 
-use super::admin_connection::AdminConnection;
+use super::admin_session::AdminSession;
 use super::connection_io::SHORTAGE_PAUSE;
 use super::connections::{ConnectionId, ConnectionKind};
 use super::mailboxes::WorkerMessage;
@@ -18,7 +18,7 @@
 use super::{Gateway, Phase};
 use crate::admin::metrics::Metrics;
 use crate::admin::request::{AdminRequest, HttpStatus};
-use crate::fleet::status::Board;
+use crate::fleet::status::SharedStatus;
 
 /// Most operators' connections at a time.
 const MAX_CONNECTIONS: usize = 12;
@@ -30,7 +30,7 @@
     /// Names of the hosts that are administratively down.
     pub(super) down: BTreeSet<String>,
     /// What is known of the fleet, if this gateway is in one.
-    pub(super) fleet: Option<Board>,
+    pub(super) fleet: Option<SharedStatus>,
 }
 
 impl Gateway {
@@ -45,7 +45,7 @@
             self.evict_surplus_admin();
             let _ = socket.set_nodelay(true);
             let _ = socket.set_nonblocking(true);
-            let kind = ConnectionKind::Admin(AdminConnection::new(self.now));
+            let kind = ConnectionKind::Admin(AdminSession::new(self.now));
             if let Ok(id) = self.add_connection(socket, kind, false) {
                 self.read(id);
             }
@@ -63,25 +63,25 @@
         }
     }
 
-    /// Makes room for an operator: whoever has its answer goes first, then whoever has waited longest with an incomplete
-    /// call.
+    /// Closes one connection where the most are open: first one that has its answer, then the one that has had an
+    /// incomplete call for longest.
     fn evict_surplus_admin(&mut self) {
         if self.connections.admins().count() < MAX_CONNECTIONS {
             return;
         }
-        let rank = |admin: &AdminConnection| (!admin.call.has_responded(), admin.since);
+        let rank = |admin: &AdminSession| (!admin.protocol.has_responded(), admin.since);
         let first = self.connections.admins().min_by_key(|(_, admin)| rank(admin)).map(|(id, _)| id);
         first.into_iter().for_each(|id| self.close(id));
     }
 
-    /// Whoever has not completed its call in time is told so; an answer is not waited with for its reader.
+    /// Answers connections whose calls are not complete in time, and closes those that do not read their answers.
     pub(super) fn evict_overdue_admins(&mut self) {
         let now = self.now;
         let overdue = self.connections.admins().filter(|(_, admin)| admin.is_overdue(now));
         let overdue: Vec<ConnectionId> = overdue.map(|(id, _)| id).collect();
         for id in overdue {
             match self.connections.admin(id) {
-                Some(admin) if !admin.call.has_responded() => {
+                Some(admin) if !admin.protocol.has_responded() => {
                     self.reply(id, HttpStatus::RequestTimeout, "no whole call\n");
                 }
                 _ => self.close(id),
@@ -92,23 +92,23 @@
     /// Takes in bytes of an operator, or its end: one that got its answer has read it, one that did not will get none.
     pub(super) fn handle_admin_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
         let Some(admin) = self.connections.admin(id) else { return };
-        if has_ended && admin.call.out.is_empty() {
+        if has_ended && admin.protocol.out.is_empty() {
             return self.close(id);
         }
-        match admin.call.receive(bytes) {
+        match admin.protocol.receive(bytes) {
             None => {}
-            Some(Ok(order)) => self.handle_order(id, order),
+            Some(Ok(request)) => self.handle_admin_request(id, request),
             Some(Err(status)) => self.reply(id, status, "the call cannot be carried out\n"),
         }
     }
 
-    fn handle_order(&mut self, id: ConnectionId, order: AdminRequest) {
-        match order {
+    fn handle_admin_request(&mut self, id: ConnectionId, request: AdminRequest) {
+        match request {
             AdminRequest::Readiness if self.phase == Phase::Serving => {
                 self.reply(id, HttpStatus::Ok, "ready\n")
             }
             AdminRequest::Readiness => self.reply(id, HttpStatus::ServiceUnavailable, "ending\n"),
-            AdminRequest::Stats => self.collect_figures(id),
+            AdminRequest::Stats => self.collect_metrics(id),
             AdminRequest::SetDown(name) => self.order_down(id, &name, true),
             AdminRequest::SetUp(name) => self.order_down(id, &name, false),
             AdminRequest::Fleet => self.reply_fleet(id),
@@ -116,7 +116,7 @@
     }
 
     fn reply_fleet(&mut self, id: ConnectionId) {
-        match self.admin.fleet.as_ref().map(|board| serde_json::to_string(&board.get())) {
+        match self.admin.fleet.as_ref().map(|status| serde_json::to_string(&status.snapshot())) {
             Some(Ok(text)) => self.reply(id, HttpStatus::Ok, &text),
             Some(Err(_)) => {
                 self.reply(id, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n")
@@ -125,32 +125,32 @@
         }
     }
 
-    /// Collects the figures of all workers for a call.
-    fn collect_figures(&mut self, id: ConnectionId) {
-        let own = self.current_figures();
+    /// Collects the metrics of all workers for a call.
+    fn collect_metrics(&mut self, id: ConnectionId) {
+        let own = self.current_metrics();
         if let Some(admin) = self.connections.admin(id) {
-            (admin.awaited_workers, admin.figures) = (self.workers.count(), Metrics::default());
+            (admin.awaited_workers, admin.metrics) = (self.workers.count(), Metrics::default());
         }
-        self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectFigures(id));
-        self.add_figures(id, &own);
+        self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectMetrics(id));
+        self.add_metrics(id, &own);
     }
 
-    /// Adds one worker's figures for a call. It is answered once all have come.
-    pub(super) fn add_figures(&mut self, id: ConnectionId, figures: &Metrics) {
+    /// Adds one worker's metrics for a call. It is answered once all have come.
+    pub(super) fn add_metrics(&mut self, id: ConnectionId, metrics: &Metrics) {
         let Some(admin) = self.connections.admin(id) else { return };
-        admin.figures.add(figures);
+        admin.metrics.add(metrics);
         if admin.on_worker_reply() {
-            let text = admin.figures.to_string();
+            let text = admin.metrics.to_string();
             self.reply(id, HttpStatus::Ok, &text);
         }
     }
 
-    /// The figures as they stand.
-    pub(super) fn current_figures(&mut self) -> Metrics {
-        self.figures.active = self.requests.len();
+    /// The metrics as they stand.
+    pub(super) fn current_metrics(&mut self) -> Metrics {
+        self.metrics.active = self.requests.len();
         let endpoints = self.balancer.endpoint_counts();
-        (self.figures.pool_size, self.figures.pool_ejected) = (endpoints.listed, endpoints.ejected);
-        self.figures.clone()
+        (self.metrics.pool_size, self.metrics.pool_ejected) = (endpoints.listed, endpoints.ejected);
+        self.metrics.clone()
     }
 
     /// Operators take a host down, or put it back. They get the confirmation once that holds on every worker.
@@ -226,7 +226,7 @@
     fn reply(&mut self, id: ConnectionId, status: HttpStatus, text: &str) {
         let now = self.now;
         if let Some(admin) = self.connections.admin(id) {
-            admin.call.respond(status, text);
+            admin.protocol.respond(status, text);
             admin.since = now;
             self.write(id);
         }
--- a/src/net/event_loop/client_connection.rs
+++ b/src/net/event_loop/client_connection.rs
@@ -1,6 +1,6 @@
 //! The state of a client's connection, and how long one may stay.
 
-use crate::pg::client::Client;
+use crate::pg::client::ClientProtocol;
 use crate::{Micros, RequestId};
 
 /// How long a client may take for its first query, and for the rest of a command that it has begun.
@@ -33,7 +33,7 @@
     NotReading,
 }
 
-/// How much a client that has nothing open would be missed: the least first.
+/// Order in which idle clients are closed: the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     is_active: bool,
@@ -42,7 +42,7 @@
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    pub(super) protocol: Client,
+    pub(super) protocol: ClientProtocol,
     /// Where its request is decided, while one is in flight.
     pub(super) in_flight: Option<RequestLocation>,
     /// The owning worker of its streamed response waits for it to read on.
@@ -65,7 +65,7 @@
 
 impl ClientConnection {
     /// A client that has just connected.
-    pub(super) fn new(protocol: Client, now: Micros) -> Self {
+    pub(super) fn new(protocol: ClientProtocol, now: Micros) -> Self {
         ClientConnection {
             protocol,
             in_flight: None,
@@ -101,7 +101,7 @@
             || !self.has_asked && now - self.connected_at >= COMMAND_TIMEOUT
     }
 
-    /// The order in which clients make room for new ones; none for one that has something open.
+    /// The order in which idle clients are closed for new ones; none for one that is not idle.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
         let is_silent = !self.has_asked && now - self.connected_at >= SILENT_AFTER;
         let rank = EvictionRank { is_active: !is_silent, last_used: self.last_used };
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -1,6 +1,5 @@
-//! Clients: whom to accept, what they send, and who has to leave. A client that owes its startup, its first query or the
-//! rest of a command is told so and closed; one that has been idle makes room, so that clients that come and never come
-//! back leave nothing behind.
+//! Clients: accepting them, what they send, and closing them. A client that does not complete its startup, its first query
+//! or a command in time gets an error and is closed; idle ones are closed for new ones.
 
 use std::io;
 use std::net::TcpStream;
@@ -14,7 +13,7 @@
 use super::mailboxes::WorkerMessage;
 use super::timers::Timer;
 use super::{Gateway, Phase};
-use crate::pg::client::{Client, Demand};
+use crate::pg::client::{ClientProtocol, ClientRequest};
 use crate::Micros;
 
 /// Most connections accepted in one iteration.
@@ -28,7 +27,7 @@
             let (least_loaded, most_loaded) = (self.workers.least_loaded(), self.workers.most_loaded());
             let open = self.workers.client_count() + self.descriptors_lent();
             let is_full = open >= self.admission.limits.clients;
-            // Whether anybody waits is known of the first alone: no client makes room for nobody.
+            // Only of the first is it known that somebody waits: no client is closed for nobody.
             if is_full && accepted > 0 {
                 return AcceptQueue::MaybeMore;
             }
@@ -86,7 +85,7 @@
     /// Serves a client that is counted as this worker's, and may have waited in the queue since a time.
     pub(super) fn serve_client(&mut self, socket: TcpStream, waiting_since: Micros) {
         let key = self.admission.cancel_keys.issue();
-        let protocol = Client::taking(self.admission.limits.message, key);
+        let protocol = ClientProtocol::new(self.admission.limits.message, key);
         let client = ClientConnection::new(protocol, self.now);
         self.add_client(socket, ClientConnection { waiting_since: Some(waiting_since), ..client });
     }
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Closes the client that is missed least among those with nothing open. False if there is none.
+    /// Closes the first idle client by rank. False if there is none.
     pub(super) fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
         let clients = self.connections.clients();
@@ -167,8 +166,7 @@
         idle.into_iter().any(|(_, id)| self.close_if_idle(id));
     }
 
-    /// Those clients that owe something for too long are told so and closed, those that have been idle for long make
-    /// room.
+    /// Closes clients whose commands are overdue, with an error, and those that have been idle or unread for too long.
     pub(super) fn evict_overdue_clients(&mut self) {
         let is_crowded = self.admission.is_crowded(self.workers.client_count());
         let now = self.now;
@@ -188,7 +186,7 @@
 
     fn close_with_timeout(&mut self, id: ConnectionId) {
         if let Some(client) = self.connections.client(id) {
-            client.protocol.turn_out("57014", "no whole command came in time");
+            client.protocol.close_with_error("57014", "no whole command came in time");
             client.is_closing = true;
             self.write(id);
         }
@@ -199,21 +197,22 @@
         if self.try_hand_over_client(id) {
             return;
         }
-        while let Some(demand) = self.connections.client(id).and_then(|client| client.protocol.demand()) {
+        while let Some(demand) = self.connections.client(id).and_then(|client| client.protocol.next_request())
+        {
             match demand {
-                Demand::Query(text, arrived_at) => self.handle_query(id, text, arrived_at),
-                Demand::Cancel(key) => {
+                ClientRequest::Query(text, arrived_at) => self.handle_query(id, text, arrived_at),
+                ClientRequest::Cancel(key) => {
                     self.mark_closing(id);
                     self.cancel(key);
                 }
-                Demand::Close => self.mark_closing(id),
+                ClientRequest::Close => self.mark_closing(id),
             }
         }
         let (now, is_ending) = (self.now, self.phase == Phase::Closing);
         if let Some(client) = self.connections.client(id) {
             client.is_closing |= is_ending && !client.protocol.is_busy();
             let incomplete_since = client.incomplete_since.unwrap_or(now);
-            client.incomplete_since = client.protocol.is_half().then_some(incomplete_since);
+            client.incomplete_since = client.protocol.has_partial_message().then_some(incomplete_since);
         }
         self.write(id);
     }
--- a/src/net/event_loop/host_connection.rs
+++ b/src/net/event_loop/host_connection.rs
@@ -1,6 +1,7 @@
 //! The state of a connection to a database host.
 
-use crate::pg::host::Host;
+use crate::attempt::FailureCause;
+use crate::pg::host::HostProtocol;
 use crate::{MemberId, Micros, RequestId};
 
 /// What a connection to a host is used for at present.
@@ -11,9 +12,27 @@
     HealthCheck,
 }
 
+/// Why this gateway closes a connection to a host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum CloseReason {
+    IdleTimeout,
+    /// Idle connections to this host may be broken.
+    Distrusted,
+    /// Another connection needs its descriptor.
+    CapacityNeeded,
+    /// Bytes or an end have come while it was idle.
+    UnexpectedInput,
+    /// The host gets nothing new.
+    NotRoutable,
+    /// It carries a request whose response nobody waits for.
+    ResponseNotAwaited,
+    /// Its attempt or health check has failed.
+    Failed(FailureCause),
+}
+
 /// A connection to a host.
 pub(super) struct HostConnection {
-    pub(super) protocol: Host,
+    pub(super) protocol: HostProtocol,
     pub(super) member: MemberId,
     /// The host has accepted the session.
     pub(super) is_ready: bool,
@@ -32,7 +51,7 @@
     /// A connection to a member that is being opened.
     pub(super) fn new(member: MemberId, now: Micros) -> Self {
         HostConnection {
-            protocol: Host::default(),
+            protocol: HostProtocol::default(),
             member,
             is_ready: false,
             is_attempt_counted: false,
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -2,7 +2,7 @@
 
 use super::client_connection::RequestLocation;
 use super::connections::ConnectionId;
-use super::host_connection::HostTask;
+use super::host_connection::{CloseReason, HostTask};
 use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
 use super::timers::Timer;
@@ -10,7 +10,7 @@
 use crate::attempt::{AttemptOutcome, AttemptProgress, FailedAttempt, FailureCause, ResponseStatus};
 use crate::balancer::RoutingDecision;
 use crate::pg::codec::CancelKey;
-use crate::pg::host::Answer;
+use crate::pg::host::HostResponse;
 use crate::pg::statement::Statement;
 use crate::request::InFlightRequest;
 use crate::{GroupId, MemberId, Micros, RequestId};
@@ -28,11 +28,11 @@
     pub(super) fn finish_request(&mut self, request_id: RequestId, answer: FinalAnswer) {
         self.cancel_attempt(request_id);
         let Some(request) = self.remove_request(request_id) else { return };
-        let figures = self.figures.class_mut(&request.statement.class);
+        let metrics = self.metrics.class_mut(&request.statement.class);
         match answer {
-            FinalAnswer::Served(_) => figures.ok += 1,
-            FinalAnswer::Rejected(_) => figures.shed += 1,
-            FinalAnswer::Failed | FinalAnswer::Cancelled | FinalAnswer::Unroutable(_) => figures.errors += 1,
+            FinalAnswer::Served(_) => metrics.ok += 1,
+            FinalAnswer::Rejected(_) => metrics.shed += 1,
+            FinalAnswer::Failed | FinalAnswer::Cancelled | FinalAnswer::Unroutable(_) => metrics.errors += 1,
         }
         match self.commit_to_publish(&request.statement) {
             Some(commit) => self.publish_commit(commit, Some((request.owner, answer))),
@@ -42,8 +42,8 @@
 
     /// The commit that another process, if there is one, must hold against the session of a write that has ended here.
     fn commit_to_publish(&self, statement: &Statement) -> Option<Commit> {
-        let (group, session) = (GroupId(statement.cluster), statement.session);
-        if !statement.writes || !self.workers.has_peer() {
+        let (group, session) = (GroupId(statement.group), statement.session);
+        if !statement.is_write || !self.workers.has_peer() {
             return None;
         }
         let position = self.balancer.session_commit(group, session)?;
@@ -102,7 +102,7 @@
 
     /// Cancels the query of the client with this key. False if it is not a client of this worker.
     pub(super) fn cancel_here(&mut self, key: CancelKey) -> bool {
-        let found = self.connections.clients().find(|(_, client)| client.protocol.key() == Some(key));
+        let found = self.connections.clients().find(|(_, client)| client.protocol.cancel_key() == Some(key));
         let Some((id, in_flight)) = found.map(|(id, client)| (id, client.in_flight)) else { return false };
         match in_flight {
             Some(RequestLocation::Here(request_id)) => {
@@ -158,13 +158,13 @@
         client.in_flight = None;
         client.last_used = now;
         match answer {
-            FinalAnswer::Served(rows) => client.protocol.serve(&rows),
-            FinalAnswer::Rejected(retry_after) => client.protocol.refuse(retry_after),
-            FinalAnswer::Failed => client.protocol.fail("58000", "no answer in time, it may have run"),
+            FinalAnswer::Served(rows) => client.protocol.send_rows(&rows),
+            FinalAnswer::Rejected(retry_after) => client.protocol.reject(retry_after),
+            FinalAnswer::Failed => client.protocol.send_error("58000", "no answer in time, it may have run"),
             FinalAnswer::Cancelled => {
-                client.protocol.fail("57014", "canceling statement due to user request");
+                client.protocol.send_error("57014", "canceling statement due to user request");
             }
-            FinalAnswer::Unroutable(why) => client.protocol.fail("08P01", &why),
+            FinalAnswer::Unroutable(why) => client.protocol.send_error("08P01", &why),
         }
         self.write(id);
         self.ready_clients.push_back(id);
@@ -254,7 +254,7 @@
     }
 
     fn write_query(&mut self, id: ConnectionId, text: &str) {
-        if self.connections.host(id).is_some_and(|host| host.protocol.ask(text)) {
+        if self.connections.host(id).is_some_and(|host| host.protocol.send_query(text)) {
             self.write(id);
         } else {
             self.handle_connection_lost(id);
@@ -266,14 +266,14 @@
     pub(super) fn handle_attempt_written(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id) else { return };
         let HostTask::Attempt(request_id) = host.task else { return };
-        if host.protocol.reach() != AttemptProgress::FullyWritten
+        if host.protocol.attempt_progress() != AttemptProgress::FullyWritten
             || std::mem::replace(&mut host.is_attempt_counted, true)
         {
             return;
         }
         let member = host.member;
         if let Some(request) = self.requests.get(request_id) {
-            self.figures.class_mut(&request.statement.class).attempts += 1;
+            self.metrics.class_mut(&request.statement.class).attempts += 1;
         }
         self.log_attempt(request_id, member);
         if !self.balancer.is_fresh_enough(self.clock.read(), request_id) {
@@ -292,7 +292,7 @@
         if is_idle && self.balancer.is_routable(member) {
             self.pool.put(now, member, id);
         } else if is_ready {
-            let why = if is_idle { "draining or gone" } else { "its answer is not awaited any more" };
+            let why = if is_idle { CloseReason::NotRoutable } else { CloseReason::ResponseNotAwaited };
             self.log_host_closed(id, why);
             self.close(id);
         }
@@ -319,9 +319,9 @@
     }
 
     /// An attempt has got its response.
-    pub(super) fn handle_response(&mut self, request_id: RequestId, member: MemberId, answer: Answer) {
+    pub(super) fn handle_response(&mut self, request_id: RequestId, member: MemberId, answer: HostResponse) {
         self.requests.end_attempt(request_id);
-        let (status, role) = (answer.said, answer.role);
+        let (status, role) = (answer.status, answer.role);
         let position = self.to_position(answer.position);
         let outcome = AttemptOutcome::Response { status, role, position };
         let decision = self.report_outcome(request_id, member, outcome);
--- a/src/net/event_loop/streaming.rs
+++ b/src/net/event_loop/streaming.rs
@@ -21,7 +21,7 @@
     pub(super) fn forward_stream(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id) else { return };
         let HostTask::Attempt(request_id) = host.task else { return };
-        let bytes = host.protocol.flow();
+        let bytes = host.protocol.take_streamed();
         let Some(request) = self.requests.get(request_id).filter(|request| request.is_streaming()) else {
             return;
         };
@@ -83,7 +83,7 @@
     pub(super) fn abort_streaming(&mut self, request_id: RequestId) {
         let Some(request) = self.remove_request(request_id) else { return };
         self.counts.failed += 1;
-        self.figures.class_mut(&request.statement.class).errors += 1;
+        self.metrics.class_mut(&request.statement.class).errors += 1;
         let Owner { worker, connection } = request.owner;
         if worker == self.this_worker {
             self.abort_response(connection);
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -3,7 +3,7 @@
 use slog::warn;
 
 use super::connections::ConnectionId;
-use super::host_connection::{HostConnection, HostTask};
+use super::host_connection::{CloseReason, HostConnection, HostTask};
 use super::timers::Timer;
 use super::traffic_counts::OpenCounts;
 use super::Gateway;
@@ -79,7 +79,7 @@
     fn sweep(&mut self) {
         self.check_missed_signals();
         for id in self.pool.stale(self.now) {
-            self.log_host_closed(id, "idle for too long");
+            self.log_host_closed(id, CloseReason::IdleTimeout);
             self.close(id);
         }
         self.end_stalled_responses();
@@ -110,6 +110,6 @@
 
 /// Whether a response has begun on a connection and brings nothing more.
 fn is_stalled(host: &HostConnection, now: Micros) -> bool {
-    let stall = if host.protocol.flows() { STREAM_STALL } else { RESPONSE_STALL };
-    host.protocol.is_half() && !host.is_reading_paused && now - host.last_received >= stall
+    let stall = if host.protocol.is_streaming() { STREAM_STALL } else { RESPONSE_STALL };
+    host.protocol.has_partial_response() && !host.is_reading_paused && now - host.last_received >= stall
 }
--- a/src/net/event_loop/worker_messages.rs
+++ b/src/net/event_loop/worker_messages.rs
@@ -55,8 +55,8 @@
             WorkerMessage::Settings(site, zones) => self.handle_settings(*site, zones),
             WorkerMessage::SetDown { host, down, call } => self.handle_set_down(&host, down, call),
             WorkerMessage::SetDownDone(call) => self.handle_set_down_done(call),
-            WorkerMessage::CollectFigures(call) => self.send_figures(call),
-            WorkerMessage::Figures(call, figures) => self.add_figures(call, &figures),
+            WorkerMessage::CollectMetrics(call) => self.send_metrics(call),
+            WorkerMessage::Metrics(call, metrics) => self.add_metrics(call, &metrics),
             WorkerMessage::PublishCommit { commit, answer } => self.publish_commit(commit, answer),
             WorkerMessage::RecordCommit(commit) => self.record_commit(commit),
             WorkerMessage::CollectSnapshot => self.send_worker_snapshot(),
@@ -77,7 +77,7 @@
         let owner = request.owner;
         if worker == self.this_worker {
             self.handle_request(request);
-        } else if !self.workers.offer(worker, WorkerMessage::Request(request)) {
+        } else if !self.workers.try_send(worker, WorkerMessage::Request(request)) {
             self.counts.rejected += 1;
             self.send_answer(owner, FinalAnswer::Rejected(None));
         }
@@ -121,9 +121,9 @@
         }
     }
 
-    fn send_figures(&mut self, call: ConnectionId) {
-        let figures = Box::new(self.current_figures());
-        self.workers.send(0, WorkerMessage::Figures(call, figures));
+    fn send_metrics(&mut self, call: ConnectionId) {
+        let metrics = Box::new(self.current_metrics());
+        self.workers.send(0, WorkerMessage::Metrics(call, metrics));
     }
 
     pub(super) fn record_commit(&mut self, commit: Commit) {
@@ -167,9 +167,9 @@
     #[must_use]
     pub(super) fn offer_request(&self, worker: usize, request: RequestMessage) -> bool {
         if self.is_relayed() {
-            self.workers.offer(0, WorkerMessage::RelayRequest { worker, request })
+            self.workers.try_send(0, WorkerMessage::RelayRequest { worker, request })
         } else {
-            self.workers.offer(worker, WorkerMessage::Request(request))
+            self.workers.try_send(worker, WorkerMessage::Request(request))
         }
     }
 }
