--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -135,11 +135,7 @@
             self.weigh(now, window, |id, member| read.should_be_covered_by(id, member), &mut weighted);
             replica = weighted_draw(&mut self.rng, &weighted);
         } else if replica.is_none() && self.checks_replica_first(&read, primary) {
-            let may_start = self.may_start_check(&read);
-            let is_due = |id, member: &Member| {
-                may_start && is_check_due(now, member) && read.should_be_covered_by(id, member)
-            };
-            self.weigh(now, window, is_due, &mut weighted);
+            self.weigh_due_checks(&read, window, &mut weighted);
             let due = weighted_draw(&mut self.rng, &weighted);
             let in_flight = self.is_check_in_flight(&read, window);
             check = if in_flight { ReplicaCheck::InFlight } else { due.into() };
@@ -191,6 +187,15 @@
         read.now + self.check_time(read) < self.wait_until(read.open)
     }
 
+    /// Collects the weights of the replicas whose health a read may check in a draw.
+    fn weigh_due_checks(&self, read: &WaitingRead, window: CandidateWindow, weighted: &mut WeightedMembers) {
+        let may_start = self.may_start_check(read);
+        let is_due = |id, member: &Member| {
+            may_start && is_check_due(read.now, member) && read.should_be_covered_by(id, member)
+        };
+        self.weigh(read.now, window, is_due, weighted);
+    }
+
     /// Whether a replica is being checked that the read may wait for.
     fn is_check_in_flight(&self, read: &WaitingRead, window: CandidateWindow) -> bool {
         let time = self.check_time(read);
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -1,6 +1,7 @@
 //! What is renewed in time: sweeps over open requests, and refreshes of members with their weights and
 //! slow-start tokens.
 
+use super::group::Group;
 use super::health_checks::HealthCheckCandidate;
 use super::log_clock::{HOLD, ROUNDING};
 use super::member::Member;
@@ -200,16 +201,13 @@
         group.refreshed_at = now;
         group.served_cost *= served_decay;
         let usual_latency = latencies.least();
-        // A gateway may use its share of a single core.
-        let least_rate = 1.0 / f64::from(settings.gateways.max(1)) / usual_latency;
-        let served_rate = group.served_cost / *served_span / group.live_members.max(1.0);
         let refresh = MemberRefresh {
             now,
             settings,
             elapsed,
             decay: half_life_decay(elapsed),
             usual_latency,
-            served_rate: served_rate.max(least_rate),
+            served_rate: served_rate(group, *served_span, usual_latency, settings),
         };
         let (mut lost_in_service, mut passed) = (0.0, None);
         group.members.retain(|id| {
@@ -249,6 +247,13 @@
     }
 }
 
+/// Cost a microsecond that each member of a group has served of late: at least this gateway's share of a
+/// single core.
+fn served_rate(group: &Group, served_span: f64, usual_latency: f64, settings: &Settings) -> f64 {
+    let least = 1.0 / f64::from(settings.gateways.max(1)) / usual_latency;
+    (group.served_cost / served_span / group.live_members.max(1.0)).max(least)
+}
+
 /// The lesser of a position and that of a replica.
 fn least_position(least: Option<Micros>, member: &Member) -> Option<Micros> {
     if member.role.role() == Role::Primary {
