--- a/benches/scene/mod.rs
+++ b/benches/scene/mod.rs
@@ -143,7 +143,7 @@
             while let Some(due) = self.timed(|b| b.poll_output(now)) {
                 match due {
                     Output::Decision(request_id, RoutingDecision::Send { member, .. }) => {
-                        self.sent(request_id, member)
+                        self.sent(request_id, member);
                     }
                     Output::HealthCheck(member) => {
                         let (role, position) = self.told(member);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -69,7 +69,7 @@
     fn notify(&mut self, notification: Notification<'_, IndexedIdentity>) {
         match notification {
             Notification::MemberUp(member) => {
-                self.changes.push(MembershipChange::Up(member.identity.clone()))
+                self.changes.push(MembershipChange::Up(member.identity.clone()));
             }
             Notification::MemberDown(member) => {
                 self.changes.push(MembershipChange::Down(member.identity.clone()));
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -129,7 +129,7 @@
             }
             RoundEvent::Preempted(by) => (process.round, process.highest_counter) = (None, by.counter),
             RoundEvent::NewerAcceptorSet(set) => {
-                (process.round, process.known_acceptors) = (None, process.known_acceptors.join(&set))
+                (process.round, process.known_acceptors) = (None, process.known_acceptors.join(&set));
             }
             RoundEvent::UninitializedAcceptor(slot, generation) if process.reconfiguration.is_none() => {
                 let nonce = 100 + u64::from(slot.0) + 10 * to as u64;
--- a/crates/fleet/tests/register_clients.rs
+++ b/crates/fleet/tests/register_clients.rs
@@ -322,7 +322,7 @@
     }
     // Its proposal is on its way to all; that to the first one arrives.
     simulation.partitions.extend([(0, 1), (0, 2)]);
-    for send in simulation.messages.iter_mut() {
+    for send in &mut simulation.messages {
         send.take_if(|send| matches!(send, Message::Request { acceptor, .. } if *acceptor > 0));
     }
     simulation.processes[0].pending_change = None;
--- a/crates/loadtest/src/capacity/measure/reconnects.rs
+++ b/crates/loadtest/src/capacity/measure/reconnects.rs
@@ -44,7 +44,7 @@
             let one = &one;
             let ended: Vec<Result<(usize, u64), String>> = std::thread::scope(|scope| {
                 let all: Vec<_> = CLIENTS.iter().map(|clients| scope.spawn(move || one(*clients))).collect();
-                let joined = all.into_iter().map(|thread| thread.join());
+                let joined = all.into_iter().map(std::thread::ScopedJoinHandle::join);
                 joined.map(|ended| ended.unwrap_or_else(|_| Err("a play panicked".into()))).collect()
             });
             for one in ended {
--- a/crates/loadtest/src/capacity/page.rs
+++ b/crates/loadtest/src/capacity/page.rs
@@ -176,7 +176,7 @@
 pub fn number(value: f64) -> String {
     let size = value.abs();
     if size >= 1000.0 {
-        let digits = format!("{:.0}", size);
+        let digits = format!("{size:.0}");
         let groups: Vec<&str> =
             digits.as_bytes().rchunks(3).rev().filter_map(|group| std::str::from_utf8(group).ok()).collect();
         return format!("{}{}", if value < 0.0 { "-" } else { "" }, groups.join(","));
--- a/crates/loadtest/src/capacity/size.rs
+++ b/crates/loadtest/src/capacity/size.rs
@@ -19,7 +19,7 @@
             .map_err(|e| AtLine::new(e.line + 1, "neither a [section] nor a key with its value"))?;
         let mut size = Size::default();
         for (section, values) in &file {
-            for (name, value) in values.iter() {
+            for (name, value) in values {
                 let place = format!("[{}] {name}", section.unwrap_or_default());
                 let again = size.0.contains_key(name);
                 let line = line_of(text, name, usize::from(again));
--- a/crates/loadtest/src/scale/discovery.rs
+++ b/crates/loadtest/src/scale/discovery.rs
@@ -120,7 +120,7 @@
 
     fn with_list<T>(&self, act: impl FnOnce(&mut List) -> T) -> T {
         // Whoever panicked with it has at worst left an answer of before.
-        act(&mut self.list.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+        act(&mut self.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// The version of the list.
@@ -258,7 +258,7 @@
     /// Answers those for whom there is something new, or whose wait is over.
     fn answer(&mut self) {
         let (version, whole, changes) = {
-            let list = self.list.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let list = self.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             (list.version, list.whole.clone(), list.changes.clone())
         };
         let now = Instant::now();
--- a/crates/loadtest/src/scale/plan.rs
+++ b/crates/loadtest/src/scale/plan.rs
@@ -289,7 +289,7 @@
         let mut drawn = 0;
         for (section, values) in &file {
             let section = section.unwrap_or_default();
-            for (key, value) in values.iter() {
+            for (key, value) in values {
                 let set = plan.set(section, key, value, &mut drawn);
                 set.map_err(|what| format!("[{section}] {key}: {what}"))?;
             }
--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -82,7 +82,7 @@
 
 fn locked(watched: &Mutex<Watched>) -> std::sync::MutexGuard<'_, Watched> {
     // Whoever panicked with it has at worst left a line out.
-    watched.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    watched.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Process {
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -178,7 +178,7 @@
                     Ok(Ok(())) => {}
                     Ok(Err(what)) => drop(reports.send(Report::Failed(what))),
                     Err(_) => {
-                        drop(reports.send(Report::Failed("a thread of simulated gateways panicked".into())))
+                        drop(reports.send(Report::Failed("a thread of simulated gateways panicked".into())));
                     }
                 }
             })?;
--- a/crates/loadtest/src/world.rs
+++ b/crates/loadtest/src/world.rs
@@ -418,7 +418,7 @@
         let mut wrong = Vec::new();
         let mut rule = |kept: bool, name: &'static str| {
             if !kept {
-                wrong.push(name)
+                wrong.push(name);
             }
         };
         rule(!life.done, "sent after its end");
--- a/crates/loadtest/tests/deployments.rs
+++ b/crates/loadtest/tests/deployments.rs
@@ -120,7 +120,7 @@
         }
     };
     let harmless = |settings: &mut Settings| {
-        settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::Idempotent)
+        settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::Idempotent);
     };
     let variants: [(&str, Alter); 6] = [
         ("two attempts out at once", |settings| settings.hedging = true),
--- a/crates/mailbox/src/lib.rs
+++ b/crates/mailbox/src/lib.rs
@@ -114,6 +114,6 @@
 
     /// A thread that panicked with the lock leaves the queue consistent: each change to it is one call.
     fn lock(&self) -> MutexGuard<'_, State<T>> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/crates/rollout/src/control/mod.rs
+++ b/crates/rollout/src/control/mod.rs
@@ -99,7 +99,7 @@
             connections: ConnectionTable::default(),
             peers: Peers::new(others, now),
             gateways: GatewayRegistry::default(),
-            versions: KnownVersions::new(stored.newest().map(|newest| newest.version()), now),
+            versions: KnownVersions::new(stored.newest().map(super::version::Document::version), now),
             stored,
             store_retry_at: now,
             register: RegisterState::new(now),
--- a/crates/rollout/tests/follower.rs
+++ b/crates/rollout/tests/follower.rs
@@ -241,9 +241,10 @@
         else {
             continue;
         };
-        if harness.follower.status(harness.now).server != Some(2) {
-            panic!("it follows the other server meanwhile");
-        }
+        assert!(
+            harness.follower.status(harness.now).server == Some(2),
+            "it follows the other server meanwhile"
+        );
         harness.follower.handle_connected(harness.now, id);
         harness.receive(id, &heartbeat(attempts > 0));
         attempts += 1;
--- a/crates/rollout/tests/simulation/mod.rs
+++ b/crates/rollout/tests/simulation/mod.rs
@@ -328,7 +328,8 @@
         let start = self.start_of(who);
         match who {
             Server(index) => {
-                (self.control_servers[index].control, self.control_servers[index].state) = (None, State::Down)
+                (self.control_servers[index].control, self.control_servers[index].state) =
+                    (None, State::Down);
             }
             Gateway(index) => {
                 let stored = self.unit() < 0.5;
@@ -361,10 +362,10 @@
     pub fn stop(&mut self, who: Process) {
         match who {
             Server(index) if self.control_servers[index].state == State::Up => {
-                self.control_servers[index].state = State::Stopped
+                self.control_servers[index].state = State::Stopped;
             }
             Gateway(index) if self.gateways[index].state == State::Up => {
-                self.gateways[index].state = State::Stopped
+                self.gateways[index].state = State::Stopped;
             }
             _ => {}
         }
@@ -374,10 +375,10 @@
     pub fn resume(&mut self, who: Process) {
         match who {
             Server(index) if self.control_servers[index].state == State::Stopped => {
-                self.control_servers[index].state = State::Up
+                self.control_servers[index].state = State::Up;
             }
             Gateway(index) if self.gateways[index].state == State::Stopped => {
-                self.gateways[index].state = State::Up
+                self.gateways[index].state = State::Up;
             }
             _ => return,
         }
@@ -485,10 +486,10 @@
     fn record_control_output(&mut self, who: Process, output: &control::Output) {
         match output {
             control::Output::Connect(connection_id, server) => {
-                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes())
+                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes());
             }
             control::Output::Send(connection_id, bytes) => {
-                self.record_output(who, "send", connection_id.0, bytes)
+                self.record_output(who, "send", connection_id.0, bytes);
             }
             control::Output::Close(connection_id) => self.record_output(who, "close", connection_id.0, &[]),
             control::Output::ReadRegister => self.record_output(who, "look", 0, &[]),
@@ -502,14 +503,14 @@
     fn record_gateway_output(&mut self, who: Process, output: &follower::Output) {
         match output {
             follower::Output::Connect(connection_id, server) => {
-                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes())
+                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes());
             }
             follower::Output::Send(connection_id, bytes) => {
-                self.record_output(who, "send", connection_id.0, bytes)
+                self.record_output(who, "send", connection_id.0, bytes);
             }
             follower::Output::Close(connection_id) => self.record_output(who, "close", connection_id.0, &[]),
             follower::Output::Apply(document) => {
-                self.record_output(who, "take", document.version().number, document.bytes())
+                self.record_output(who, "take", document.version().number, document.bytes());
             }
         }
     }
@@ -523,14 +524,14 @@
                     self.record_control_output(who, &output);
                     match output {
                         control::Output::Connect(connection_id, server) => {
-                            self.connect(who, connection_id, server)
+                            self.connect(who, connection_id, server);
                         }
                         control::Output::Send(connection_id, bytes) => self.send(who, connection_id, bytes),
                         control::Output::Close(connection_id) => self.close(who, connection_id),
                         control::Output::ReadRegister => self.request(index, RegisterRequest::Read(self.now)),
                         control::Output::PrepareChange => self.request(index, RegisterRequest::Prepare),
                         control::Output::Propose(value) => {
-                            self.request(index, RegisterRequest::Propose(value))
+                            self.request(index, RegisterRequest::Propose(value));
                         }
                         control::Output::AbandonChange => self.control_servers[index].ballot = 0,
                         control::Output::Log(_) => {}
@@ -544,7 +545,7 @@
                     self.record_gateway_output(who, &output);
                     match output {
                         follower::Output::Connect(connection_id, server) => {
-                            self.connect(who, connection_id, server)
+                            self.connect(who, connection_id, server);
                         }
                         follower::Output::Send(connection_id, bytes) => self.send(who, connection_id, bytes),
                         follower::Output::Close(connection_id) => self.close(who, connection_id),
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -179,7 +179,7 @@
         }
         match event {
             Event::Endpoints { update: kind, endpoints: entries } => {
-                self.endpoints_updated(now, kind, entries, actions)
+                self.endpoints_updated(now, kind, entries, actions);
             }
             Event::Request(req) => self.arrive(now, req, actions),
             Event::Started { request } => self.started(now, request, actions),
@@ -191,7 +191,7 @@
             Event::Timer(SWEEP) if now >= self.next_sweep => self.sweep(now, actions),
             Event::Timer(_) | Event::Peer { .. } => {}
             Event::HealthChecked { member, status, report } => {
-                self.health_checked(now, member, status, report, actions)
+                self.health_checked(now, member, status, report, actions);
             }
         }
         actions.extend(self.notices.drain(..).map(Action::Notice));
--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -73,7 +73,7 @@
 
 /// Checks that the object of a text has no key that is each gateway's own.
 fn check_shared(object: &mut Map<String, Value>, text: &str) -> ConfigResult<()> {
-    let own_key = OWN_KEYS.iter().find(|own| object.contains_key(**own)).map(|own| own.to_string());
+    let own_key = OWN_KEYS.iter().find(|own| object.contains_key(**own)).map(ToString::to_string);
     let own_setting =
         || settings_of(object)?.contains_key(OWN_SETTING).then(|| format!("{SETTINGS}.{OWN_SETTING}"));
     match own_key.or_else(own_setting) {
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -156,7 +156,7 @@
             members: membership.members().map(member_status).collect(),
             voters: voters.map(|(slot, identity)| voter_status(node, slot, identity)).collect(),
             voting: acceptor.map(|acceptor| !acceptor.is_uninitialized()),
-            registers: acceptor.map_or(0, |acceptor| acceptor.register_count()),
+            registers: acceptor.map_or(0, dunemount_fleet::acceptor::Acceptor::register_count),
             unstored: None,
             roles: settings.roles.iter().filter_map(|role| role_status(node, now, role)).collect(),
             foreign: drop_counts.foreign_datagrams,
--- a/src/fleet/status/table.rs
+++ b/src/fleet/status/table.rs
@@ -8,7 +8,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match (self.version, &self.digest) {
             (Some(version), Some(digest)) => {
-                write!(f, "configuration: version {version} ({digest}) in force")?
+                write!(f, "configuration: version {version} ({digest}) in force")?;
             }
             _ => write!(f, "configuration: no version in force, the gateway's own file")?,
         }
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -36,7 +36,7 @@
 impl Gateway {
     /// Accepts operators' connections. A call that has come along is answered at once.
     pub(super) fn accept_admins(&mut self) {
-        while let Some(accepted) = self.admin.listener.as_ref().map(|listener| listener.accept()) {
+        while let Some(accepted) = self.admin.listener.as_ref().map(TcpListener::accept) {
             let socket = match accepted {
                 Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -105,7 +105,7 @@
     fn handle_admin_request(&mut self, id: ConnectionId, request: AdminRequest) {
         match request {
             AdminRequest::Readiness if self.phase == Phase::Serving => {
-                self.reply(id, HttpStatus::Ok, "ready\n")
+                self.reply(id, HttpStatus::Ok, "ready\n");
             }
             AdminRequest::Readiness => self.reply(id, HttpStatus::ServiceUnavailable, "ending\n"),
             AdminRequest::Stats => self.collect_metrics(id),
@@ -119,7 +119,7 @@
         match self.admin.fleet.as_ref().map(|status| serde_json::to_string(&status.snapshot())) {
             Some(Ok(text)) => self.reply(id, HttpStatus::Ok, &text),
             Some(Err(_)) => {
-                self.reply(id, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n")
+                self.reply(id, HttpStatus::ServiceUnavailable, "the fleet's state cannot be told\n");
             }
             None => self.reply(id, HttpStatus::NotFound, "no fleet\n"),
         }
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -346,7 +346,7 @@
     /// Goes on with a request whose attempt has not served it.
     fn continue_request(&mut self, request_id: RequestId, decision: RoutingDecision) {
         self.process_outputs();
-        if self.requests.get(request_id).is_some_and(|request| request.is_streaming()) {
+        if self.requests.get(request_id).is_some_and(InFlightRequest::is_streaming) {
             self.abort_streaming(request_id);
         } else {
             self.carry_out(request_id, decision);
--- a/src/net/event_loop/streaming.rs
+++ b/src/net/event_loop/streaming.rs
@@ -72,7 +72,10 @@
     /// The client of a streamed response has read on: its host is read on as well.
     pub(super) fn resume_streaming(&mut self, request_id: RequestId) {
         let now = self.now;
-        let Some(id) = self.requests.get(request_id).and_then(|request| request.attempt()) else { return };
+        let Some(id) = self.requests.get(request_id).and_then(crate::request::InFlightRequest::attempt)
+        else {
+            return;
+        };
         if let Some(host) = self.connections.host(id).filter(|host| host.is_reading_paused) {
             (host.is_reading_paused, host.last_received) = (false, now);
             self.update_interest(id);
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -56,7 +56,7 @@
 
     fn handle_attempt_timeout(&mut self, request_id: RequestId, id: ConnectionId) {
         let request = self.requests.get(request_id).filter(|request| !request.is_streaming());
-        if request.and_then(|request| request.attempt()) == Some(id) {
+        if request.and_then(crate::request::InFlightRequest::attempt) == Some(id) {
             self.handle_host_lost(id, FailureCause::TimedOut);
         }
     }
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -161,7 +161,7 @@
             "k" => self.has_idempotency_key = true,
             "c" => self.class = Some(value.to_string()),
             "cluster" => {
-                self.group = Some(value.parse().map_err(|_| StatementError::InvalidField("cluster"))?)
+                self.group = Some(value.parse().map_err(|_| StatementError::InvalidField("cluster"))?);
             }
             "d" => {
                 self.wait = Some(self.parse_wait(value)?);
@@ -169,7 +169,7 @@
             }
             "r" => self.is_retry = value == "1",
             "after" => {
-                self.last_commit_ms = Some(value.parse().map_err(|_| StatementError::InvalidField("after"))?)
+                self.last_commit_ms = Some(value.parse().map_err(|_| StatementError::InvalidField("after"))?);
             }
             _ => {}
         }
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -195,7 +195,7 @@
                 errors.push(AtLine::new(lines::line_of_section(text, section), error));
                 continue;
             }
-            for (name, value) in values.iter() {
+            for (name, value) in values {
                 let repeats = seen.iter().filter(|known| **known == (section, name)).count();
                 seen.push((section, name));
                 if let Err(error) = self.apply(section, name, value, repeats > 0) {
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -78,10 +78,7 @@
         None => configured_name(files)?,
     };
     let fleet = SettingsFile::load(files.settings.as_deref())?.settings.fleet;
-    let (index, path) = match fleet.voter(&name)? {
-        Some(voter) => voter,
-        None => return Err(ValidationError::NotAVoter { name }),
-    };
+    let Some((index, path)) = fleet.voter(&name)? else { return Err(ValidationError::NotAVoter { name }) };
     let created = AcceptorFile::new(path).create(AcceptorSlot(index as u8));
     created.map_err(|source| ValidationError::CreateVoterFile { path: path.to_path_buf(), source })?;
     Ok(format!("{}: laid out for voter {index} of a new fleet", path.display()))
--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -56,7 +56,7 @@
     for cores in [2, 3, 4] {
         let harness = Harness::with_workers(300, cores);
         let mut clients: Vec<Talk> = (0..2 * cores).map(|_| harness.client()).collect();
-        for talk in clients.iter_mut() {
+        for talk in &mut clients {
             for _ in 0..5 {
                 talk.ask(&read("k"));
                 assert_eq!(talk.answer().len(), 4);
@@ -70,13 +70,13 @@
             assert!(order(harness.admin, "down", host));
             assert_eq!(figure(harness.admin, "pool_ejected"), down as u64 + 1);
         }
-        for talk in clients.iter_mut() {
+        for talk in &mut clients {
             talk.ask(&read("k").replace("d=30000", "d=40"));
             assert_eq!(talk.code(), "53300", "all hosts are down");
         }
         assert_eq!(figure(harness.admin, "responses.look.tries"), asked, "nothing went to a host");
         assert!(order(harness.admin, "up", "s-1"));
-        for talk in clients.iter_mut() {
+        for talk in &mut clients {
             talk.ask(&read("k"));
             assert_eq!(talk.answer().len(), 4);
         }
@@ -93,10 +93,10 @@
     let harness = Harness::with_workers(300, 3);
     let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
     for _ in 0..4 {
-        for talk in clients.iter_mut() {
+        for talk in &mut clients {
             talk.ask(&read("huge"));
         }
-        for talk in clients.iter_mut() {
+        for talk in &mut clients {
             let value = value(talk);
             assert!(value.len() == 1024 * 1024 && value.iter().all(|byte| *byte == 7));
         }
@@ -153,7 +153,7 @@
 fn all_workers_answer_what_they_owe_before_the_end() {
     let mut harness = Harness::with_workers(300, 4);
     let mut clients: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
-    for talk in clients.iter_mut() {
+    for talk in &mut clients {
         talk.ask(&read("held"));
     }
     let mut held = 0;
@@ -162,7 +162,7 @@
     }
     std::io::Write::write_all(&mut harness.stop, &[1]).expect("told");
     harness.mood.released.store(true, Ordering::SeqCst);
-    for talk in clients.iter_mut() {
+    for talk in &mut clients {
         assert_eq!(talk.answer().len(), 4);
         assert!(talk.answer().is_empty(), "then the connection ends");
     }
@@ -196,7 +196,7 @@
     let new = harness.text.replace("\"look\"", "\"glance\"");
     harness.retune(&new);
     while figure(harness.admin, "config_applied") < 1 {}
-    for talk in clients.iter_mut() {
+    for talk in &mut clients {
         talk.ask(&read("k").replace("c=look", "c=glance"));
         assert_eq!(talk.answer().len(), 4);
         talk.ask(&write("k"));
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -294,7 +294,8 @@
         match way {
             "silent" | "late" => {}
             "reset" => {
-                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }.reset()
+                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }
+                    .reset();
             }
             "cut" => watch
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":9,")
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -125,7 +125,7 @@
                     self.open.get_mut(&request_id).expect("a cancel after the end").1 = None;
                 }
                 Output::HealthCheck(member) => {
-                    balancer.health_checked(now, member, answer(ResponseStatus::Served, member, now))
+                    balancer.health_checked(now, member, answer(ResponseStatus::Served, member, now));
                 }
                 Output::CloseIdle(_) | Output::Notice(_) => {}
             }
@@ -309,7 +309,7 @@
                 }
                 Some(Output::Decision(_, next)) => decision = next,
                 Some(Output::HealthCheck(member)) => {
-                    balancer.health_checked(now, member, AttemptOutcome::NoResponse(failed))
+                    balancer.health_checked(now, member, AttemptOutcome::NoResponse(failed));
                 }
                 Some(_) => {}
                 None => now = now + Micros::millis(5),
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -424,7 +424,7 @@
     for read_first in [0, 1, 4, 5, 4_096, WHOLE / 2, WHOLE] {
         let harness = Harness::start(200);
         // A primary of the test's own, which reads no further than it is told.
-        let slow = harness::local();
+        let slow = local();
         let mut list: Value =
             serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
         let (mut call, _) = harness.discovery.accept().expect("a call");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
 //! What tests of the whole gateway share: a gateway on loopback sockets, with toy hosts and a toy
 //! discovery in threads of the test. Each test file uses its part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of the harness")]
 
 pub mod family;
 pub mod process;
