--- a/src/balance.rs
+++ b/src/balance.rs
@@ -150,7 +150,7 @@
     }
 
     /// Goes on under new settings. Their classes stand at the old places wherever a request is open.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.latencies.retune(&self.settings.classes, &settings.classes);
         self.limit_share = limit_share(&settings);
         if self.settings.replica_checks == ReplicaChecks::Reject
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -159,7 +159,7 @@
     /// Continues under new settings. Classes of requests in flight must keep their ids.
     pub fn update_settings(&mut self, settings: Settings) {
         self.kinds = kinds(&settings);
-        self.router.retune(Settings { hedging: false, ..settings });
+        self.router.update_settings(Settings { hedging: false, ..settings });
     }
 
     /// The longest that any client waits, by the settings.
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -180,7 +180,7 @@
 fn one_of_many_asks_a_replica_before_a_read_goes_to_the_primary() {
     // The fleet has grown while the router ran.
     let mut harness = Harness::new(settings());
-    harness.router.retune(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
+    harness.router.update_settings(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
     harness.sweep(100);
     let behind = |harness: &Harness| Micros(harness.now.0 - 3_000_000);
     for member in [NEAR, FAR] {
