--- a/src/balance.rs
+++ b/src/balance.rs
@@ -100,7 +100,7 @@
     /// Notices of the event under way, for its end.
     notices: Vec<Notice>,
     /// Single requests are traced: there are notices of them as well.
-    traced: bool,
+    request_tracing: bool,
 }
 
 impl Router {
@@ -130,7 +130,7 @@
             log_time: LogTime::new(true),
             log_time_checked_at: Micros(0),
             notices: Vec::new(),
-            traced: false,
+            request_tracing: false,
         }
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Gives notice of single requests as well from now on.
-    pub fn trace(&mut self) {
-        self.traced = true;
+    pub fn enable_request_tracing(&mut self) {
+        self.request_tracing = true;
     }
 
     /// The longest that any client waits, by the settings.
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -20,7 +20,7 @@
         if let Some(group) = self.groups.get_mut(&group).filter(|_| attempts == 0) {
             group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_GAIN;
         }
-        if self.traced {
+        if self.request_tracing {
             self.notify(Notice::GivenUp { request: id, why, attempts });
         }
         self.cancel_remaining(id, actions);
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -329,7 +329,7 @@
 
     /// Gives notices of single requests as well from now on.
     pub fn enable_request_notices(&mut self) {
-        self.router.trace();
+        self.router.enable_request_tracing();
     }
 
     /// The client has left or was answered by other means: the request is finished.
