--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -145,7 +145,7 @@
     }
 
     /// Whether a member may be sent anything new.
-    pub fn admits(&self, id: MemberId) -> bool {
+    pub fn is_in_service(&self, id: MemberId) -> bool {
         self.members.get(&id).is_some_and(Member::is_in_service)
     }
 
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -238,7 +238,7 @@
 
     /// Whether the member may be sent anything new.
     pub fn is_routable(&self, member: MemberId) -> bool {
-        self.router.admits(member)
+        self.router.is_in_service(member)
     }
 
     /// Whether an endpoint list has ever named this group.
