--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether a member is administratively down or ejected.
-    pub fn avoids(&self, id: MemberId) -> bool {
+    pub fn is_down_or_ejected(&self, id: MemberId) -> bool {
         let member = self.members.get(&id);
         self.administratively_down.contains(&id) || member.is_some_and(|member| member.outlier.is_ejected())
     }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -232,7 +232,7 @@
     pub fn endpoint_counts(&self) -> EndpointCounts {
         EndpointCounts {
             listed: self.listed.len(),
-            ejected: self.listed.iter().filter(|member| self.router.avoids(**member)).count(),
+            ejected: self.listed.iter().filter(|member| self.router.is_down_or_ejected(**member)).count(),
         }
     }
 
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1348,12 +1348,12 @@
         };
         harness.event(broken);
         let since = harness.now;
-        assert!(harness.router.avoids(NEAR));
+        assert!(harness.router.is_down_or_ejected(NEAR));
         if started {
             let new = endpoint(NEAR, EndpointState::Ready, harness.now);
             harness.list(EndpointUpdate::Incremental, vec![new]);
         }
-        while harness.router.avoids(NEAR) {
+        while harness.router.is_down_or_ejected(NEAR) {
             harness.sweep(100);
         }
         harness.now - since
