--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -215,7 +215,7 @@
     }
 
     /// Whether the attempt in flight may still be written now that its connection is up.
-    pub fn holds(&self, now: Micros, id: RequestId) -> bool {
+    pub fn may_write_attempt(&self, now: Micros, id: RequestId) -> bool {
         let attempt = self.open.get(&id).and_then(|open| open.in_flight.last());
         let member = attempt.and_then(|(_, to)| self.members.get(to));
         member.is_some_and(Member::is_in_service) && self.covers(now, id)
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -313,7 +313,7 @@
 
     /// Whether the attempt that is out may still be written to its member, after its connection took time to come up.
     pub fn is_attempt_valid(&self, now: Micros, request: RequestId) -> bool {
-        self.requests.contains_key(&request) && self.router.holds(now, request)
+        self.requests.contains_key(&request) && self.router.may_write_attempt(now, request)
     }
 
     /// Whether the member of the attempt that is out is known to be recent enough for the request, were its last byte
