--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -38,7 +38,7 @@
             }
         }
         for group in changed {
-            self.recount(group);
+            self.recompute_group(group);
         }
     }
 
@@ -109,7 +109,7 @@
             member.put_back(now, limit, &mut self.rng);
         }
         let group = member.group();
-        self.recount(group);
+        self.recompute_group(group);
         self.sweep_by(now, actions);
     }
 
@@ -124,7 +124,7 @@
 
     /// Counts a group's members in service and finds its primary anew: after a list, a claim, or one that no
     /// longer holds.
-    pub(super) fn recount(&mut self, id: GroupId) {
+    pub(super) fn recompute_group(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else { return };
         let before = group.primary;
         let members = group.members.iter().filter_map(|id| Some((self.members.get(id)?, *id)));
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -29,7 +29,7 @@
         member.log.observe(now, position, latest, source);
         let is_primary = self.groups.get(&group).and_then(|group| group.primary) == Some(id);
         if claimed.is_some_and(|role| is_primary != (role == Role::Primary)) {
-            self.recount(group);
+            self.recompute_group(group);
         }
     }
 
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -80,6 +80,6 @@
         self.served_span = snapshot.span;
         self.latencies.restore(mean_latencies);
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
-        groups.into_iter().for_each(|group| self.recount(group));
+        groups.into_iter().for_each(|group| self.recompute_group(group));
     }
 }
