--- a/src/balance/group.rs
+++ b/src/balance/group.rs
@@ -18,7 +18,7 @@
     /// Cost served of late, over the router's `served_span`.
     pub served_cost: f64,
     /// Number of members in service.
-    pub live_members: f64,
+    pub members_in_service: f64,
     /// What is proved of the log's time.
     pub log_clock: LogClock,
     /// The answer that last proved something of it.
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -227,7 +227,7 @@
             }
             true
         });
-        group.live_members -= lost_in_service;
+        group.members_in_service -= lost_in_service;
         group.primary = group.primary.filter(|primary| members.contains_key(primary));
         passed
     }
@@ -251,7 +251,7 @@
 /// single core.
 fn served_rate(group: &Group, served_span: f64, usual_latency: f64, settings: &Settings) -> f64 {
     let least = 1.0 / f64::from(settings.gateways.max(1)) / usual_latency;
-    (group.served_cost / served_span / group.live_members.max(1.0)).max(least)
+    (group.served_cost / served_span / group.members_in_service.max(1.0)).max(least)
 }
 
 /// The lesser of a position and that of a replica.
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -131,7 +131,7 @@
         let in_service = members.clone().filter(|(member, _)| member.is_in_service()).count();
         let claims = members.filter(|(member, _)| member.role.role() == Role::Primary);
         group.primary = claims.max_by_key(|(member, _)| member.role.claimed_at()).map(|(_, id)| id);
-        group.live_members = in_service as f64;
+        group.members_in_service = in_service as f64;
         let after = group.primary;
         if before != after {
             self.notify(Notice::Primary { group: id, before, after });
--- a/src/balance/snapshot_conversion.rs
+++ b/src/balance/snapshot_conversion.rs
@@ -71,7 +71,7 @@
         GroupRecord {
             members: group.members.clone(),
             served: group.served_cost,
-            live: group.live_members,
+            live: group.members_in_service,
             log_time: group.log_clock.into(),
             floor: group.forgotten_commit,
         }
@@ -83,7 +83,7 @@
         Group {
             members: record.members,
             served_cost: record.served,
-            live_members: record.live,
+            members_in_service: record.live,
             log_clock: record.log_time.into(),
             forgotten_commit: record.floor,
             ..Group::default()
