--- a/src/balance.rs
+++ b/src/balance.rs
@@ -70,7 +70,7 @@
     groups: IndexMap<GroupId, Group, FxBuildHasher>,
     /// Members that operators have taken out of service, in the list or not.
     administratively_down: BTreeSet<MemberId>,
-    open: BTreeMap<RequestId, OpenRequest>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeMap<(RequestId, AttemptNo), Attempt>,
     request_index: RequestIndex,
     sessions: Sessions,
@@ -115,7 +115,7 @@
             members: IndexMap::default(),
             groups: IndexMap::default(),
             administratively_down: BTreeSet::new(),
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             request_index: RequestIndex::default(),
             sessions: Sessions::default(),
@@ -161,7 +161,7 @@
         }
         self.settings = settings;
         let period = self.period();
-        for (id, open) in &mut self.open {
+        for (id, open) in &mut self.open_requests {
             let end = open.give_up_at.min(open.deadline - period);
             self.request_index.close(*id, std::mem::replace(&mut open.end, end), None);
             self.request_index.open(*id, end);
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -30,10 +30,12 @@
 
     /// Sends a request to a member.
     pub(super) fn send(&mut self, now: Micros, id: RequestId, to: MemberId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let class = open.request.class;
         let (cost, needed) = (self.latencies.cost(class), self.needed(now, open).unwrap_or_default());
-        let (Some(open), Some(member)) = (self.open.get_mut(&id), self.members.get_mut(&to)) else { return };
+        let (Some(open), Some(member)) = (self.open_requests.get_mut(&id), self.members.get_mut(&to)) else {
+            return;
+        };
         let Request { session, group, repeat, .. } = open.request;
         if let Some(entry) = open.queue_entry.take() {
             self.request_index.leave(entry);
@@ -72,12 +74,12 @@
 
     /// What becomes of a request whose attempt failed.
     pub(super) fn after_failure(&mut self, now: Micros, outcome: &Outcome, actions: &mut Actions) {
-        let Some(open) = self.open.get_mut(&outcome.request) else { return };
+        let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
         open.record_failure(outcome);
         if !open.in_flight.is_empty() {
             return;
         }
-        let open = &self.open[&outcome.request];
+        let open = &self.open_requests[&outcome.request];
         if !self.may_send(now, open) || now + self.settings.tick >= open.deadline {
             self.give_up(now, outcome.request, GiveUp::NoRetry, actions);
         } else {
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -96,10 +96,10 @@
 
     /// The member for a waiting request, if one can take it now.
     pub(super) fn choose(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> Option<MemberId> {
-        let request = self.open.get(&id).filter(|open| self.may_send(now, open))?.request;
+        let request = self.open_requests.get(&id).filter(|open| self.may_send(now, open))?.request;
         let window = self.candidate_window(request.group);
         match self.settings.classes[request.class.0].consistency {
-            Consistency::Write => self.choose_for_write(now, self.open.get(&id)?, window),
+            Consistency::Write => self.choose_for_write(now, self.open_requests.get(&id)?, window),
             _ => self.choose_for_read(now, id, window, actions),
         }
     }
@@ -114,7 +114,7 @@
         window: CandidateWindow,
         actions: &mut Actions,
     ) -> Option<MemberId> {
-        let open = self.open.get(&id)?;
+        let open = self.open_requests.get(&id)?;
         let read = WaitingRead {
             now,
             settings: &self.settings,
@@ -216,7 +216,7 @@
 
     /// Whether the attempt in flight may still be written now that its connection is up.
     pub fn may_write_attempt(&self, now: Micros, id: RequestId) -> bool {
-        let attempt = self.open.get(&id).and_then(|open| open.in_flight.last());
+        let attempt = self.open_requests.get(&id).and_then(|open| open.in_flight.last());
         let member = attempt.and_then(|(_, to)| self.members.get(to));
         member.is_some_and(Member::is_in_service) && self.covers(now, id)
     }
@@ -224,7 +224,7 @@
     /// Whether the member that a request was sent to covers what it must see, were its last byte written now:
     /// it is the primary, or its last known position is late enough.
     pub fn covers(&self, now: Micros, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return false };
+        let Some(open) = self.open_requests.get(&id) else { return false };
         let Some((_, to)) = open.in_flight.last() else { return false };
         let write = self.settings.classes[open.request.class.0].consistency == Consistency::Write;
         if write || Some(*to) == self.primary(open.request.group) {
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -10,7 +10,7 @@
 impl Router {
     /// Ends a request unserved, at once: rejected where a retry is proved harmless, else failed.
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: GiveUp, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let (attempts, group) = (open.attempts, open.request.group);
         actions.push(if self.is_retry_harmless(open) {
             Action::Reject { request: id, retry_after: self.retry_after(now, open) }
@@ -48,7 +48,7 @@
 
     /// Ends a request that can no longer be served in time; sends one again whose attempts are lost.
     pub(super) fn check_request(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         if let Some(why) = self.reason_to_give_up(now, open) {
             self.give_up(now, id, why, actions);
             return;
@@ -81,7 +81,7 @@
 
     /// Cancels the attempts in flight of a finished read: their answers serve nobody.
     pub(super) fn cancel_remaining(&self, id: RequestId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let idempotency = self.settings.classes[open.request.class.0].idempotency;
         if !self.settings.cancels || idempotency != Idempotency::Idempotent {
             return;
@@ -93,7 +93,7 @@
 
     /// Forgets a finished request; its attempts are still recorded as they end.
     pub(super) fn close(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open_requests.remove(&id) else { return };
         self.request_index.close(id, open.end, open.queue_entry);
     }
 }
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -78,7 +78,7 @@
         self.refresh(now, actions);
         // Only where requests are hedged is one looked at while its attempt is in flight.
         let due = if self.settings.hedging {
-            self.open.keys().copied().collect()
+            self.open_requests.keys().copied().collect()
         } else {
             self.request_index.due(now, self.latencies.all())
         };
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -103,7 +103,7 @@
 
     /// An answer has begun to stream: the request has its final answer, and the member has capacity again.
     pub(super) fn started(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         for (attempt, to) in &open.in_flight {
             let attempt = self.attempts.get_mut(&(id, *attempt));
             if let (Some(attempt), Some(member)) = (attempt, self.members.get_mut(to)) {
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -49,7 +49,7 @@
 
     /// What the choice of the member that a request was sent to rested on.
     pub fn read_basis(&self, now: Micros, id: RequestId) -> Option<ReadBasis> {
-        let open = self.open.get(&id)?;
+        let open = self.open_requests.get(&id)?;
         let member = self.members.get(&open.in_flight.last()?.1)?;
         let group = open.request.group;
         Some(ReadBasis {
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -30,7 +30,7 @@
         self.earn_health_checks();
         let open = self.open_request(now, request);
         let (give_up_at, end) = (open.give_up_at, open.end);
-        self.open.insert(id, open);
+        self.open_requests.insert(id, open);
         self.request_index.open(id, end);
         // What is left of a late retry may be less than a sweep: it is not sent only to be given up.
         if now + self.period() >= give_up_at {
@@ -39,7 +39,7 @@
         self.enqueue(id);
         self.send_waiting(now, request.group, actions);
         let group_waits = self.request_index.waits(request.group);
-        if self.open[&id].in_flight.is_empty() {
+        if self.open_requests[&id].in_flight.is_empty() {
             self.check_request(now, id, actions);
         }
         let next = if group_waits { now + self.period() } else { give_up_at.min(now + REFRESH_PERIOD) };
@@ -72,7 +72,7 @@
 
     /// Puts a request into its group's queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let entry = QueueEntry {
             id,
             group: open.request.group,
@@ -82,7 +82,7 @@
             place: 0,
         };
         let entry = self.request_index.wait(entry);
-        self.open.entry(id).and_modify(|open| open.queue_entry = Some(entry));
+        self.open_requests.entry(id).and_modify(|open| open.queue_entry = Some(entry));
     }
 
     /// Until when a request may wait. A write that may have been executed waits as long as its client does:
