--- a/src/balance/class_latencies.rs
+++ b/src/balance/class_latencies.rs
@@ -36,7 +36,7 @@
     }
 
     /// All means, in the order of the classes.
-    pub fn all(&self) -> &[f64] {
+    pub fn means(&self) -> &[f64] {
         &self.means
     }
 
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -80,7 +80,7 @@
         let due = if self.settings.hedging {
             self.open_requests.keys().copied().collect()
         } else {
-            self.request_index.due(now, self.latencies.all())
+            self.request_index.due(now, self.latencies.means())
         };
         for id in due {
             self.check_request(now, id, actions);
