--- a/src/balance/progress.rs
+++ b/src/balance/progress.rs
@@ -1,19 +1,19 @@
-//! Proof that a primary is at its present.
+//! Proves the log's time from the progress of a primary's log.
 //!
-//! A member that calls itself the primary may stand still: it hands over, hangs, or was deposed and does not
-//! know it yet. It may reject requests, fail or even serve meanwhile, and the position that it reports is of
-//! a time long past. A duplicate of a write that was dropped may be answered with the commit of its first
-//! run. No single answer proves the log's time, therefore. A position that has advanced does: a log that
-//! advances stands at its present, so the later position was the present at some time after the earlier
-//! answer had been asked for.
+//! The log of a member that claims to be the primary may have stopped: the member hands over its role, hangs,
+//! or was deposed and does not know it yet. Meanwhile it may reject requests, fail or even serve, and the
+//! position that it reports is long out of date. A duplicate write that it drops may be answered with the
+//! commit of its first execution. A single answer therefore proves nothing about the log's time. A position
+//! that has advanced does: a log that advances is up to date, so the later position was the log's time at
+//! some moment after the request for the earlier answer had been sent.
 
 use super::log_clock::{Offset, ROUNDING};
 use crate::api::Micros;
 use crate::notice::{LogTimeEvidence, PositionKind};
 
-/// A primary's log stood at this position at `since` or later.
+/// A position that a primary's log had at `since` or later.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct ObservedPosition {
     position: Micros,
     since: Micros,
     /// When that answer was received.
@@ -23,48 +23,48 @@
 /// The progress of a member's log while the member calls itself the primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrimaryProgress {
-    last: Option<Standing>,
+    last: Option<ObservedPosition>,
 }
 
 impl PrimaryProgress {
-    /// Since when the log has stood at its last known position, as far as is known.
+    /// The log was at its last known position at this time or later; none if no position is known.
     pub fn since(&self) -> Option<Micros> {
         self.last.map(|last| last.since)
     }
 
-    /// Takes in a further answer of the member as the primary. What it proves of the log's time, if the
-    /// position has advanced.
+    /// Records a further answer of the member as the primary. Returns the bounds of the log's time that it
+    /// proves, if it is a new commit or the position has advanced.
     pub fn observe(&mut self, answer: &LogTimeEvidence) -> Option<Offset> {
         let &LogTimeEvidence { position, sent, received, kind, .. } = answer;
-        let standing = Standing { position, since: sent, received };
+        let observed = ObservedPosition { position, since: sent, received };
         if kind == PositionKind::NewCommit {
-            // A member that commits is at its present.
+            // The log of a member that commits is up to date.
             let last = self.last.filter(|last| last.position > position);
-            self.last = last.or(Some(standing));
+            self.last = last.or(Some(observed));
             return Some(Offset::between(sent, received, position));
         }
-        // A reported position or an old commit may be long past: the log need not stand there.
+        // A reported position or an old commit may be long out of date: the log may be further on.
         let current = kind == PositionKind::Current;
         let Some(last) = &mut self.last else {
-            self.last = current.then_some(standing);
+            self.last = current.then_some(observed);
             return None;
         };
         // One position may be rounded down in one answer and, as a commit, rounded up in another.
         if position > last.position + Micros(ROUNDING as u64) {
             let proof = Offset::between(last.since, received, position);
             let since = if current { last.since.max(sent) } else { last.since };
-            *last = Standing { position, since, received };
+            *last = ObservedPosition { position, since, received };
             return Some(proof);
         }
         if !current {
             return None;
         }
         if position == last.position {
-            // It still stands there.
+            // The log is still at this position.
             last.since = last.since.max(sent);
             last.received = last.received.max(received);
         } else if position < last.position && sent > last.received {
-            // Positions do not go back: one of the two was corrupted, or the log's clock was stepped.
+            // Positions never decrease: one of the two was corrupted, or the log's clock was stepped.
             self.last = None;
         }
         None
