--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,14 +1,14 @@
-//! The router: the decision module's state, and the way of an event through it. Its types, events and actions
+//! The router: the state of the decision module and the dispatch of its events. Its types, events and actions
 //! are in `src/api.rs`; each module below makes one kind of decision.
 //!
-//! The ordinary path: a read goes to a replica whose last known log position covers the read's token or
-//! bound, drawn by weight and load with the primary left out; otherwise to the primary.
+//! The usual case: a read goes to a replica whose last known log position covers the read's token or bound,
+//! drawn at random by weight and load, the primary excluded. If there is none, it goes to the primary.
 //!
-//! Inputs of decisions: [`member`] and [`group`] hold what is known, [`log_time`] and [`class_latencies`]
-//! what is estimated. A request arrives in [`queue`], [`choice`] picks its member by [`capacity`] and
-//! [`positions`], [`attempts`] sends it, [`outcomes`] takes its end in, and [`final_answer`] ends it
-//! unserved. [`membership`] follows the endpoint list and the roles, [`housekeeping`] and [`health_checks`]
-//! what is due in time.
+//! Inputs of decisions: [`member`] and [`group`] hold the reported state, [`log_time`] and
+//! [`class_latencies`] the estimates. A request arrives in [`queue`], [`choice`] selects its member by
+//! [`capacity`] and [`positions`], [`attempts`] sends it, [`outcomes`] processes the end of each attempt, and
+//! [`final_answer`] ends a request that is not served. [`membership`] follows the endpoint list and the
+//! roles; [`housekeeping`] and [`health_checks`] do the periodic work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,7 +51,7 @@
 use class_latencies::ClassLatencies;
 use group::Group;
 use health_checks::HealthCheckCandidate;
-use housekeeping::{RefreshProgress, HEALTH_CHECK_BURST, SWEEP};
+use housekeeping::{RefreshProgress, HEALTH_CHECK_BURST, SWEEP_TIMER};
 use idle_connections::IdleConnections;
 use log_time::LogTime;
 use member::Member;
@@ -68,43 +68,44 @@
     rng: Pcg64Mcg,
     members: IndexMap<MemberId, Member, FxBuildHasher>,
     groups: IndexMap<GroupId, Group, FxBuildHasher>,
-    /// Members that operators have taken out of service, in the list or not.
+    /// Members that operators have taken out of service, whether listed or not.
     administratively_down: BTreeSet<MemberId>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeMap<(RequestId, AttemptNo), Attempt>,
     request_index: RequestIndex,
     sessions: Sessions,
-    /// Memory for the members of a draw, kept between draws.
+    /// Buffer for the members of a draw, reused to avoid an allocation per draw.
     weighted_scratch: WeightedMembers,
-    /// Part of the usual limits that one of so many gateways has.
+    /// This gateway's fraction of the usual concurrency limits, see [`limit_share`].
     limit_share: f64,
     latencies: ClassLatencies,
     idle_connections: IdleConnections,
-    /// When the latest refresh of members began.
+    /// When the latest refresh of members started.
     refreshed_at: Micros,
-    /// The refresh under way, if there is one.
+    /// The refresh in progress, if there is one.
     refresh: Option<RefreshProgress>,
-    /// Members to be checked first, of those that the refresh under way has seen.
+    /// The members whose health checks come first, among those that the refresh in progress has visited.
     due_health_checks: Vec<HealthCheckCandidate>,
-    /// Health checks that the requests so far have paid for.
+    /// Number of health checks that may be started; each request adds a fraction of one.
     health_check_tokens: f64,
-    /// The group that was retried last, where not all had their turn.
-    last_retried: Option<GroupId>,
-    /// When the next sweep is due, zero before the first; a timer that ends before is stale.
+    /// The last group whose queue the previous sweep retried, if it did not reach all waiting groups.
+    last_retried_group: Option<GroupId>,
+    /// When the next sweep is due; zero before the first. A timer that fires earlier is stale.
     next_sweep: Micros,
-    /// Time over which the groups' served cost counts, in microseconds: longer than a slow start.
+    /// Time that the groups' served cost covers, in microseconds, with the same decay. Its half-life is two
+    /// slow-start windows, so that it reaches back further than a slow start.
     served_span: f64,
     log_time: LogTime,
-    /// When a primary was last checked for the time of its log.
+    /// When a primary's health was last checked to learn the log's time.
     log_time_checked_at: Micros,
-    /// Notices of the event under way, for its end.
+    /// Notices of the event in progress, emitted at its end.
     notices: Vec<Notice>,
-    /// Single requests are traced: there are notices of them as well.
+    /// Notices are given for single requests as well.
     request_tracing: bool,
 }
 
 impl Router {
-    /// A router that knows nothing but its settings; `seed` feeds its draws.
+    /// A router without members or groups; its random draws derive from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
             latencies: ClassLatencies::new(&settings.classes),
@@ -123,7 +124,7 @@
             refreshed_at: Micros(0),
             refresh: None,
             due_health_checks: Vec::new(),
-            last_retried: None,
+            last_retried_group: None,
             next_sweep: Micros(0),
             health_check_tokens: HEALTH_CHECK_BURST,
             served_span: 0.0,
@@ -134,41 +135,41 @@
         }
     }
 
-    /// A router whose clock is its own: the offset of the log's time is learned from what primaries answer.
+    /// A router whose clock is not the log's: it learns the offset from the answers of primaries.
     pub fn with_own_clock(settings: Settings, seed: u64) -> Self {
         Router { log_time: LogTime::new(false), ..Router::new(settings, seed) }
     }
 
-    /// Gives notice of single requests as well from now on.
+    /// From now on, notices are given for single requests as well.
     pub fn enable_request_tracing(&mut self) {
         self.request_tracing = true;
     }
 
-    /// The longest that any client waits, by the settings.
+    /// The longest deadline of any class in the settings.
     pub fn longest_deadline(&self) -> Micros {
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Goes on under new settings. Their classes stand at the old places wherever a request is open.
+    /// Continues with new settings. The class of every open request must keep its index in them.
     pub fn update_settings(&mut self, settings: Settings) {
-        self.latencies.retune(&self.settings.classes, &settings.classes);
+        self.latencies.update_classes(&self.settings.classes, &settings.classes);
         self.limit_share = limit_share(&settings);
         if self.settings.replica_checks == ReplicaChecks::Reject
             && settings.replica_checks == ReplicaChecks::None
         {
-            // What a member that checked reads has served shows no position that counts where none checks.
+            // Positions inferred from reads that members checked are not valid once members do not check.
             self.members.values_mut().for_each(|member| member.log.forget_position());
         }
         self.settings = settings;
-        let period = self.period();
+        let period = self.sweep_period();
         for (id, open) in &mut self.open_requests {
             let end = open.give_up_at.min(open.deadline - period);
-            self.request_index.close(*id, std::mem::replace(&mut open.end, end), None);
+            self.request_index.close(*id, std::mem::replace(&mut open.ends_at, end), None);
             self.request_index.open(*id, end);
         }
     }
 
-    /// Handles one event at `now` and appends what the caller must do, in order.
+    /// Handles one event at `now` and appends the actions that the caller must perform, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.next_sweep == Micros(0) {
             self.refreshed_at = now;
@@ -181,14 +182,14 @@
             Event::Endpoints { update: kind, endpoints: entries } => {
                 self.endpoints_updated(now, kind, entries, actions);
             }
-            Event::Request(req) => self.arrive(now, req, actions),
-            Event::Started { request } => self.started(now, request, actions),
-            Event::Outcome(outcome) => self.outcome(now, outcome, actions),
+            Event::Request(req) => self.request_arrived(now, req, actions),
+            Event::Started { request } => self.response_started(now, request, actions),
+            Event::Outcome(outcome) => self.attempt_ended(now, outcome, actions),
             Event::ClientLeft(id) => self.close(id),
             Event::SetAdministrativelyDown { member, down } => {
                 self.set_administratively_down(now, member, down, actions);
             }
-            Event::Timer(SWEEP) if now >= self.next_sweep => self.sweep(now, actions),
+            Event::Timer(SWEEP_TIMER) if now >= self.next_sweep => self.sweep(now, actions),
             Event::Timer(_) | Event::Peer { .. } => {}
             Event::HealthChecked { member, status, report } => {
                 self.health_checked(now, member, status, report, actions);
@@ -197,7 +198,7 @@
         actions.extend(self.notices.drain(..).map(Action::Notice));
     }
 
-    /// Gives notice at the end of the event under way. A router whose clock is the log's gives none: its
+    /// Emits a notice at the end of the event in progress. A router whose clock is the log's emits none: its
     /// caller keeps its own record.
     fn notify(&mut self, notice: Notice) {
         if !self.log_time.is_same_clock() {
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: whether another may follow, and what is recorded when one is sent or fails.
+//! Attempts: whether another one is allowed, and what is recorded when one is sent or fails.
 
-use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::housekeeping::MIN_HEALTH_CHECK_INTERVAL;
 use super::member::Member;
 use super::open_request::{Attempt, OpenRequest};
-use super::queue::DROP_RATE_GAIN;
+use super::queue::DROP_RATE_SAMPLE_WEIGHT;
 use super::{Actions, Router};
 use crate::api::*;
 use crate::notice::GiveUp;
@@ -12,7 +12,7 @@
 const MAX_READ_ERRORS: u32 = 2;
 
 impl Router {
-    /// Whether a further attempt cannot take effect twice and keeps the limits on attempts.
+    /// Whether a further attempt is within the limits on attempts and cannot execute the request twice.
     pub(super) fn may_send(&self, now: Micros, open: &OpenRequest) -> bool {
         let not_executed = open.proved_not_executed();
         let may_hedge = open.in_flight.is_empty() || self.settings.hedging;
@@ -38,10 +38,10 @@
         };
         let Request { session, group, repeat, .. } = open.request;
         if let Some(entry) = open.queue_entry.take() {
-            self.request_index.leave(entry);
+            self.request_index.dequeue(entry);
         }
         if let Some(group) = self.groups.get_mut(&group).filter(|_| open.attempts == 0) {
-            group.queue_drop_rate -= group.queue_drop_rate * DROP_RATE_GAIN;
+            group.queue_drop_rate -= group.queue_drop_rate * DROP_RATE_SAMPLE_WEIGHT;
         }
         let attempt = open.begin_attempt(now, to);
         let idle_time = idle_time(now, member, self.settings.connection_idle_timeout);
@@ -67,12 +67,12 @@
             streaming: false,
         };
         self.attempts.insert((id, attempt), sent);
-        // The member is told by when it is too late: it drops what it has not begun by then.
-        let timeout = Some(open.give_up_at + self.period() - now);
+        // The member gets a timeout: it drops a request that it has not begun by then.
+        let timeout = Some(open.give_up_at + self.sweep_period() - now);
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 
-    /// What becomes of a request whose attempt failed.
+    /// Queues a request again after a failed attempt or, if no further attempt is allowed, gives it up.
     pub(super) fn after_failure(&mut self, now: Micros, outcome: &Outcome, actions: &mut Actions) {
         let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
         open.record_failure(outcome);
@@ -88,10 +88,10 @@
     }
 }
 
-/// For how long a member's connections have been idle, if that is long enough to matter and they are still
+/// How long a member's connections have been idle, if longer than [`MIN_HEALTH_CHECK_INTERVAL`] and still
 /// open.
 fn idle_time(now: Micros, member: &Member, idle_timeout: Micros) -> Option<Micros> {
     let since = now - member.load.last_used_at();
-    let idle = !member.load.is_in_use() && since > HEALTH_CHECK_PAUSE && since < idle_timeout;
+    let idle = !member.load.is_in_use() && since > MIN_HEALTH_CHECK_INTERVAL && since < idle_timeout;
     idle.then_some(since)
 }
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -1,40 +1,41 @@
-//! Which member gets a request: a replica that has applied what the read must see, drawn by weight and load,
-//! or the primary.
+//! Selects the member for a request: a replica that has applied the position which the read must see, drawn
+//! at random by weight and load, or the primary.
 
 use rand_core::RngCore;
 
 use super::group::CandidateWindow;
-use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::housekeeping::MIN_HEALTH_CHECK_INTERVAL;
 use super::member::Member;
 use super::open_request::OpenRequest;
 use super::random::weighted_draw;
 use super::{Actions, Router};
 use crate::api::*;
 
-/// Highest price of a health check, in requests, for a read to check a replica before it goes to the primary.
-const MAX_CHECK_PRICE: f64 = 0.25;
-/// Most of its latency objective that such a read may wait: for the checks of two replicas.
-pub(super) const REPLICA_CHECK_TIME: f64 = 0.2;
-/// Part of its latency objective for which such a read waits for one check, so that one that goes unanswered
-/// leaves time for another and for the primary.
-const ONE_CHECK_TIME: f64 = REPLICA_CHECK_TIME / 3.0;
-/// Latency over the mean below which a primary has capacity to spare, so that no replica is checked.
-const PRIMARY_AT_EASE: f64 = 0.9;
-/// How strongly the price of crossing zones pulls the draw to the gateway's own zone.
-const ZONE_PULL: f64 = 25.0;
-/// How strongly an open connection pulls the draw.
-const CONNECTION_PULL: f64 = 8.0;
-/// How much more strongly it does so for the price of a new one.
-const HANDSHAKE_PULL: f64 = 100.0;
-/// How strongly load pushes the draw away.
+/// Highest price of a health check, in requests, at which a read checks a replica before using the primary.
+const MAX_HEALTH_CHECK_PRICE: f64 = 0.25;
+/// Largest fraction of its latency objective that such a read may wait: enough to check two replicas.
+pub(super) const REPLICA_CHECK_WAIT_FRACTION: f64 = 0.2;
+/// Fraction of its latency objective that such a read waits for a single check: an unanswered check must
+/// leave time for another one and for the primary.
+const SINGLE_CHECK_WAIT_FRACTION: f64 = REPLICA_CHECK_WAIT_FRACTION / 3.0;
+/// Latency ratio (latency over its class's mean) below which a primary has spare capacity: the read uses it
+/// without checking a replica.
+const SPARE_CAPACITY_LATENCY_RATIO: f64 = 0.9;
+/// How strongly the cross-zone price lowers the draw weight of members outside the gateway's zone.
+const CROSS_ZONE_PRICE_WEIGHT: f64 = 25.0;
+/// Factor by which the draw weight of a member without an open connection is lowered.
+const NO_CONNECTION_BASE_PENALTY: f64 = 8.0;
+/// How strongly the handshake price raises that factor.
+const HANDSHAKE_PRICE_WEIGHT: f64 = 100.0;
+/// Exponent with which load lowers a draw weight.
 const LOAD_EXPONENT: i32 = 4;
-/// Members of a group that one draw looks at, from a random index on where there are more.
+/// Maximum number of members that one draw considers; in a larger group it starts at a random index.
 pub(super) const MAX_CANDIDATES: usize = 64;
 
 /// Members with their weights in a draw.
 pub type WeightedMembers = Vec<(MemberId, f64)>;
 
-/// A read that waits, and what decides which replicas may serve it.
+/// A waiting read with the inputs that decide which replicas may serve it.
 struct WaitingRead<'a> {
     now: Micros,
     settings: &'a Settings,
@@ -44,9 +45,9 @@
     primary: Option<MemberId>,
     /// The position that the read must see.
     needed: Option<Micros>,
-    /// The log's time at the latest.
+    /// Upper bound of the log's time.
     latest: Option<Micros>,
-    /// A write of the read's session is in flight: only the primary will have it.
+    /// A write of the read's session is in flight: only the primary is sure to have it.
     awaits_commit: bool,
     /// Reads check replicas that do not respond before they rely on them.
     checks_replicas: bool,
@@ -61,14 +62,14 @@
             && member.has_capacity(self.now, self.settings, self.cost, 1.0)
     }
 
-    /// Whether a replica is known to have applied what the read must see.
+    /// Whether a replica is known to have applied the position that the read must see.
     fn is_covered_by(&self, id: MemberId, member: &Member) -> bool {
-        let current = self.needed.is_some_and(|needed| member.log.has_reached(needed));
-        let unsure = member.outlier.is_unresponsive() && self.checks_replicas;
-        current && !unsure && self.is_candidate(id, member)
+        let has_position = self.needed.is_some_and(|needed| member.log.has_reached(needed));
+        let needs_check = member.outlier.is_unresponsive() && self.checks_replicas;
+        has_position && !needs_check && self.is_candidate(id, member)
     }
 
-    /// Whether a replica should have applied it by now, as far as it was known to lag.
+    /// Whether a replica should have applied that position by now, given its last known lag.
     fn should_be_covered_by(&self, id: MemberId, member: &Member) -> bool {
         let (Some(latest), Some(needed)) = (self.latest, self.needed) else { return false };
         latest - member.log.lag() > needed && self.is_candidate(id, member)
@@ -76,15 +77,16 @@
 }
 
 impl Router {
-    /// Where in a group one choice begins to look: anywhere, if there are more members than it looks at.
+    /// The members of a group that one choice considers. In a group larger than [`MAX_CANDIDATES`] the window
+    /// starts at a random index.
     fn candidate_window(&mut self, group: GroupId) -> CandidateWindow {
         let members = self.groups.get(&group).map_or(0, |group| group.members.len());
         let start = if members > MAX_CANDIDATES { self.rng.next_u64() as usize % members } else { 0 };
         CandidateWindow { group, start }
     }
 
-    /// The members of a group that may be sent to, of those that one choice looks at. Where all are ejected
-    /// none is: it is not their fault.
+    /// The members of a window that may be sent requests. If all of them are ejected, ejection is ignored:
+    /// the cause is then not in the single members.
     pub(super) fn candidates(&self, window: CandidateWindow) -> impl Iterator<Item = (MemberId, &Member)> {
         let members = self.groups.get(&window.group).map_or(&[][..], |group| &group.members);
         let (before, after) = members.split_at(window.start.min(members.len()));
@@ -94,8 +96,13 @@
         window.filter(move |(_, member)| if any_usable { member.is_usable() } else { member.is_in_service() })
     }
 
-    /// The member for a waiting request, if one can take it now.
-    pub(super) fn choose(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> Option<MemberId> {
+    /// The member for a waiting request, if one has capacity for it now.
+    pub(super) fn choose_member(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        actions: &mut Actions,
+    ) -> Option<MemberId> {
         let request = self.open_requests.get(&id).filter(|open| self.may_send(now, open))?.request;
         let window = self.candidate_window(request.group);
         match self.settings.classes[request.class.0].consistency {
@@ -104,9 +111,9 @@
         }
     }
 
-    /// The member for a read: a replica that covers it, or the primary. Where members check reads, replicas
-    /// that should have caught up come before the primary. Where they do not, the health of one of them is
-    /// checked first: one gateway among many meets each too seldom to know.
+    /// The member for a read: a replica that covers it, or the primary. If members check reads, replicas that
+    /// should have caught up are preferred to the primary. If they do not, the health of such a replica is
+    /// checked first: one of many gateways gets answers from each replica too rarely to know its state.
     fn choose_for_read(
         &mut self,
         now: Micros,
@@ -151,7 +158,7 @@
         }
     }
 
-    /// Whether a read of a session has to wait for what a write of it in flight commits.
+    /// Whether a read has to see the commit of a write of its session that is still in flight.
     fn awaits_commit(&self, open: &OpenRequest) -> bool {
         let Request { class, group, session, .. } = open.request;
         self.settings.classes[class.0].consistency == Consistency::Session
@@ -160,34 +167,36 @@
 
     /// The primary, if it may take a read now.
     fn primary_for_read(&self, read: &WaitingRead) -> Option<MemberId> {
-        let takes = |id: &MemberId| {
+        let may_take = |id: &MemberId| {
             !read.open.failed_members.contains(id)
-                && self.takes(read.now, read.open.request.class, &self.members[id], read.cost)
+                && self.has_capacity_for(read.now, read.open.request.class, &self.members[id], read.cost)
         };
-        read.primary.filter(takes)
+        read.primary.filter(may_take)
     }
 
-    /// Whether a read that no replica is known to cover checks one before it goes to the primary.
+    /// Whether a read that no replica is known to cover checks a replica before it uses the primary.
     fn checks_replica_first(&self, read: &WaitingRead, primary: Option<MemberId>) -> bool {
         let primary = primary.and_then(|id| self.members.get(&id));
-        let at_ease = |primary: &Member| {
-            primary.latency_ratio() < PRIMARY_AT_EASE && !primary.outlier.is_unresponsive()
+        let has_spare_capacity = |primary: &Member| {
+            primary.latency_ratio() < SPARE_CAPACITY_LATENCY_RATIO && !primary.outlier.is_unresponsive()
         };
         let class = &self.settings.classes[read.open.request.class.0];
-        read.checks_replicas && class.consistency != Consistency::Strong && !primary.is_some_and(at_ease)
+        read.checks_replicas
+            && class.consistency != Consistency::Strong
+            && !primary.is_some_and(has_spare_capacity)
     }
 
-    /// How long a read waits for one check.
-    fn check_time(&self, read: &WaitingRead) -> Micros {
-        self.settings.classes[read.open.request.class.0].latency_objective.scale(ONE_CHECK_TIME)
+    /// How long a read waits for a single check.
+    fn single_check_wait(&self, read: &WaitingRead) -> Micros {
+        self.settings.classes[read.open.request.class.0].latency_objective.scale(SINGLE_CHECK_WAIT_FRACTION)
     }
 
-    /// Whether a read has time for a further check: not so after two that went unanswered.
+    /// Whether a read has time for a further check; after two unanswered ones it has not.
     fn may_start_check(&self, read: &WaitingRead) -> bool {
-        read.now + self.check_time(read) < self.wait_until(read.open)
+        read.now + self.single_check_wait(read) < self.wait_until(read.open)
     }
 
-    /// Collects the weights of the replicas whose health a read may check in a draw.
+    /// Collects the draw weights of the replicas whose health the read may check.
     fn weigh_due_checks(&self, read: &WaitingRead, window: CandidateWindow, weighted: &mut WeightedMembers) {
         let may_start = self.may_start_check(read);
         let is_due = |id, member: &Member| {
@@ -196,9 +205,9 @@
         self.weigh(read.now, window, is_due, weighted);
     }
 
-    /// Whether a replica is being checked that the read may wait for.
+    /// Whether a health check is in flight that the read may wait for.
     fn is_check_in_flight(&self, read: &WaitingRead, window: CandidateWindow) -> bool {
-        let time = self.check_time(read);
+        let time = self.single_check_wait(read);
         let awaited = |member: &Member| {
             let check = &member.health_check;
             check.is_in_flight() && read.now - check.last_started_at() < time
@@ -207,22 +216,23 @@
         candidates.any(|(id, member)| awaited(member) && read.should_be_covered_by(id, member))
     }
 
-    /// Whether reads check replicas: one of few gateways hears from each often enough.
+    /// Whether reads check replicas. With few gateways each one gets answers from every replica often enough,
+    /// and no checks are needed.
     pub(super) fn reads_check_replicas(&self) -> bool {
         self.limit_share < 1.0
             && self.settings.health_checks
-            && self.settings.health_check_price <= MAX_CHECK_PRICE
+            && self.settings.health_check_price <= MAX_HEALTH_CHECK_PRICE
     }
 
-    /// Whether the attempt in flight may still be written now that its connection is up.
+    /// Whether the attempt in flight may still be written now that its connection has been established.
     pub fn may_write_attempt(&self, now: Micros, id: RequestId) -> bool {
         let attempt = self.open_requests.get(&id).and_then(|open| open.in_flight.last());
         let member = attempt.and_then(|(_, to)| self.members.get(to));
         member.is_some_and(Member::is_in_service) && self.covers(now, id)
     }
 
-    /// Whether the member that a request was sent to covers what it must see, were its last byte written now:
-    /// it is the primary, or its last known position is late enough.
+    /// Whether the member that a request was sent to covers the position that the request must see if its
+    /// last byte is written now: the member is the primary, or its last known position is late enough.
     pub fn covers(&self, now: Micros, id: RequestId) -> bool {
         let Some(open) = self.open_requests.get(&id) else { return false };
         let Some((_, to)) = open.in_flight.last() else { return false };
@@ -235,26 +245,28 @@
         self.needed(now, open).is_some_and(reached)
     }
 
-    /// The member for a write: the primary, or while none is known the most advanced of the members that have
-    /// not just claimed to be replicas. Answers to reads tell of a new primary too.
+    /// The member for a write: the primary or, while no primary is known, the member with the latest log
+    /// position among those that were not used recently and have not recently claimed a role. Answers to
+    /// reads report a new primary as well.
     fn choose_for_write(&self, now: Micros, open: &OpenRequest, window: CandidateWindow) -> Option<MemberId> {
         let cost = self.latencies.cost(open.request.class);
-        let part = self.write_part(window);
-        let fits = |member: &Member| member.has_capacity(now, &self.settings, cost, part);
+        let limit_factor = self.write_limit_factor(window);
+        let fits = |member: &Member| member.has_capacity(now, &self.settings, cost, limit_factor);
         if let Some(primary) = self.primary(open.request.group) {
             return Some(primary).filter(|id| fits(&self.members[id]));
         }
         if !open.in_flight.is_empty() || open.attempts + 2 > open.max_attempts {
             return None;
         }
-        let just_asked = |member: &Member| {
-            now - member.role.claimed_at().max(member.load.last_used_at()) < HEALTH_CHECK_PAUSE
+        let recently_contacted = |member: &Member| {
+            now - member.role.claimed_at().max(member.load.last_used_at()) < MIN_HEALTH_CHECK_INTERVAL
         };
-        let unsure = self.candidates(window).filter(|(_, member)| fits(member) && !just_asked(member));
-        unsure.max_by_key(|(id, member)| (member.log.position(), *id)).map(|(id, _)| id)
+        let possible_primaries =
+            self.candidates(window).filter(|(_, member)| fits(member) && !recently_contacted(member));
+        possible_primaries.max_by_key(|(id, member)| (member.log.position(), *id)).map(|(id, _)| id)
     }
 
-    /// Collects the weights of a group's fitting members in a draw.
+    /// Collects the draw weights of the members in a window for which `fits` holds.
     fn weigh(
         &self,
         now: Micros,
@@ -267,27 +279,29 @@
         weighted.extend(fitting.map(|(id, member)| (id, self.draw_weight(now, member))));
     }
 
-    /// A member's weight in a draw: its own weight, nearness, and against the load in flight. A gateway keeps
-    /// to replicas that it has connections to: new ones take time and work, and are capped.
+    /// A member's weight in a draw: its own weight, lowered by the zone and connection penalties and by its
+    /// load. A gateway prefers replicas that it has open connections to, because new connections take time
+    /// and work, and their number is capped.
     fn draw_weight(&self, now: Micros, member: &Member) -> f64 {
         let settings = &self.settings;
-        let far = 1.0 + ZONE_PULL * settings.cross_zone_price;
-        let unconnected = CONNECTION_PULL * (1.0 + HANDSHAKE_PULL * settings.handshake_price);
-        let distance = if member.endpoint().zone == settings.zone { 1.0 } else { far };
+        let cross_zone_penalty = 1.0 + CROSS_ZONE_PRICE_WEIGHT * settings.cross_zone_price;
+        let no_connection_penalty =
+            NO_CONNECTION_BASE_PENALTY * (1.0 + HANDSHAKE_PRICE_WEIGHT * settings.handshake_price);
+        let penalty = if member.endpoint().zone == settings.zone { 1.0 } else { cross_zone_penalty };
         let connected = now - member.load.last_used_at() < settings.connection_idle_timeout;
-        let distance = if connected { distance } else { distance * unconnected };
+        let penalty = if connected { penalty } else { penalty * no_connection_penalty };
         let load = 1.0 + member.load.effective() / member.weight();
-        member.weight() / distance / load.powi(LOAD_EXPONENT)
+        member.weight() / penalty / load.powi(LOAD_EXPONENT)
     }
 }
 
 /// Whether a replica's health is checked before a read goes to the primary.
 enum ReplicaCheck {
-    /// It is not.
+    /// No check is needed.
     None,
     /// A check is in flight that the read waits for.
     InFlight,
-    /// A check of this replica is to be started.
+    /// A check of this replica has to be started.
     Due(MemberId),
 }
 
@@ -297,8 +311,8 @@
     }
 }
 
-/// Whether a member's health has not been checked of late.
+/// Whether no health check of a member is in flight and the last one is long enough ago for another.
 fn is_check_due(now: Micros, member: &Member) -> bool {
     let check = &member.health_check;
-    !check.is_in_flight() && now - check.last_started_at() >= HEALTH_CHECK_PAUSE
+    !check.is_in_flight() && now - check.last_started_at() >= MIN_HEALTH_CHECK_INTERVAL
 }
--- a/src/balance/class_latencies.rs
+++ b/src/balance/class_latencies.rs
@@ -1,11 +1,11 @@
-//! Running means of the classes' latencies, and what a request costs by them.
+//! Running means of the classes' latencies, and the costs of requests that follow from them.
 
 use crate::api::*;
 
 /// Weight of a new sample in a running mean: about the last fifty count.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// A class is taken to have this part of its latency objective as its mean latency at first.
-const INITIAL_DIVISOR: f64 = 5.0;
+/// The initial mean latency of a class is its latency objective divided by this.
+const INITIAL_MEAN_DIVISOR: f64 = 5.0;
 
 /// Mean latency of each class, in microseconds.
 pub struct ClassLatencies {
@@ -13,13 +13,13 @@
 }
 
 impl ClassLatencies {
-    /// The means of classes that have had no request.
+    /// The initial means of these classes.
     pub fn new(classes: &[Class]) -> ClassLatencies {
         ClassLatencies { means: classes.iter().map(initial_mean).collect() }
     }
 
-    /// Goes on with other classes: those that have changed begin anew.
-    pub fn retune(&mut self, old: &[Class], new: &[Class]) {
+    /// Replaces the classes. Classes that have changed start again at their initial mean.
+    pub fn update_classes(&mut self, old: &[Class], new: &[Class]) {
         self.means.resize(self.means.len().max(new.len()), 0.0);
         for (index, class) in new.iter().enumerate() {
             if old.get(index) != Some(class) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes over means, where known.
+    /// Takes over the means that are known.
     pub fn restore(&mut self, means: &[Option<f64>]) {
         for (mean, known) in self.means.iter_mut().zip(means) {
             *mean = known.unwrap_or(*mean);
@@ -45,17 +45,17 @@
         self.means[class.0]
     }
 
-    /// The smallest of the means: the time that a usual request takes.
-    pub fn least(&self) -> f64 {
+    /// The smallest of the means, in microseconds: the time that a usual request takes.
+    pub fn smallest(&self) -> f64 {
         self.means.iter().copied().fold(f64::INFINITY, f64::min)
     }
 
     /// Cost of a request in usual requests: its class's mean latency over the smallest.
     pub fn cost(&self, class: ClassId) -> f64 {
-        self.mean(class) / self.least()
+        self.mean(class) / self.smallest()
     }
 
-    /// A request was served. Its latency over the mean of its class so far.
+    /// Records the latency of a served request. Returns its ratio to the previous mean of its class.
     pub fn record_served(&mut self, class: ClassId, latency: f64) -> f64 {
         let mean = &mut self.means[class.0];
         let ratio = latency / *mean;
@@ -63,7 +63,7 @@
         ratio
     }
 
-    /// A request went without an answer for this long, which takes longer at least.
+    /// Records that a request went unanswered for `waited` microseconds, a lower bound of its latency.
     pub fn record_unanswered(&mut self, class: ClassId, waited: f64) {
         let mean = &mut self.means[class.0];
         *mean += (waited - *mean).max(0.0) * SAMPLE_WEIGHT;
@@ -71,5 +71,5 @@
 }
 
 fn initial_mean(class: &Class) -> f64 {
-    class.latency_objective.as_f64() / INITIAL_DIVISOR
+    class.latency_objective.as_f64() / INITIAL_MEAN_DIVISOR
 }
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -1,14 +1,14 @@
-//! When a request is given up, and which final answer its client gets then.
+//! When a request is given up, and which final answer its client gets.
 
 use super::member::Member;
 use super::open_request::OpenRequest;
-use super::queue::DROP_RATE_GAIN;
+use super::queue::DROP_RATE_SAMPLE_WEIGHT;
 use super::{Actions, Router};
 use crate::api::*;
 use crate::notice::{GiveUp, Notice};
 
 impl Router {
-    /// Ends a request unserved, at once: rejected where a retry is proved harmless, else failed.
+    /// Ends an unserved request immediately: rejects it if a retry is proved harmless, otherwise fails it.
     pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: GiveUp, actions: &mut Actions) {
         let Some(open) = self.open_requests.get(&id) else { return };
         let (attempts, group) = (open.attempts, open.request.group);
@@ -18,7 +18,7 @@
             Action::Fail { request: id }
         });
         if let Some(group) = self.groups.get_mut(&group).filter(|_| attempts == 0) {
-            group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_GAIN;
+            group.queue_drop_rate += (1.0 - group.queue_drop_rate) * DROP_RATE_SAMPLE_WEIGHT;
         }
         if self.request_tracing {
             self.notify(Notice::GivenUp { request: id, why, attempts });
@@ -27,7 +27,7 @@
         self.close(id);
     }
 
-    /// Whether the client may retry a request without any effect occurring twice.
+    /// Whether the client may retry a request without the risk that it takes effect twice.
     fn is_retry_harmless(&self, open: &OpenRequest) -> bool {
         let harmless = match self.settings.classes[open.request.class.0].idempotency {
             Idempotency::Idempotent => true,
@@ -37,8 +37,8 @@
         harmless || open.proved_not_executed()
     }
 
-    /// When the client may come back: about when the next of the group's attempts in flight ends. None where
-    /// that would be too late, or clients are not told.
+    /// After how long the client may retry: about when the next of the group's attempts in flight ends. None
+    /// if that would be too late or the settings disable the hint.
     fn retry_after(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
         let in_flight = 1.0 + self.attempts.len() as f64 / self.groups.len().max(1) as f64;
         let wait = Micros((self.latencies.mean(open.request.class) / in_flight) as u64);
@@ -46,26 +46,26 @@
         (self.settings.retry_after && now + wait < open.deadline).then_some(wait)
     }
 
-    /// Ends a request that can no longer be served in time; sends one again whose attempts are lost.
+    /// Gives up a request that can no longer be served in time. Sends it again if all its attempts are lost.
     pub(super) fn check_request(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(open) = self.open_requests.get(&id) else { return };
         if let Some(why) = self.reason_to_give_up(now, open) {
             self.give_up(now, id, why, actions);
             return;
         }
-        // Attempts at a member that went down are given up for lost: a read is sent elsewhere while it can
+        // Attempts at a member that went down count as lost: a read is sent to another member while it can
         // still be in time, a write with an idempotency key to the new primary once that is known.
         let usable = |id: &MemberId| self.members.get(id).is_some_and(Member::is_usable);
         let lost = !open.in_flight.is_empty() && !open.in_flight.iter().any(|(_, member)| usable(member));
         if !lost || !self.may_send(now, open) {
             return;
         }
-        if let Some(to) = self.choose(now, id, actions) {
+        if let Some(to) = self.choose_member(now, id, actions) {
             self.send(now, id, to, actions);
         }
     }
 
-    /// Why a request is to be given up now, if it is.
+    /// The reason to give up a request now, if there is one.
     fn reason_to_give_up(&self, now: Micros, open: &OpenRequest) -> Option<GiveUp> {
         let class = &self.settings.classes[open.request.class.0];
         let mean = Micros(self.latencies.mean(open.request.class) as u64);
@@ -73,13 +73,13 @@
         if waiting && (now + mean >= open.give_up_at || now >= self.wait_until(open)) {
             return Some(GiveUp::Waited);
         }
-        // An attempt that may not be repeated is awaited as long as the client waits.
+        // The answer to an attempt that may not be repeated is awaited as long as the client waits.
         let may_end = waiting || class.idempotency == Idempotency::Idempotent;
-        let overdue = may_end && now >= open.give_up_at || now + self.period() >= open.deadline;
+        let overdue = may_end && now >= open.give_up_at || now + self.sweep_period() >= open.deadline;
         overdue.then_some(GiveUp::Overdue)
     }
 
-    /// Cancels the attempts in flight of a finished read: their answers serve nobody.
+    /// Cancels the attempts in flight of a finished read: their answers are no longer needed.
     pub(super) fn cancel_remaining(&self, id: RequestId, actions: &mut Actions) {
         let Some(open) = self.open_requests.get(&id) else { return };
         let idempotency = self.settings.classes[open.request.class.0].idempotency;
@@ -91,9 +91,9 @@
         actions.extend(in_flight.map(|attempt| Action::Cancel { request: id, attempt }));
     }
 
-    /// Forgets a finished request; its attempts are still recorded as they end.
+    /// Removes a finished request. Its attempts in flight are still recorded when they end.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(open) = self.open_requests.remove(&id) else { return };
-        self.request_index.close(id, open.end, open.queue_entry);
+        self.request_index.close(id, open.ends_at, open.queue_entry);
     }
 }
--- a/src/balance/health_checks.rs
+++ b/src/balance/health_checks.rs
@@ -1,23 +1,23 @@
-//! Health checks: which members are checked, as far as the requests served pay for it, and what a check
-//! shows.
+//! Health checks: which members are checked, within the budget that requests provide, and how a result is
+//! used.
 
-use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::housekeeping::MIN_HEALTH_CHECK_INTERVAL;
 use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
 
-/// A member whose health may be checked. In order: those whose connections broke first, then the one that was
-/// heard of longest ago.
+/// A member whose health may be checked. They sort in the order of the checks: first the members with broken
+/// connections, then by the time of the last contact, the earliest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HealthCheckCandidate {
     is_routine: bool,
-    last_heard_at: Micros,
+    last_contact_at: Micros,
     member: MemberId,
 }
 
 impl HealthCheckCandidate {
-    /// The member, if its health may be checked: when its connections broke, and where members do not check
-    /// reads themselves.
+    /// The member, if its health may be checked: because its connections broke, or because members do not
+    /// check reads themselves.
     pub fn new(
         now: Micros,
         id: MemberId,
@@ -25,16 +25,17 @@
         settings: &Settings,
     ) -> Option<HealthCheckCandidate> {
         let is_routine = !member.outlier.has_connect_failures();
-        let last_heard_at = member.health_check.last_started_at().max(member.log.updated_at());
+        let last_contact_at = member.health_check.last_started_at().max(member.log.updated_at());
         let needed = !is_routine || settings.replica_checks == ReplicaChecks::None;
-        let rested = !member.health_check.is_in_flight() && now - last_heard_at >= HEALTH_CHECK_PAUSE;
-        let candidate = HealthCheckCandidate { is_routine, last_heard_at, member: id };
-        (needed && rested && settings.health_checks).then_some(candidate)
+        let interval_passed =
+            !member.health_check.is_in_flight() && now - last_contact_at >= MIN_HEALTH_CHECK_INTERVAL;
+        let candidate = HealthCheckCandidate { is_routine, last_contact_at, member: id };
+        (needed && interval_passed && settings.health_checks).then_some(candidate)
     }
 }
 
 impl Router {
-    /// Starts the health checks that are due, as far as they are paid for.
+    /// Starts the health checks that are due, as long as there are tokens.
     pub(super) fn start_due_health_checks(&mut self, now: Micros, actions: &mut Actions) {
         for candidate in std::mem::take(&mut self.due_health_checks) {
             if self.health_check_tokens < 1.0 {
@@ -45,14 +46,14 @@
         }
     }
 
-    /// Starts a health check of a member.
+    /// Starts a health check of a member, without taking a token.
     pub(super) fn start_health_check(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.health_check.start(now);
         actions.push(Action::HealthCheck { member: id });
     }
 
-    /// A health check has ended.
+    /// Processes the result of a health check.
     pub(super) fn health_checked(
         &mut self,
         now: Micros,
@@ -73,7 +74,7 @@
             }
             AttemptStatus::ConnectFailed | AttemptStatus::Reset | AttemptStatus::Timeout => {
                 member.outlier.health_check_failed(now);
-                self.sweep_by(now, actions);
+                self.schedule_sweep(now, actions);
             }
             _ => {}
         }
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What is renewed in time: sweeps over open requests, and refreshes of members with their weights and
-//! slow-start tokens.
+//! Periodic work: sweeps over open requests, and refreshes of members with their weights and slow-start
+//! tokens.
 
 use super::group::Group;
 use super::health_checks::HealthCheckCandidate;
@@ -8,26 +8,31 @@
 use super::{Actions, Router};
 use crate::api::*;
 
-/// Ticks between sweeps while a request waits: two, to cost little beside the events of its ticks.
+/// Ticks between sweeps while a request waits: two, so that a sweep costs little compared with the events of
+/// its ticks.
 const SWEEP_TICKS: u64 = 2;
 /// Time between refreshes, and between sweeps while no request waits.
 pub(super) const REFRESH_PERIOD: Micros = Micros::millis(50);
-/// Time in which the memory of failures halves, so that a member gets another chance.
+/// Half-life of a member's failure rate and lag: a member that failed gets another chance.
 const FAILURE_HALF_LIFE: Micros = Micros::millis(3000);
-/// Least time between health checks of a member, and between writes there that look for a primary.
-pub(super) const HEALTH_CHECK_PAUSE: Micros = Micros::millis(200);
-/// Most health checks saved up: a gateway with little traffic can check a whole small group at once.
+/// Minimum time between health checks of a member, and between writes sent to it in search of the primary.
+pub(super) const MIN_HEALTH_CHECK_INTERVAL: Micros = Micros::millis(200);
+/// Maximum number of health check tokens: a gateway with little traffic can check a whole small group at
+/// once.
 pub(super) const HEALTH_CHECK_BURST: f64 = 4.0;
-/// Part of the overload multiple that a member in slow start may be sent; the rest is for chance.
-const SLOW_START_PART: f64 = 0.7;
-/// Part of the overload window's budget that a member in slow start may get in one go.
-const SLOW_START_BURST: f64 = 0.25;
-/// Most members refreshed, sessions forgotten and groups retried in one step; the rest comes in the next.
-const MAX_PER_STEP: usize = 512;
-/// The one timer: each sweep asks for the next.
-pub(super) const SWEEP: TimerId = TimerId(0);
+/// Fraction of the overload multiple that a member in slow start may be sent; the rest is a margin for random
+/// variation.
+const SLOW_START_OVERLOAD_FRACTION: f64 = 0.7;
+/// Fraction of the overload window whose budget a member in slow start may get in one burst.
+const SLOW_START_BURST_FRACTION: f64 = 0.25;
+/// Maximum number of members refreshed, sessions forgotten and groups retried in one step; the rest follows
+/// in the next.
+const MAX_ITEMS_PER_STEP: usize = 512;
+/// The router's only timer: each sweep schedules the next one.
+pub(super) const SWEEP_TIMER: TimerId = TimerId(0);
 
-/// What is left after this time of what halves like the memory of failures.
+/// Fraction that is left, after `elapsed` microseconds, of a quantity that halves every
+/// [`FAILURE_HALF_LIFE`].
 pub(super) fn half_life_decay(elapsed: f64) -> f64 {
     0.5f64.powf(elapsed / FAILURE_HALF_LIFE.as_f64())
 }
@@ -35,36 +40,37 @@
 /// A refresh of all members that takes more than one step.
 #[derive(Clone, Copy)]
 pub struct RefreshProgress {
-    /// Time that it covers.
+    /// Time since the refresh before it.
     elapsed: Micros,
-    /// Index of the group that is next in it.
+    /// Index of the next group to refresh.
     next_group: usize,
 }
 
-/// What a refresh does to each member of a group.
+/// The inputs of a refresh, the same for each member of a group.
 struct MemberRefresh<'a> {
     now: Micros,
     settings: &'a Settings,
     /// Time since the last refresh, in microseconds.
     elapsed: f64,
-    /// Part of failures and lag that is kept.
+    /// Fraction of the failure rate and of the lag that is kept.
     decay: f64,
     /// Time that a usual request takes, in microseconds.
     usual_latency: f64,
-    /// Cost a microsecond that each member of the group has served of late.
+    /// Cost per microsecond that each member of the group has served recently.
     served_rate: f64,
 }
 
 impl MemberRefresh<'_> {
-    /// Renews a member's penalty, slow-start tokens and weight. In slow start a member gets of each gateway
-    /// its even part of what the group served there, as far as it is warm: the sum stays inside the multiple.
+    /// Updates a member's failure penalty, slow-start tokens and weight. During slow start each gateway sends
+    /// a member its even share of the cost that the group serves for this gateway, scaled by the member's
+    /// warmth, so that the sum over all gateways stays within the overload multiple.
     fn apply(&self, member: &mut Member) {
         let warmth = member.slow_start.warmth(self.now, self.settings);
         let failure_rate = member.failure_rate();
         let decay = || (-self.elapsed * (1.0 - failure_rate) / self.usual_latency).exp();
         member.load.decay_failure_penalty(decay);
-        let multiple = self.settings.overload_multiple * SLOW_START_PART;
-        let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST;
+        let multiple = self.settings.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
+        let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST_FRACTION;
         member.slow_start.refill(self.served_rate * warmth * multiple, self.elapsed, burst);
         member.forget_by(self.decay);
         member.refresh_weight(warmth);
@@ -72,11 +78,11 @@
 }
 
 impl Router {
-    /// Looks at the requests that something falls due for, and refreshes members.
+    /// Refreshes members, checks the requests that are due, and sends waiting requests.
     pub(super) fn sweep(&mut self, now: Micros, actions: &mut Actions) {
         self.next_sweep = Micros(u64::MAX);
         self.refresh(now, actions);
-        // Only where requests are hedged is one looked at while its attempt is in flight.
+        // Requests that are not due are checked only if they may be hedged.
         let due = if self.settings.hedging {
             self.open_requests.keys().copied().collect()
         } else {
@@ -85,34 +91,34 @@
         for id in due {
             self.check_request(now, id, actions);
         }
-        let waiting = self.request_index.groups(self.last_retried, MAX_PER_STEP);
-        self.last_retried = waiting.last().copied().filter(|_| waiting.len() == MAX_PER_STEP);
+        let waiting = self.request_index.groups(self.last_retried_group, MAX_ITEMS_PER_STEP);
+        self.last_retried_group = waiting.last().copied().filter(|_| waiting.len() == MAX_ITEMS_PER_STEP);
         for group in waiting {
             self.send_waiting(now, group, actions);
         }
         let next = self.next_sweep_time(now);
-        self.sweep_by(next, actions);
+        self.schedule_sweep(next, actions);
     }
 
     /// Shortest time between two sweeps.
-    pub(super) fn period(&self) -> Micros {
+    pub(super) fn sweep_period(&self) -> Micros {
         Micros(self.settings.tick.0.max(1) * SWEEP_TICKS)
     }
 
-    /// Asks for a sweep at this time, unless one comes before.
-    pub(super) fn sweep_by(&mut self, at: Micros, actions: &mut Actions) {
+    /// Schedules a sweep at this time, unless an earlier one is scheduled.
+    pub(super) fn schedule_sweep(&mut self, at: Micros, actions: &mut Actions) {
         if at < self.next_sweep {
             self.next_sweep = at;
-            actions.push(Action::SetTimer { timer: SWEEP, at });
+            actions.push(Action::SetTimer { timer: SWEEP_TIMER, at });
         }
     }
 
     fn next_sweep_time(&self, now: Micros) -> Micros {
         let tick = now + self.settings.tick;
         let next = match self.request_index.next_end() {
-            _ if self.request_index.is_waiting() => now + self.period(),
+            _ if self.request_index.any_waiting() => now + self.sweep_period(),
             Some(end) => tick.max(end.min(now + REFRESH_PERIOD)),
-            None => now + HEALTH_CHECK_PAUSE,
+            None => now + MIN_HEALTH_CHECK_INTERVAL,
         };
         if self.refresh.is_some() {
             next.min(tick)
@@ -121,8 +127,9 @@
         }
     }
 
-    /// Refreshes the groups, so many members in one step and the others in the next; afterwards it rests for
-    /// its period. Then checks the health of members.
+    /// Refreshes the groups in steps of about [`MAX_ITEMS_PER_STEP`] members. After the last step it starts
+    /// the health checks that are due; the next refresh begins at least [`REFRESH_PERIOD`]
+    /// after the start of this one.
     fn refresh(&mut self, now: Micros, actions: &mut Actions) {
         let Some(RefreshProgress { elapsed, mut next_group }) =
             self.refresh.or_else(|| self.begin_refresh(now))
@@ -130,7 +137,7 @@
             return;
         };
         let (mut seen, mut due) = (0, std::mem::take(&mut self.due_health_checks));
-        while seen < MAX_PER_STEP && next_group < self.groups.len() {
+        while seen < MAX_ITEMS_PER_STEP && next_group < self.groups.len() {
             seen += 1 + self.refresh_group(now, next_group, elapsed, &mut due);
             next_group += 1;
         }
@@ -147,7 +154,7 @@
         self.start_due_health_checks(now, actions);
     }
 
-    /// Begins a refresh, if one is due.
+    /// Starts a refresh, if one is due.
     fn begin_refresh(&mut self, now: Micros) -> Option<RefreshProgress> {
         let elapsed = now - self.refreshed_at;
         if elapsed < REFRESH_PERIOD {
@@ -160,12 +167,12 @@
         Some(RefreshProgress { elapsed, next_group: 0 })
     }
 
-    /// Part of a served cost that still counts after this time.
+    /// Fraction of a served cost that still counts after `elapsed` microseconds.
     fn served_decay(&self, elapsed: f64) -> f64 {
         0.5f64.powf(elapsed / (2.0 * self.settings.slow_start_window.as_f64()))
     }
 
-    /// Refreshes a group: its members and its sessions. How many members it had.
+    /// Refreshes a group's members and sessions. Returns how many members it had.
     fn refresh_group(
         &mut self,
         now: Micros,
@@ -186,8 +193,8 @@
         members
     }
 
-    /// Refreshes a group's members, forgets those that are lost, and collects those whose health may be
-    /// checked. The position that all replicas in service have passed, if there are any.
+    /// Refreshes a group's members, removes lost ones, and collects those whose health may be checked.
+    /// Returns the position that all replicas in service have reached, if there are any.
     fn refresh_members(
         &mut self,
         now: Micros,
@@ -200,7 +207,7 @@
         let (_, group) = self.groups.get_index_mut(index)?;
         group.refreshed_at = now;
         group.served_cost *= served_decay;
-        let usual_latency = latencies.least();
+        let usual_latency = latencies.smallest();
         let refresh = MemberRefresh {
             now,
             settings,
@@ -214,7 +221,7 @@
             let Some(member) = members.get_mut(id) else { return false };
             refresh.apply(member);
             let in_service = member.is_in_service();
-            // Members gone for good are forgotten, or years of replacements would add up.
+            // Members that are gone for good are removed; otherwise replaced members pile up over years.
             if !member.is_held() && (!in_service || member.outlier.is_lost()) {
                 members.swap_remove(id);
                 lost_in_service += f64::from(u8::from(in_service));
@@ -232,29 +239,29 @@
         passed
     }
 
-    /// Forgets the sessions of a group that hold nobody back any more: all replicas have passed their
+    /// Forgets the sessions of a group that no longer restrict any read: all replicas have reached their
     /// commits.
     fn forget_sessions(&mut self, id: GroupId, passed: Option<Micros>, latest: Option<Micros>) {
         let passed = passed.or(latest).unwrap_or_default();
-        let forgotten = self.sessions.forget(id, passed, MAX_PER_STEP);
+        let forgotten = self.sessions.forget(id, passed, MAX_ITEMS_PER_STEP);
         if let (Some(commit), Some(group)) = (forgotten, self.groups.get_mut(&id)) {
             group.forgotten_commit = group.forgotten_commit.max(commit);
         }
         if let Some(latest) = latest {
-            // What is further on stands for a time that was not known when the commit's answer was lost.
-            self.sessions.lower(id, latest + HOLD + Micros(ROUNDING as u64), MAX_PER_STEP);
+            // A later commit stands for a log time that was unknown when the answer to the write was lost.
+            self.sessions.lower(id, latest + HOLD + Micros(ROUNDING as u64), MAX_ITEMS_PER_STEP);
         }
     }
 }
 
-/// Cost a microsecond that each member of a group has served of late: at least this gateway's share of a
+/// Cost per microsecond that each member of a group has served recently, at least this gateway's share of a
 /// single core.
 fn served_rate(group: &Group, served_span: f64, usual_latency: f64, settings: &Settings) -> f64 {
     let least = 1.0 / f64::from(settings.gateways.max(1)) / usual_latency;
     (group.served_cost / served_span / group.members_in_service.max(1.0)).max(least)
 }
 
-/// The lesser of a position and that of a replica.
+/// The lower of `least` and the member's position, if the member is a replica.
 fn least_position(least: Option<Micros>, member: &Member) -> Option<Micros> {
     if member.role.role() == Role::Primary {
         return least;
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -1,5 +1,5 @@
-//! Which members a group has and which of them is its primary: by the endpoint list, by the operators, and by
-//! the members' own claims.
+//! Which members a group has and which of them is its primary, according to the endpoint list, the operators
+//! and the members' own claims.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -8,11 +8,11 @@
 use crate::api::*;
 use crate::notice::Notice;
 
-/// Concurrency limit of a member never tried, in usual requests; it adapts within a second.
+/// Concurrency limit of a member that has served no request, in usual requests; it adapts within a second.
 const INITIAL_LIMIT: f64 = 8.0;
 
 impl Router {
-    /// The endpoint list has been updated.
+    /// Applies an update of the endpoint list.
     pub(super) fn endpoints_updated(
         &mut self,
         now: Micros,
@@ -28,7 +28,7 @@
         let mut changed: BTreeSet<GroupId> = endpoints.iter().map(|endpoint| endpoint.group).collect();
         for endpoint in endpoints {
             let listed_before = self.members.get(&endpoint.member).map(|member| member.endpoint().started);
-            changed.extend(self.join_group(&endpoint));
+            changed.extend(self.assign_to_group(&endpoint));
             if listed_before != Some(endpoint.started) {
                 self.adopt_listed_start(now, &endpoint);
             }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A full list does not name these members: they have been removed.
+    /// Marks the members that a full endpoint list does not contain as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: HashSet<MemberId> = endpoints.iter().map(|endpoint| endpoint.member).collect();
         for (id, member) in &mut self.members {
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Puts an endpoint into its group, as a new member where it is not known. The group that it has left, if
-    /// it was in another one.
-    fn join_group(&mut self, endpoint: &Endpoint) -> Option<GroupId> {
+    /// Assigns an endpoint to its group, as a new member if it is unknown. Returns the group that it has
+    /// left, if it was in another one.
+    fn assign_to_group(&mut self, endpoint: &Endpoint) -> Option<GroupId> {
         let (id, limit) = (endpoint.member, self.initial_limit());
         let role = if endpoint.primary { Role::Primary } else { Role::Replica };
         let member = self.members.entry(id).or_insert_with(|| Member::new(*endpoint, role, limit));
@@ -70,7 +70,8 @@
         before
     }
 
-    /// The list names a start of a member: if it is later than the known one, slow start begins there.
+    /// Adopts the start time of a member from the endpoint list: if it is later than the known one, slow
+    /// start begins then.
     fn adopt_listed_start(&mut self, now: Micros, endpoint: &Endpoint) {
         let (offset, limit) = (self.offset(endpoint.group), self.initial_limit());
         let Some(member) = self.members.get_mut(&endpoint.member) else { return };
@@ -90,7 +91,7 @@
         INITIAL_LIMIT * self.limit_share.sqrt()
     }
 
-    /// Operators take a member out of service, or put it back.
+    /// Takes a member out of service on an operator's request, or puts it back.
     pub(super) fn set_administratively_down(
         &mut self,
         now: Micros,
@@ -98,8 +99,8 @@
         down: bool,
         actions: &mut Actions,
     ) {
-        let all = &mut self.administratively_down;
-        let changed = if down { all.insert(id) } else { all.remove(&id) };
+        let down_members = &mut self.administratively_down;
+        let changed = if down { down_members.insert(id) } else { down_members.remove(&id) };
         actions.push(Action::CloseIdle { member: id });
         let limit = self.initial_limit();
         let Some(member) = self.members.get_mut(&id).filter(|_| changed) else { return };
@@ -110,20 +111,20 @@
         }
         let group = member.group();
         self.recompute_group(group);
-        self.sweep_by(now, actions);
+        self.schedule_sweep(now, actions);
     }
 
-    /// A member has responded to a request or a health check.
+    /// Records that a member has responded to a request or a health check.
     pub(super) fn member_responded(&mut self, now: Micros, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.outlier.responded(now) {
-            // Its process has most likely been restarted, whatever the list says: it is warming up.
+            // The process has most likely been restarted, whatever the list says: the member is warming up.
             member.slow_start.restart(now, &mut self.rng);
         }
     }
 
-    /// Counts a group's members in service and finds its primary anew: after a list, a claim, or one that no
-    /// longer holds.
+    /// Recomputes the number of a group's members in service and its primary, after a change of the endpoint
+    /// list, of a member's role claim or of a member's administrative state.
     pub(super) fn recompute_group(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else { return };
         let before = group.primary;
@@ -144,7 +145,7 @@
         self.members.get(&primary)?.is_usable().then_some(primary)
     }
 
-    /// Whether a member may be sent anything new.
+    /// Whether a member may be sent new requests.
     pub fn is_in_service(&self, id: MemberId) -> bool {
         self.members.get(&id).is_some_and(Member::is_in_service)
     }
--- a/src/balance/open_request.rs
+++ b/src/balance/open_request.rs
@@ -1,4 +1,5 @@
-//! Requests that await their final answer, and their attempts in flight. Nothing is decided here.
+//! The state of requests that await their final answer, and of their attempts in flight. It makes no
+//! decisions.
 
 use super::request_index::QueueEntry;
 use crate::api::*;
@@ -9,22 +10,22 @@
     pub request: Request,
     pub arrived_at: Micros,
     pub deadline: Micros,
-    /// As the settings had it when the request arrived.
+    /// Maximum number of attempts, from the settings at the time when the request arrived.
     pub max_attempts: u32,
-    /// After this an answer counts for nothing.
+    /// An answer after this time has no value.
     pub give_up_at: Micros,
-    /// When the request ends, as the index has it.
-    pub end: Micros,
-    /// Where the request waits, if it does.
+    /// When the request ends at the latest; its key in the request index.
+    pub ends_at: Micros,
+    /// The request's place in its queue, if it waits.
     pub queue_entry: Option<QueueEntry>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
     pub in_flight: Vec<(AttemptNo, MemberId)>,
     /// Send time of the first attempt that may have been executed.
     pub executed_from: Option<Micros>,
     /// An attempt ended without proof that it was not executed.
     pub may_have_executed: bool,
-    /// Attempts that ended in an error.
+    /// Number of attempts that ended in an error.
     pub errors: u32,
     /// Members at which an attempt has failed.
     pub failed_members: Vec<MemberId>,
@@ -41,7 +42,7 @@
         self.failed_members.contains(&member) || self.in_flight.iter().any(|(_, tried)| *tried == member)
     }
 
-    /// An attempt is sent to a member.
+    /// Adds an attempt that is sent to a member, and returns its number.
     pub fn begin_attempt(&mut self, now: Micros, to: MemberId) -> AttemptNo {
         let attempt = AttemptNo(self.attempts);
         self.attempts += 1;
@@ -50,13 +51,13 @@
         attempt
     }
 
-    /// An attempt has failed.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, outcome: &Outcome) {
         self.in_flight.retain(|(attempt, _)| *attempt != outcome.attempt);
         self.may_have_executed |= !outcome.status.proves_not_executed();
         self.executed_from = self.executed_from.filter(|_| !self.proved_not_executed());
         self.failed_members.push(outcome.member);
-        // Errors that follow a read from member to member are its own.
+        // If a read fails with an error at one member after another, the read is the cause.
         self.errors += u32::from(outcome.status == AttemptStatus::Error);
     }
 }
@@ -68,16 +69,16 @@
     pub session: Option<SessionKey>,
     /// When it was sent.
     pub sent: Micros,
-    /// Its client marked the request as a repeat.
+    /// The client marked the request as a retry.
     pub repeat: bool,
-    /// For how long the connection had been idle, as far as that matters.
+    /// How long the connection had been idle, if long enough to matter.
     pub idle_time: Option<Micros>,
-    /// Position that its answer must show.
+    /// The position that its answer must reflect.
     pub needed: Micros,
-    /// Its cost in usual requests.
+    /// Cost in usual requests.
     pub cost: f64,
-    /// Cost in flight at the member as it was sent, its own included.
+    /// Cost in flight at the member when the attempt was sent, including its own.
     pub load_at_send: f64,
-    /// Its answer streams to the client: the member has done the work.
+    /// The answer streams to the client: the member has done the work.
     pub streaming: bool,
 }
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: what each says about its member, its class and its session.
+//! Processes the end of each attempt: updates its member, its class and its session.
 
 use super::class_latencies::ClassLatencies;
 use super::idle_connections::is_unanswered;
@@ -8,22 +8,23 @@
 use crate::api::*;
 use crate::notice::{LogTimeEvidence, PositionSource};
 
-/// Least concurrency limit over all gateways: enough to keep a member's cores at work, whatever makes all
-/// answers slow, and to go on learning from them.
+/// Minimum concurrency limit of a member over all gateways: enough to keep its cores busy, whatever slows all
+/// answers, and to keep adapting to them.
 const MIN_LIMIT: f64 = 6.5;
-/// Part of the latency objective that a limit steers the mean latency to: few answers come after it.
-const LIMIT_TARGET: f64 = 0.25;
-/// Step of a concurrency limit for each answer: some answers move it by a request's cost.
+/// Fraction of the latency objective to which a limit steers the mean latency: few answers then miss the
+/// objective.
+const TARGET_LATENCY_FRACTION: f64 = 0.25;
+/// Step of a concurrency limit per answer, in costs of the request: several answers move it by one cost.
 const LIMIT_STEP: f64 = 0.3;
-/// Longest step for one of many gateways.
+/// Maximum step where many gateways share the limits.
 const MAX_LIMIT_STEP: f64 = 0.85;
-/// A latency counts for at most this many latency objectives, as does a rejection: a few requests that cost
-/// many times the usual work do not speak for all.
-const MAX_OBJECTIVES: f64 = 1.0;
+/// Maximum ratio of a latency to its latency objective that counts, and the ratio of a rejection: a few
+/// requests with many times the usual work must not dominate the limit.
+const MAX_OBJECTIVE_RATIO: f64 = 1.0;
 
 impl Router {
-    /// An attempt has ended.
-    pub(super) fn outcome(&mut self, now: Micros, outcome: Outcome, actions: &mut Actions) {
+    /// Processes the end of an attempt.
+    pub(super) fn attempt_ended(&mut self, now: Micros, outcome: Outcome, actions: &mut Actions) {
         let Some(attempt) = self.attempts.remove(&(outcome.request, outcome.attempt)) else { return };
         self.record_outcome(now, &outcome, &attempt);
         self.observe_answer(now, &outcome, &attempt);
@@ -44,7 +45,7 @@
         self.send_waiting(now, group, actions);
     }
 
-    /// Takes in what an answer says about its member.
+    /// Records the member's state as its answer reports it.
     fn observe_answer(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
         let &Outcome { member, status, role, position, report, .. } = outcome;
         if is_answer(status) {
@@ -58,12 +59,12 @@
             let answer = LogTimeEvidence { member, status, position, kind, sent, received: now };
             self.observe_primary(now, answer);
         }
-        // A served write's position is its commit, which its primary has reached.
+        // The position of a served write is its commit, which the primary has reached.
         self.observe_member(now, member, role, now, position, PositionSource::Answer(status));
         self.observe_report(now, member, report);
     }
 
-    /// Keeps what a session's write has committed, or may have.
+    /// Records the position of a session's commit, or the latest one that its write may have.
     fn record_commit(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
         let Some(key) = attempt.session else { return };
         if self.settings.classes[attempt.class.0].consistency != Consistency::Write {
@@ -72,14 +73,15 @@
         let commit = match (outcome.status, outcome.position) {
             (status, _) if status.proves_not_executed() => Micros(0),
             (AttemptStatus::Ok, Some(commit)) => commit,
-            // What was lost on the way may have been a commit: its session reads on from this moment.
+            // The lost answer may have reported a commit: later reads of the session must see the log's
+            // state of this moment.
             _ => self.log_now(now + self.hold(), attempt.group).unwrap_or(Micros(u64::MAX)),
         };
         self.committed(attempt.group, key, commit);
         self.sessions.end(attempt.group, key);
     }
 
-    /// Where members check reads, those that one serves and rejects show how far it is.
+    /// If members check reads, a read that a member serves or rejects bounds the member's position.
     fn record_checked_read(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
         let (needed, latest) = (attempt.needed, self.log_now(now, attempt.group));
         let (Some(latest), Some(member)) = (latest, self.members.get_mut(&outcome.member)) else { return };
@@ -91,18 +93,19 @@
         }
     }
 
-    /// A session's write was committed, here or at the process beside this one.
+    /// Records a commit of a session, made through this process or another one of the gateway.
     pub fn committed(&mut self, group: GroupId, key: SessionKey, commit: Micros) {
         self.sessions.committed(group, key, commit);
     }
 
-    /// The latest known commit of a session in a group, or the moment up to which it may have committed.
+    /// The latest known commit of a session in a group, or the time up to which it may have committed.
     pub fn commit(&self, group: GroupId, key: SessionKey) -> Option<Micros> {
         self.sessions.commit(group, key).filter(|commit| *commit > Micros(0))
     }
 
-    /// An answer has begun to stream: the request has its final answer, and the member has capacity again.
-    pub(super) fn started(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
+    /// A response has started to stream: the request has its final answer, and the member's capacity is free
+    /// again.
+    pub(super) fn response_started(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(open) = self.open_requests.get(&id) else { return };
         for (attempt, to) in &open.in_flight {
             let attempt = self.attempts.get_mut(&(id, *attempt));
@@ -126,19 +129,19 @@
         if !attempt.streaming {
             member.load.end(attempt.cost);
         }
-        // The member is not blamed where something drops idle connections silently.
+        // The member is not to blame if something drops idle connections silently.
         let idle_timeout = self.settings.connection_idle_timeout;
         let dropped_while_idle =
             self.idle_connections.record(outcome.status, attempt.idle_time, idle_timeout);
         if !dropped_while_idle {
             let objective = self.settings.classes[attempt.class.0].latency_objective;
             let latency = record_latency(&mut self.latencies, member, outcome, attempt.class, objective);
-            if let Some(objectives) = latency {
-                adapt_limit(member, objectives, attempt, &self.settings, self.limit_share);
+            if let Some(objective_ratio) = latency {
+                adapt_limit(member, objective_ratio, attempt, &self.settings, self.limit_share);
                 member.load.pause_after(now, outcome.latency);
             }
             if is_unanswered(outcome.status) {
-                // It may be partitioned, which shows in nothing else.
+                // The member may be partitioned, which no other signal shows.
                 member.outlier.went_unanswered(now, outcome.latency);
             }
         }
@@ -146,14 +149,14 @@
     }
 }
 
-/// Whether an attempt with this end was answered by its member.
+/// Whether an attempt that ended with this status was answered by its member.
 fn is_answer(status: AttemptStatus) -> bool {
     use AttemptStatus::{Error, Malformed, Ok, Rejected, Unsuitable};
     matches!(status, Ok | Unsuitable | Rejected | Error | Malformed)
 }
 
-/// Records a latency at the member and its class. How many latency objectives it counts for in the member's
-/// limit, if it says anything of that.
+/// Records a latency at the member and its class. Returns the ratio to the latency objective for the member's
+/// limit, if the attempt counts for the limit.
 fn record_latency(
     latencies: &mut ClassLatencies,
     member: &mut Member,
@@ -162,41 +165,48 @@
     objective: Micros,
 ) -> Option<f64> {
     let latency = outcome.latency.as_f64();
-    let objectives = latency / objective.as_f64();
+    let objective_ratio = latency / objective.as_f64();
     match outcome.status {
         AttemptStatus::Ok => {
             member.record_latency(latencies.record_served(class, latency));
-            Some(objectives)
+            Some(objective_ratio)
         }
         AttemptStatus::Timeout | AttemptStatus::Cancelled => {
             latencies.record_unanswered(class, latency);
-            Some(objectives.max(1.0))
+            Some(objective_ratio.max(1.0))
         }
-        AttemptStatus::Rejected => Some(MAX_OBJECTIVES),
+        AttemptStatus::Rejected => Some(MAX_OBJECTIVE_RATIO),
         _ => None,
     }
 }
 
-/// Moves a member's concurrency limit towards the one at which its mean latency is on target.
-fn adapt_limit(member: &mut Member, objectives: f64, attempt: &Attempt, settings: &Settings, share: f64) {
-    // Of many gateways each sees few answers, and the noise of their steps evens out: they are longer.
+/// Moves a member's concurrency limit towards the one at which its mean latency is on target. `share` is this
+/// gateway's fraction of the usual limits.
+fn adapt_limit(
+    member: &mut Member,
+    objective_ratio: f64,
+    attempt: &Attempt,
+    settings: &Settings,
+    share: f64,
+) {
+    // Each of many gateways gets few answers, and the noise of their steps averages out: steps are longer.
     let step = (LIMIT_STEP / share.sqrt()).min(MAX_LIMIT_STEP);
-    let step = step * (1.0 - objectives.min(MAX_OBJECTIVES) / LIMIT_TARGET);
+    let step = step * (1.0 - objective_ratio.min(MAX_OBJECTIVE_RATIO) / TARGET_LATENCY_FRACTION);
     let step = step * attempt.cost.min(member.load.limit().max(1.0));
     let floor = MIN_LIMIT / f64::from(settings.gateways.max(1));
     member.load.adjust_limit(step, attempt.load_at_send, floor);
 }
 
-/// Records whether an attempt failed: in the failure rate, the penalty and outlier detection.
+/// Records an attempt's success or failure in the failure rate, the penalty and outlier detection.
 fn record_failure(now: Micros, member: &mut Member, status: AttemptStatus, cost: f64) {
     match status {
         AttemptStatus::Ok => member.record_success(),
-        // It has done the work and sent something: neither down nor idle.
+        // The member has done the work and sent an answer: it is neither down nor idle.
         AttemptStatus::Malformed => member.record_failure(),
-        // What it has begun may go on there, for about as long as a request takes.
+        // The member may continue the work for about as long as a request takes.
         AttemptStatus::Timeout | AttemptStatus::Cancelled => member.load.add_failure_penalty(cost),
-        // A member that fails or rejects at once must not look lightly loaded and draw all traffic; one that
-        // failed by chance is spared for no longer than a request takes.
+        // A member that fails or rejects at once must not look lightly loaded and attract all traffic. After
+        // a random failure the penalty lasts no longer than a request takes.
         AttemptStatus::Error
         | AttemptStatus::Rejected
         | AttemptStatus::ConnectFailed
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -1,6 +1,6 @@
-//! Requests that wait for capacity: how long each may, and which is sent first.
+//! Requests that wait for capacity: how long each may wait, and which is sent first.
 
-use super::choice::REPLICA_CHECK_TIME;
+use super::choice::REPLICA_CHECK_WAIT_FRACTION;
 use super::housekeeping::{HEALTH_CHECK_BURST, REFRESH_PERIOD};
 use super::open_request::OpenRequest;
 use super::request_index::QueueEntry;
@@ -8,51 +8,51 @@
 use crate::api::*;
 use crate::notice::GiveUp;
 
-/// Most of its latency objective that a request may wait while its group has capacity for all...
-const LONGEST_QUEUE_TIME: f64 = 0.3;
-/// ...and once the group drops [`FULL_DROP_RATE`] of them or more, linearly less in between: a request that
-/// waits then is late, and its client retries sooner than a queue would get to it.
-const SHORTEST_QUEUE_TIME: f64 = 0.03;
-/// Share of dropped requests from which on the shortest queue time holds.
-const FULL_DROP_RATE: f64 = 0.5;
-/// Weight of a new request in that share: about the last fifty count.
-pub(super) const DROP_RATE_GAIN: f64 = 0.02;
-/// Requests of a class that may fail to find capacity before the rest of it waits for the next pass: a long
-/// queue costs processor time.
+/// Largest fraction of its latency objective that a request may wait, while its group drops none.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.3;
+/// The same once the group drops [`OVERLOAD_DROP_RATE`] of its requests or more; linear in between. A request
+/// that waits in an overload is late, and its client retries before the queue gets to it.
+const MIN_QUEUE_TIME_FRACTION: f64 = 0.03;
+/// Fraction of dropped requests from which on [`MIN_QUEUE_TIME_FRACTION`] applies.
+const OVERLOAD_DROP_RATE: f64 = 0.5;
+/// Weight of a new request in the running drop rate: about the last fifty count.
+pub(super) const DROP_RATE_SAMPLE_WEIGHT: f64 = 0.02;
+/// Requests of a class that may fail to find capacity before the rest of the class waits for the next pass:
+/// to try each request of a long queue costs processor time.
 const MAX_FAILED_PLACEMENTS: usize = 4;
-/// Part of the service that may be spent on health checks in the long run.
-const HEALTH_CHECK_SPEND: f64 = 0.004;
+/// Highest long-run cost of health checks, as a fraction of the cost of all requests.
+const HEALTH_CHECK_COST_FRACTION: f64 = 0.004;
 
 impl Router {
-    /// A request has arrived.
-    pub(super) fn arrive(&mut self, now: Micros, request: Request, actions: &mut Actions) {
+    /// Processes an arriving request: sends it, queues it, or gives it up.
+    pub(super) fn request_arrived(&mut self, now: Micros, request: Request, actions: &mut Actions) {
         let id = request.id;
-        self.earn_health_checks();
+        self.add_health_check_tokens();
         let open = self.open_request(now, request);
-        let (give_up_at, end) = (open.give_up_at, open.end);
+        let (give_up_at, end) = (open.give_up_at, open.ends_at);
         self.open_requests.insert(id, open);
         self.request_index.open(id, end);
-        // What is left of a late retry may be less than a sweep: it is not sent only to be given up.
-        if now + self.period() >= give_up_at {
+        // A late retry may have less time left than a sweep period: if sent, it would only be given up.
+        if now + self.sweep_period() >= give_up_at {
             return self.give_up(now, id, GiveUp::NoTime, actions);
         }
         self.enqueue(id);
         self.send_waiting(now, request.group, actions);
-        let group_waits = self.request_index.waits(request.group);
+        let group_waits = self.request_index.has_waiting(request.group);
         if self.open_requests[&id].in_flight.is_empty() {
             self.check_request(now, id, actions);
         }
-        let next = if group_waits { now + self.period() } else { give_up_at.min(now + REFRESH_PERIOD) };
-        self.sweep_by(next, actions);
+        let next = if group_waits { now + self.sweep_period() } else { give_up_at.min(now + REFRESH_PERIOD) };
+        self.schedule_sweep(next, actions);
     }
 
-    /// Each request pays for a part of a health check.
-    fn earn_health_checks(&mut self) {
-        let earned = HEALTH_CHECK_SPEND / self.settings.health_check_price.max(f64::MIN_POSITIVE);
+    /// Adds the fraction of a health check token that each request contributes.
+    fn add_health_check_tokens(&mut self) {
+        let earned = HEALTH_CHECK_COST_FRACTION / self.settings.health_check_price.max(f64::MIN_POSITIVE);
         self.health_check_tokens = (self.health_check_tokens + earned).min(HEALTH_CHECK_BURST);
     }
 
-    /// A request with the times by which it has to be answered.
+    /// The state of a new request, with the times by which it has to be answered.
     fn open_request(&self, now: Micros, request: Request) -> OpenRequest {
         let class = &self.settings.classes[request.class.0];
         let deadline = now + request.time_left;
@@ -65,7 +65,7 @@
             deadline,
             max_attempts: self.settings.max_attempts,
             give_up_at,
-            end: give_up_at.min(deadline - self.period()),
+            ends_at: give_up_at.min(deadline - self.sweep_period()),
             ..OpenRequest::default()
         }
     }
@@ -81,12 +81,12 @@
             wait_until: self.wait_until(open),
             place: 0,
         };
-        let entry = self.request_index.wait(entry);
+        let entry = self.request_index.enqueue(entry);
         self.open_requests.entry(id).and_modify(|open| open.queue_entry = Some(entry));
     }
 
     /// Until when a request may wait. A write that may have been executed waits as long as its client does:
-    /// only its answer tells.
+    /// only an answer shows whether it was.
     pub(super) fn wait_until(&self, open: &OpenRequest) -> Micros {
         let class = &self.settings.classes[open.request.class.0];
         let write = class.consistency == Consistency::Write;
@@ -94,24 +94,26 @@
             return open.give_up_at;
         }
         let group = self.groups.get(&open.request.group);
-        let overload = group.map_or(0.0, |group| group.queue_drop_rate / FULL_DROP_RATE).min(1.0);
-        let queue_time = LONGEST_QUEUE_TIME + (SHORTEST_QUEUE_TIME - LONGEST_QUEUE_TIME) * overload;
-        let check_time = if !write && self.reads_check_replicas() { REPLICA_CHECK_TIME } else { 0.0 };
-        let time = class.latency_objective.scale(check_time.max(queue_time));
+        let overload = group.map_or(0.0, |group| group.queue_drop_rate / OVERLOAD_DROP_RATE).min(1.0);
+        let queue_time_fraction =
+            MAX_QUEUE_TIME_FRACTION + (MIN_QUEUE_TIME_FRACTION - MAX_QUEUE_TIME_FRACTION) * overload;
+        let check_wait_fraction =
+            if !write && self.reads_check_replicas() { REPLICA_CHECK_WAIT_FRACTION } else { 0.0 };
+        let time = class.latency_objective.scale(check_wait_fraction.max(queue_time_fraction));
         open.give_up_at.min(open.arrived_at + time)
     }
 
     /// Sends as many of a group's waiting requests as there is capacity for.
     pub(super) fn send_waiting(&mut self, now: Micros, group: GroupId, actions: &mut Actions) {
         for class in self.waiting_classes(group) {
-            if self.any_capacity(now, group, class) {
+            if self.any_member_has_capacity(now, group, class) {
                 self.send_waiting_of(now, group, class, actions);
             }
         }
     }
 
-    /// The classes of a group's waiting requests: writes before reads, since only the primary takes them,
-    /// then by weight for work.
+    /// The classes of a group's waiting requests: writes before reads, since only the primary takes writes,
+    /// then by priority weight per unit of work.
     fn waiting_classes(&self, group: GroupId) -> Vec<ClassId> {
         let mut classes = self.request_index.classes(group);
         let is_write = |class: &ClassId| self.settings.classes[class.0].consistency == Consistency::Write;
@@ -120,8 +122,8 @@
         classes
     }
 
-    /// Sends waiting requests of a class, the newest first: in an overload it is the one that can still be in
-    /// time, while the oldest would be sent only to be given up.
+    /// Sends waiting requests of a class, the newest first: in an overload the newest can still be in time,
+    /// while the oldest would be sent only to be given up.
     fn send_waiting_of(&mut self, now: Micros, group: GroupId, class: ClassId, actions: &mut Actions) {
         let (mut failed, mut before) = (0, u64::MAX);
         while failed < MAX_FAILED_PLACEMENTS {
@@ -129,7 +131,7 @@
             let Some((last, _)) = newest.last() else { break };
             before = *last;
             for (_, id) in newest {
-                if let Some(member) = self.choose(now, id, actions) {
+                if let Some(member) = self.choose_member(now, id, actions) {
                     self.send(now, id, member, actions);
                 } else {
                     failed += 1;
--- a/src/balance/request_index.rs
+++ b/src/balance/request_index.rs
@@ -1,40 +1,40 @@
-//! Open requests in the orders in which the router looks at them, so that no step walks what has not fallen
-//! due. Nothing is decided here: the router says when something falls due and which comes first.
+//! Indexes of open requests by the times at which they fall due and by queue, so that no step walks requests
+//! that are not due. It makes no decisions: the router sets the due times and the order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::*;
 
-/// A request that waits: its place in its group's queue and when it is looked at again.
+/// A waiting request: its place in its group's queue and the times at which it falls due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueEntry {
-    /// The request.
+    /// The waiting request.
     pub id: RequestId,
-    /// Its group.
+    /// The group whose queue it waits in.
     pub group: GroupId,
-    /// Its class.
+    /// Its class: the queue of a group is ordered by class first.
     pub class: ClassId,
-    /// After this an answer counts for nothing: it is looked at a mean latency of its class earlier.
+    /// An answer after this time has no value: the request falls due one mean latency of its class earlier.
     pub give_up_at: Micros,
-    /// When it has waited for its time, whatever the latencies are.
+    /// When its queue time ends, whatever the latencies are.
     pub wait_until: Micros,
-    /// Its place: the higher, the later it joined.
+    /// Its place in the queue, set by [`RequestIndex::enqueue`]: the later it joined, the higher.
     pub place: u64,
 }
 
 /// All open requests, and the queues of those that wait.
 #[derive(Debug, Default)]
 pub struct RequestIndex {
-    places: u64,
+    last_place: u64,
     ends: BTreeSet<(Micros, RequestId)>,
     wait_until: BTreeSet<(Micros, RequestId)>,
-    /// Of each class, by when an answer counts for nothing.
+    /// For each class, its waiting requests by the time after which an answer has no value.
     useful_until: Vec<BTreeSet<(Micros, RequestId)>>,
     queues: BTreeMap<GroupId, BTreeSet<(ClassId, u64, RequestId)>>,
 }
 
 impl RequestIndex {
-    /// Adds a request that ends at this time.
+    /// Adds a request that ends at this time at the latest.
     pub fn open(&mut self, id: RequestId, end: Micros) {
         self.ends.insert((end, id));
     }
@@ -43,14 +43,14 @@
     pub fn close(&mut self, id: RequestId, end: Micros, entry: Option<QueueEntry>) {
         self.ends.remove(&(end, id));
         if let Some(entry) = entry {
-            self.leave(entry);
+            self.dequeue(entry);
         }
     }
 
-    /// Puts a request into its group's queue, behind all that wait, and sets its place.
-    pub fn wait(&mut self, mut entry: QueueEntry) -> QueueEntry {
-        self.places += 1;
-        entry.place = self.places;
+    /// Appends a request to its group's queue and sets its place.
+    pub fn enqueue(&mut self, mut entry: QueueEntry) -> QueueEntry {
+        self.last_place += 1;
+        entry.place = self.last_place;
         if self.useful_until.len() <= entry.class.0 {
             self.useful_until.resize_with(entry.class.0 + 1, BTreeSet::new);
         }
@@ -60,8 +60,8 @@
         entry
     }
 
-    /// Takes a request out of its queue.
-    pub fn leave(&mut self, entry: QueueEntry) {
+    /// Removes a request from its queue.
+    pub fn dequeue(&mut self, entry: QueueEntry) {
         if let Some(useful_until) = self.useful_until.get_mut(entry.class.0) {
             useful_until.remove(&(entry.give_up_at, entry.id));
         }
@@ -75,20 +75,20 @@
     }
 
     /// Whether any request waits.
-    pub fn is_waiting(&self) -> bool {
+    pub fn any_waiting(&self) -> bool {
         !self.queues.is_empty()
     }
 
     /// Whether requests of this group wait.
-    pub fn waits(&self, group: GroupId) -> bool {
+    pub fn has_waiting(&self, group: GroupId) -> bool {
         self.queues.contains_key(&group)
     }
 
-    /// At most so many groups whose requests wait, in order, those after this one.
-    pub fn groups(&self, after: Option<GroupId>, most: usize) -> Vec<GroupId> {
+    /// The groups with waiting requests, in order, from the one after `after` on, at most `max_count`.
+    pub fn groups(&self, after: Option<GroupId>, max_count: usize) -> Vec<GroupId> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
-        self.queues.range((from, Unbounded)).take(most).map(|(group, _)| *group).collect()
+        self.queues.range((from, Unbounded)).take(max_count).map(|(group, _)| *group).collect()
     }
 
     /// The classes of a group's waiting requests, each once, in order.
@@ -102,15 +102,22 @@
         classes
     }
 
-    /// Of a group's waiting requests of a class the latest that joined before this place, at most so many.
-    pub fn newest(&self, group: GroupId, class: ClassId, before: u64, most: usize) -> Vec<(u64, RequestId)> {
+    /// The requests of a class in a group's queue with a place lower than `before`, with their places: the
+    /// newest first, at most `max_count`.
+    pub fn newest(
+        &self,
+        group: GroupId,
+        class: ClassId,
+        before: u64,
+        max_count: usize,
+    ) -> Vec<(u64, RequestId)> {
         let Some(queue) = self.queues.get(&group) else { return Vec::new() };
         let older = queue.range((class, 0, RequestId(0))..(class, before, RequestId(0)));
-        older.rev().take(most).map(|(_, place, id)| (*place, *id)).collect()
+        older.rev().take(max_count).map(|(_, place, id)| (*place, *id)).collect()
     }
 
-    /// The requests that something falls due for, in order: those that end, have waited for their time, or
-    /// whose answer counts for nothing a mean latency of their class (in microseconds) from now.
+    /// The requests that are due, in order: those that end, those whose queue time is over, and waiting ones
+    /// whose answer would have no value one mean latency of their class (in microseconds) from now.
     pub fn due(&self, now: Micros, mean_latencies: &[f64]) -> Vec<RequestId> {
         let mut due = Vec::new();
         let mut take = |set: &BTreeSet<(Micros, RequestId)>, until: Micros| {
