--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -29,7 +29,7 @@
         member.log.observe(now, position, latest, source);
         let is_primary = self.groups.get(&group).and_then(|group| group.primary) == Some(id);
         if claimed.is_some_and(|role| is_primary != (role == Role::Primary)) {
-            self.recount(group);
+            self.recompute_group(group);
         }
     }
 
@@ -49,7 +49,7 @@
 
     /// What the choice of the member that a request was sent to rested on.
     pub fn read_basis(&self, now: Micros, id: RequestId) -> Option<ReadBasis> {
-        let open = self.open.get(&id)?;
+        let open = self.open_requests.get(&id)?;
         let member = self.members.get(&open.in_flight.last()?.1)?;
         let group = open.request.group;
         Some(ReadBasis {
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -55,7 +55,7 @@
             administratively_down: self.administratively_down.clone(),
             common_clock: self.log_time.common().into(),
             span: self.served_span,
-            means: self.latencies.all().to_vec(),
+            means: self.latencies.means().to_vec(),
             ..Snapshot::default()
         };
         for (key, group, commit) in self.sessions.commits() {
@@ -80,6 +80,6 @@
         self.served_span = snapshot.span;
         self.latencies.restore(mean_latencies);
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
-        groups.into_iter().for_each(|group| self.recount(group));
+        groups.into_iter().for_each(|group| self.recompute_group(group));
     }
 }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -159,7 +159,7 @@
     /// Continues under new settings. Classes of requests in flight must keep their ids.
     pub fn update_settings(&mut self, settings: Settings) {
         self.kinds = kinds(&settings);
-        self.router.retune(Settings { hedging: false, ..settings });
+        self.router.update_settings(Settings { hedging: false, ..settings });
     }
 
     /// The longest that any client waits, by the settings.
@@ -232,13 +232,13 @@
     pub fn endpoint_counts(&self) -> EndpointCounts {
         EndpointCounts {
             listed: self.listed.len(),
-            ejected: self.listed.iter().filter(|member| self.router.avoids(**member)).count(),
+            ejected: self.listed.iter().filter(|member| self.router.is_down_or_ejected(**member)).count(),
         }
     }
 
     /// Whether the member may be sent anything new.
     pub fn is_routable(&self, member: MemberId) -> bool {
-        self.router.admits(member)
+        self.router.is_in_service(member)
     }
 
     /// Whether an endpoint list has ever named this group.
@@ -313,7 +313,7 @@
 
     /// Whether the attempt that is out may still be written to its member, after its connection took time to come up.
     pub fn is_attempt_valid(&self, now: Micros, request: RequestId) -> bool {
-        self.requests.contains_key(&request) && self.router.holds(now, request)
+        self.requests.contains_key(&request) && self.router.may_write_attempt(now, request)
     }
 
     /// Whether the member of the attempt that is out is known to be recent enough for the request, were its last byte
@@ -329,7 +329,7 @@
 
     /// Gives notices of single requests as well from now on.
     pub fn enable_request_notices(&mut self) {
-        self.router.trace();
+        self.router.enable_request_tracing();
     }
 
     /// The client has left or was answered by other means: the request is finished.
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -180,7 +180,7 @@
 fn one_of_many_asks_a_replica_before_a_read_goes_to_the_primary() {
     // The fleet has grown while the router ran.
     let mut harness = Harness::new(settings());
-    harness.router.retune(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
+    harness.router.update_settings(Settings { gateways: 10, health_check_price: 0.08, ..settings() });
     harness.sweep(100);
     let behind = |harness: &Harness| Micros(harness.now.0 - 3_000_000);
     for member in [NEAR, FAR] {
@@ -1348,12 +1348,12 @@
         };
         harness.event(broken);
         let since = harness.now;
-        assert!(harness.router.avoids(NEAR));
+        assert!(harness.router.is_down_or_ejected(NEAR));
         if started {
             let new = endpoint(NEAR, EndpointState::Ready, harness.now);
             harness.list(EndpointUpdate::Incremental, vec![new]);
         }
-        while harness.router.avoids(NEAR) {
+        while harness.router.is_down_or_ejected(NEAR) {
             harness.sweep(100);
         }
         harness.now - since
