--- a/crates/rollout/src/connection.rs
+++ b/crates/rollout/src/connection.rs
@@ -1,6 +1,6 @@
 //! Identifiers of connections.
 
-/// Identifies a connection. The state machine that owns the connection assigns it, and never uses it again.
+/// Identifies a connection. It is assigned by the state machine that owns the connection, and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
--- a/crates/rollout/src/control/error.rs
+++ b/crates/rollout/src/control/error.rs
@@ -32,7 +32,7 @@
     QueueTimeout,
     #[error("no change is accepted: {0}")]
     RegisterFault(RegisterFault),
-    #[error("no change is accepted: the register holds a later form")]
+    #[error("no change is accepted: the register holds a value of a later format")]
     UnreadableRegister,
     #[error(transparent)]
     InvalidDocument(#[from] InvalidDocument),
--- a/crates/rollout/src/file_format.rs
+++ b/crates/rollout/src/file_format.rs
@@ -1,41 +1,41 @@
-//! The envelope of the package's files: magic bytes with the format's version, the length of the body, its SHA-256 digest,
-//! and the body.
+//! The envelope of the package's files: magic bytes with the format's version, the length of the body, its SHA-256
+//! digest, and the body.
 
 use serde::{de::DeserializeOwned, Serialize};
 
 use crate::version::Digest;
 
-/// Bytes at the start of a file: seven that name its kind, and the version of its format.
+/// The first bytes of a file: seven that identify its kind, and the version of its format.
 pub(crate) type Magic = [u8; 8];
-/// Bytes of [`Magic`] that name the kind of file.
+/// Number of bytes of [`Magic`] that identify the kind of file.
 const KIND_BYTES: usize = 7;
 
-/// Why bytes are not the file that was expected.
+/// Why a file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileError {
-    /// The file ends too early.
-    #[error("cut off")]
+    /// The file ends before its body does.
+    #[error("the file is truncated")]
     Truncated,
-    /// The first bytes name another kind of file, or none.
+    /// The first bytes identify another kind of file, or no known kind.
     #[error("not a file of this kind")]
     WrongKind,
-    /// The format is of a version that this program cannot read.
-    #[error("of form {0}, which this program does not know")]
+    /// The file has a format version that this program cannot read.
+    #[error("format version {0} is not supported")]
     UnknownFormat(u8),
-    /// The body is not what was written.
-    #[error("the checksum does not fit")]
+    /// The body is longer than its length says, or does not have the digest that was written with it.
+    #[error("the checksum does not match")]
     Checksum,
     /// The body cannot be decoded.
-    #[error("what is inside cannot be read")]
+    #[error("the contents cannot be decoded")]
     Undecodable,
-    /// A document does not have the digest that its version gives.
-    #[error("the document does not fit its version")]
+    /// The document does not have the digest of its version, or exceeds its limits.
+    #[error("the document does not match its version")]
     DigestMismatch,
 }
 
-/// The bytes of a file.
+/// Encodes a file with this body.
 pub(crate) fn encode(magic: &Magic, body: &impl Serialize) -> Vec<u8> {
-    // Writing into a vector cannot fail.
+    // Encoding into a vector cannot fail.
     let body = postcard::to_stdvec(body).unwrap_or_default();
     let mut file = magic.to_vec();
     file.extend_from_slice(&(body.len() as u32).to_be_bytes());
@@ -44,7 +44,7 @@
     file
 }
 
-/// Reads what [`encode`] has written. A file that is truncated or damaged yields an error.
+/// Decodes the body of a file written by [`encode`]. A truncated or damaged file yields an error.
 pub(crate) fn decode<T: DeserializeOwned>(magic: &Magic, file: &[u8]) -> Result<T, FileError> {
     let (found, rest) = file.split_first_chunk::<8>().ok_or(FileError::Truncated)?;
     if found[..KIND_BYTES] != magic[..KIND_BYTES] {
@@ -65,7 +65,7 @@
     decode_exact(body).ok_or(FileError::Undecodable)
 }
 
-/// Decodes a value that takes all the bytes.
+/// Decodes a value; `None` unless it takes up all bytes.
 pub(crate) fn decode_exact<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(value, _)| value)
 }
--- a/crates/rollout/src/frame.rs
+++ b/crates/rollout/src/frame.rs
@@ -1,38 +1,39 @@
-//! Frames: a length in four bytes (big endian), and a message of that many bytes.
+//! Frames: a message with its length in front, as four bytes in big-endian order.
 
 use std::sync::Arc;
 
 use crate::file_format::decode_exact;
 use crate::wire::Message;
 
-/// Longest message in a frame, in bytes: a status with the most gateways and members that it names.
+/// Longest message in a frame, in bytes: enough for a status with [`crate::wire::MAX_GATEWAYS`] gateways and members.
 pub const MAX_FRAME_BYTES: usize = 768 * 1024;
-/// Bytes of the length in front of a message.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Memory that an empty reader keeps for the next frames, in bytes.
+/// Buffer capacity that an empty reader keeps for the next frames, in bytes.
 const IDLE_BUFFER_BYTES: usize = 4_096;
 
-/// Why received bytes are no frame. The connection has to be closed.
+/// Why received bytes are not a valid frame. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The frame is longer than the reader's limit.
-    #[error("a frame that is too long")]
+    #[error("a frame exceeds the length limit")]
     TooLong,
-    /// The frame contains no message, or one that exceeds its limits.
-    #[error("a frame without a valid message")]
+    /// The frame contains no message, or a message that exceeds its limits.
+    #[error("a frame does not contain a valid message")]
     InvalidMessage,
 }
 
-/// The frame of a message. The receiver closes the connection if the message exceeds its limits.
+/// Encodes a message as a frame. Limits are not checked here: the receiver closes the connection if the message exceeds
+/// them.
 pub fn encode_frame(message: &Message) -> Arc<[u8]> {
-    // Writing into a vector cannot fail.
+    // Encoding into a vector cannot fail.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend_from_slice(&body);
     frame.into()
 }
 
-/// Collects the bytes of a connection until they are a frame. It holds at most one frame and what one read adds.
+/// Buffers the bytes of a connection until they form a frame. It holds at most one frame and the bytes of one read.
 #[derive(Debug)]
 pub struct FrameReader {
     bytes: Vec<u8>,
@@ -48,25 +49,26 @@
 }
 
 impl FrameReader {
-    /// A reader of frames up to a limit, so that a sender of short messages cannot make it hold long ones.
+    /// Creates a reader of frames up to a limit, so that a peer that sends only short messages cannot make the reader
+    /// buffer long ones. The limit is at most [`MAX_FRAME_BYTES`].
     pub fn new(max_frame_bytes: usize) -> FrameReader {
         FrameReader { bytes: Vec::new(), consumed: 0, max_frame_bytes: max_frame_bytes.min(MAX_FRAME_BYTES) }
     }
 
-    /// Sets the limit of the frames that follow.
+    /// Sets the length limit of the frames that follow.
     pub fn set_max_frame_bytes(&mut self, max_frame_bytes: usize) {
         self.max_frame_bytes = max_frame_bytes.min(MAX_FRAME_BYTES);
     }
 
-    /// Adds received bytes. [`FrameReader::next_message`] has to be called until it returns none.
+    /// Adds received bytes. [`FrameReader::next_message`] has to be called until it returns `None`.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next complete message.
+    /// Decodes the next message; `None` if no frame is complete yet.
     ///
     /// # Errors
-    /// The bytes are no frame, and the connection has to be closed.
+    /// The bytes are not a valid frame, and the connection has to be closed.
     pub fn next_message(&mut self) -> Result<Option<Message>, FrameError> {
         let unread = self.bytes.get(self.consumed..).unwrap_or_default();
         let Some((length, rest)) = unread.split_first_chunk::<LENGTH_BYTES>() else {
--- a/crates/rollout/src/history.rs
+++ b/crates/rollout/src/history.rs
@@ -1,31 +1,32 @@
-//! The history of versions, which is the value of the replicated register: the last versions with the proposals that they
-//! came from.
+//! The version history, which is the value of the replicated register: the newest versions, each with the id of its
+//! proposal.
 
 use serde::{Deserialize, Serialize};
 
 use crate::file_format::decode_exact;
 use crate::version::{Digest, Version};
 
-/// Versions that a history names: a proposer finds its own there as long as fewer others came after it.
+/// Most versions in a history. A proposer whose outcome is unknown finds its version there until this many newer
+/// versions have been chosen.
 pub const MAX_HISTORY_VERSIONS: usize = 8;
 
 /// Version of the format, the first byte of the register's value.
 const FORMAT: u8 = 1;
 
-/// The register holds a value that this program cannot read, of a later format perhaps. It must not be overwritten.
+/// The register holds a value that this program cannot read, perhaps of a later format. It must not be overwritten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the register holds what this program cannot read, of a later form perhaps")]
+#[error("the register holds a value that this program cannot read, perhaps of a later format")]
 pub struct UnreadableHistory;
 
-/// A version and the proposal that it came from. It is stored as it stands here: the order of its fields is the format.
+/// A version and the id of its proposal. The order of the fields is part of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     version: Version,
-    /// The random number that the proposer drew for its proposal.
+    /// A random number that the proposer has assigned to the proposal.
     proposal_id: u64,
 }
 
-/// The last versions, and which proposal each came from.
+/// The newest versions, each with the id of its proposal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionHistory {
     /// Oldest first, at most [`MAX_HISTORY_VERSIONS`].
@@ -33,10 +34,10 @@
 }
 
 impl VersionHistory {
-    /// Reads the value of the register; without a value there are no versions.
+    /// Decodes the value of the register; a register without a value is an empty history.
     ///
     /// # Errors
-    /// The value is no history that this program can read.
+    /// The value is not a history that this program can read.
     pub fn decode(value: Option<&[u8]>) -> Result<VersionHistory, UnreadableHistory> {
         let Some(value) = value else { return Ok(VersionHistory::default()) };
         let (format, body) = value.split_first().ok_or(UnreadableHistory)?;
@@ -55,15 +56,15 @@
         let number = |entry: &Entry| entry.version.number;
         let is_rising = self.entries.windows(2).all(|pair| number(&pair[0]) < number(&pair[1]));
         let starts_above_zero = self.entries.first().is_none_or(|entry| number(entry) > 0);
-        // The next version needs a number.
+        // The number of the next version must not overflow.
         let has_next_number = self.entries.last().is_none_or(|entry| number(entry) < u64::MAX);
         is_rising && starts_above_zero && has_next_number && self.entries.len() <= MAX_HISTORY_VERSIONS
     }
 
-    /// The value of the register: at most 418 bytes.
+    /// Encodes the value of the register: at most 418 bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut value = vec![FORMAT];
-        // Writing into a vector cannot fail.
+        // Encoding into a vector cannot fail.
         value.extend(postcard::to_stdvec(self).unwrap_or_default());
         value
     }
@@ -73,17 +74,17 @@
         self.entries.last().map(|entry| entry.version)
     }
 
-    /// The versions that it names, oldest first.
+    /// The versions in the history, oldest first.
     pub fn versions(&self) -> impl Iterator<Item = Version> + '_ {
         self.entries.iter().map(|entry| entry.version)
     }
 
-    /// The version that came from a proposal, if it is still named.
+    /// The version of a proposal, if it is still in the history.
     pub fn version_of(&self, proposal_id: u64) -> Option<Version> {
         self.entries.iter().find(|entry| entry.proposal_id == proposal_id).map(|entry| entry.version)
     }
 
-    /// The history with one more version, whose number follows the newest. Numbers are assigned nowhere else.
+    /// The history with one more version, whose number follows the newest. This is the only place that assigns numbers.
     #[must_use]
     pub fn with_next(&self, digest: Digest, proposal_id: u64) -> VersionHistory {
         let number = self.newest().map_or(0, |version| version.number).saturating_add(1);
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,16 +1,18 @@
-//! Distributes versions of a configuration to all gateways, without input, output, clock or threads: bytes, the time and a
-//! seeded random generator are passed in, what is to be sent, stored or applied is handed out.
+//! Distributes versions of a configuration to all gateways, without I/O, a clock or threads. The caller passes in
+//! received bytes, the time and a seed for the random generator, and carries out the outputs: what to send, store or
+//! apply.
 //!
 //! - [`version`]: a document with its version number and digest;
 //! - [`history`]: the version history, which is the value of a replicated register;
 //! - [`wire`]: the messages between gateways, control servers and the operators' command;
 //! - [`frame`]: the frames in which messages are sent;
-//! - [`settings`]: what gateways and control servers have in common;
+//! - [`settings`]: the settings that gateways and control servers share;
 //! - [`follower`]: the state machine of a gateway;
 //! - [`control`]: the state machine of a control server.
 //!
-//! The package knows no gateway and no fleet: whether a document can be used is asked of a [`control::DocumentStore`], and the
-//! register is whatever carries out [`control::Output::ReadRegister`] and [`control::Output::PrepareChange`].
+//! The package depends on neither the gateway nor the fleet package: a [`control::DocumentStore`] validates documents,
+//! and the driver carries out [`control::Output::ReadRegister`], [`control::Output::PrepareChange`] and
+//! [`control::Output::Propose`] on a register of its choice.
 
 mod backoff;
 pub mod connection;
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -1,11 +1,11 @@
-//! What the settings of gateways and of control servers have in common.
+//! The settings that gateways and control servers share.
 
 use std::time::Duration;
 
-/// A control server, as the settings name it.
+/// A control server's entry in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlServerInfo {
-    /// Its name.
+    /// Its name, by which it identifies itself to other control servers.
     pub name: String,
     /// Its zone.
     pub zone: String,
@@ -14,15 +14,17 @@
 /// Intervals and timeouts of the connections between gateways and control servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// A gateway reports the version in force at least this often.
+    /// Longest time between two reports of a gateway.
     pub report_interval: Duration,
-    /// Between two heartbeats of a control server.
+    /// Time between two heartbeats of a control server.
     pub heartbeat_interval: Duration,
-    /// A control server that has sent nothing, has not been reached or has not been fresh for so long is left for the next.
+    /// A gateway tries the next control server if the current one has sent nothing, has not been reached or has not
+    /// been fresh for this long.
     pub liveness: Duration,
-    /// A gateway that follows another zone's control server tries its own zone's again at a random time within this.
+    /// A gateway that follows a control server of another zone tries one of its own zone again after a random delay of
+    /// at most this long.
     pub return_window: Duration,
-    /// Upper limit of the backoff between connection attempts.
+    /// Longest backoff between connection attempts.
     pub max_backoff: Duration,
 }
 
--- a/crates/rollout/src/version.rs
+++ b/crates/rollout/src/version.rs
@@ -19,7 +19,7 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of a document.
+    /// Computes the digest of a document.
     pub fn of(document: &[u8]) -> Digest {
         Digest(Sha256::digest(document).into())
     }
@@ -38,13 +38,13 @@
     }
 }
 
-/// A version of the configuration: a number, which has exactly one digest. It is stored and sent as it stands here: the order
-/// of its fields is the format.
+/// A version of the configuration. Each number has exactly one digest. The type is part of stored files and of
+/// messages, which are encoded by the order of its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Only rises; the first one is 1.
+    /// The version number, which only increases; the first one is 1.
     pub number: u64,
-    /// Of the document.
+    /// The digest of the version's document.
     pub digest: Digest,
 }
 
@@ -61,7 +61,7 @@
     bytes: Arc<[u8]>,
 }
 
-/// The body of a document's file. The order of its fields is the format.
+/// The body of a document's file, which is encoded by the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct StoredDocument {
     version: Version,
@@ -69,32 +69,33 @@
 }
 
 impl Document {
-    /// A version with its bytes; none if they do not have its digest or are too many.
+    /// Combines a version with its bytes; `None` if the bytes do not have the version's digest or exceed
+    /// [`MAX_DOCUMENT_BYTES`], or if the version number is zero.
     pub fn verify(version: Version, bytes: Arc<[u8]>) -> Option<Document> {
         let is_allowed = version.number > 0 && bytes.len() <= MAX_DOCUMENT_BYTES;
         (is_allowed && Digest::of(&bytes) == version.digest).then_some(Document { version, bytes })
     }
 
-    /// The version.
+    /// The version that the bytes belong to.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The bytes.
+    /// The bytes of the document.
     pub fn bytes(&self) -> &Arc<[u8]> {
         &self.bytes
     }
 
-    /// The file in which a gateway stores it.
+    /// Encodes the file in which a gateway stores the document.
     pub fn to_file(&self) -> Vec<u8> {
         let body = StoredDocument { version: self.version, bytes: self.bytes.clone() };
         file_format::encode(DOCUMENT_MAGIC, &body)
     }
 
-    /// Reads [`Document::to_file`].
+    /// Decodes a file written by [`Document::to_file`].
     ///
     /// # Errors
-    /// The bytes are no such file.
+    /// The file is truncated, damaged, or of another kind or format.
     pub fn from_file(file: &[u8]) -> Result<Document, FileError> {
         let StoredDocument { version, bytes } = file_format::decode(DOCUMENT_MAGIC, file)?;
         Document::verify(version, bytes).ok_or(FileError::DigestMismatch)
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,5 +1,6 @@
-//! The messages between gateways, control servers and the operators' command. Each is sent in a frame (see [`crate::frame`]);
-//! the first one of a connection is a [`Hello`]. The order of variants and fields is the format.
+//! The messages between gateways, control servers and the operators' command. Each is sent in a frame (see
+//! [`crate::frame`]); the first message of a connection is a [`Hello`]. Messages are encoded by the order of their
+//! variants and fields, which therefore must not change.
 
 use std::sync::Arc;
 
@@ -7,15 +8,15 @@
 
 use crate::version::{Digest, Document, Version, MAX_DOCUMENT_BYTES};
 
-/// Version of the protocol. Connections of another one are closed.
+/// Version of the protocol. A connection whose [`Hello`] names another version is closed.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Longest name of a fleet, a process or a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Longest [`Rejection::reason`], in bytes.
 pub const MAX_REJECTION_BYTES: usize = 256;
-/// Longest reason in an answer to the operators' command, in bytes.
+/// Longest text in an answer to the operators' command, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 2_048;
-/// Most gateways in a status, and most members.
+/// Most gateways in a [`ControlServerStatus`], and most members.
 pub const MAX_GATEWAYS: usize = 1_024;
 
 /// The process that opens a connection.
@@ -23,14 +24,14 @@
 pub enum Identity {
     /// A gateway.
     Gateway {
-        /// Its name.
+        /// Its name, by which its status is kept across connections.
         name: String,
         /// Its zone.
         zone: String,
     },
     /// A control server.
     ControlServer {
-        /// Its name.
+        /// Its name in the settings.
         name: String,
     },
     /// The operators' command.
@@ -40,11 +41,11 @@
 /// The first message of the process that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`PROTOCOL_VERSION`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub protocol_version: u8,
-    /// The fleet's name.
+    /// Name of the sender's fleet; the receiver closes the connection if its own differs.
     pub fleet: String,
-    /// Which process opens the connection.
+    /// The process that opens the connection.
     pub identity: Identity,
 }
 
@@ -58,47 +59,47 @@
 /// A version that a gateway could not apply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The version.
+    /// The version that was not applied.
     pub version: Version,
-    /// Why, in words for the operator; at most [`MAX_REJECTION_BYTES`].
+    /// The cause, for the operator; at most [`MAX_REJECTION_BYTES`].
     pub reason: String,
 }
 
-/// What a control server knows of a gateway.
+/// The last report of a gateway to a control server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// The version in force there.
+    /// The version that the gateway had in force.
     pub in_force: Option<Version>,
-    /// The last version that it rejected, if that is newer.
+    /// The newest version that it rejected, until it applies one with the same or a higher number.
     pub rejected: Option<Rejection>,
-    /// Time since its last report, in milliseconds.
+    /// Time since its last report or, if later, its last connection, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// What a control server knows.
+/// The status of a control server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlServerStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// The newest version that it knows of.
+    /// The newest version that it knows.
     pub newest: Option<Version>,
-    /// Whether it has the newest version's document.
+    /// Whether it has stored the newest version's document.
     pub has_document: bool,
     /// Whether it has read the newest version from a majority of the voters recently.
     pub fresh: bool,
-    /// Time since that read, in milliseconds; none before the first one.
+    /// Time since the last such read began, in milliseconds; `None` before the first one.
     pub last_read_ms: Option<u64>,
-    /// Control servers that it is connected to.
+    /// Names of the control servers to which it has opened a connection.
     pub peers: Vec<String>,
     /// The gateways that have reported to it, at most [`MAX_GATEWAYS`].
     pub gateways: Vec<GatewayStatus>,
-    /// Names of the fleet's members; the driver fills them in.
+    /// Names of the fleet's members, which the driver sets.
     pub members: Vec<String>,
 }
 
@@ -107,55 +108,55 @@
 pub enum Message {
     /// The first message of the process that opens a connection.
     Hello(Hello),
-    /// A gateway reports to its control server: at each change, and at least each
+    /// A gateway reports its version to its control server: at each change, and at least once per
     /// [`crate::settings::Timeouts::report_interval`].
     VersionReport {
         /// The version in force.
         in_force: Option<Version>,
-        /// The last version that it rejected, if that is newer.
+        /// The newest version that it rejected, until it applies one with the same or a higher number.
         rejected: Option<Rejection>,
     },
     /// The heartbeat of a control server.
     Heartbeat {
-        /// Whether it knows what the newest version is.
+        /// Whether the server has read the newest version from a majority of the voters recently.
         fresh: bool,
-        /// The newest version that it knows of.
+        /// The newest version that the server knows.
         newest: Option<Version>,
     },
     /// A control server sends a gateway the newest version with its document.
     Newest(Version, Arc<[u8]>),
     /// A control server asks another to store a document that is about to get a version number.
     StoreDocument(Arc<[u8]>),
-    /// The document with this digest is on the other server's disk.
+    /// The answer to [`Message::StoreDocument`]: the document with this digest is on the sender's disk.
     DocumentStored(Digest),
-    /// A version has been chosen: the register holds it, or has held it.
+    /// A version has been chosen: the register holds it, or held it before a newer one.
     Chosen(Version),
     /// A control server asks another for a version's document.
     FetchDocument(Version),
-    /// A version with the document that was asked for.
+    /// A version with its document: the answer to [`Message::FetchDocument`] and [`Message::ShowDocument`].
     FoundDocument(Version, Arc<[u8]>),
-    /// The command proposes a document as the next version.
+    /// The operators' command proposes a document as the next version.
     Propose(Arc<[u8]>),
-    /// The document has become this version, and is on the disks of two control servers.
+    /// The proposed document has become this version, and is on the disks of two control servers.
     Accepted(Version),
-    /// The document has not become a version, or that is not certain.
+    /// The proposed document has not become a version, or may still become one.
     NotAccepted {
-        /// Why, in words for the operator.
+        /// The cause, for the operator.
         reason: String,
-        /// It may still become a version: `config status` shows it.
+        /// Whether it may still become a version, which `config status` then shows.
         uncertain: bool,
     },
-    /// The command asks for the newest version's document, or for that of a version which is still stored.
+    /// The command requests the newest version's document, or that of the version with this number.
     ShowDocument(Option<u64>),
-    /// The document is not there, and why.
+    /// The requested document is not stored; contains the cause.
     DocumentNotFound(String),
-    /// The command asks for the server's status.
+    /// The command requests the server's status.
     QueryStatus,
-    /// The server's status.
+    /// The answer to [`Message::QueryStatus`].
     Status(ControlServerStatus),
 }
 
-/// Shortens a text to at most so many bytes, between two characters.
+/// Shortens a text to at most `max_bytes`, at a character boundary.
 pub(crate) fn truncate(mut text: String, max_bytes: usize) -> String {
     let mut end = max_bytes.min(text.len());
     while !text.is_char_boundary(end) {
@@ -205,7 +206,7 @@
 }
 
 impl Message {
-    /// Whether all that it contains is within its limits.
+    /// Whether all names, texts, documents and lists in it are within their limits.
     pub(crate) fn is_within_limits(&self) -> bool {
         match self {
             Message::Hello(hello) => is_name(&hello.fleet) && hello.identity.is_within_limits(),
--- a/crates/rollout/tests/control_server.rs
+++ b/crates/rollout/tests/control_server.rs
@@ -315,7 +315,7 @@
     let two = history(&["one", "two"]);
     let other = history(&["one", "another"]);
     for (value, word) in
-        [(Some(later), "later form"), (None, "gone back"), (Some(other.encode()), "another digest")]
+        [(Some(later), "later format"), (None, "gone back"), (Some(other.encode()), "another digest")]
     {
         let mut harness = ControlHarness::new(
             1,
--- a/crates/rollout/tests/encoding.rs
+++ b/crates/rollout/tests/encoding.rs
@@ -78,9 +78,9 @@
     }
     let mut later = one.to_file();
     later[7] = 2;
-    let error = Document::from_file(&later).expect_err("a later form");
+    let error = Document::from_file(&later).expect_err("a later format");
     assert_eq!(error, FileError::UnknownFormat(2));
-    assert_eq!(error.to_string(), "of form 2, which this program does not know");
+    assert_eq!(error.to_string(), "format version 2 is not supported");
 }
 
 #[test]
