--- a/crates/rollout/src/backoff.rs
+++ b/crates/rollout/src/backoff.rs
@@ -9,12 +9,12 @@
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Draws a number from 0 to 1, both inclusive.
-pub(crate) fn unit(rng: &mut Pcg64Mcg) -> f64 {
+pub(crate) fn random_fraction(rng: &mut Pcg64Mcg) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
 /// Draws an index below `count`, which must not be zero.
-pub(crate) fn index_below(rng: &mut Pcg64Mcg, count: usize) -> usize {
+pub(crate) fn random_index(rng: &mut Pcg64Mcg, count: usize) -> usize {
     (rng.next_u64() % count as u64) as usize
 }
 
@@ -22,5 +22,5 @@
 /// half.
 pub(crate) fn backoff(rng: &mut Pcg64Mcg, first: Duration, limit: Duration, failures: u32) -> Duration {
     let pause = first.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(limit);
-    pause.mul_f64(0.5 + 0.5 * unit(rng))
+    pause.mul_f64(0.5 + 0.5 * random_fraction(rng))
 }
--- a/crates/rollout/src/control/connections.rs
+++ b/crates/rollout/src/control/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of a control server, and which process is at the other end of each.
+//! The connections of a control server, and the role of the process at the other end of each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +17,11 @@
     /// It has not identified itself yet.
     Unidentified,
     Gateway(Subscription),
-    /// A control server that has connected, by its index in the settings: it asks, and is answered.
+    /// A control server that has connected to this one, by its index in the settings: it sends requests, and receives
+    /// the answers.
     IncomingPeer(usize),
-    /// A control server that this one has connected to, by its index in the settings: it is asked, and answers.
+    /// A control server that this one has connected to, by its index in the settings: it receives requests, and
+    /// answers.
     OutgoingPeer(usize),
     /// The operators' command.
     Command,
@@ -39,7 +41,7 @@
     pub(super) role: Role,
     pub(super) is_established: bool,
     opened_at: Duration,
-    /// When bytes were received last.
+    /// When bytes were last received.
     pub(super) last_received: Duration,
     pub(super) frames: FrameReader,
 }
@@ -50,13 +52,13 @@
         Connection { role, is_established, opened_at: now, last_received: now, frames }
     }
 
-    /// Sets what is at the other end, and how long its messages may be.
+    /// Sets the role of the process at the other end, and the length limit of its messages.
     pub(super) fn identify(&mut self, role: Role) {
         self.frames.set_max_frame_bytes(role.max_message_bytes());
         self.role = role;
     }
 
-    /// Whether it has been silent for too long, or its process has not identified itself.
+    /// Whether nothing was received for too long, or the process has not identified itself in time.
     fn is_expired(&self, now: Duration, settings: &Settings) -> bool {
         let timeouts = &settings.timeouts;
         let idle = timeouts.liveness * 4;
@@ -69,7 +71,7 @@
     }
 }
 
-/// All connections of a control server, by their ids.
+/// All connections of a control server.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     ids: ConnectionIds,
@@ -77,7 +79,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection that another process has opened; none if there are too many.
+    /// Adds a connection that another process has opened; `None` if there are too many.
     pub(super) fn insert_incoming(&mut self, now: Duration) -> Option<ConnectionId> {
         let is_incoming = |found: &&Connection| !matches!(found.role, Role::OutgoingPeer(_));
         let count = self.open.values().filter(is_incoming).count();
@@ -85,7 +87,7 @@
         has_capacity.then(|| self.insert(Connection::new(Role::Unidentified, true, now)))
     }
 
-    /// Adds a connection to another control server, which is yet to be established.
+    /// Adds a connection to another control server, which is not established yet.
     pub(super) fn insert_outgoing(&mut self, now: Duration, server: usize) -> ConnectionId {
         self.insert(Connection::new(Role::OutgoingPeer(server), false, now))
     }
@@ -112,7 +114,7 @@
         self.open.get_mut(&id)
     }
 
-    /// The connection if it is established.
+    /// The connection with this id, if it is established.
     pub(super) fn established_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.find_mut(id).filter(|connection| connection.is_established)
     }
@@ -121,7 +123,7 @@
         self.find(id).is_some_and(|connection| connection.is_established)
     }
 
-    /// The gateway at the other end.
+    /// The subscription of the gateway at the other end, if it is one.
     pub(super) fn subscription_mut(&mut self, id: ConnectionId) -> Option<&mut Subscription> {
         match self.find_mut(id) {
             Some(Connection { role: Role::Gateway(subscription), .. }) => Some(subscription),
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The connection that this control server has opened.
+    /// The connection that this other control server has opened.
     pub(super) fn incoming_peer(&self, server: usize) -> Option<ConnectionId> {
         let is_peer = |found: &Connection| matches!(found.role, Role::IncomingPeer(peer) if peer == server);
         self.ids_where(is_peer).first().copied()
@@ -139,7 +141,7 @@
         self.ids_where(|found| matches!(found.role, Role::Command)).len() < MAX_COMMAND_CONNECTIONS
     }
 
-    /// Connections over which heartbeats are sent.
+    /// The connections over which heartbeats are sent.
     pub(super) fn heartbeat_receivers(&self) -> Vec<ConnectionId> {
         let receives = |found: &Connection| {
             found.is_established && !matches!(found.role, Role::Unidentified | Role::Command)
@@ -151,7 +153,7 @@
         self.ids_where(|found| matches!(found.role, Role::Gateway(_)))
     }
 
-    /// Connections that are to be closed.
+    /// The connections that have timed out.
     pub(super) fn expired(&self, now: Duration, settings: &Settings) -> Vec<ConnectionId> {
         self.ids_where(|found| found.is_expired(now, settings))
     }
--- a/crates/rollout/src/control/error.rs
+++ b/crates/rollout/src/control/error.rs
@@ -1,4 +1,4 @@
-//! Why a control server accepts no version, in words for the operator.
+//! Why a control server does not accept a proposal. The texts are for the operator.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use crate::history::UnreadableHistory;
 use crate::version::Version;
 
-/// What is wrong with the value of the register. Nothing is sent to gateways or accepted until it is right again.
+/// Why the value of the register is invalid. Until it is valid again, no version is sent to gateways and no proposal is
+/// accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RegisterFault {
     #[error(transparent)]
@@ -15,7 +16,7 @@
     WentBack { newest: Option<Version>, known: Version },
     #[error("version {0} of the register is known with another digest")]
     OtherDigest(Version),
-    #[error("number {0} has two digests")]
+    #[error("version number {0} has two digests")]
     TwoDigests(u64),
 }
 
@@ -23,7 +24,7 @@
     newest.map_or("no version".to_string(), |newest| format!("version {newest}"))
 }
 
-/// Why a proposal is not accepted.
+/// Why a proposal was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ProposalError {
     #[error("busy: too many documents wait to be accepted")]
@@ -38,13 +39,13 @@
     InvalidDocument(#[from] InvalidDocument),
     #[error("this control machine cannot store it")]
     NotStored,
-    #[error("so many others came since that nothing tells whether it was a version")]
+    #[error("too many other versions were accepted since then to tell whether the document became one")]
     OutcomeUnknown,
     #[error("not accepted within {} s: {cause}", .limit.as_secs_f64())]
     Timeout { limit: Duration, cause: TimeoutCause },
 }
 
-/// What a proposal was waiting for when its time was over.
+/// What a proposal was waiting for when it timed out.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(super) enum TimeoutCause {
     #[error("no control machine of another zone has kept it")]
--- a/crates/rollout/src/control/gateways.rs
+++ b/crates/rollout/src/control/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a control server: what each has in force, and who is sent the newest version.
+//! The gateways of a control server: the version that each has in force, and offers of the newest version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 use crate::version::{Document, Version};
 use crate::wire::{GatewayStatus, Message, Rejection, MAX_GATEWAYS};
 
-/// Report intervals after which a version is sent again to a gateway that does not report it.
+/// Number of report intervals after which a version is sent again to a gateway that has not reported it.
 const RESEND_REPORTS: u32 = 3;
 
-/// A connection of a gateway.
+/// The state of a gateway's connection.
 pub(super) struct Subscription {
+    /// The gateway's name.
     gateway: String,
     /// Its last report over this connection.
     report: Option<Report>,
-    /// The version that it was sent last, and when.
+    /// The version that was last sent to it, and when.
     last_sent: Option<(Version, Duration)>,
 }
 
-/// What a gateway has reported.
+/// A gateway's report.
 #[derive(Clone, Copy)]
 struct Report {
     in_force: Option<Version>,
@@ -34,7 +35,7 @@
         Subscription { gateway, report: None, last_sent: None }
     }
 
-    /// Whether the gateway lacks a version, has not rejected it, and was not sent it recently.
+    /// Whether the gateway has an older version in force, has not rejected this one, and was not sent it recently.
     fn needs(&self, version: Version, now: Duration, resend_after: Duration) -> bool {
         let Some(report) = self.report else { return false };
         let is_older = report.in_force.is_none_or(|in_force| in_force.number < version.number);
@@ -43,36 +44,38 @@
     }
 }
 
-/// What is known of a gateway, connected or not.
+/// The last known status of a gateway, connected or not.
 struct KnownGateway {
     zone: String,
     in_force: Option<Version>,
     rejected: Option<Rejection>,
-    last_heard: Duration,
+    /// When its last hello or report was received.
+    last_received: Duration,
 }
 
-/// The gateways that have connected, by name.
+/// The gateways that have connected since the start.
 #[derive(Default)]
 pub(super) struct GatewayRegistry {
+    /// By name.
     known: BTreeMap<String, KnownGateway>,
-    /// Each connected gateway is to be examined for whether it needs the newest version.
+    /// Whether the newest version is to be offered to all connected gateways.
     offers_due: bool,
     /// The frame of the newest version, encoded once for all gateways.
     newest_frame: Option<(Version, Arc<[u8]>)>,
 }
 
 impl GatewayRegistry {
-    /// Adds a gateway, in place of the one that has been silent for longest if there are too many.
+    /// Adds or updates a gateway. If there are too many, it replaces the one that has been silent for longest.
     pub(super) fn register(&mut self, now: Duration, name: &str, zone: String) {
         if !self.known.contains_key(name) && self.known.len() >= MAX_GATEWAYS {
-            let oldest = self.known.iter().min_by_key(|(_, gateway)| gateway.last_heard);
+            let oldest = self.known.iter().min_by_key(|(_, gateway)| gateway.last_received);
             if let Some(name) = oldest.map(|(name, _)| name.clone()) {
                 self.known.remove(&name);
             }
         }
-        let new = KnownGateway { zone: String::new(), in_force: None, rejected: None, last_heard: now };
+        let new = KnownGateway { zone: String::new(), in_force: None, rejected: None, last_received: now };
         let gateway = self.known.entry(name.to_string()).or_insert(new);
-        (gateway.zone, gateway.last_heard) = (zone, now);
+        (gateway.zone, gateway.last_received) = (zone, now);
     }
 
     pub(super) fn schedule_offers(&mut self) {
@@ -85,7 +88,7 @@
             zone: gateway.zone.clone(),
             in_force: gateway.in_force,
             rejected: gateway.rejected.clone(),
-            silent_ms: now.saturating_sub(gateway.last_heard).as_millis() as u64,
+            silent_ms: now.saturating_sub(gateway.last_received).as_millis() as u64,
         };
         self.known.iter().map(status).collect()
     }
@@ -105,7 +108,7 @@
 }
 
 impl ControlServer {
-    /// A gateway reports what it has in force.
+    /// Handles a gateway's report.
     pub(super) fn handle_version_report(
         &mut self,
         now: Duration,
@@ -117,13 +120,13 @@
         let rejected_version = rejected.as_ref().map(|rejected| rejected.version);
         subscription.report = Some(Report { in_force, rejected: rejected_version });
         if let Some(known) = self.gateways.known.get_mut(&subscription.gateway) {
-            (known.in_force, known.rejected, known.last_heard) = (in_force, rejected, now);
+            (known.in_force, known.rejected, known.last_received) = (in_force, rejected, now);
         }
         self.offer_newest(now, id);
     }
 
-    /// Sends a gateway the newest version if it needs it. Only a version that is stored, and that a majority of the voters has
-    /// recently named as the newest, is sent.
+    /// Sends a gateway the newest version if the gateway needs it. A version is sent only if its document is stored
+    /// here and a recent read from a majority of the voters has confirmed that it is the newest.
     fn offer_newest(&mut self, now: Duration, id: ConnectionId) {
         if !self.is_fresh(now) {
             return;
@@ -140,7 +143,8 @@
         self.outputs.push_back(Output::Send(id, frame));
     }
 
-    /// Offers the newest version to all connected gateways, if something has changed that they may have waited for.
+    /// Offers the newest version to all connected gateways, if [`GatewayRegistry::schedule_offers`] was called since
+    /// the last time.
     pub(super) fn offer_newest_to_all(&mut self, now: Duration) {
         if std::mem::take(&mut self.gateways.offers_due) {
             for id in self.connections.gateways() {
--- a/crates/rollout/src/control/messages.rs
+++ b/crates/rollout/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of a connection, by the process at its other end.
+//! Dispatches the messages of a connection by the role of the process at its other end.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::connection::ConnectionId;
 use crate::wire::{Hello, Identity, Message, PROTOCOL_VERSION};
 
-/// A message that the process at the other end must not send. The connection is closed.
+/// The process at the other end has sent a message that its role does not allow. The connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProtocolViolation;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A process identifies itself.
+    /// Handles the identification of a process.
     fn handle_hello(
         &mut self,
         now: Duration,
@@ -47,8 +47,10 @@
         hello: Hello,
     ) -> Result<(), ProtocolViolation> {
         if hello.protocol_version != PROTOCOL_VERSION || hello.fleet != self.settings.fleet {
-            let theirs = format!("form {}, fleet {}", hello.protocol_version, hello.fleet);
-            self.log(format!("config: a connection of {theirs} is not talked to"));
+            let theirs = format!("protocol version {}, fleet {}", hello.protocol_version, hello.fleet);
+            self.log(format!(
+                "config: closing a connection with another protocol version or fleet: {theirs}"
+            ));
             return Err(ProtocolViolation);
         }
         let role = self.admit(now, hello.identity)?;
@@ -73,7 +75,7 @@
                 let server = self.settings.servers.iter().position(|server| server.name == name);
                 let server = server.filter(|server| Some(*server) != self.own_index);
                 let server = server.ok_or(ProtocolViolation)?;
-                // A new connection means that the one before it is lost.
+                // A server opens a new connection only after the previous one is lost.
                 if let Some(before) = self.connections.incoming_peer(server) {
                     self.close(now, before);
                 }
@@ -114,16 +116,16 @@
         };
         match found {
             Some(document) => Message::from(document),
-            None => Message::DocumentNotFound(self.why_not_found(number)),
+            None => Message::DocumentNotFound(self.not_found_reason(number)),
         }
     }
 
-    fn why_not_found(&self, number: Option<u64>) -> String {
+    fn not_found_reason(&self, number: Option<u64>) -> String {
         match (number, self.newest_version()) {
-            (None, None) => "there is no version that this control machine knows of".to_string(),
-            (None, Some(newest)) => format!("the document of version {newest} is not here yet"),
+            (None, None) => "this control machine knows of no version".to_string(),
+            (None, Some(newest)) => format!("the document of version {newest} is not stored here yet"),
             (Some(number), _) => {
-                format!("version {number} is not kept here: only the newest and one before it")
+                format!("version {number} is not stored here: only the newest and the one before it are")
             }
         }
     }
--- a/crates/rollout/src/control/mod.rs
+++ b/crates/rollout/src/control/mod.rs
@@ -1,15 +1,18 @@
-//! The state machine of a control server. It accepts documents, has them numbered by the register, stores the newest with the
-//! one before, sends the newest to its gateways, and knows what each of these has in force. It names no version before the
-//! register has been read, however long its process was stopped.
+//! The state machine of a control server. It accepts documents, assigns them version numbers by changes of the
+//! register, stores the newest version and the one before, sends the newest to its gateways, and tracks the version
+//! that each gateway has in force. It offers gateways a version only after a recent read of the register, so that a
+//! process that was stopped for any time does not send an outdated version.
 //!
-//! - `connections`: the connections, and the process at the other end of each;
-//! - `messages`: dispatches messages by that process;
+//! - `connections`: the connections, and the role of the process at the other end of each;
+//! - `messages`: dispatches messages by the role of the sender;
 //! - `peers`: the other control servers;
-//! - `gateways`: what gateways have in force, and who is sent the newest version;
-//! - `versions`: the versions that are known;
-//! - `store`: what is stored;
+//! - `gateways`: the versions that gateways have in force, and offers of the newest version;
+//! - `versions`: the versions that are known, and the fetch of the newest one's document;
+//! - `store`: the stored state;
 //! - `proposal`: proposals of operators;
-//! - `register`: reads and changes of the register.
+//! - `register`: reads and changes of the register;
+//! - `settings`: settings and limits;
+//! - `error`: why a proposal is not accepted.
 
 mod connections;
 mod error;
@@ -43,7 +46,7 @@
 use crate::frame::encode_frame;
 use crate::wire::{truncate, ControlServerStatus, Hello, Identity, Message, MAX_GATEWAYS, MAX_NAME_BYTES};
 
-/// What the driver has to do.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Connect to the control server with this index in the settings. [`ControlServer::handle_connected`] or
@@ -51,7 +54,7 @@
     Connect(ConnectionId, usize),
     /// Send bytes.
     Send(ConnectionId, Arc<[u8]>),
-    /// Close a connection once all that was handed out before is sent. No event of it follows.
+    /// Close a connection once all earlier [`Output::Send`] for it are sent. No event of the connection follows.
     Close(ConnectionId),
     /// Read the register. [`RegisterEvent::Read`] or [`RegisterEvent::Failed`] follows.
     ReadRegister,
@@ -59,7 +62,7 @@
     PrepareChange,
     /// Propose a value. [`RegisterEvent::Chosen`] or [`RegisterEvent::Failed`] follows.
     Propose(Vec<u8>),
-    /// Propose nothing, so that the register is free for others. No event follows.
+    /// End the prepared change without a proposal, so that others can change the register. No event follows.
     AbandonChange,
     /// Write a line to the log.
     Log(String),
@@ -68,7 +71,7 @@
 /// The state machine of a control server.
 pub struct ControlServer {
     settings: Settings,
-    /// Its own index in the settings.
+    /// This server's index in the settings.
     own_index: Option<usize>,
     rng: Pcg64Mcg,
     outputs: VecDeque<Output>,
@@ -76,9 +79,9 @@
     peers: Peers,
     gateways: GatewayRegistry,
     versions: KnownVersions,
-    /// What is on the disk, and nothing else.
+    /// The state on the disk: it changes only after a store has succeeded.
     stored: PersistentState,
-    /// When a store that failed is tried again.
+    /// When a failed store of the newest version is retried.
     store_retry_at: Duration,
     register: RegisterState,
     proposals: ProposalQueue,
@@ -88,7 +91,7 @@
 }
 
 impl ControlServer {
-    /// A control server with what is on its disk.
+    /// Creates a control server with the state on its disk.
     pub fn new(settings: Settings, stored: PersistentState, now: Duration) -> ControlServer {
         let own_index = settings.servers.iter().position(|server| server.name == settings.name);
         let others = (0..settings.servers.len()).filter(|index| Some(*index) != own_index);
@@ -115,18 +118,19 @@
         &self.settings
     }
 
-    /// Sets the names of the fleet's members for [`Message::Status`]: the first [`MAX_GATEWAYS`] count.
+    /// Sets the names of the fleet's members for [`Message::Status`]; only the first [`MAX_GATEWAYS`] are kept.
     pub fn set_members(&mut self, names: impl IntoIterator<Item = String>) {
         let names = names.into_iter().take(MAX_GATEWAYS);
         self.members = names.map(|name| truncate(name, MAX_NAME_BYTES)).collect();
     }
 
-    /// Another process has connected. None if there are too many connections: it is to be closed.
+    /// Handles a connection that another process has opened. `None` if there are too many connections: the driver has
+    /// to close it.
     pub fn handle_accepted(&mut self, now: Duration) -> Option<ConnectionId> {
         self.connections.insert_incoming(now)
     }
 
-    /// A connection to another control server is established.
+    /// Handles the establishment of a connection to another control server.
     pub fn handle_connected(&mut self, now: Duration, id: ConnectionId) {
         let connection = self.connections.find_mut(id).filter(|connection| !connection.is_established);
         let Some(connection) = connection else { return };
@@ -140,13 +144,13 @@
         }
     }
 
-    /// A connection could not be established, or has ended.
+    /// Handles the end of a connection, or the failure to establish it.
     pub fn handle_closed(&mut self, now: Duration, id: ConnectionId) {
         self.connections.remove(id);
         self.schedule_reconnect(now, id);
     }
 
-    /// Bytes were received.
+    /// Handles received bytes.
     pub fn handle_bytes(
         &mut self,
         now: Duration,
@@ -157,7 +161,7 @@
         let Some(connection) = self.connections.established_mut(id) else { return };
         connection.last_received = now;
         connection.frames.push(bytes);
-        // A message may end the connection.
+        // Handling a message may close the connection.
         while let Some(connection) = self.connections.find_mut(id) {
             let handled = match connection.frames.next_message() {
                 Ok(Some(message)) => self.handle_message(now, id, message, store),
@@ -171,7 +175,7 @@
         self.make_progress(now, store);
     }
 
-    /// Does what is due at this time.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         self.expire_proposals(now);
         if now >= self.heartbeat_at {
@@ -185,7 +189,7 @@
         self.begin_change(now);
     }
 
-    /// When [`ControlServer::tick`] has something to do next.
+    /// When [`ControlServer::tick`] is due next.
     pub fn next_tick(&self) -> Duration {
         let proposal = self.proposals.oldest().map(|received| received + self.settings.proposal_timeout);
         let commit = self.proposals.commit_at().filter(|_| self.register.can_change());
@@ -199,7 +203,7 @@
         self.outputs.pop_front()
     }
 
-    /// What it knows.
+    /// The server's status.
     pub fn status(&self, now: Duration) -> ControlServerStatus {
         let servers = &self.settings.servers;
         let last_read = self.register.last_read;
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Closes the connections that have been silent for too long, or were not identified.
+    /// Closes the connections that have timed out.
     fn close_expired(&mut self, now: Duration) {
         for id in self.connections.expired(now, &self.settings) {
             self.close(now, id);
--- a/crates/rollout/src/control/peers.rs
+++ b/crates/rollout/src/control/peers.rs
@@ -19,7 +19,7 @@
     connection: Option<ConnectionId>,
     /// When the next connection attempt is due.
     retry_at: Duration,
-    /// Failed attempts in a row.
+    /// Number of consecutive failed or lost connections; reset by a heartbeat.
     failures: u32,
 }
 
@@ -42,17 +42,17 @@
         self.peers.is_empty()
     }
 
-    /// The place among the peers of a control server.
+    /// The position among the peers of the control server with this index in the settings.
     pub(super) fn position(&self, server: usize) -> Option<usize> {
         self.peers.iter().position(|peer| peer.server == server)
     }
 
-    /// The connections to all peers, in order.
+    /// The connections to all peers, in the order of the peers.
     pub(super) fn connections(&self) -> Vec<ConnectionId> {
         self.peers.iter().filter_map(|peer| peer.connection).collect()
     }
 
-    /// The next peer from this position on whose connection is established.
+    /// The first peer at or after position `from`, with wraparound, whose connection is established.
     pub(super) fn next_established(
         &self,
         from: usize,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Plans the next attempt if a connection to a peer has ended.
+    /// Schedules the next connection attempt if the connection that has ended was to a peer.
     pub(super) fn schedule_reconnect(&mut self, now: Duration, id: ConnectionId) {
         let max_backoff = self.settings.timeouts.max_backoff;
         if let Some(peer) = self.peers.by_connection(id) {
@@ -152,7 +152,7 @@
         if let Some(peer) = self.peers.by_connection(id) {
             peer.failures = 0;
         }
-        // A fresh server has read the version from the register, so that a lost `Chosen` is made up for.
+        // A fresh server has read the version from the register. Learning it here makes up for a lost `Chosen`.
         if let Some(newest) = newest.filter(|_| fresh) {
             self.learn_version(now, newest, Some(server));
         }
@@ -180,7 +180,7 @@
         self.send(id, &answer);
     }
 
-    /// A peer has sent a version's document. It is stored if it is the newest one's and still missing.
+    /// Handles a version's document from a peer. It is stored if the version is the newest and its document is missing.
     fn handle_found_document(
         &mut self,
         now: Duration,
--- a/crates/rollout/src/control/proposal.rs
+++ b/crates/rollout/src/control/proposal.rs
@@ -1,5 +1,5 @@
-//! Proposals: a document that an operator wants as the next version is checked, stored on the disks of two control servers,
-//! and given a version number by a change of the register.
+//! Proposals: a document that an operator proposes as the next version is validated, stored on the disks of two control
+//! servers, and assigned a version number by a change of the register.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::version::{Digest, Version};
 use crate::wire::{truncate, Message, MAX_ANSWER_BYTES};
 
-/// Rounds of asking all peers for the newest version's document after which it counts as lost.
+/// Number of rounds of requests to all peers after which the newest version's document counts as lost.
 const FETCH_ROUNDS: usize = 2;
 
-/// How far a proposal has come.
+/// The next step of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProposalStage {
-    /// It is to be checked against the newest version, for `after_read` once the register has been read anew.
+    /// Validate it against the newest version; if `after_read`, only after the next read of the register.
     Check { after_read: bool },
-    /// Other control servers are asked to store it.
+    /// Wait until another control server has stored it.
     Replicate,
-    /// The register is to be changed.
+    /// Change the register.
     Commit,
 }
 
@@ -36,28 +36,30 @@
     connection: ConnectionId,
     document: Arc<[u8]>,
     digest: Digest,
-    /// A random number by which it is found in a history.
+    /// A random number that identifies the proposal in a history.
     id: u64,
     received_at: Duration,
     stage: ProposalStage,
-    /// The newest version when it was checked.
+    /// The newest version when the document was validated.
     checked_against: Option<Version>,
-    /// It is on as many disks as it has to be.
+    /// Whether enough control servers have stored it.
     is_replicated: bool,
-    /// The version number after which it was first proposed; it may have become a version since.
+    /// The newest version number when the document was first proposed to the register. Since then it may have become a
+    /// version.
     proposed_after: Option<u64>,
-    /// When the register's change is tried again.
+    /// When a change of the register may be tried again.
     retry_at: Duration,
-    /// Changes of the register that failed.
+    /// Number of failed changes of the register.
     failures: u32,
 }
 
-/// What to do with a proposal once a majority has promised to take a value.
+/// How to continue a proposal after a majority of the voters has promised.
 enum CommitDecision {
     Propose(VersionHistory),
-    /// Another version has come between, and the document has to be checked against it.
+    /// The newest version is another than the one that the document was validated against, or too few servers have
+    /// stored it.
     CheckAgain,
-    /// It was proposed before, and may have become a version that the history no longer names.
+    /// It was proposed to the register before, and may have become a version that is no longer in the history.
     OutcomeUnknown,
 }
 
@@ -82,14 +84,14 @@
         }
     }
 
-    /// Its version in a history.
+    /// The proposal's version in a history: the one with its id, or the newest version if that has the same document.
     fn version_in(&self, history: &VersionHistory) -> Option<Version> {
         let own = history.version_of(self.id).filter(|version| version.digest == self.digest);
         own.or(history.newest().filter(|newest| newest.digest == self.digest))
     }
 
     fn decide(&mut self, history: &VersionHistory) -> CommitDecision {
-        // A promised value need not be chosen: it is proposed as it is, and relied on only then.
+        // A promised value need not have been chosen: it is proposed unchanged, and relied on only after it is chosen.
         if self.version_in(history).is_some() {
             return CommitDecision::Propose(history.clone());
         }
@@ -105,7 +107,7 @@
     }
 }
 
-/// The proposal under way, and those that wait for it.
+/// The current proposal, and those that wait for it.
 #[derive(Default)]
 pub(super) struct ProposalQueue {
     current: Option<Proposal>,
@@ -113,13 +115,13 @@
 }
 
 impl ProposalQueue {
-    /// The document that other control servers are asked to store.
+    /// The document that the current proposal asks other control servers to store.
     pub(super) fn replicating(&self) -> Option<&Arc<[u8]>> {
         let current = self.current.as_ref().filter(|proposal| proposal.stage == ProposalStage::Replicate);
         current.map(|proposal| &proposal.document)
     }
 
-    /// The register has been read: a proposal that waited for that can be checked.
+    /// Handles a read of the register: a proposal that waited for it can be validated.
     pub(super) fn handle_read(&mut self) {
         if let Some(proposal) = &mut self.current {
             if proposal.stage == (ProposalStage::Check { after_read: true }) {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The change of the register has failed.
+    /// Schedules the next change of the register after a failed one.
     pub(super) fn retry_later(&mut self, now: Duration, rng: &mut Pcg64Mcg) {
         if let Some(proposal) = &mut self.current {
             proposal.retry_at = now + backoff(rng, FIRST_BACKOFF, MAX_BACKOFF, proposal.failures);
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Whether the register is to be changed for the proposal under way.
+    /// Whether the current proposal waits for a change of the register.
     pub(super) fn is_committing(&self) -> bool {
         self.current.as_ref().is_some_and(|proposal| proposal.stage == ProposalStage::Commit)
     }
@@ -151,12 +153,12 @@
         self.current.as_ref().filter(|_| self.is_committing()).map(|proposal| proposal.retry_at)
     }
 
-    /// When the first of them was received.
+    /// When the oldest proposal was received.
     pub(super) fn oldest(&self) -> Option<Duration> {
         self.current.iter().chain(&self.waiting).map(|proposal| proposal.received_at).min()
     }
 
-    /// Removes the first waiting proposal if its time is over: its connection.
+    /// Removes the first waiting proposal if it has timed out, and returns its connection.
     fn pop_expired(&mut self, now: Duration, limit: Duration) -> Option<ConnectionId> {
         let first = self.waiting.front().filter(|proposal| now >= proposal.received_at + limit)?;
         let id = first.connection;
@@ -164,7 +166,8 @@
         Some(id)
     }
 
-    /// Whether the proposal under way can be checked; takes the next one if there is none.
+    /// Whether the current proposal is ready to be validated. If there is none, the first that waits becomes the
+    /// current one.
     fn take_next_to_check(&mut self) -> bool {
         if self.current.is_none() {
             self.current = self.waiting.pop_front();
@@ -175,7 +178,7 @@
 }
 
 impl ControlServer {
-    /// An operator proposes a document as the next version.
+    /// Handles an operator's proposal of a document as the next version.
     pub(super) fn handle_propose(&mut self, now: Duration, id: ConnectionId, document: Arc<[u8]>) {
         if self.proposals.waiting.len() >= MAX_QUEUED_PROPOSALS {
             return self.send_not_accepted(id, ProposalError::QueueFull, false);
@@ -184,14 +187,14 @@
         self.proposals.waiting.push_back(proposal);
     }
 
-    /// Does all that can be done now.
+    /// Stores and offers the newest version, and advances proposals as far as possible.
     pub(super) fn make_progress(&mut self, now: Duration, store: &mut impl DocumentStore) {
         self.publish_newest(now, store);
         while self.proposals.take_next_to_check() && self.check_proposal(now, store) {}
         self.begin_change(now);
     }
 
-    /// Checks the proposed document against the newest version and stores it; false if that has to wait.
+    /// Validates the proposed document against the newest version and stores it; false if that has to wait.
     fn check_proposal(&mut self, now: Duration, store: &mut impl DocumentStore) -> bool {
         if let Some(fault) = &self.register.fault {
             let error = ProposalError::RegisterFault(fault.clone());
@@ -208,8 +211,8 @@
         true
     }
 
-    /// Whether the newest version's document is there, or will never be: if nobody has it, operators must be able to propose
-    /// another.
+    /// Whether the newest version's document is stored, or counts as lost: if no control server has it, operators must
+    /// still be able to propose another.
     fn can_check(&self) -> bool {
         let max_attempts = (self.peers.count() * FETCH_ROUNDS).max(1);
         let is_lost = self.versions.fetch.as_ref().is_some_and(|fetch| fetch.attempts >= max_attempts);
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Asks the other control servers to store the document, unless it is the newest version's already.
+    /// Asks the other control servers to store the document, unless it is already that of the newest version.
     fn replicate_proposal(&mut self) {
         let newest = self.versions.newest();
         let Some(proposal) = &mut self.proposals.current else { return };
@@ -251,7 +254,8 @@
         self.send_to_peers(&request);
     }
 
-    /// Another control server has stored a document: enough if it is of another zone, or if there is only one zone.
+    /// Handles a confirmation that another control server has stored a document. One is enough if that server is in
+    /// another zone, or if there is only one zone.
     pub(super) fn handle_document_stored(&mut self, digest: Digest, server: usize) {
         let servers = &self.settings.servers;
         let zone = |index: usize| servers.get(index).map(|server| &server.zone);
@@ -266,7 +270,7 @@
         }
     }
 
-    /// The history to propose after a majority has promised; none to leave the register as it is.
+    /// The history to propose after a majority has promised; `None` to abandon the change.
     pub(super) fn choose_history(
         &mut self,
         now: Duration,
@@ -284,7 +288,7 @@
         None
     }
 
-    /// The proposed value has been chosen: the operator and the other control servers are notified.
+    /// Notifies the operator and the other control servers that the proposed value has been chosen.
     pub(super) fn complete_proposal(&mut self, now: Duration, value: &[u8], store: &mut impl DocumentStore) {
         let Ok(history) = VersionHistory::decode(Some(value)) else { return };
         self.publish_newest(now, store);
@@ -300,7 +304,7 @@
         }
     }
 
-    /// The proposal under way is not accepted.
+    /// Rejects the current proposal.
     pub(super) fn reject_proposal(&mut self, error: ProposalError) {
         if let Some(proposal) = self.proposals.current.take() {
             self.send_not_accepted(proposal.connection, error, proposal.proposed_after.is_some());
@@ -312,12 +316,12 @@
         self.send(id, &Message::NotAccepted { reason, uncertain });
     }
 
-    /// Rejects the proposals whose time is over.
+    /// Rejects the proposals that have timed out.
     pub(super) fn expire_proposals(&mut self, now: Duration) {
         let limit = self.settings.proposal_timeout;
         if let Some(cause) = self.timeout_cause(now) {
             self.reject_proposal(ProposalError::Timeout { limit, cause });
-            // The proposals that wait behind it go on with the next event.
+            // The read makes sure that an event follows soon, with which the waiting proposals continue.
             self.register.schedule_read(now);
         }
         while let Some(id) = self.proposals.pop_expired(now, limit) {
@@ -325,7 +329,7 @@
         }
     }
 
-    /// What the proposal under way was waiting for, if its time is over.
+    /// What the current proposal was waiting for, if it has timed out.
     fn timeout_cause(&self, now: Duration) -> Option<TimeoutCause> {
         let proposal = self.proposals.current.as_ref()?;
         if now < proposal.received_at + self.settings.proposal_timeout {
--- a/crates/rollout/src/control/register.rs
+++ b/crates/rollout/src/control/register.rs
@@ -1,37 +1,38 @@
-//! The register that holds the version history: reads of it, changes of it, and what a control server concludes from its
-//! value.
+//! The register that holds the version history: its reads and changes, and the check of its value against the versions
+//! that are known.
 
 use std::time::Duration;
 
 use super::error::{ProposalError, RegisterFault};
 use super::{ControlServer, DocumentStore, Output};
-use crate::backoff::unit;
+use crate::backoff::random_fraction;
 use crate::history::VersionHistory;
 
-/// The register's answer to [`Output::ReadRegister`], [`Output::PrepareChange`] and [`Output::Propose`].
+/// The outcome of [`Output::ReadRegister`], [`Output::PrepareChange`] or [`Output::Propose`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterEvent {
-    /// A majority has answered that the register holds this chosen value.
+    /// A majority of the voters has confirmed that this is the chosen value.
     Read {
-        /// The value.
+        /// The value; `None` if none was ever chosen.
         value: Option<Vec<u8>>,
         /// When the read began.
         started_at: Duration,
     },
-    /// A majority has promised, and waits for [`Output::Propose`] or [`Output::AbandonChange`]. The value need not be chosen.
+    /// A majority of the voters has promised; [`Output::Propose`] or [`Output::AbandonChange`] follows. The value that
+    /// they report need not have been chosen.
     Promised(Option<Vec<u8>>),
     /// The proposed value has been chosen.
     Chosen(Vec<u8>),
-    /// Another change came between, or no majority answered in time.
+    /// Another proposer's change took precedence, or no majority answered in time.
     Failed {
-        /// A value had been proposed, which may still be chosen.
+        /// Whether a value had been proposed, which may still be chosen.
         proposed: bool,
-        /// No majority answered.
+        /// Whether no majority answered in time.
         no_majority: bool,
     },
 }
 
-/// The operation on the register that is under way.
+/// The operation on the register in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RegisterOperation {
     None,
@@ -40,15 +41,16 @@
     Propose { started_at: Duration },
 }
 
-/// What a control server knows of the register.
+/// The state of a control server's access to the register.
 pub(super) struct RegisterState {
     operation: RegisterOperation,
     /// When the next read is due.
     read_at: Duration,
-    /// When the last read that was answered began.
+    /// When the latest operation that returned a valid history began.
     pub(super) last_read: Option<Duration>,
-    /// The last answer was that no majority answered.
+    /// Whether the last read or change failed because no majority answered.
     pub(super) no_majority: bool,
+    /// The last fault that was found, until a valid value is read.
     pub(super) fault: Option<RegisterFault>,
 }
 
@@ -63,29 +65,29 @@
         }
     }
 
-    /// Has the register read at the next tick.
+    /// Schedules the next read.
     pub(super) fn schedule_read(&mut self, at: Duration) {
         self.read_at = at;
     }
 
-    /// When the next read is due, unless an operation is under way.
+    /// When the next read is due, unless an operation is in progress.
     pub(super) fn next_read(&self) -> Option<Duration> {
         (self.operation == RegisterOperation::None).then_some(self.read_at)
     }
 
-    /// Whether a change can begin; a read under way is given up for it.
+    /// Whether a change can begin; it cancels a read in progress.
     pub(super) fn can_change(&self) -> bool {
         matches!(self.operation, RegisterOperation::None | RegisterOperation::Read)
     }
 
-    /// Ends the operation under way.
+    /// Ends the operation in progress, and returns it.
     fn take_operation(&mut self) -> RegisterOperation {
         std::mem::replace(&mut self.operation, RegisterOperation::None)
     }
 }
 
 impl ControlServer {
-    /// The register has answered.
+    /// Handles the outcome of an operation on the register.
     pub fn handle_register_event(
         &mut self,
         now: Duration,
@@ -108,7 +110,7 @@
         if self.register.operation == RegisterOperation::Read {
             self.register.operation = RegisterOperation::None;
         }
-        let interval = self.settings.read_interval.mul_f64(0.9 + 0.1 * unit(&mut self.rng));
+        let interval = self.settings.read_interval.mul_f64(0.9 + 0.1 * random_fraction(&mut self.rng));
         self.register.schedule_read(now + interval);
         self.learn_history(now, value, started_at);
         self.proposals.handle_read();
@@ -138,14 +140,14 @@
     fn handle_register_failure(&mut self, now: Duration, no_majority: bool) {
         self.register.no_majority = no_majority;
         if self.register.take_operation() == RegisterOperation::Read {
-            let pause = self.settings.read_interval.mul_f64(0.25 + 0.25 * unit(&mut self.rng));
+            let pause = self.settings.read_interval.mul_f64(0.25 + 0.25 * random_fraction(&mut self.rng));
             self.register.schedule_read(now + pause);
         } else {
             self.proposals.retry_later(now, &mut self.rng);
         }
     }
 
-    /// Reads the register if that is due.
+    /// Reads the register if a read is due.
     pub(super) fn read_register(&mut self, now: Duration) {
         if self.register.next_read().is_some_and(|at| now >= at) {
             self.register.operation = RegisterOperation::Read;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Begins to change the register once a document is ready for it.
+    /// Begins a change of the register if the current proposal is ready for it.
     pub(super) fn begin_change(&mut self, now: Duration) {
         if self.register.can_change() && self.proposals.is_ready(now) {
             self.register.operation = RegisterOperation::Prepare;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The value to propose after a majority has promised; none to leave the register as it is.
+    /// The value to propose after a majority has promised; `None` to abandon the change.
     fn choose_value(&mut self, now: Duration, value: Option<&[u8]>) -> Option<Vec<u8>> {
         if !self.proposals.is_committing() {
             return None;
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The register holds a value, as an operation that began at this time says.
+    /// Handles a chosen value of the register, returned by an operation that began at `started_at`.
     fn learn_history(&mut self, now: Duration, value: Option<&[u8]>, started_at: Duration) {
         let history = match VersionHistory::decode(value) {
             Ok(history) => history,
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Checks that a history agrees with the newest version known. One that was read before that version was known by other
-    /// means may be older.
+    /// Checks that a history is consistent with the newest known version. A history from a read that began before that
+    /// version became known may be older.
     fn check_history(&self, history: &VersionHistory, started_at: Duration) -> Result<(), RegisterFault> {
         let newest = history.newest();
         if let Some(known) = self.versions.newest_at(started_at) {
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Something is wrong with the register: it is logged once, and nothing is sent to gateways or accepted meanwhile.
+    /// Records that the value of the register is invalid, and logs it once. Until it is valid again, no version is sent
+    /// to gateways and no proposal is accepted.
     pub(super) fn report_fault(&mut self, fault: impl Into<RegisterFault>) {
         let fault = fault.into();
         if self.register.fault.as_ref() != Some(&fault) {
@@ -217,8 +220,8 @@
         }
     }
 
-    /// Whether it knows what the newest version is: a read that began recently was answered, and its value was right. A
-    /// process that was stopped is not fresh, whatever it did before.
+    /// Whether the newest known version is up to date: a read that began within [`super::Settings::freshness`] has
+    /// returned a valid history. A process that was stopped for longer than that is not fresh until its next read.
     pub(super) fn is_fresh(&self, now: Duration) -> bool {
         let freshness = self.settings.freshness;
         let was_read = self.register.last_read.is_some_and(|last_read| now < last_read + freshness);
--- a/crates/rollout/src/control/settings.rs
+++ b/crates/rollout/src/control/settings.rs
@@ -5,25 +5,25 @@
 use crate::settings::{ControlServerInfo, Timeouts};
 use crate::wire::MAX_GATEWAYS;
 
-/// The register's name.
+/// Name of the register that holds the version history.
 pub const REGISTER: &str = "config/version";
-/// Most documents without a version number that are stored: those of proposals under way, one a server, and those of
-/// proposals that were given up and may still be chosen.
+/// Most documents without a version number that are stored: those of current proposals, one per server, and those of
+/// proposals that were not accepted but may still be chosen.
 pub const MAX_PENDING_DOCUMENTS: usize = 16;
 
-/// Versions that are stored: the newest, and one before it.
+/// Most versions that are stored: the newest, and the one before it.
 pub(super) const MAX_STORED_VERSIONS: usize = 2;
-/// Most connections that others open: gateways, control servers, commands, and those not identified yet.
+/// Most incoming connections: gateways, control servers, operators' commands, and processes not identified yet.
 pub(super) const MAX_INCOMING_CONNECTIONS: usize = MAX_GATEWAYS + 64;
-/// Most connections of the operators' command: each may send a whole document.
+/// Most connections of the operators' command, each of which may buffer a whole document.
 pub(super) const MAX_COMMAND_CONNECTIONS: usize = 8;
-/// Most proposals that wait for the one before them; one more is rejected.
+/// Most proposals that wait for the current one; further proposals are rejected.
 pub(super) const MAX_QUEUED_PROPOSALS: usize = 4;
-/// Longest message of a gateway, and of whoever has not identified itself, in bytes.
+/// Longest message of a gateway or of a process that has not identified itself, in bytes.
 pub(super) const MAX_SMALL_MESSAGE_BYTES: usize = 1_024;
-/// The first backoff of whatever failed.
+/// First backoff of connection attempts to peers and of changes of the register.
 pub(super) const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause before a change of the register, or a store, is tried again.
+/// Longest backoff of changes of the register, and the pause before a failed store is retried.
 pub(super) const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The settings of a control server.
@@ -31,17 +31,17 @@
 pub struct Settings {
     /// The fleet's name.
     pub fleet: String,
-    /// Its own name, one of `servers`.
+    /// This server's name, which is also in `servers`.
     pub name: String,
     /// All control servers, in the settings' order.
     pub servers: Vec<ControlServerInfo>,
-    /// Intervals and timeouts, the same as the gateways'.
+    /// Intervals and timeouts, which have to be the same on gateways.
     pub timeouts: Timeouts,
-    /// Between two reads of the register.
+    /// Time between two reads of the register.
     pub read_interval: Duration,
-    /// How long after its begin a read of the register counts as fresh.
+    /// How long a read of the register counts as fresh after it began.
     pub freshness: Duration,
-    /// How long an operator waits at most until a proposal is accepted.
+    /// Time after which a proposal that has not been accepted is rejected.
     pub proposal_timeout: Duration,
     /// Seed of the random generator.
     pub seed: u64,
--- a/crates/rollout/src/control/store.rs
+++ b/crates/rollout/src/control/store.rs
@@ -1,4 +1,5 @@
-//! What a control server stores: the newest versions with their documents, and documents that may get a version number.
+//! The stored state of a control server: the newest versions with their documents, and documents that may get a version
+//! number.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,52 +17,52 @@
 
 /// Validates documents and stores them.
 pub trait DocumentStore {
-    /// Checks a document completely, as `dunemount check` does, and against the version before it.
+    /// Validates a document completely, as `dunemount check` does, and against the version before it.
     ///
     /// # Errors
-    /// The first fault, with its place.
+    /// The first fault, with its location in the document.
     fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument>;
 
-    /// Stores a state durably in place of the one before; false if that is not certain.
+    /// Durably replaces the stored state; false if it may not have been stored.
     fn store(&mut self, state: &PersistentState) -> bool;
 }
 
-/// A document cannot be used. The text is for the operator.
+/// Why a document is invalid. The text is for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidDocument(pub String);
 
-/// Why bytes are not the file of a control server.
+/// Why the file of a control server cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateFileError {
-    /// The file is truncated, damaged or another one.
+    /// The file is truncated, damaged, or of another kind or format.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A document does not have the digest that its version gives.
-    #[error("a document does not fit its version")]
+    /// A document does not have the digest of its version, or exceeds its limits.
+    #[error("a document does not match its version")]
     DigestMismatch,
-    /// The file contains more than is ever stored, or in another order.
-    #[error("more than is ever kept, or in another order")]
+    /// The file contains more or longer documents than are ever stored, or versions out of order.
+    #[error("too many or too long documents, or versions out of order")]
     OutOfBounds,
 }
 
-/// What a control server stores.
+/// The state that a control server stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// The newest version and the one before, newest last.
+    /// The newest version and the one before it, newest last.
     pub versions: Vec<Document>,
-    /// Documents that may have got a version number, oldest first; at most [`MAX_PENDING_DOCUMENTS`].
+    /// Documents that may get a version number, oldest first; at most [`MAX_PENDING_DOCUMENTS`].
     pub pending: Vec<(Digest, Arc<[u8]>)>,
 }
 
-/// The body of the file of a [`PersistentState`]. The order of its fields is the format.
+/// The body of the file of a [`PersistentState`], which is encoded by the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct StoredState {
     versions: Vec<StoredVersion>,
     pending: Vec<Arc<[u8]>>,
 }
 
-/// A version in a [`StoredState`]. The order of its fields is the format.
+/// A version in a [`StoredState`], which is encoded by the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct StoredVersion {
     version: Version,
@@ -101,15 +102,15 @@
 }
 
 impl PersistentState {
-    /// The file in which it is stored.
+    /// Encodes the file in which the state is stored.
     pub fn to_file(&self) -> Vec<u8> {
         file_format::encode(STATE_MAGIC, &StoredState::from(self))
     }
 
-    /// Reads [`PersistentState::to_file`].
+    /// Decodes a file written by [`PersistentState::to_file`].
     ///
     /// # Errors
-    /// The bytes are no such file.
+    /// The file is truncated, damaged, of another kind or format, or exceeds the limits of the state.
     pub fn from_file(file: &[u8]) -> Result<PersistentState, StateFileError> {
         file_format::decode::<StoredState>(STATE_MAGIC, file)?.try_into()
     }
@@ -119,32 +120,37 @@
         self.versions.last()
     }
 
-    /// The document with this version number.
+    /// The stored version with this number.
     pub(super) fn version(&self, number: u64) -> Option<&Document> {
         self.versions.iter().find(|document| document.version().number == number)
     }
 
-    /// The bytes with this digest.
+    /// The stored document with this digest, with or without a version number.
     pub(super) fn find(&self, digest: Digest) -> Option<&Arc<[u8]>> {
         let versions = self.versions.iter().map(|document| (document.version().digest, document.bytes()));
         let pending = self.pending.iter().map(|(digest, bytes)| (*digest, bytes));
         versions.chain(pending).find(|(known, _)| *known == digest).map(|(_, bytes)| bytes)
     }
 
-    /// The state with one more document that may get a version number. If there are too many, the oldest that has one by now
-    /// is dropped, else the oldest.
-    fn with_pending(&self, digest: Digest, bytes: Arc<[u8]>, numbered: &VecDeque<Digest>) -> PersistentState {
+    /// The state with one more document that may get a version number. If there are too many, the oldest whose digest
+    /// is in `numbered_digests` is dropped, or else the oldest.
+    fn with_pending(
+        &self,
+        digest: Digest,
+        bytes: Arc<[u8]>,
+        numbered_digests: &VecDeque<Digest>,
+    ) -> PersistentState {
         let mut state = self.clone();
         state.pending.retain(|(known, _)| *known != digest);
         while state.pending.len() >= MAX_PENDING_DOCUMENTS {
-            let has_number = state.pending.iter().position(|(known, _)| numbered.contains(known));
+            let has_number = state.pending.iter().position(|(known, _)| numbered_digests.contains(known));
             state.pending.remove(has_number.unwrap_or_default());
         }
         state.pending.push((digest, bytes));
         state
     }
 
-    /// The state with the newest version, whose document is no longer pending.
+    /// The state with a new newest version, whose document is no longer pending.
     fn with_version(&self, document: Document) -> PersistentState {
         let mut state = self.clone();
         state.pending.retain(|(known, _)| *known != document.version().digest);
@@ -156,7 +162,7 @@
 }
 
 impl ControlServer {
-    /// Stores a document that may get a version number; false if that is not certain.
+    /// Stores a document that may get a version number; false if it may not have been stored.
     pub(super) fn store_pending(
         &mut self,
         now: Duration,
@@ -164,11 +170,11 @@
         bytes: Arc<[u8]>,
         store: &mut impl DocumentStore,
     ) -> bool {
-        let state = self.stored.with_pending(digest, bytes, &self.versions.numbered);
+        let state = self.stored.with_pending(digest, bytes, &self.versions.numbered_digests);
         self.store(now, state, store)
     }
 
-    /// Stores the newest version's document; it is not certain that this succeeds.
+    /// Stores the newest version's document. A failed store is retried later.
     pub(super) fn store_version(
         &mut self,
         now: Duration,
@@ -191,7 +197,7 @@
         is_stored
     }
 
-    /// Stores the newest version's document as such once its bytes are known.
+    /// Stores the newest version with its document if that was stored without a version number before.
     pub(super) fn store_newest(&mut self, now: Duration, store: &mut impl DocumentStore) {
         let Some(newest) = self.newest_version() else { return };
         if self.newest_document().is_some() || now < self.store_retry_at {
--- a/crates/rollout/src/follower/connection.rs
+++ b/crates/rollout/src/follower/connection.rs
@@ -5,23 +5,24 @@
 use crate::connection::ConnectionId;
 use crate::frame::FrameReader;
 
-/// A connection to a control server, and what has been heard over it.
+/// A connection to a control server, and when data was received over it.
 pub(super) struct ServerConnection {
     pub(super) id: ConnectionId,
     /// The server's index in the settings.
     pub(super) server: usize,
     /// When the connection was established.
     pub(super) established_at: Option<Duration>,
-    /// When bytes were received last; before the connection is established, when it was begun.
+    /// When bytes were last received or, if none were, when the connection was established or begun.
     pub(super) last_received: Duration,
+    /// Whether any bytes were received.
     pub(super) has_received: bool,
-    /// The last heartbeat of the server that said that it is fresh.
+    /// When the last heartbeat was received in which the server reported that it is fresh.
     pub(super) last_fresh: Option<Duration>,
     pub(super) frames: FrameReader,
 }
 
 impl ServerConnection {
-    /// A connection that is to be established.
+    /// A connection that is not established yet.
     pub(super) fn new(id: ConnectionId, server: usize, now: Duration) -> ServerConnection {
         ServerConnection {
             id,
@@ -38,7 +39,8 @@
         self.established_at.is_some()
     }
 
-    /// When it is given up if nothing more is received.
+    /// When the connection times out unless more is received: `liveness` after the last bytes, the last heartbeat of a
+    /// fresh server, or the establishment if there was no such heartbeat, whichever is earliest.
     pub(super) fn expires_at(&self, liveness: Duration) -> Duration {
         let fresh_since = match (self.established_at, self.last_fresh) {
             (None, _) => self.last_received,
--- a/crates/rollout/src/follower/mod.rs
+++ b/crates/rollout/src/follower/mod.rs
@@ -1,5 +1,5 @@
 //! The state machine of a gateway. It keeps a connection to one control server, preferably of its own zone, reports the
-//! version in force, and applies newer versions. It never goes back to an older one.
+//! version in force, and applies newer versions. It never applies an older one.
 
 mod connection;
 mod server_ring;
@@ -15,7 +15,7 @@
 use self::connection::ServerConnection;
 use self::server_ring::ServerRing;
 use self::versions::{OfferOutcome, VersionTracker};
-use crate::backoff::unit;
+use crate::backoff::random_fraction;
 use crate::connection::{ConnectionId, ConnectionIds};
 use crate::frame::encode_frame;
 use crate::settings::{ControlServerInfo, Timeouts};
@@ -31,8 +31,8 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// The control servers, in the settings' order, which is the same everywhere. The own zone's are tried first, then the
-    /// others behind them around the ring.
+    /// The control servers in the order of the settings, which is the same on all processes. Those of the own zone are
+    /// tried first, then the others in ring order.
     pub servers: Vec<ControlServerInfo>,
     /// Intervals and timeouts.
     pub timeouts: Timeouts,
@@ -40,7 +40,7 @@
     pub seed: u64,
 }
 
-/// What the driver has to do.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Connect to the control server with this index in the settings. [`Follower::handle_connected`] or
@@ -48,14 +48,14 @@
     Connect(ConnectionId, usize),
     /// Send bytes.
     Send(ConnectionId, Arc<[u8]>),
-    /// Close a connection. No event of it follows.
+    /// Close a connection. No event of the connection follows.
     Close(ConnectionId),
-    /// Apply a version completely or not at all, and store it before it is in force. [`Follower::handle_applied`] follows,
-    /// and no other version is handed out before.
+    /// Apply a version completely or not at all, and store it before it comes into force. [`Follower::handle_applied`]
+    /// follows, and no other version is to be applied until then.
     Apply(Document),
 }
 
-/// A version could not be applied. The text is for the operator.
+/// Why a version could not be applied. The text is for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ApplyError(pub String);
@@ -65,15 +65,16 @@
 pub struct FollowerStatus {
     /// The version in force.
     pub in_force: Option<Version>,
-    /// The last version that was rejected, if that is newer.
+    /// The newest version that was rejected, until one with the same or a higher number is applied.
     pub rejected: Option<Rejection>,
-    /// The control server that it follows, by its index in the settings.
+    /// The control server that it receives data from, by its index in the settings.
     pub server: Option<usize>,
-    /// Time since the last heartbeat of a fresh control server; zero while it follows one.
+    /// Time since the last heartbeat of a fresh control server; zero while it is connected to one.
     pub cut_off: Duration,
-    /// Versions that were offered and are older than the one in force, or than one that was rejected.
+    /// Number of offers of a version older than one that is in force, rejected or about to be applied.
     pub stale_offers: u64,
-    /// Numbers that came with two digests. Such a version is reported, and not applied.
+    /// Number of versions received with the number but not the digest of a known one. Such a version is reported as
+    /// rejected, and not applied.
     pub conflicts: u64,
 }
 
@@ -87,19 +88,19 @@
     connection_ids: ConnectionIds,
     /// The connection in use.
     active: Option<ServerConnection>,
-    /// A second connection, to a server of the own zone, on the way back from another zone's.
+    /// A second connection, to a server of the own zone, while the active one is to another zone's.
     returning: Option<ServerConnection>,
-    /// When the next server is tried while there is no connection.
+    /// When the next server is tried while there is no active connection.
     connect_at: Duration,
-    /// When the own zone's server is tried again while another zone's is followed.
+    /// When a server of the own zone is tried again while the active connection is to another zone's.
     return_at: Option<Duration>,
     report_at: Duration,
-    /// The last heartbeat of any fresh server; the start before.
+    /// When the last heartbeat of any fresh server was received; initially the time of the start.
     last_fresh: Duration,
 }
 
 impl Follower {
-    /// A gateway, with the version in force if it has stored one.
+    /// Creates a gateway with the version that it has stored, which is in force.
     pub fn new(settings: Settings, in_force: Option<Version>, now: Duration) -> Follower {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         Follower {
@@ -123,7 +124,7 @@
         &self.settings
     }
 
-    /// A connection is established.
+    /// Handles the establishment of a connection.
     pub fn handle_connected(&mut self, now: Duration, id: ConnectionId) {
         let Some(connection) = self.connection_mut(id).filter(|found| !found.is_established()) else {
             return;
@@ -136,7 +137,7 @@
         self.outputs.push_back(Output::Send(id, self.report_frame()));
     }
 
-    /// A connection could not be established, or has ended.
+    /// Handles the end of a connection, or the failure to establish it.
     pub fn handle_closed(&mut self, now: Duration, id: ConnectionId) {
         let is_id = |connection: &ServerConnection| connection.id == id;
         if self.returning.as_ref().is_some_and(is_id) {
@@ -148,17 +149,17 @@
         }
     }
 
-    /// Bytes were received.
+    /// Handles received bytes.
     pub fn handle_bytes(&mut self, now: Duration, id: ConnectionId, bytes: &[u8]) {
         let liveness = self.settings.timeouts.liveness;
         let Some(connection) = self.connection_mut(id).filter(|found| found.is_established()) else { return };
         if now >= connection.expires_at(liveness) {
-            // After a pause of the process the socket holds what was the newest version before it.
+            // The process may have been stopped, and the version in its socket buffer may no longer be the newest.
             return self.close(now, id);
         }
         (connection.last_received, connection.has_received) = (now, true);
         connection.frames.push(bytes);
-        // A message may end the connection.
+        // Handling a message may close the connection.
         while let Some(connection) = self.connection_mut(id) {
             match connection.frames.next_message() {
                 Ok(Some(Message::Heartbeat { fresh, newest })) => {
@@ -166,7 +167,7 @@
                 }
                 Ok(Some(Message::Newest(version, bytes))) => self.handle_newest(now, id, version, bytes),
                 Ok(None) => return,
-                // Gateways are sent no other message.
+                // Control servers send gateways no other message.
                 Ok(Some(_)) | Err(_) => return self.close(now, id),
             }
         }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Does what is due at this time.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         while let Some(id) = self.expired_connection(now) {
             self.close(now, id);
@@ -218,7 +219,7 @@
         }
     }
 
-    /// When [`Follower::tick`] has something to do next.
+    /// When [`Follower::tick`] is due next.
     pub fn next_tick(&self) -> Duration {
         let liveness = self.settings.timeouts.liveness;
         let expiries = self.connections().map(|connection| connection.expires_at(liveness));
@@ -230,8 +231,8 @@
 
     /// The next output for the driver.
     pub fn next_output(&mut self) -> Option<Output> {
-        // Which version is applied is decided last: after a pause of the process several are received at once, and only the
-        // newest is applied.
+        // The version to apply is chosen after all other outputs: after a pause of the process several versions are
+        // received at once, and only the newest of them is applied.
         self.outputs.pop_front().or_else(|| self.versions.next_to_apply().map(Output::Apply))
     }
 
@@ -273,13 +274,14 @@
         ServerConnection::new(id, server, now)
     }
 
-    /// Closes a connection, and goes on as if it had ended.
+    /// Closes a connection, and handles its end.
     fn close(&mut self, now: Duration, id: ConnectionId) {
         self.outputs.push_back(Output::Close(id));
         self.handle_closed(now, id);
     }
 
-    /// The active connection is lost: the second one takes its place if it is established, else the next server is tried.
+    /// Replaces a lost active connection by the second one if that is established; otherwise schedules the next
+    /// attempt.
     fn replace_active(&mut self, now: Duration) {
         self.return_at = None;
         if self.returning.as_ref().is_some_and(ServerConnection::is_established) {
@@ -293,7 +295,8 @@
         self.connect_at = now + self.ring.record_failure(&mut self.rng, self.settings.timeouts.max_backoff);
     }
 
-    /// A fresh server was heard: if it is the own zone's, over the second connection, that becomes the only one.
+    /// Handles a heartbeat of a fresh server. If it came over the second connection, to a server of the own zone, that
+    /// connection becomes the active one and the other is closed.
     fn handle_fresh_server(&mut self, now: Duration, id: ConnectionId) {
         if self.returning.as_ref().is_some_and(|returning| returning.id == id) {
             if let Some(left) = std::mem::replace(&mut self.active, self.returning.take()) {
@@ -303,7 +306,8 @@
         }
         let Some(active) = &self.active else { return };
         let is_own_zone = self.ring.is_own_zone(active.server);
-        // A server that says it is fresh and is gone again was a failure, or the ring would be run around without a pause.
+        // A server counts as a success only once its connection has lasted for `liveness`: if servers report that they
+        // are fresh and then disconnect, the attempts must still back off.
         let liveness = self.settings.timeouts.liveness;
         if active.established_at.is_some_and(|established| now >= established + liveness) {
             self.ring.record_success();
@@ -313,10 +317,11 @@
         }
     }
 
-    /// Plans to try the own zone's server again, at a random time so that not all gateways return at once.
+    /// Schedules the next attempt at a server of the own zone, after a random delay so that not all gateways return at
+    /// once.
     fn schedule_return(&mut self, now: Duration) {
         let is_away = self.active.as_ref().is_some_and(|active| !self.ring.is_own_zone(active.server));
-        let delay = self.settings.timeouts.return_window.mul_f64(unit(&mut self.rng));
+        let delay = self.settings.timeouts.return_window.mul_f64(random_fraction(&mut self.rng));
         self.return_at = (is_away && self.ring.has_own_zone()).then_some(now + delay);
     }
 
--- a/crates/rollout/src/follower/versions.rs
+++ b/crates/rollout/src/follower/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions a gateway applies: only ever a newer one, one at a time, and never two digests of one number.
+//! The versions that a gateway applies: only newer ones, one at a time, and never two digests of one number.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 use crate::version::{Document, Version};
 use crate::wire::{truncate, Rejection, MAX_REJECTION_BYTES};
 
-/// What came of a version that a control server offered.
+/// The outcome of a version that a control server has offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OfferOutcome {
-    /// It is applied next, is known already, or is older than what is known.
+    /// It is queued to be applied, already known, or older than a known version.
     Handled,
-    /// Its number is known with another digest; `is_new` if that was not known yet.
+    /// Its number is known with another digest; `is_new` if this conflict was not known yet.
     Conflict { is_new: bool },
-    /// Its bytes do not have its digest.
+    /// Its bytes do not have its digest, or exceed their limits.
     DigestMismatch,
 }
 
-/// The versions that a gateway knows of.
+/// The versions that a gateway knows.
 #[derive(Default)]
 pub(super) struct VersionTracker {
     pub(super) in_force: Option<Version>,
@@ -25,11 +25,11 @@
     pub(super) rejected: Option<Rejection>,
     /// The version that is being applied.
     applying: Option<Version>,
-    /// The version that is applied next. Those between are skipped.
+    /// The version to apply next. A newer offer replaces it, so that versions in between are skipped.
     next: Option<Document>,
-    /// Offers that were older than what is known.
+    /// Number of offers that were older than a known version.
     pub(super) stale_offers: u64,
-    /// Numbers that came with two digests.
+    /// Number of conflicts, which are versions received with the number but not the digest of a known one.
     pub(super) conflicts: u64,
     /// The last conflict that was counted.
     last_conflict: Option<Version>,
@@ -40,9 +40,9 @@
         VersionTracker { in_force, ..VersionTracker::default() }
     }
 
-    /// A control server offers a version.
+    /// Handles a version that a control server offers.
     pub(super) fn handle_offer(&mut self, version: Version, bytes: Arc<[u8]>) -> OfferOutcome {
-        // A version that is older than one which was rejected is not gone back to either.
+        // A rejected version counts as known, so that no version older than it is applied afterwards.
         let rejected = self.rejected.as_ref().map(|rejected| rejected.version);
         let next = self.next.as_ref().map(Document::version);
         for known in [self.in_force, self.applying, next, rejected].into_iter().flatten() {
@@ -66,14 +66,15 @@
         }
     }
 
-    /// Compares the newest version that a control server knows of with the one in force. Whether a new conflict was found.
+    /// Compares the newest version that a control server knows with the one in force. Returns whether a new conflict
+    /// was found.
     pub(super) fn check_newest(&mut self, newest: Option<Version>) -> bool {
         let (Some(newest), Some(in_force)) = (newest, self.in_force) else { return false };
         self.detect_conflict(in_force, newest) == Some(true)
     }
 
-    /// Whether two versions have one number and two digests, and if so whether that is new. A new conflict is counted, and
-    /// reported as a rejection.
+    /// Detects whether two versions have the same number but different digests. Returns `Some` if they do, with whether
+    /// this conflict is new. A new conflict is counted, and recorded as a rejection.
     fn detect_conflict(&mut self, known: Version, other: Version) -> Option<bool> {
         if known.number != other.number || known.digest == other.digest {
             return None;
@@ -84,12 +85,12 @@
         self.last_conflict = Some(other);
         self.conflicts += 1;
         let reason =
-            format!("number {} came with two digests: {} and {}", known.number, known.digest, other.digest);
+            format!("version number {} has two digests: {} and {}", known.number, known.digest, other.digest);
         self.reject(other, reason);
         Some(true)
     }
 
-    /// The version that is being applied is stored and in force, or could not be applied. False if it is another one.
+    /// Handles the result of applying a version. Returns false if that version was not being applied.
     pub(super) fn handle_applied(&mut self, version: Version, result: Result<(), ApplyError>) -> bool {
         if self.applying != Some(version) {
             return false;
@@ -108,21 +109,21 @@
         true
     }
 
-    /// The next version to apply, once the one before is done.
+    /// The next version to apply, unless one is still being applied.
     pub(super) fn next_to_apply(&mut self) -> Option<Document> {
         let document = self.next.take_if(|_| self.applying.is_none())?;
         self.applying = Some(document.version());
         Some(document)
     }
 
-    /// Only the newest rejected version is reported, and it is not applied again.
+    /// Records a rejected version. Only the newest one is kept: it is reported, and not applied again.
     fn reject(&mut self, version: Version, reason: String) {
         if self.rejected.as_ref().is_none_or(|rejected| rejected.version.number <= version.number) {
             self.rejected = Some(Rejection { version, reason: truncate(reason, MAX_REJECTION_BYTES) });
         }
     }
 
-    /// Has a version wait until it can be applied, unless it has been rejected or is not newer than the one in force.
+    /// Queues a version to be applied, unless it was rejected or is not newer than the one in force.
     fn enqueue(&mut self, document: Document) {
         let version = document.version();
         let is_rejected = self.rejected.as_ref().is_some_and(|rejected| rejected.version == version);
--- a/crates/rollout/tests/control_server.rs
+++ b/crates/rollout/tests/control_server.rs
@@ -393,7 +393,7 @@
     harness.register_event(RegisterEvent::Promised(Some(others.encode())));
     let sent = harness.take_sent(command);
     assert!(
-        matches!(&sent[..], [Message::NotAccepted { reason, uncertain: true }] if reason.contains("others")),
+        matches!(&sent[..], [Message::NotAccepted { reason, uncertain: true }] if reason.contains("too many other versions")),
         "{sent:?}"
     );
     assert_eq!(harness.take_register_outputs(), [control::Output::AbandonChange]);
