--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of both state machines build their cases from.
+//! Fixtures shared by the tests of both state machines.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 }
 
 pub fn document(number: u64, bytes: &str) -> Document {
-    Document::verify(version(number, bytes), bytes.as_bytes().into()).expect("fits")
+    Document::verify(version(number, bytes), bytes.as_bytes().into()).expect("the digest matches")
 }
 
 pub fn newest(number: u64, bytes: &str) -> Message {
--- a/crates/rollout/tests/control_server.rs
+++ b/crates/rollout/tests/control_server.rs
@@ -1,4 +1,4 @@
-//! The state machine of a control server by itself: messages and events that a whole fleet seldom has.
+//! The state machine of a control server in isolation: messages and events that are rare in the simulation of a fleet.
 
 mod common;
 
@@ -20,7 +20,7 @@
     Message::Propose(bytes.as_bytes().into())
 }
 
-/// A history of documents, each proposed under its number times ten.
+/// A history of these documents, in which each proposal's id is the version number times ten.
 fn history(documents: &[&str]) -> VersionHistory {
     let step = |history: VersionHistory, document: &&str| {
         let number = history.newest().map_or(0, |version| version.number) + 1;
@@ -29,16 +29,19 @@
     documents.iter().fold(VersionHistory::default(), step)
 }
 
+/// A store in memory that rejects documents which begin with "bad".
 #[derive(Default)]
 struct MemoryStore {
     state: PersistentState,
+    /// Whether stores fail.
     broken: bool,
-    checked: Vec<Option<u64>>,
+    /// For each validated document, the number of the version that it was validated against.
+    validated_against: Vec<Option<u64>>,
 }
 
 impl DocumentStore for MemoryStore {
     fn validate(&mut self, document: &[u8], previous: Option<&Document>) -> Result<(), InvalidDocument> {
-        self.checked.push(previous.map(|previous| previous.version().number));
+        self.validated_against.push(previous.map(|previous| previous.version().number));
         if document.starts_with(b"bad") {
             Err(InvalidDocument("line 3: bad".to_string()))
         } else {
@@ -54,7 +57,7 @@
     }
 }
 
-/// A control server with its store, and its outputs by kind.
+/// A control server with its store, and its collected outputs by kind.
 struct ControlHarness {
     now: Duration,
     control: ControlServer,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Lets time pass, with all ticks.
+    /// Advances the time, and runs all ticks that are due.
     fn wait(&mut self, duration: Duration) {
         let until = self.now + duration;
         while self.control.next_tick() <= until {
@@ -132,7 +135,7 @@
         self.drain_outputs();
     }
 
-    /// A read is answered at once.
+    /// Answers a read of the register that began now.
     fn answer_read(&mut self, history: &VersionHistory) {
         let value = history.newest().map(|_| history.encode());
         self.register_event(RegisterEvent::Read { value, started_at: self.now });
@@ -148,7 +151,7 @@
         self.connect_as(Identity::Gateway { name: name.to_string(), zone: "zone-0".to_string() })
     }
 
-    /// What was sent over a connection since the last call, without heartbeats.
+    /// Messages sent over a connection since the last call, without heartbeats.
     fn take_sent(&mut self, id: ConnectionId) -> Vec<Message> {
         let sent = std::mem::take(&mut self.sent);
         let (here, rest): (Vec<_>, Vec<_>) = sent.into_iter().partition(|(to, _)| *to == id);
@@ -162,7 +165,7 @@
         std::mem::take(&mut self.register_outputs)
     }
 
-    /// The connections to the other control servers are established.
+    /// Establishes the connections to the other control servers.
     fn connect(&mut self) {
         for (id, _) in std::mem::take(&mut self.connection_requests) {
             self.control.handle_connected(self.now, id);
@@ -175,8 +178,8 @@
     PersistentState { versions: vec![document(number, bytes)], pending: Vec::new() }
 }
 
-/// Guards against connections of another protocol or fleet, of unknown control servers, of processes that do not identify
-/// themselves in time, and messages that the process must not send.
+/// Guards against connections with another protocol version or fleet, from unknown control servers or from processes
+/// that do not identify themselves in time, and against messages that the role of the sender does not allow.
 #[test]
 fn a_control_server_closes_connections_that_break_the_protocol() {
     let mut harness = ControlHarness::new(3, PersistentState::default());
@@ -195,24 +198,25 @@
         harness.receive(id, &first);
         assert_eq!(harness.closed.pop(), Some(id), "{first:?}");
     }
-    assert_eq!(harness.log_lines.len(), 2, "another protocol and another fleet are logged");
+    assert_eq!(harness.log_lines.len(), 2, "another protocol version and another fleet are logged");
     let gateway = harness.gateway("gw-1");
     harness.receive(gateway, &propose("good"));
-    assert_eq!(harness.closed.pop(), Some(gateway), "a gateway proposes nothing");
+    assert_eq!(harness.closed.pop(), Some(gateway), "a gateway must not propose");
     let gateway = harness.gateway("gw-1");
     harness.control.handle_bytes(harness.now, gateway, &2_000u32.to_be_bytes(), &mut harness.store);
     harness.drain_outputs();
-    assert_eq!(harness.closed.pop(), Some(gateway), "a gateway sends no long messages");
+    assert_eq!(harness.closed.pop(), Some(gateway), "a gateway must not send long messages");
     let first = harness.connect_as(control("ctl-1"));
     let second = harness.connect_as(control("ctl-1"));
-    assert_eq!(harness.closed.pop(), Some(first), "a new connection replaces the one before");
+    assert_eq!(harness.closed.pop(), Some(first), "a new connection replaces the previous one");
     let silent = harness.control.handle_accepted(harness.now).expect("accepted");
     harness.connection_requests.clear();
     harness.wait(SECOND * 3);
     assert!(harness.closed.contains(&silent) && harness.closed.contains(&second));
 }
 
-/// Guards the limits of connections, of the operators' command and of all, and of gateways and members in a status.
+/// Guards the limits of connections of the operators' command, of all incoming connections, and of gateways and members
+/// in a status.
 #[test]
 fn connections_and_gateways_are_bounded() {
     let mut harness = ControlHarness::new(1, PersistentState::default());
@@ -227,7 +231,7 @@
     assert_eq!(status.gateways.len(), MAX_GATEWAYS);
     assert!(
         status.gateways.iter().all(|gateway| gateway.name != "gw-0"),
-        "the one silent for longest is dropped"
+        "the gateway that was silent for longest is dropped"
     );
     while harness.control.handle_accepted(harness.now).is_some() {
         ids.push(ConnectionId(0));
@@ -240,25 +244,29 @@
     assert!(status.members.len() == MAX_GATEWAYS && status.members[0].len() == MAX_NAME_BYTES);
 }
 
-/// Guards when the newest version is sent: once a read has shown that it is the newest and while that is fresh, once for each
-/// connection, and not to a gateway that has rejected it or has a newer one.
+/// Guards when the newest version is sent: only after a read of the register, and while that read is fresh; once per
+/// connection until the resend interval has passed; not to a gateway that has rejected it or has a newer one in force.
 #[test]
 fn the_newest_version_is_sent_only_while_it_is_fresh() {
     let mut harness = ControlHarness::new(1, stored_version(1, "one"));
     let gateway = harness.gateway("gw-1");
     let report = |in_force, rejected| Message::VersionReport { in_force, rejected };
     harness.receive(gateway, &report(None, None));
-    assert_eq!(harness.take_sent(gateway), [], "not before the register was read");
-    assert_eq!(harness.take_register_outputs(), [control::Output::ReadRegister], "which is done first");
+    assert_eq!(harness.take_sent(gateway), [], "not before a read of the register");
+    assert_eq!(
+        harness.take_register_outputs(),
+        [control::Output::ReadRegister],
+        "the register is read first"
+    );
     harness.answer_read(&history(&["one"]));
     assert_eq!(harness.take_sent(gateway), [newest(1, "one")]);
     harness.receive(gateway, &report(None, None));
-    assert_eq!(harness.take_sent(gateway), [], "once");
+    assert_eq!(harness.take_sent(gateway), [], "only once");
     harness.wait(SECOND);
     harness.answer_read(&history(&["one"]));
     harness.wait(SECOND * 2 + MILLI);
     harness.receive(gateway, &report(None, None));
-    assert_eq!(harness.take_sent(gateway), [newest(1, "one")], "again after a while");
+    assert_eq!(harness.take_sent(gateway), [newest(1, "one")], "again after the resend interval");
     let rejected = Rejection { version: version(1, "one"), reason: "port in use".to_string() };
     let other = harness.gateway("gw-2");
     harness.receive(other, &report(None, Some(rejected.clone())));
@@ -273,7 +281,7 @@
     let reported: Vec<_> =
         status.gateways.iter().map(|gateway| (gateway.in_force, gateway.rejected.clone())).collect();
     assert_eq!(reported, [(None, None), (None, Some(rejected)), (Some(version(2, "two")), None)]);
-    // Its process is stopped, and resumed after a minute.
+    // The control server's process is stopped, and resumed after a minute.
     harness.now += SECOND * 60;
     let late = harness.gateway("gw-4");
     harness.receive(late, &report(None, None));
@@ -283,7 +291,8 @@
     assert_eq!(harness.take_sent(late), [newest(1, "one")]);
 }
 
-/// Guards a document that is not on the disk: it is not sent, and is stored once that succeeds.
+/// Guards against sending a document that could not be stored: the store is retried, and the document is sent after it
+/// has succeeded.
 #[test]
 fn a_document_that_is_not_stored_is_not_sent() {
     let mut harness = ControlHarness::new(2, PersistentState::default());
@@ -307,10 +316,10 @@
     assert_eq!(harness.store.state, stored_version(1, "one"));
 }
 
-/// Guards an invalid value of the register: nothing is accepted or sent meanwhile, which is logged once, until the value is
-/// valid again.
+/// Guards against an invalid value of the register: the fault is logged once, and no proposal is accepted and no
+/// version sent until the value is valid again.
 #[test]
-fn an_invalid_register_stops_proposals_and_offers() {
+fn an_invalid_register_value_blocks_proposals_and_offers() {
     let later = [&[9][..], &history(&["one"]).encode()[1..]].concat();
     let two = history(&["one", "two"]);
     let other = history(&["one", "another"]);
@@ -325,7 +334,7 @@
         let command = harness.connect_as(Identity::Command);
         harness.register_event(RegisterEvent::Read { value: value.clone(), started_at: harness.now });
         harness.register_event(RegisterEvent::Read { value, started_at: harness.now });
-        assert_eq!(harness.log_lines.len(), 1, "once: {:?}", harness.log_lines);
+        assert_eq!(harness.log_lines.len(), 1, "logged once: {:?}", harness.log_lines);
         assert!(harness.log_lines[0].contains(word), "{:?}", harness.log_lines);
         let gateway = harness.gateway("gw-1");
         harness.receive(gateway, &Message::VersionReport { in_force: None, rejected: None });
@@ -342,7 +351,8 @@
     }
 }
 
-/// A single control server with version "one" that has begun to commit the proposal "two", and the operator's connection.
+/// A fleet's only control server, with version "one", that has begun to commit the proposal "two", and the connection
+/// of the operator's command.
 fn committing() -> (ControlHarness, ConnectionId) {
     let mut harness = ControlHarness::new(1, stored_version(1, "one"));
     harness.answer_read(&history(&["one"]));
@@ -353,20 +363,24 @@
     (harness, command)
 }
 
-/// Proposes "two" without an answer from a majority; the value that was proposed.
+/// Proposes "two" to the register, which fails without an answer from a majority. Returns the proposed value.
 fn propose_without_answer(harness: &mut ControlHarness, value: &VersionHistory) -> Vec<u8> {
     harness.register_event(RegisterEvent::Promised(Some(value.encode())));
     let outputs = harness.take_register_outputs();
     let [control::Output::Propose(value)] = &outputs[..] else { panic!("{outputs:?}") };
     harness.register_event(RegisterEvent::Failed { proposed: true, no_majority: true });
     harness.wait(SECOND);
-    harness.answer_read(&VersionHistory::decode(Some(&history(&["one"]).encode())).expect("one"));
-    assert!(harness.take_register_outputs().contains(&control::Output::PrepareChange), "again");
+    harness.answer_read(&VersionHistory::decode(Some(&history(&["one"]).encode())).expect("a valid history"));
+    assert!(
+        harness.take_register_outputs().contains(&control::Output::PrepareChange),
+        "a second change is prepared"
+    );
     value.clone()
 }
 
-/// Guards against an answer that rests on a value which was not chosen: a promise may name the proposal because a single voter
-/// has accepted it, so that it is proposed again as it is, and the operator is answered once it is chosen.
+/// Guards against accepting a proposal because of a value that was not chosen: a promise may contain the proposal
+/// although only a single voter has accepted it. The value is proposed again unchanged, and the operator is answered
+/// once it is chosen.
 #[test]
 fn a_proposal_in_a_promise_is_chosen_before_it_is_accepted() {
     let (mut harness, command) = committing();
@@ -376,14 +390,15 @@
     assert_eq!(
         harness.take_register_outputs(),
         [control::Output::Propose(value.clone())],
-        "no second number"
+        "the proposal gets no second number"
     );
     harness.register_event(RegisterEvent::Chosen(value));
     assert_eq!(harness.take_sent(command), [Message::Accepted(version(2, "two"))]);
     assert_eq!(harness.store.state.versions, [document(1, "one"), document(2, "two")]);
 }
 
-/// Guards a proposal with an unknown outcome after which the history was replaced: it does not get a second number.
+/// Guards against a second number for a proposal with an unknown outcome, if so many versions were chosen since that
+/// the history would no longer contain the first one.
 #[test]
 fn a_proposal_that_left_the_history_is_not_proposed_again() {
     let (mut harness, command) = committing();
@@ -393,15 +408,17 @@
     harness.register_event(RegisterEvent::Promised(Some(others.encode())));
     let sent = harness.take_sent(command);
     assert!(
-        matches!(&sent[..], [Message::NotAccepted { reason, uncertain: true }] if reason.contains("too many other versions")),
+        matches!(&sent[..], [Message::NotAccepted { reason, uncertain: true }]
+            if reason.contains("too many other versions")),
         "{sent:?}"
     );
     assert_eq!(harness.take_register_outputs(), [control::Output::AbandonChange]);
 }
 
-/// Guards a version that is chosen between the check of a document and its commit: the document is checked again.
+/// Guards against a version that is chosen between the validation of a document and its commit: the document is
+/// validated again, against that version.
 #[test]
-fn a_document_is_checked_against_the_version_before_it() {
+fn a_document_is_validated_against_the_version_before_it() {
     let (mut harness, command) = committing();
     harness.register_event(RegisterEvent::Promised(Some(history(&["one", "between"]).encode())));
     assert_eq!(harness.take_register_outputs(), [control::Output::AbandonChange]);
@@ -410,13 +427,13 @@
     assert_eq!(
         harness.take_register_outputs(),
         [control::Output::ReadRegister],
-        "a promised value need not be chosen"
+        "a promised value need not have been chosen"
     );
     harness.answer_read(&history(&["one", "between"]));
     assert_eq!(
-        harness.store.checked,
+        harness.store.validated_against,
         [Some(1), Some(1)],
-        "a single server cannot have the document of the version between"
+        "without peers, the document of the version in between cannot be fetched"
     );
     assert_eq!(harness.take_register_outputs(), [control::Output::PrepareChange]);
     harness.register_event(RegisterEvent::Promised(Some(history(&["one", "between"]).encode())));
@@ -428,7 +445,7 @@
     assert_eq!(harness.take_sent(command), [Message::Accepted(version(3, "two"))]);
 }
 
-/// Guards a proposal of the newest document: it keeps its version number.
+/// Guards against a second number for the newest version's document if it is proposed again.
 #[test]
 fn the_same_document_keeps_its_number() {
     let mut harness = ControlHarness::new(1, stored_version(1, "one"));
@@ -440,14 +457,14 @@
     assert_eq!(
         harness.take_register_outputs().last(),
         Some(&control::Output::Propose(value.clone())),
-        "as it is"
+        "the value is unchanged"
     );
     harness.register_event(RegisterEvent::Chosen(value));
     assert_eq!(harness.take_sent(command), [Message::Accepted(version(1, "one"))]);
 }
 
-/// Guards the queue of proposals: one at a time, a few wait, one more is rejected at once, and each is answered when its
-/// time is over.
+/// Guards the queue of proposals: one is current and a limited number wait; a further one is rejected at once, and each
+/// is answered when it times out.
 #[test]
 fn proposals_wait_in_a_bounded_queue() {
     let mut harness = ControlHarness::new(2, PersistentState::default());
@@ -471,9 +488,10 @@
     assert_eq!(rest.len(), 4);
 }
 
-/// Guards the two disks: the register is changed once a control server of another zone has stored the document.
+/// Guards the storage on two disks: the register is changed only after a control server of another zone has stored the
+/// document.
 #[test]
-fn a_document_is_committed_once_two_disks_have_it() {
+fn a_document_is_committed_once_it_is_on_two_disks() {
     let mut harness = ControlHarness::new(3, PersistentState::default());
     let ids = harness.connection_requests.clone();
     harness.connect();
@@ -488,7 +506,7 @@
     assert_eq!(
         harness.store.state.pending,
         [(Digest::of(b"one"), Arc::from(&b"one"[..]))],
-        "on its own first"
+        "first on its own disk"
     );
     harness.receive(ids[0].0, &Message::DocumentStored(Digest::of(b"another")));
     assert_eq!(harness.take_register_outputs(), []);
@@ -496,7 +514,8 @@
     assert_eq!(harness.take_register_outputs(), [control::Output::PrepareChange]);
 }
 
-/// Guards what operators are shown: the newest version, the one before it, and that another one is not there.
+/// Guards the answers to requests for documents: the newest version and the one before it are shown, and another one is
+/// reported as not found.
 #[test]
 fn stored_versions_are_shown() {
     let versions = vec![document(4, "four"), document(5, "five")];
--- a/crates/rollout/tests/encoding.rs
+++ b/crates/rollout/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Documents, version histories, files and frames, also from invalid bytes.
+//! Encoding and decoding of documents, version histories, files and frames, also from invalid bytes.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 }
 
 fn document(number: u64, bytes: &[u8]) -> Document {
-    Document::verify(version(number, bytes), bytes.into()).expect("fits")
+    Document::verify(version(number, bytes), bytes.into()).expect("the digest matches")
 }
 
 fn state() -> PersistentState {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The value published for "abc" in FIPS 180-4's examples.
+/// Guards the digest algorithm: the expected value is the one of "abc" in the examples of FIPS 180-4.
 #[test]
 fn a_digest_is_sha_256() {
     let known = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
@@ -35,8 +35,10 @@
     assert_eq!(digest.to_string(), known[..16]);
 }
 
+/// Guards against bytes that do not belong to a version: they need its digest, an allowed length and a number above
+/// zero.
 #[test]
-fn a_document_has_its_version_s_digest_or_is_none() {
+fn a_document_has_the_digest_of_its_version() {
     let bytes: Arc<[u8]> = b"one".to_vec().into();
     assert!(Document::verify(version(1, b"one"), bytes.clone()).is_some());
     assert!(Document::verify(version(1, b"two"), bytes.clone()).is_none(), "another digest");
@@ -46,9 +48,10 @@
     assert!(Document::verify(version(1, &long[1..]), long[1..].into()).is_some());
 }
 
-/// Guards files: they are complete or rejected with a reason, and a later format is named as such.
+/// Guards against files that were truncated, damaged or extended, or are of another kind or a later format: each is
+/// rejected, and the error of a later format names its version.
 #[test]
-fn files_are_read_completely_or_not_at_all() {
+fn truncated_damaged_and_foreign_files_are_rejected() {
     let one = document(7, b"listen: 80");
     assert_eq!(Document::from_file(&one.to_file()), Ok(one.clone()));
     assert_eq!(PersistentState::from_file(&state().to_file()), Ok(state()));
@@ -83,8 +86,9 @@
     assert_eq!(error.to_string(), "format version 2 is not supported");
 }
 
+/// Guards the limits of a control server's file: pending documents, versions, and their order.
 #[test]
-fn more_than_is_ever_stored_is_rejected() {
+fn a_state_that_exceeds_its_limits_is_rejected() {
     let pending: Vec<_> =
         (0..=MAX_PENDING_DOCUMENTS as u8).map(|at| (Digest::of(&[at]), Arc::from([at]))).collect();
     assert!(PersistentState::from_file(
@@ -104,10 +108,10 @@
     );
 }
 
-/// Guards the history: numbers rise by one, the last versions are found by proposal, and an unreadable value is no empty
-/// history.
+/// Guards the history: numbers rise by one, recent versions are found by the id of their proposal, and an unreadable
+/// value is an error rather than an empty history.
 #[test]
-fn a_history_numbers_versions_and_names_proposals() {
+fn a_history_numbers_versions_and_finds_proposals() {
     let mut history = VersionHistory::decode(None).expect("empty");
     assert_eq!(history.newest(), None);
     for number in 1..=20u64 {
@@ -121,31 +125,32 @@
         (13..=20).collect::<Vec<_>>()
     );
     assert_eq!(history.version_of(1_300).map(|version| version.number), Some(13));
-    assert_eq!(history.version_of(1_200), None, "{MAX_HISTORY_VERSIONS} others came after it");
+    assert_eq!(history.version_of(1_200), None, "{MAX_HISTORY_VERSIONS} newer versions");
     let value = history.encode();
     assert_eq!(VersionHistory::decode(Some(&[])), Err(UnreadableHistory));
     assert_eq!(VersionHistory::decode(Some(&value[..value.len() - 1])), Err(UnreadableHistory));
     assert_eq!(
         VersionHistory::decode(Some(&[&[2], &value[1..]].concat())),
         Err(UnreadableHistory),
-        "a later form"
+        "a later format"
     );
     assert_eq!(
         VersionHistory::decode(Some(&[&value[..], &[0]].concat())),
         Err(UnreadableHistory),
-        "more than a history"
+        "a byte after the history"
     );
 }
 
-/// Guards the bound: the longest history has 418 bytes, under the 1,024 of a register's value.
+/// Guards the size limit of a register's value, 1,024 bytes: the longest history has 418.
 #[test]
 fn the_longest_history_fits_into_a_register() {
-    // The form, one entry, the highest number that is read but one, the digest, and the proposal.
+    // The format version, the number of entries, and one entry: a version number of ten bytes, which is low enough for
+    // `MAX_HISTORY_VERSIONS` more, its digest, and the proposal id.
     let mut value = vec![1, 1];
     value.extend([0xf0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
     value.extend([9; 32]);
     value.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
-    let mut history = VersionHistory::decode(Some(&value)).expect("one");
+    let mut history = VersionHistory::decode(Some(&value)).expect("a valid history");
     for _ in 0..MAX_HISTORY_VERSIONS {
         history = history.with_next(Digest([8; 32]), u64::MAX);
     }
@@ -203,7 +208,7 @@
     ]
 }
 
-/// Guards frames: all messages, the longest ones too, come out as they went in, in whatever pieces they come.
+/// Guards frames: all messages, including the longest, are decoded unchanged for any split of the received bytes.
 #[test]
 fn frames_are_decoded_as_they_were_encoded() {
     let stream: Vec<u8> = messages().iter().flat_map(|message| encode_frame(message).to_vec()).collect();
@@ -219,10 +224,10 @@
     }
 }
 
-/// Guards what a connection may cost: a length beyond the bound is rejected before the bytes come, and so is anything in a
-/// message that is longer than it may be.
+/// Guards the memory that a connection may use: a frame longer than the limit is rejected before its bytes are
+/// received, and so is a message that contains a name, text, document or list longer than its limit.
 #[test]
-fn what_is_too_long_is_rejected() {
+fn frames_and_messages_above_their_limits_are_rejected() {
     let next = |max_bytes: usize, bytes: &[u8]| {
         let mut frames = FrameReader::new(max_bytes);
         frames.push(bytes);
@@ -232,11 +237,11 @@
     assert_eq!(
         next(MAX_FRAME_BYTES * 2, &(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()),
         Err(FrameError::TooLong),
-        "whatever is asked for"
+        "the limit cannot be raised above the maximum"
     );
     assert_eq!(next(MAX_FRAME_BYTES, &(MAX_FRAME_BYTES as u32).to_be_bytes()), Ok(None));
     assert_eq!(next(10, &11u32.to_be_bytes()), Err(FrameError::TooLong));
-    assert_eq!(next(MAX_FRAME_BYTES, &[0, 0, 0, 0]), Err(FrameError::InvalidMessage), "an empty one");
+    assert_eq!(next(MAX_FRAME_BYTES, &[0, 0, 0, 0]), Err(FrameError::InvalidMessage), "an empty frame");
     assert_eq!(
         next(
             MAX_FRAME_BYTES,
@@ -286,9 +291,10 @@
     }
 }
 
-/// Guards the form: the bytes of the page's examples (`docs/formats/rollout.md`). Another form needs another number.
+/// Guards the documented format: these are the bytes of the examples in `docs/formats/rollout.md`. Another format needs
+/// another format version.
 #[test]
-fn the_page_s_examples_are_what_is_written() {
+fn the_documented_examples_are_encoded_as_documented() {
     const DIGEST: &str = "159c83c155070f3cbe2c2fb9e27638f844cbf62b4357c0081189c7c58be3aa14";
     const BYTES: &str = "0c6c697374656e203d2038300a";
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
@@ -331,9 +337,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against any bytes: nothing panics, and what is read is within its bounds.
+    /// Guards against arbitrary bytes: decoding does not panic, and a decoded history is within its limits.
     #[test]
-    fn no_bytes_do_harm(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = Document::from_file(&bytes);
         let _ = PersistentState::from_file(&bytes);
         if let Ok(history) = VersionHistory::decode(Some(&bytes)) {
@@ -342,15 +348,15 @@
         let mut frames = FrameReader::default();
         frames.push(&bytes);
         while let Ok(Some(_)) = frames.next_message() {}
-        // As the one message of a frame.
+        // The same bytes as the only message of a frame.
         let mut frames = FrameReader::default();
         frames.push(&[&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat());
         let _ = frames.next_message();
     }
 
-    /// Guards against messages that were changed on their way.
+    /// Guards against messages that were corrupted in transit: decoding does not panic.
     #[test]
-    fn changed_messages_do_no_harm(which in 0usize..19, at in any::<proptest::sample::Index>(), by in 1u8..) {
+    fn corrupted_messages_do_not_panic(which in 0usize..19, at in any::<proptest::sample::Index>(), by in 1u8..) {
         let mut bytes = encode_frame(&messages()[which]).to_vec();
         let at = at.index(bytes.len().min(200));
         bytes[at] ^= by;
--- a/crates/rollout/tests/follower.rs
+++ b/crates/rollout/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The state machine of a gateway by itself: messages and events that a whole fleet seldom has.
+//! The state machine of a gateway in isolation: messages and events that are rare in the simulation of a fleet.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use dunemount_rollout::version::{Document, Version};
 use dunemount_rollout::wire::{Message, MAX_REJECTION_BYTES};
 
-/// A gateway, its connections and outputs.
+/// A gateway with its connections and collected outputs.
 struct FollowerHarness {
     now: Duration,
     follower: Follower,
@@ -81,22 +81,23 @@
         self.drain_outputs();
     }
 
-    /// The connection requested last is established, and the control server is fresh.
+    /// Establishes the connection that was requested last, and receives a heartbeat of a fresh control server over it.
     fn connect_fresh(&mut self) -> ConnectionId {
-        let (id, _) = *self.connection_requests.last().expect("one");
+        let (id, _) = *self.connection_requests.last().expect("a requested connection");
         self.follower.handle_connected(self.now, id);
         self.receive(id, &Message::Heartbeat { fresh: true, newest: None });
         id
     }
 
     fn finish_applying(&mut self, result: Result<(), ApplyError>) {
-        let version = self.applying.last().expect("one").version();
+        let version = self.applying.last().expect("a version to apply").version();
         self.follower.handle_applied(self.now, version, result);
         self.drain_outputs();
     }
 }
 
-/// Guards against older versions and against two digests of one number: both are counted, a conflict once, and not applied.
+/// Guards against older versions and against two digests of one number: both are counted, a conflict once, and not
+/// applied.
 #[test]
 fn a_gateway_applies_no_older_version_and_no_second_digest() {
     let mut harness = FollowerHarness::new("zone-0", 3, Some(version(5, "five")));
@@ -121,7 +122,8 @@
     assert_eq!((status.in_force, status.rejected), (Some(version(6, "six")), None));
 }
 
-/// Guards applying: one at a time, the newest of those that come meanwhile after it, and none that was rejected.
+/// Guards the order in which versions are applied: one at a time, then the newest of those received meanwhile, and
+/// never a rejected one.
 #[test]
 fn a_gateway_applies_one_version_at_a_time_and_the_newest_next() {
     let mut harness = FollowerHarness::new("zone-0", 3, None);
@@ -135,7 +137,7 @@
     assert_eq!(harness.follower.status(harness.now).in_force, None, "it was not being applied");
     harness.finish_applying(Err(ApplyError("é".repeat(200))));
     assert_eq!(harness.applying, [document(1, "one"), document(4, "four")]);
-    let rejected = harness.follower.status(harness.now).rejected.expect("one");
+    let rejected = harness.follower.status(harness.now).rejected.expect("a rejected version");
     assert!(rejected.version == version(1, "one") && rejected.reason.len() == MAX_REJECTION_BYTES);
     harness.finish_applying(Err(ApplyError("full".to_string())));
     harness.receive(id, &newest(4, "four"));
@@ -146,9 +148,10 @@
     assert_eq!(harness.follower.status(harness.now).rejected, None);
 }
 
-/// Guards against a control server that sends unexpected messages or bytes without their digest: its connection is closed.
+/// Guards against a control server that sends unexpected messages, or bytes that do not have their digest: the gateway
+/// closes the connection and tries the next server.
 #[test]
-fn a_control_server_that_breaks_the_protocol_is_left() {
+fn a_connection_that_breaks_the_protocol_is_closed() {
     for message in [
         Message::Newest(version(1, "one"), b"another"[..].into()),
         Message::Newest(Version { number: 0, ..version(0, "one") }, b"one"[..].into()),
@@ -163,8 +166,9 @@
     }
 }
 
-/// Guards the ring: the own zone's server first, then those behind it; each is left once it is silent, not reached or not
-/// fresh; and after a failed round there is a growing backoff, so that an hour of failures costs few connections.
+/// Guards the order of connection attempts: the own zone's server first, then the others in ring order. The gateway
+/// tries the next server if one is silent, not reached or not fresh, and backs off longer after each failed round, so
+/// that an hour of failures takes few connections.
 #[test]
 fn servers_are_tried_around_the_ring_with_backoff() {
     let mut harness = FollowerHarness::new("zone-1", 3, None);
@@ -175,7 +179,7 @@
     assert_eq!(
         harness.connection_requests.last().map(|(_, server)| *server),
         Some(2),
-        "one that is not reached is left"
+        "the server was not reached"
     );
     let (id, _) = harness.connection_requests[1];
     harness.follower.handle_connected(harness.now, id);
@@ -186,13 +190,16 @@
     assert_eq!(
         harness.connection_requests.last().map(|(_, server)| *server),
         Some(0),
-        "and one that is not fresh"
+        "the server was not fresh"
     );
     assert!(harness.follower.status(harness.now).cut_off > liveness * 2);
     harness.wait(SECOND * 3_600);
     let count = harness.connection_requests.len();
     println!("{count} connections in an hour of failures");
-    assert!((1_000..3_000).contains(&count), "{count}: three each round, and up to five seconds between");
+    assert!(
+        (1_000..3_000).contains(&count),
+        "{count}: three per round, with up to five seconds between rounds"
+    );
     assert_eq!(harness.max_open, 1);
     // Each connection is refused at once.
     let mut harness = FollowerHarness::new("zone-1", 3, None);
@@ -204,7 +211,7 @@
         harness.wait(MILLI);
     }
     assert!(harness.connection_requests.len() < 100, "{}", harness.connection_requests.len());
-    // Each server is fresh, and is gone at once.
+    // Each server reports that it is fresh, and disconnects at once.
     let mut harness = FollowerHarness::new("zone-1", 3, None);
     while harness.now < SECOND * 60 {
         if let Some(id) = harness.open.pop() {
@@ -218,8 +225,8 @@
     assert!(harness.connection_requests.len() < 100, "{}", harness.connection_requests.len());
 }
 
-/// Guards the return to the own zone's server: over a second connection, within its window, and the first one is closed once
-/// that server is fresh; one that is not fresh is left again.
+/// Guards the return to the own zone's server: the gateway opens a second connection within the return window, and
+/// closes the first one once that server is fresh. If the server is not fresh, the second connection is closed again.
 #[test]
 fn a_gateway_returns_to_its_own_zone_over_a_second_connection() {
     let mut harness = FollowerHarness::new("zone-1", 3, None);
@@ -235,16 +242,13 @@
     while returned.is_none() {
         harness.wait(MILLI * 100);
         harness.receive(away, &heartbeat(true));
-        assert!(harness.now < started + SECOND * 70, "within its window, and again");
+        assert!(harness.now < started + SECOND * 70, "two attempts within two return windows");
         let Some((id, 1)) =
             harness.connection_requests.last().copied().filter(|(id, _)| harness.open.contains(id))
         else {
             continue;
         };
-        assert!(
-            harness.follower.status(harness.now).server == Some(2),
-            "it follows the other server meanwhile"
-        );
+        assert!(harness.follower.status(harness.now).server == Some(2), "it still follows the other server");
         harness.follower.handle_connected(harness.now, id);
         harness.receive(id, &heartbeat(attempts > 0));
         attempts += 1;
@@ -256,19 +260,19 @@
                 harness.receive(away, &heartbeat(true));
                 harness.receive(id, &heartbeat(false));
             }
-            assert!(!harness.open.contains(&id), "not fresh, and left again");
+            assert!(!harness.open.contains(&id), "closed, since the server is not fresh");
         }
     }
     assert_eq!(harness.open, returned.into_iter().collect::<Vec<_>>());
     assert_eq!((harness.max_open, harness.follower.status(harness.now).server), (2, Some(1)));
     harness.wait(MILLI * 400);
-    harness.receive(returned.expect("one"), &heartbeat(true));
+    harness.receive(returned.expect("a second connection"), &heartbeat(true));
     assert_eq!(harness.open.len(), 1);
 }
 
-/// Guards a gateway whose process was stopped: what waits in its socket is not read, since it may be outdated.
+/// Guards against outdated versions after the gateway's process was stopped: data from its socket buffer is not read.
 #[test]
-fn a_gateway_that_was_stopped_reads_nothing_outdated() {
+fn a_gateway_that_was_stopped_ignores_buffered_data() {
     let mut harness = FollowerHarness::new("zone-1", 3, None);
     let id = harness.connect_fresh();
     harness.now += SECOND;
@@ -276,7 +280,8 @@
     assert_eq!((harness.open.len(), harness.applying.len()), (0, 0));
 }
 
-/// Guards a zone without a server, and settings without any: other zones' servers are followed, and there is no return.
+/// Guards a gateway in a zone without a control server, which follows another zone's and never tries to return, and a
+/// gateway whose settings name no control server.
 #[test]
 fn a_zone_without_a_server_follows_others() {
     let mut harness = FollowerHarness::new("nowhere", 3, None);
--- a/crates/rollout/tests/formats.rs
+++ b/crates/rollout/tests/formats.rs
@@ -1,5 +1,6 @@
-//! What is stored and sent, byte by byte: each file under `fixtures/` was written by the version that introduced its format.
-//! It is read and its meaning checked, and what the program writes today is compared with all of its bytes.
+//! The formats of stored files and of messages. Each file under `fixtures/` was written by the version that introduced
+//! its format. The tests decode it, check the decoded values, and compare today's encoding of them with all bytes of
+//! the file.
 
 use dunemount_rollout::control::PersistentState;
 use dunemount_rollout::frame::{encode_frame, FrameReader};
@@ -16,7 +17,7 @@
 }
 
 fn document(number: u64, bytes: &[u8]) -> Document {
-    Document::verify(version(number, bytes), bytes.into()).expect("the digest is of these bytes")
+    Document::verify(version(number, bytes), bytes.into()).expect("the digest matches")
 }
 
 fn rejection() -> Rejection {
@@ -56,18 +57,18 @@
     }
 }
 
-/// Reads a frame's bytes, which hold one message and nothing more.
+/// Decodes bytes that contain exactly one frame.
 fn read_message(bytes: &[u8]) -> Message {
     let mut frames = FrameReader::default();
     frames.push(bytes);
-    let message = frames.next_message().expect("a frame").expect("a whole one");
-    assert_eq!(frames.next_message(), Ok(None), "nothing follows");
+    let message = frames.next_message().expect("a valid frame").expect("a complete frame");
+    assert_eq!(frames.next_message(), Ok(None), "one frame only");
     message
 }
 
-/// Guards the file of what a control server stores: its newest two versions, and documents that may get a number.
+/// Guards the format of a control server's file: its two newest versions, and documents that may get a version number.
 #[test]
-fn the_file_of_a_control_server_keeps_its_form() {
+fn the_control_server_file_keeps_its_format() {
     let bytes = include_bytes!("fixtures/control-file-v1.bin");
     assert_eq!(bytes[..8], *b"DMKEEP\x00\x01");
     let state = PersistentState::from_file(bytes).expect("readable");
@@ -77,17 +78,17 @@
     assert_eq!(state.to_file(), bytes);
 }
 
-/// Guards the file of a control server that has nothing to store yet.
+/// Guards the format of the file of a control server that knows no version and no document yet.
 #[test]
-fn the_file_of_a_new_control_server_keeps_its_form() {
+fn the_file_of_a_new_control_server_keeps_its_format() {
     let bytes = include_bytes!("fixtures/control-file-empty-v1.bin");
     assert_eq!(PersistentState::from_file(bytes).expect("readable"), PersistentState::default());
     assert_eq!(PersistentState::default().to_file(), bytes);
 }
 
-/// Guards the file in which a gateway stores the version in force.
+/// Guards the format of the file in which a gateway stores the version in force.
 #[test]
-fn the_file_of_a_version_keeps_its_form() {
+fn the_version_file_keeps_its_format() {
     let bytes = include_bytes!("fixtures/version-file-v1.bin");
     assert_eq!(bytes[..8], *b"DMCONF\x00\x01");
     let read = Document::from_file(bytes).expect("readable");
@@ -96,9 +97,9 @@
     assert_eq!(read.to_file(), bytes);
 }
 
-/// Guards the register's value: the versions that it names, each with the number of its proposal.
+/// Guards the format of the register's value: the versions in the history, each with the id of its proposal.
 #[test]
-fn the_value_of_the_register_keeps_its_form() {
+fn the_register_value_keeps_its_format() {
     let bytes = include_bytes!("fixtures/register-value-v1.bin");
     assert_eq!(bytes[0], 1);
     let history = VersionHistory::decode(Some(bytes)).expect("readable");
@@ -123,7 +124,7 @@
             fn $name() {
                 let bytes = include_bytes!(concat!("fixtures/", $file));
                 let message = $message;
-                assert_eq!(bytes[..4], ((bytes.len() - 4) as u32).to_be_bytes(), "the length in front");
+                assert_eq!(bytes[..4], ((bytes.len() - 4) as u32).to_be_bytes(), "the length prefix");
                 assert_eq!(read_message(bytes), message);
                 assert_eq!(&encode_frame(&message)[..], bytes);
             }
@@ -131,32 +132,32 @@
     };
 }
 
-// Each kind of message, and each kind of process that begins a connection.
+// Each kind of message, and a `Hello` from each kind of process.
 frames! {
     frame_of_hello_from_a_gateway, "frame-hello-gateway-v1.bin",
         hello(Identity::Gateway { name: "gw-1".to_string(), zone: "zone-a".to_string() });
     frame_of_hello_from_a_control_server, "frame-hello-control-v1.bin",
         hello(Identity::ControlServer { name: "ctl-2".to_string() });
     frame_of_hello_from_the_command, "frame-hello-tool-v1.bin", hello(Identity::Command);
-    frame_of_in_force, "frame-in-force-v1.bin",
+    frame_of_version_report, "frame-in-force-v1.bin",
         Message::VersionReport { in_force: Some(version(299, SECOND)), rejected: Some(rejection()) };
-    frame_of_nothing_in_force, "frame-in-force-none-v1.bin",
+    frame_of_version_report_without_a_version, "frame-in-force-none-v1.bin",
         Message::VersionReport { in_force: None, rejected: None };
-    frame_of_alive, "frame-alive-v1.bin",
+    frame_of_heartbeat, "frame-alive-v1.bin",
         Message::Heartbeat { fresh: true, newest: Some(version(300, THIRD)) };
     frame_of_newest, "frame-newest-v1.bin", Message::Newest(version(300, THIRD), THIRD.into());
-    frame_of_keep, "frame-keep-v1.bin", Message::StoreDocument(THIRD.into());
-    frame_of_kept, "frame-kept-v1.bin", Message::DocumentStored(Digest::of(THIRD));
+    frame_of_store_document, "frame-keep-v1.bin", Message::StoreDocument(THIRD.into());
+    frame_of_document_stored, "frame-kept-v1.bin", Message::DocumentStored(Digest::of(THIRD));
     frame_of_chosen, "frame-chosen-v1.bin", Message::Chosen(version(300, THIRD));
-    frame_of_want, "frame-want-v1.bin", Message::FetchDocument(version(300, THIRD));
-    frame_of_given, "frame-given-v1.bin", Message::FoundDocument(version(300, THIRD), THIRD.into());
-    frame_of_put, "frame-put-v1.bin", Message::Propose(THIRD.into());
+    frame_of_fetch_document, "frame-want-v1.bin", Message::FetchDocument(version(300, THIRD));
+    frame_of_found_document, "frame-given-v1.bin", Message::FoundDocument(version(300, THIRD), THIRD.into());
+    frame_of_propose, "frame-put-v1.bin", Message::Propose(THIRD.into());
     frame_of_accepted, "frame-accepted-v1.bin", Message::Accepted(version(300, THIRD));
     frame_of_not_accepted, "frame-not-accepted-v1.bin",
         Message::NotAccepted { reason: "line 2: no such key".to_string(), uncertain: true };
-    frame_of_show, "frame-show-v1.bin", Message::ShowDocument(Some(299));
-    frame_of_show_newest, "frame-show-newest-v1.bin", Message::ShowDocument(None);
-    frame_of_not_shown, "frame-not-shown-v1.bin", Message::DocumentNotFound("not here".to_string());
-    frame_of_ask, "frame-ask-v1.bin", Message::QueryStatus;
+    frame_of_show_document, "frame-show-v1.bin", Message::ShowDocument(Some(299));
+    frame_of_show_newest_document, "frame-show-newest-v1.bin", Message::ShowDocument(None);
+    frame_of_document_not_found, "frame-not-shown-v1.bin", Message::DocumentNotFound("not here".to_string());
+    frame_of_query_status, "frame-ask-v1.bin", Message::QueryStatus;
     frame_of_status, "frame-status-v1.bin", Message::Status(status());
 }
--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! The distribution of versions in simulated time: each rule is checked, and so is a variant that breaks it, which the same
-//! audit has to find.
+//! The distribution of versions in simulated time. Each rule is checked in runs of the implementation and in runs of
+//! variants that violate the rule, in which the same audit has to find the violation.
 
 mod simulation;
 
@@ -13,13 +13,18 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The zones of so many gateways, spread evenly.
-fn spread(count: usize) -> Vec<usize> {
+/// Zones for `count` gateways, evenly distributed.
+fn evenly_distributed_zones(count: usize) -> Vec<usize> {
     (0..count).map(|index| index % CONTROL_SERVERS).collect()
 }
 
-/// A simulation in which all gateways are connected and a first version is in force everywhere.
-fn settled(seed: u64, zones: &[usize], conditions: Conditions, variant: Variant) -> Simulation {
+/// Starts a simulation in which all gateways are connected and a first version is in force on all of them.
+fn simulation_with_first_version(
+    seed: u64,
+    zones: &[usize],
+    conditions: Conditions,
+    variant: Variant,
+) -> Simulation {
     let mut simulation = Simulation::new(seed, zones, Conditions::GOOD, variant);
     simulation.run(SECOND * 3);
     propose(&mut simulation, 0, "good first");
@@ -28,7 +33,7 @@
     simulation
 }
 
-/// Proposes a document, and waits until it is answered and three seconds more.
+/// Proposes a document, and runs until three seconds after it was answered.
 fn propose(simulation: &mut Simulation, server: usize, document: &str) -> Message {
     let command = simulation.propose_document(server, document);
     let end = simulation.now + PROPOSAL_TIMEOUT * 2;
@@ -47,14 +52,15 @@
     }
 }
 
-/// A run with all kinds of faults, and a quiet end.
+/// A run with random faults of all kinds, followed by 20 seconds without faults.
 fn run_with_faults(seed: u64, variant: Variant) -> Simulation {
-    let mut simulation = settled(seed, &spread(24), Conditions::BAD, variant);
+    let mut simulation =
+        simulation_with_first_version(seed, &evenly_distributed_zones(24), Conditions::BAD, variant);
     let until = simulation.now + SECOND * 40;
     let mut documents = 0;
     while simulation.now < until && simulation.faults.is_empty() {
-        let (server, gateway) = (simulation.index_below(CONTROL_SERVERS), simulation.index_below(24));
-        match simulation.index_below(16) {
+        let (server, gateway) = (simulation.random_index(CONTROL_SERVERS), simulation.random_index(24));
+        match simulation.random_index(16) {
             0 if (0..CONTROL_SERVERS)
                 .filter(|index| simulation.control_servers[*index].state == State::Up)
                 .count()
@@ -75,38 +81,39 @@
             }
             8 => {
                 let (a, b) =
-                    (simulation.index_below(CONTROL_SERVERS), simulation.index_below(CONTROL_SERVERS));
-                simulation.cuts.insert((a.min(b), a.max(b)));
+                    (simulation.random_index(CONTROL_SERVERS), simulation.random_index(CONTROL_SERVERS));
+                simulation.partitions.insert((a.min(b), a.max(b)));
             }
-            9 => simulation.cuts.clear(),
+            9 => simulation.partitions.clear(),
             10 => drop(simulation.without_majority.insert(server)),
             11 => simulation.without_majority.clear(),
-            12 if simulation.unit() < 0.3 => simulation.partition_regions(),
+            12 if simulation.random_fraction() < 0.3 => simulation.partition_regions(),
             13 => {
-                let broken = simulation.unit() < 0.5;
+                let broken = simulation.random_fraction() < 0.5;
                 simulation.break_disk(server, broken);
             }
             _ => {
                 documents += 1;
-                let kind = ["good", "good", "good", "half", "bad"][simulation.index_below(5)];
+                let kind = ["good", "good", "good", "half", "bad"][simulation.random_index(5)];
                 simulation.propose_document(server, &format!("{kind} {documents}"));
-                if simulation.unit() < 0.3 {
-                    let other = simulation.index_below(CONTROL_SERVERS);
+                if simulation.random_fraction() < 0.3 {
+                    let other = simulation.random_index(CONTROL_SERVERS);
                     simulation.propose_document(other, &format!("good {documents} too"));
                 }
             }
         }
-        let lasts = Duration::from_millis(50).mul_f64(1.0 + 10.0 * simulation.unit());
-        simulation.run(lasts);
+        let duration = Duration::from_millis(50).mul_f64(1.0 + 10.0 * simulation.random_fraction());
+        simulation.run(duration);
     }
     simulation.end_faults();
     simulation.run(SECOND * 20);
     simulation
 }
 
-/// Guards all rules at once under faults of all kinds; and once they stop, everybody has the newest.
+/// Guards all rules together under random faults of all kinds; after the faults have ended, all gateways get the newest
+/// version.
 #[test]
-fn all_rules_hold_under_faults_and_all_have_the_newest_in_the_end() {
+fn all_rules_hold_under_faults_and_all_gateways_get_the_newest_version() {
     let (mut versions, mut answers, mut uncertain) = (0, 0, 0);
     for seed in 0..24 {
         let simulation = run_with_faults(seed, Variant::Nothing);
@@ -123,7 +130,7 @@
     assert!(versions > 150 && uncertain > 0, "{versions} versions, {uncertain} uncertain");
 }
 
-/// The first of the runs above in which a variant breaks a rule, with its fault.
+/// The first of the runs above in which a variant violates a rule: its seed and the fault.
 fn first_fault(variant: Variant) -> Option<(u64, String)> {
     (0..24).find_map(|seed| {
         let simulation = run_with_faults(seed, variant);
@@ -131,12 +138,12 @@
     })
 }
 
-/// Guards the documents of chosen versions and the answers to operators: the runs above find a disk that lies, an answer that
-/// claims more than is known, and one that relies on a promise.
+/// Guards the audit of stored documents and of answers to operators: the runs above find a disk that loses writes, a
+/// certain rejection of a document that is chosen later, and an answer that relies on a promised value.
 #[test]
 fn variants_of_disks_and_answers_are_found() {
     for (variant, word) in [
-        (Variant::DiskLies, "on 0 disks"),
+        (Variant::LosesWrites, "on 0 disks"),
         (Variant::ClaimsCertainty, "told for certain"),
         (Variant::TrustsPromise, "never chosen"),
     ] {
@@ -146,33 +153,34 @@
     }
 }
 
-/// The rule of all or nothing: a bad document, and one that a third of the gateways cannot use.
-fn good_and_bad(variant: Variant) -> Simulation {
-    let mut simulation = settled(1, &spread(12), Conditions::GOOD, variant);
+/// A run with an invalid document, and one that a third of the gateways cannot apply.
+fn run_unusable_documents(variant: Variant) -> Simulation {
+    let mut simulation =
+        simulation_with_first_version(1, &evenly_distributed_zones(12), Conditions::GOOD, variant);
     propose(&mut simulation, 1, "bad second");
     propose(&mut simulation, 2, "half third");
     simulation.run(SECOND * 5);
     simulation
 }
 
-/// R1: an invalid document gets no number, and the operator is given line and cause; one that some gateways cannot apply
-/// changes nothing there, is reported with the reason, and is not offered again.
+/// R1: an invalid document gets no number, and the operator receives the line and the cause. A version that some
+/// gateways cannot apply changes nothing there, is reported with the reason, and is not offered to them again.
 #[test]
 fn a_version_is_in_force_completely_or_not_at_all() {
-    let mut simulation = good_and_bad(Variant::Nothing);
+    let mut simulation = run_unusable_documents(Variant::Nothing);
     assert_eq!(simulation.faults, Vec::<String>::new());
     let not = Message::NotAccepted { reason: "line 1: bad".to_string(), uncertain: false };
     assert_eq!(simulation.commands[1].answer, Some(not));
     assert_eq!(
-        number(simulation.commands[2].answer.as_ref().expect("one")),
+        number(simulation.commands[2].answer.as_ref().expect("an answer")),
         Some(2),
-        "the invalid one has none"
+        "the invalid document has no number"
     );
     for (index, gateway) in simulation.gateways.iter().enumerate() {
         let status = gateway.follower.as_ref().expect("up").status(simulation.now);
         let in_force = status.in_force.map(|version| version.number);
         if index % 3 == 0 {
-            assert_eq!((in_force, gateway.rejections), (Some(1), 1), "once");
+            assert_eq!((in_force, gateway.rejections), (Some(1), 1), "rejected once");
             assert_eq!(
                 status.rejected.map(|rejected| rejected.reason),
                 Some("it cannot be used here".to_string())
@@ -185,7 +193,7 @@
     let rejected = status.gateways.iter().filter(|gateway| gateway.rejected.is_some()).count();
     assert_eq!(rejected, 2, "reported by gateways 0 and 6");
     propose(&mut simulation, 0, "good fourth");
-    assert_eq!(simulation.behind(), [], "the next one is in force everywhere");
+    assert_eq!(simulation.behind(), [], "the next version is in force on all gateways");
     let rejected = |simulation: &Simulation| {
         let status =
             |follower: &dunemount_rollout::follower::Follower| follower.status(simulation.now).rejected;
@@ -194,21 +202,27 @@
     assert_eq!(rejected(&simulation), 0);
 }
 
+/// Guards the audit: it finds gateways that run with an invalid version or with one that they have rejected.
 #[test]
 fn variants_of_all_or_nothing_are_found() {
     for variant in [Variant::CommandChecksAlone, Variant::PartlyApplied] {
-        let simulation = good_and_bad(variant);
+        let simulation = run_unusable_documents(variant);
         println!("{variant:?}: {:?}", simulation.faults.first());
         assert!(!simulation.faults.is_empty(), "{variant:?}");
     }
 }
 
-/// Guards against the loss of the newest version's document on all control servers: gateways keep the version in force, and
-/// the same document or another one can be proposed.
+/// Guards against the loss of the newest version's document on all control servers: gateways keep the version in force,
+/// and operators can propose the same document again or another one.
 #[test]
 fn a_lost_document_can_be_proposed_again() {
     for (again, expected) in [("good second", 2), ("good third", 3)] {
-        let mut simulation = settled(3, &spread(12), Conditions::GOOD, Variant::Nothing);
+        let mut simulation = simulation_with_first_version(
+            3,
+            &evenly_distributed_zones(12),
+            Conditions::GOOD,
+            Variant::Nothing,
+        );
         simulation.kill(Gateway(5));
         propose(&mut simulation, 1, "good second");
         (0..CONTROL_SERVERS).for_each(|index| simulation.lose_disk(index));
@@ -222,20 +236,21 @@
     }
 }
 
-/// The rule that nothing goes back: a control server is stopped during several versions and resumed in a zone that is cut
-/// off, and a gateway of that zone has lost its file.
-fn stopped_server(seed: u64, variant: Variant) -> Simulation {
-    let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
+/// A run in which a control server is stopped while several versions are chosen. It is resumed in a partitioned zone,
+/// in which a gateway has lost its file.
+fn run_stopped_server(seed: u64, variant: Variant) -> Simulation {
+    let mut simulation =
+        simulation_with_first_version(seed, &evenly_distributed_zones(12), Conditions::GOOD, variant);
     simulation.stop(Server(4));
     for version in 2..6 {
         propose(&mut simulation, 0, &format!("good {version}"));
     }
     simulation.run(SECOND * 5);
-    assert_eq!(simulation.behind(), [], "gateways of its zone follow another server");
+    assert_eq!(simulation.behind(), [], "gateways of its zone use another server");
     for other in 0..CONTROL_SERVERS {
-        simulation.cuts.insert((other.min(4), other.max(4)));
+        simulation.partitions.insert((other.min(4), other.max(4)));
     }
-    simulation.cuts.remove(&(4, 4));
+    simulation.partitions.remove(&(4, 4));
     simulation.without_majority.insert(4);
     simulation.kill(Gateway(4));
     simulation.gateways[4].disk = None;
@@ -245,46 +260,53 @@
     simulation
 }
 
-/// R2: a control server that was stopped sends nothing before it has read the register, and then recovers by itself.
+/// R2: a control server that was stopped sends no version before it has read the register, and then recovers without
+/// intervention.
 #[test]
-fn nothing_goes_back_after_a_server_was_stopped() {
+fn no_older_version_is_applied_after_a_server_was_stopped() {
     for seed in 0..8 {
-        let mut simulation = stopped_server(seed, Variant::Nothing);
+        let mut simulation = run_stopped_server(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
             simulation.gateways[4].applied.last(),
             Some(&5),
-            "seed {seed}: what it had applied before its restart"
+            "seed {seed}: nothing was applied since its restart"
         );
         assert!(
             simulation.gateways[4].running.is_none(),
-            "seed {seed}: nothing is in force rather than an older version"
+            "seed {seed}: no version is in force, rather than an older one"
         );
         let status = simulation.gateways[4].follower.as_ref().expect("up").status(simulation.now);
-        assert!(status.cut_off > SECOND * 9, "seed {seed}: and it reports since when: {status:?}");
+        assert!(
+            status.cut_off > SECOND * 9,
+            "seed {seed}: the time without a fresh server is reported: {status:?}"
+        );
         simulation.end_faults();
         simulation.run(SECOND * 10);
         assert_eq!(simulation.behind(), [], "seed {seed}");
     }
 }
 
+/// Guards the audit: it finds a control server that sends an outdated version since it does not read the register.
 #[test]
 fn a_server_that_skips_the_read_is_found() {
-    let found: Vec<String> =
-        (0..8).filter_map(|seed| stopped_server(seed, Variant::SkipsRead).faults.first().cloned()).collect();
+    let found: Vec<String> = (0..8)
+        .filter_map(|seed| run_stopped_server(seed, Variant::SkipsRead).faults.first().cloned())
+        .collect();
     println!("found in {} of 8: {:?}", found.len(), found.first());
     assert_eq!(found.len(), 8);
     assert!(found.iter().all(|fault| fault.contains("is the newest since") || fault.contains("gone back")));
 }
 
-/// The rule that only the newest is applied: gateways miss ten versions, killed, stopped or cut off.
-fn run_away(seed: u64, variant: Variant) -> Simulation {
-    let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
+/// A run in which gateways miss ten versions because they were killed, stopped or partitioned.
+fn run_absent_gateways(seed: u64, variant: Variant) -> Simulation {
+    let mut simulation =
+        simulation_with_first_version(seed, &evenly_distributed_zones(12), Conditions::GOOD, variant);
     simulation.kill(Gateway(1));
     simulation.stop(Gateway(2));
     for other in 0..CONTROL_SERVERS {
         if other != 3 {
-            simulation.cuts.insert((other.min(3), other.max(3)));
+            simulation.partitions.insert((other.min(3), other.max(3)));
         }
     }
     simulation.kill(Server(3));
@@ -300,11 +322,11 @@
     simulation
 }
 
-/// R3: a gateway that was away applies the newest version without those in between, however it was away.
+/// R3: a gateway that was killed, stopped or partitioned applies only the newest version, and none of those in between.
 #[test]
-fn a_gateway_that_was_away_applies_only_the_newest() {
+fn an_absent_gateway_applies_only_the_newest_version() {
     for seed in 0..8 {
-        let simulation = run_away(seed, Variant::Nothing);
+        let simulation = run_absent_gateways(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         assert_eq!(simulation.behind(), [], "seed {seed}");
         for index in [1, 2, 3, 9] {
@@ -313,18 +335,21 @@
     }
 }
 
+/// Guards the audit: it finds control servers that send all missed versions in order.
 #[test]
 fn versions_sent_in_order_are_found() {
     for seed in 0..8 {
-        let simulation = run_away(seed, Variant::EveryVersion);
+        let simulation = run_absent_gateways(seed, Variant::EveryVersion);
         let fault = simulation.faults.first().expect("found");
         assert!(fault.contains("is the newest since"), "seed {seed}: {fault}");
     }
 }
 
-/// The rule of the majority: regions are partitioned, and an operator on each side proposes a document.
+/// A run in which the regions are partitioned, and an operator in each proposes a document. Returns both answers: first
+/// that of the region without a majority.
 fn run_partitioned(seed: u64, variant: Variant) -> (Simulation, Message, Message) {
-    let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
+    let mut simulation =
+        simulation_with_first_version(seed, &evenly_distributed_zones(12), Conditions::GOOD, variant);
     simulation.partition_regions();
     simulation.run(SECOND * 5);
     let without = propose(&mut simulation, 4, "good without a majority");
@@ -332,8 +357,8 @@
     (simulation, without, with)
 }
 
-/// R4: without a majority nothing is accepted, and the answer says so; gateways keep their last version; the other side goes
-/// on, and the regions are joined again without intervention.
+/// R4: without a majority no proposal is accepted, and the answer says so; gateways there keep their version. The other
+/// region continues to accept proposals, and the regions recover without intervention after the partition.
 #[test]
 fn without_a_majority_nothing_changes_and_the_operator_is_notified() {
     for seed in 0..8 {
@@ -345,10 +370,10 @@
         assert!(reason.contains("no majority of the voters"), "{reason}");
         assert_eq!(number(&with), Some(2), "seed {seed}");
         let apart = simulation.behind();
-        assert_eq!(apart, [3, 4, 5, 9, 10, 11], "seed {seed}: those of the other region");
+        assert_eq!(apart, [3, 4, 5, 9, 10, 11], "seed {seed}: the gateways of the other region");
         for index in apart {
             let status = simulation.gateways[index].follower.as_ref().expect("up").status(simulation.now);
-            assert_eq!(status.in_force.map(|version| version.number), Some(1), "its last");
+            assert_eq!(status.in_force.map(|version| version.number), Some(1), "the last version");
             assert!(status.cut_off > FRESHNESS, "{status:?}");
         }
         let status = simulation.control_servers[4].control.as_ref().expect("up").status(simulation.now);
@@ -361,6 +386,7 @@
     }
 }
 
+/// Guards the audit: it finds a control server that assigns version numbers without a majority.
 #[test]
 fn a_server_that_assigns_numbers_alone_is_found() {
     for seed in 0..8 {
@@ -370,9 +396,10 @@
     }
 }
 
-/// The rule of one digest: an operator at each of two control servers at the same time.
-fn two_operators(seed: u64, variant: Variant) -> Simulation {
-    let mut simulation = settled(seed, &spread(12), Conditions::GOOD, variant);
+/// A run in which two operators propose documents at two control servers at the same time.
+fn run_two_operators(seed: u64, variant: Variant) -> Simulation {
+    let mut simulation =
+        simulation_with_first_version(seed, &evenly_distributed_zones(12), Conditions::GOOD, variant);
     for turn in 0..5 {
         simulation.propose_document(1, &format!("good one {turn}"));
         simulation.propose_document(4, &format!("good other {turn}"));
@@ -381,16 +408,16 @@
     simulation
 }
 
-/// R5: two operators at once get two numbers, one after the other, and each gets its own.
+/// R5: two concurrent proposals get two consecutive numbers, and each operator receives that of their own document.
 #[test]
 fn two_operators_at_once_get_two_numbers() {
     for seed in 0..16 {
-        let simulation = two_operators(seed, Variant::Nothing);
+        let simulation = run_two_operators(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
         let mut numbers: Vec<u64> = simulation
             .commands
             .iter()
-            .map(|command| number(command.answer.as_ref().expect("one")).expect("accepted"))
+            .map(|command| number(command.answer.as_ref().expect("an answer")).expect("accepted"))
             .collect();
         numbers.sort();
         assert_eq!(numbers, (1..=11).collect::<Vec<u64>>(), "seed {seed}");
@@ -398,15 +425,16 @@
     }
 }
 
+/// Guards the audit: it finds control servers that assign version numbers without a common register.
 #[test]
 fn two_operators_without_a_register_are_found() {
     for seed in 0..8 {
-        let simulation = two_operators(seed, Variant::OwnRegister);
+        let simulation = run_two_operators(seed, Variant::OwnRegister);
         assert!(!simulation.faults.is_empty(), "seed {seed}");
     }
 }
 
-/// The longest time that a gateway is without a fresh control server.
+/// The longest time for which any gateway has no fresh control server during this period.
 fn longest_cut_off(simulation: &mut Simulation, duration: Duration) -> Duration {
     let (until, mut longest) = (simulation.now + duration, Duration::ZERO);
     while simulation.now < until {
@@ -419,7 +447,7 @@
     longest
 }
 
-/// The most connection attempts of gateways at a control server in one second, since a time.
+/// The most connection attempts of gateways at a control server in one second since this time.
 fn max_attempts_in_a_second(simulation: &Simulation, server: usize, since: Duration) -> usize {
     let since = since.as_secs();
     let here =
@@ -427,12 +455,12 @@
     here.map(|(_, count)| *count).max().unwrap_or_default()
 }
 
-/// A zone of 118 gateways loses its control server and gets it back: the longest time without one, and the most connection
-/// attempts in a second at the server that is back.
-fn lose_server(seed: u64, stopped: bool, variant: Variant) -> (Simulation, Duration, usize) {
+/// A run in which a zone of 118 gateways loses its control server and gets it back. Returns the longest time without a
+/// fresh server, and the most connection attempts in one second at the server after it is back.
+fn run_lost_server(seed: u64, stopped: bool, variant: Variant) -> (Simulation, Duration, usize) {
     let mut zones = vec![0; 118];
     zones.extend([1, 2, 3, 4, 5]);
-    let mut simulation = settled(seed, &zones, Conditions::GOOD, variant);
+    let mut simulation = simulation_with_first_version(seed, &zones, Conditions::GOOD, variant);
     let longest = if stopped {
         simulation.stop(Server(0));
         longest_cut_off(&mut simulation, SECOND * 8)
@@ -448,11 +476,12 @@
     (simulation, longest.max(again), most)
 }
 
-/// R6: a lost control server, killed or stopped, costs its zone under a second; all gateways return, and not at once.
+/// R6: if a control server is killed or stopped, the gateways of its zone are without a fresh server for less than a
+/// second. After it is back all of them return, spread over time.
 #[test]
-fn a_lost_server_costs_under_a_second_and_gateways_return_spread_out() {
+fn a_lost_server_is_replaced_within_a_second_and_gateways_return_spread_out() {
     for (seed, stopped) in [(1, false), (2, true)] {
-        let (simulation, longest, most) = lose_server(seed, stopped, Variant::Nothing);
+        let (simulation, longest, most) = run_lost_server(seed, stopped, Variant::Nothing);
         println!(
             "stopped {stopped}: {longest:?} without one, {most} connection attempts a second at the one that is back"
         );
@@ -466,18 +495,20 @@
     }
 }
 
+/// Guards the check of the connection rate: it finds gateways that return at about the same time.
 #[test]
 fn a_return_of_all_at_once_is_found() {
-    let (_, _, most) = lose_server(1, false, Variant::ReturnAtOnce);
+    let (_, _, most) = run_lost_server(1, false, Variant::ReturnAtOnce);
     println!("{most} connection attempts a second at the one that is back");
     assert!(most > 20);
 }
 
-/// Guards the highest expected rate: a version each second for a minute, at all control servers in turn; each is accepted,
-/// and in force everywhere within four seconds.
+/// Guards the highest expected rate, one version per second for a minute, proposed at all control servers in turn: each
+/// is accepted, and in force on all gateways within four seconds.
 #[test]
 fn a_version_each_second_for_a_minute() {
-    let mut simulation = settled(7, &spread(60), Conditions::GOOD, Variant::Nothing);
+    let mut simulation =
+        simulation_with_first_version(7, &evenly_distributed_zones(60), Conditions::GOOD, Variant::Nothing);
     let (mut commands, mut slowest) = (Vec::new(), Duration::ZERO);
     let mut open: Vec<(u64, Duration)> = Vec::new();
     for turn in 0..66 {
@@ -506,7 +537,7 @@
     assert_eq!(simulation.faults, Vec::<String>::new());
     let numbers: Vec<Option<u64>> = commands
         .iter()
-        .map(|command| number(simulation.commands[*command].answer.as_ref().expect("one")))
+        .map(|command| number(simulation.commands[*command].answer.as_ref().expect("an answer")))
         .collect();
     assert_eq!(numbers, (2..62).map(Some).collect::<Vec<_>>());
     let waited = commands
@@ -519,8 +550,8 @@
     assert!(open.is_empty() && slowest < SECOND * 4, "{slowest:?}");
 }
 
-/// Guards each decision, with its time and its bytes, over runs with all kinds of faults: a change that is to change no
-/// behaviour leaves these as they are.
+/// Guards the outputs of all state machines, with their times and bytes, in runs with random faults: a change that is
+/// not meant to change behaviour must not change their digests.
 #[test]
 fn decisions_stay_as_they_are() {
     let expected = include_str!("fixtures/decisions-v1.txt");
--- a/crates/rollout/tests/simulation/audit.rs
+++ b/crates/rollout/tests/simulation/audit.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked after each step, and what the tests ask at the end.
+//! The rules that are checked after each step, and the checks that tests make at the end of a run.
 
 use dunemount_rollout::version::{Digest, Document, Version};
 use dunemount_rollout::wire::Message;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A proposal that was rejected for certain and became a version later; asked at the end.
+    /// A proposal that was rejected with certainty but became a version later. To be checked at the end of a run.
     pub fn wrongly_denied(&self) -> Option<String> {
         self.commands.iter().enumerate().find_map(|(index, command)| match (&command.request, &command.answer) {
             (Message::Propose(bytes), Some(Message::NotAccepted { reason, uncertain: false })) => {
@@ -89,12 +89,12 @@
         })
     }
 
-    /// The newest version that was chosen.
+    /// The version that was chosen last.
     pub fn newest(&self) -> Option<Version> {
         self.chosen.last().map(|(_, version)| *version)
     }
 
-    /// Gateways that do not have the newest version in force, and have not rejected it.
+    /// Gateways that neither have the newest version in force nor have rejected it.
     pub fn behind(&self) -> Vec<usize> {
         let newest = self.newest();
         let behind = |index: &usize| {
--- a/crates/rollout/tests/simulation/mod.rs
+++ b/crates/rollout/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A simulation of control servers, gateways and operators in virtual time: disks that fail, a register that many change,
-//! connections that delay and break, partitions, processes that are killed, stopped and resumed. One seed is one run; each
-//! violation of a rule is recorded as a fault.
+//! A simulation of control servers, gateways and operators in virtual time, with failing disks, concurrent changes of
+//! the register, delayed and lost connections, partitions, and processes that are killed, stopped and resumed. A run is
+//! determined by its seed; each violation of a rule is recorded as a fault.
 //!
 //! - this module: the processes, and time;
 //! - `network`: the connections between them;
@@ -25,53 +25,56 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::network::{Item, SimulatedConnection};
+use self::network::{Packet, SimulatedConnection};
 use self::register::{Register, RegisterRequest};
 
+/// Time between two steps of a run.
 pub const STEP: Duration = Duration::from_millis(10);
-/// The same as in the control server's process.
+/// This interval and the two limits below are those of the control server's process.
 pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 pub const FRESHNESS: Duration = Duration::from_secs(2);
 pub const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// After a version was the newest for so long, gateways begin to apply no older one: a server counts as fresh for a part of
-/// it, and a message is under way for the rest.
-const SETTLED: Duration = Duration::from_millis(3_000);
-/// When an operation on the register that nobody answers fails.
+/// Once a version has been the newest for this long, no gateway may begin to apply an older one: a server may offer the
+/// older version while it is fresh, and the message may be in transit for the rest of the time.
+const MAX_STALENESS: Duration = Duration::from_millis(3_000);
+/// Time after which an operation on the register without an answer fails.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(600);
 pub const CONTROL_SERVERS: usize = 6;
 
-/// What is broken on purpose, to show that the audit finds it.
+/// A deliberate fault in the implementation, which the audit has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
+    /// No fault.
     Nothing,
-    /// Documents are checked by the operators' command alone, and this one does not.
+    /// Control servers and gateways do not validate documents, but leave that to the operators' command, which does not
+    /// do so here.
     CommandChecksAlone,
-    /// A gateway that fails to apply a version has applied a part of it.
+    /// A gateway that fails to apply a version runs with it nevertheless.
     PartlyApplied,
-    /// A control server that was stopped relies on what it knew before, without a read of the register.
+    /// A control server answers its reads of the register from the last value that it has read.
     SkipsRead,
-    /// A gateway that was away is sent all versions in between.
+    /// A gateway that has missed versions is sent all of them, instead of only the newest.
     EveryVersion,
     /// A control server without a majority assigns numbers by itself.
     NumbersAlone,
     /// Each control server assigns numbers by itself, without a register.
     OwnRegister,
-    /// Gateways return to their own zone's server all at once.
+    /// All gateways return to their own zone's server at about the same time.
     ReturnAtOnce,
-    /// A disk reports that it has stored, and has not.
-    DiskLies,
-    /// An operator is told that a document is not accepted, though it may still be chosen.
+    /// A disk reports that it has stored a state although it has not.
+    LosesWrites,
+    /// An operator receives a certain rejection of a document that may still be chosen.
     ClaimsCertainty,
-    /// The value in a promise counts as chosen.
+    /// The value in a promise counts as chosen without being proposed again.
     TrustsPromise,
 }
 
 /// Probabilities of random faults, and the delay of messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// An answer of the register is lost.
+    /// Probability that an answer of the register is lost.
     pub lost: f64,
-    /// A proposal reaches only a minority of the voters.
+    /// Probability that a proposal reaches only a minority of the voters.
     pub minority: f64,
     /// Longest delay between zones.
     pub delay: Duration,
@@ -97,24 +100,27 @@
     Down,
 }
 
-/// A control server's disk and checks.
+/// A control server's disk, and its validation of documents.
 struct MemoryStore {
     file: Vec<u8>,
+    /// Whether stores fail.
     broken: bool,
-    checks: bool,
-    lies: bool,
+    /// Whether documents are validated.
+    validates: bool,
+    /// Whether stores report success without storing.
+    loses_writes: bool,
 }
 
 impl DocumentStore for MemoryStore {
     fn validate(&mut self, document: &[u8], _: Option<&Document>) -> Result<(), InvalidDocument> {
-        match document.starts_with(b"bad") && self.checks {
+        match document.starts_with(b"bad") && self.validates {
             true => Err(InvalidDocument("line 1: bad".to_string())),
             false => Ok(()),
         }
     }
 
     fn store(&mut self, state: &PersistentState) -> bool {
-        if !self.broken && !self.lies {
+        if !self.broken && !self.loses_writes {
             self.file = state.to_file();
         }
         !self.broken
@@ -125,10 +131,10 @@
     pub control: Option<ControlServer>,
     store: MemoryStore,
     pub state: State,
-    start: u64,
+    incarnation: u64,
     /// The ballot of the register's last promise.
     ballot: u64,
-    /// The register's value that it has read last.
+    /// The register's value that it has last read or chosen.
     last_value: Option<Vec<u8>>,
     /// The value of the register's last promise.
     promised: Option<Vec<u8>>,
@@ -138,14 +144,14 @@
     pub follower: Option<Follower>,
     pub zone: usize,
     pub state: State,
-    start: u64,
+    incarnation: u64,
     pub disk: Option<Document>,
-    /// The version that it runs with.
+    /// The version that it is running with.
     pub running: Option<Document>,
     applying: Option<Applying>,
-    /// The highest number that it ever had in force.
+    /// The highest version number that it ever had in force.
     highest: u64,
-    /// Numbers of the versions that it has applied.
+    /// Numbers of the versions that it has applied, in order.
     pub applied: Vec<u64>,
     pub rejections: usize,
 }
@@ -177,21 +183,21 @@
     pub commands: Vec<CommandRun>,
     connections: BTreeMap<u64, SimulatedConnection>,
     last_serial: u64,
-    starts: u64,
+    last_incarnation: u64,
     /// Pairs of zones that cannot reach each other, the lower one first.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     /// Control servers that reach no majority of the voters.
     pub without_majority: BTreeSet<usize>,
     register: Register,
-    /// All that was ever chosen, with its time.
+    /// All versions that were chosen, with the time of the choice.
     pub chosen: Vec<(Duration, Version)>,
     documents: BTreeMap<Digest, Arc<[u8]>>,
     digests: BTreeMap<u64, Digest>,
     pub faults: Vec<String>,
-    /// Connection attempts of gateways, by server and second.
+    /// Number of connection attempts of gateways, by server and second.
     pub connection_attempts: BTreeMap<(usize, u64), usize>,
     pub timeouts: Timeouts,
-    /// Digest of all outputs of control servers and gateways, in order and with their times.
+    /// Digest of all outputs of control servers and gateways with their times, in order.
     pub decisions: Digest,
 }
 
@@ -204,7 +210,7 @@
 }
 
 impl Simulation {
-    /// Control servers in six zones, and gateways in the zones given.
+    /// Starts one control server in each of six zones, and gateways in the given zones.
     pub fn new(seed: u64, zones: &[usize], conditions: Conditions, variant: Variant) -> Simulation {
         let mut timeouts = Timeouts::default();
         if variant == Variant::ReturnAtOnce {
@@ -215,11 +221,11 @@
             store: MemoryStore {
                 file: Vec::new(),
                 broken: false,
-                checks: variant != Variant::CommandChecksAlone,
-                lies: variant == Variant::DiskLies,
+                validates: variant != Variant::CommandChecksAlone,
+                loses_writes: variant == Variant::LosesWrites,
             },
             state: State::Down,
-            start: 0,
+            incarnation: 0,
             ballot: 0,
             last_value: None,
             promised: None,
@@ -228,7 +234,7 @@
             follower: None,
             zone: *zone,
             state: State::Down,
-            start: 0,
+            incarnation: 0,
             disk: None,
             running: None,
             applying: None,
@@ -246,8 +252,8 @@
             commands: Vec::new(),
             connections: BTreeMap::new(),
             last_serial: 0,
-            starts: 0,
-            cuts: BTreeSet::new(),
+            last_incarnation: 0,
+            partitions: BTreeSet::new(),
             without_majority: BTreeSet::new(),
             register: Register::default(),
             chosen: Vec::new(),
@@ -263,21 +269,22 @@
         simulation
     }
 
-    pub fn unit(&mut self) -> f64 {
+    pub fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    pub fn index_below(&mut self, of: usize) -> usize {
+    pub fn random_index(&mut self, of: usize) -> usize {
         (self.rng.next_u64() % of as u64) as usize
     }
 
     // ---- processes
 
-    /// Starts a process that is down, from its disk.
-    pub fn start(&mut self, who: Process) {
-        self.starts += 1;
-        let (seed, start, now, timeouts) = (self.rng.next_u64(), self.starts, self.now, self.timeouts);
-        match who {
+    /// Starts a process that is down with the state on its disk.
+    pub fn start(&mut self, process: Process) {
+        self.last_incarnation += 1;
+        let (seed, incarnation, now, timeouts) =
+            (self.rng.next_u64(), self.last_incarnation, self.now, self.timeouts);
+        match process {
             Server(index) => {
                 let server = &mut self.control_servers[index];
                 if server.state != State::Down {
@@ -285,7 +292,7 @@
                 }
                 let stored = match server.store.file.is_empty() {
                     true => PersistentState::default(),
-                    false => PersistentState::from_file(&server.store.file).expect("a whole file"),
+                    false => PersistentState::from_file(&server.store.file).expect("a complete file"),
                 };
                 let settings = control::Settings {
                     fleet: "test".to_string(),
@@ -298,7 +305,7 @@
                     seed,
                 };
                 server.control = Some(ControlServer::new(settings, stored, now));
-                (server.state, server.start) = (State::Up, start);
+                (server.state, server.incarnation) = (State::Up, incarnation);
             }
             Gateway(index) => {
                 let gateway = &mut self.gateways[index];
@@ -316,29 +323,29 @@
                 let in_force = gateway.disk.as_ref().map(Document::version);
                 gateway.follower = Some(Follower::new(settings, in_force, now));
                 gateway.running = gateway.disk.clone();
-                (gateway.state, gateway.start) = (State::Up, start);
+                (gateway.state, gateway.incarnation) = (State::Up, incarnation);
             }
             Command(_) => {}
         }
-        self.carry_out(who);
+        self.carry_out(process);
     }
 
-    /// Kills a process; its disk stays.
-    pub fn kill(&mut self, who: Process) {
-        let start = self.start_of(who);
-        match who {
+    /// Kills a process. The state on its disk is kept.
+    pub fn kill(&mut self, process: Process) {
+        let incarnation = self.incarnation_of(process);
+        match process {
             Server(index) => {
                 (self.control_servers[index].control, self.control_servers[index].state) =
                     (None, State::Down);
             }
             Gateway(index) => {
-                let stored = self.unit() < 0.5;
+                let stored = self.random_fraction() < 0.5;
                 let gateway = &mut self.gateways[index];
                 let is_good = |applying: &mut Applying| applying.document.bytes().starts_with(b"good");
                 if let Some(Applying { document, .. }) =
                     gateway.applying.take_if(|applying| stored && is_good(applying))
                 {
-                    // It was stored, and not reported yet.
+                    // The version was stored, but not reported yet.
                     gateway.disk = Some(document);
                 }
                 (gateway.follower, gateway.state, gateway.applying) = (None, State::Down, None);
@@ -349,18 +356,22 @@
         let serials: Vec<u64> = self.connections.keys().copied().collect();
         for serial in serials {
             for side in 0..2 {
-                let end = &mut self.connections.get_mut(&serial).expect("there").ends[side];
-                if end.who == who && end.start == start && end.connection_id.is_some() && !end.closed {
+                let end = &mut self.connections.get_mut(&serial).expect("an open connection").ends[side];
+                if end.process == process
+                    && end.incarnation == incarnation
+                    && end.connection_id.is_some()
+                    && !end.closed
+                {
                     end.closed = true;
-                    self.enqueue(serial, 1 - side, Item::Fin);
+                    self.enqueue(serial, 1 - side, Packet::Fin);
                 }
             }
         }
     }
 
-    /// Stops a process: its sockets stay open, and messages wait for it.
-    pub fn stop(&mut self, who: Process) {
-        match who {
+    /// Stops a process: its sockets stay open and buffer messages.
+    pub fn stop(&mut self, process: Process) {
+        match process {
             Server(index) if self.control_servers[index].state == State::Up => {
                 self.control_servers[index].state = State::Stopped;
             }
@@ -371,9 +382,9 @@
         }
     }
 
-    /// Resumes a stopped process, which handles its timers or its sockets first.
-    pub fn resume(&mut self, who: Process) {
-        match who {
+    /// Resumes a stopped process, which at random runs its timers before it reads from its sockets.
+    pub fn resume(&mut self, process: Process) {
+        match process {
             Server(index) if self.control_servers[index].state == State::Stopped => {
                 self.control_servers[index].state = State::Up;
             }
@@ -382,15 +393,15 @@
             }
             _ => return,
         }
-        if self.unit() < 0.5 {
-            self.tick(who);
+        if self.random_fraction() < 0.5 {
+            self.tick(process);
         }
     }
 
-    /// All faults end.
+    /// Ends all faults: resumes and starts all processes, and repairs disks and connections.
     pub fn end_faults(&mut self) {
         self.conditions = Conditions::GOOD;
-        self.cuts.clear();
+        self.partitions.clear();
         self.without_majority.clear();
         for index in 0..self.control_servers.len() {
             self.control_servers[index].store.broken = false;
@@ -407,11 +418,11 @@
         self.control_servers[index].store.broken = broken;
     }
 
-    /// Partitions the two regions: zones 0 to 2 keep the majority of the voters.
+    /// Partitions the two regions, zones 0 to 2 and 3 to 5. The first one keeps the majority of the voters.
     pub fn partition_regions(&mut self) {
         for a in 0..3 {
             for b in 3..6 {
-                self.cuts.insert((a, b));
+                self.partitions.insert((a, b));
             }
         }
         self.without_majority.extend(3..6);
@@ -424,31 +435,31 @@
         self.start(Server(index));
     }
 
-    fn start_of(&self, who: Process) -> u64 {
-        match who {
-            Server(index) => self.control_servers[index].start,
-            Gateway(index) => self.gateways[index].start,
+    fn incarnation_of(&self, process: Process) -> u64 {
+        match process {
+            Server(index) => self.control_servers[index].incarnation,
+            Gateway(index) => self.gateways[index].incarnation,
             Command(_) => 0,
         }
     }
 
-    fn zone_of(&self, who: Process) -> usize {
-        match who {
+    fn zone_of(&self, process: Process) -> usize {
+        match process {
             Server(index) => index,
             Gateway(index) => self.gateways[index].zone,
             Command(index) => self.commands[index].server,
         }
     }
 
-    fn is_cut(&self, a: Process, b: Process) -> bool {
+    fn is_partitioned(&self, a: Process, b: Process) -> bool {
         let (a, b) = (self.zone_of(a), self.zone_of(b));
-        self.cuts.contains(&(a.min(b), a.max(b)))
+        self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
     // ---- operators
 
-    /// An operator's command sends a request to a control server: its index among the commands.
-    pub fn operate(&mut self, server: usize, request: Message) -> usize {
+    /// Sends a request of the operators' command to a control server. Returns the command's index.
+    pub fn send_request(&mut self, server: usize, request: Message) -> usize {
         let command = self.commands.len();
         self.commands.push(CommandRun {
             server,
@@ -463,18 +474,19 @@
         command
     }
 
-    /// An operator proposes a document.
+    /// Proposes a document at a control server. Returns the command's index.
     pub fn propose_document(&mut self, server: usize, document: &str) -> usize {
         let bytes: Arc<[u8]> = document.as_bytes().into();
         self.documents.insert(Digest::of(&bytes), bytes.clone());
-        self.operate(server, Message::Propose(bytes))
+        self.send_request(server, Message::Propose(bytes))
     }
 
     // ---- outputs of processes
 
-    /// Adds an output to the digest of all decisions. The words are part of the digests that the fixture holds.
-    fn record_output(&mut self, who: Process, kind: &str, number: u64, bytes: &[u8]) {
-        let (of, index) = match who {
+    /// Adds an output to the digest of all decisions. The names of processes and outputs are part of the digests in the
+    /// fixture, so they must not change.
+    fn record_output(&mut self, process: Process, kind: &str, number: u64, bytes: &[u8]) {
+        let (of, index) = match process {
             Server(index) => ("machine", index),
             Gateway(index) => ("gateway", index),
             Command(index) => ("tool", index),
@@ -483,51 +495,57 @@
         self.decisions = Digest::of(&[&self.decisions.0, line.as_bytes(), bytes].concat());
     }
 
-    fn record_control_output(&mut self, who: Process, output: &control::Output) {
+    fn record_control_output(&mut self, process: Process, output: &control::Output) {
         match output {
             control::Output::Connect(connection_id, server) => {
-                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes());
+                self.record_output(process, "connect", connection_id.0, &server.to_be_bytes());
             }
             control::Output::Send(connection_id, bytes) => {
-                self.record_output(who, "send", connection_id.0, bytes);
+                self.record_output(process, "send", connection_id.0, bytes);
+            }
+            control::Output::Close(connection_id) => {
+                self.record_output(process, "close", connection_id.0, &[]);
             }
-            control::Output::Close(connection_id) => self.record_output(who, "close", connection_id.0, &[]),
-            control::Output::ReadRegister => self.record_output(who, "look", 0, &[]),
-            control::Output::PrepareChange => self.record_output(who, "change", 0, &[]),
-            control::Output::Propose(value) => self.record_output(who, "propose", 0, value),
-            control::Output::AbandonChange => self.record_output(who, "withdraw", 0, &[]),
-            control::Output::Log(text) => self.record_output(who, "note", 0, text.as_bytes()),
+            control::Output::ReadRegister => self.record_output(process, "look", 0, &[]),
+            control::Output::PrepareChange => self.record_output(process, "change", 0, &[]),
+            control::Output::Propose(value) => self.record_output(process, "propose", 0, value),
+            control::Output::AbandonChange => self.record_output(process, "withdraw", 0, &[]),
+            control::Output::Log(text) => self.record_output(process, "note", 0, text.as_bytes()),
         }
     }
 
-    fn record_gateway_output(&mut self, who: Process, output: &follower::Output) {
+    fn record_gateway_output(&mut self, process: Process, output: &follower::Output) {
         match output {
             follower::Output::Connect(connection_id, server) => {
-                self.record_output(who, "connect", connection_id.0, &server.to_be_bytes());
+                self.record_output(process, "connect", connection_id.0, &server.to_be_bytes());
             }
             follower::Output::Send(connection_id, bytes) => {
-                self.record_output(who, "send", connection_id.0, bytes);
+                self.record_output(process, "send", connection_id.0, bytes);
+            }
+            follower::Output::Close(connection_id) => {
+                self.record_output(process, "close", connection_id.0, &[]);
             }
-            follower::Output::Close(connection_id) => self.record_output(who, "close", connection_id.0, &[]),
             follower::Output::Apply(document) => {
-                self.record_output(who, "take", document.version().number, document.bytes());
+                self.record_output(process, "take", document.version().number, document.bytes());
             }
         }
     }
 
-    fn carry_out(&mut self, who: Process) {
-        match who {
+    fn carry_out(&mut self, process: Process) {
+        match process {
             Server(index) => {
                 while let Some(output) =
                     self.control_servers[index].control.as_mut().and_then(ControlServer::next_output)
                 {
-                    self.record_control_output(who, &output);
+                    self.record_control_output(process, &output);
                     match output {
                         control::Output::Connect(connection_id, server) => {
-                            self.connect(who, connection_id, server);
+                            self.connect(process, connection_id, server);
                         }
-                        control::Output::Send(connection_id, bytes) => self.send(who, connection_id, bytes),
-                        control::Output::Close(connection_id) => self.close(who, connection_id),
+                        control::Output::Send(connection_id, bytes) => {
+                            self.send(process, connection_id, bytes);
+                        }
+                        control::Output::Close(connection_id) => self.close(process, connection_id),
                         control::Output::ReadRegister => self.request(index, RegisterRequest::Read(self.now)),
                         control::Output::PrepareChange => self.request(index, RegisterRequest::Prepare),
                         control::Output::Propose(value) => {
@@ -542,20 +560,22 @@
                 while let Some(output) =
                     self.gateways[index].follower.as_mut().and_then(Follower::next_output)
                 {
-                    self.record_gateway_output(who, &output);
+                    self.record_gateway_output(process, &output);
                     match output {
                         follower::Output::Connect(connection_id, server) => {
-                            self.connect(who, connection_id, server);
+                            self.connect(process, connection_id, server);
+                        }
+                        follower::Output::Send(connection_id, bytes) => {
+                            self.send(process, connection_id, bytes);
                         }
-                        follower::Output::Send(connection_id, bytes) => self.send(who, connection_id, bytes),
-                        follower::Output::Close(connection_id) => self.close(who, connection_id),
+                        follower::Output::Close(connection_id) => self.close(process, connection_id),
                         follower::Output::Apply(document) => {
-                            let lasts = Duration::from_millis(10 + self.index_below(50) as u64);
+                            let duration = Duration::from_millis(10 + self.random_index(50) as u64);
                             let gateway = &mut self.gateways[index];
                             if gateway.applying.is_some() {
                                 self.faults.push(format!("gateway {index} is to apply two versions at once"));
                             }
-                            let (started_at, ends_at) = (self.now, self.now + lasts);
+                            let (started_at, ends_at) = (self.now, self.now + duration);
                             self.gateways[index].applying = Some(Applying { document, started_at, ends_at });
                         }
                     }
@@ -567,15 +587,15 @@
 
     // ---- time
 
-    fn tick(&mut self, who: Process) {
+    fn tick(&mut self, process: Process) {
         let now = self.now;
-        match who {
+        match process {
             Server(index) => {
                 if let Some(control) =
                     self.control_servers[index].control.as_mut().filter(|c| c.next_tick() <= now)
                 {
                     control.tick(now);
-                    self.carry_out(who);
+                    self.carry_out(process);
                 }
             }
             Gateway(index) => {
@@ -583,7 +603,7 @@
                     self.gateways[index].follower.as_mut().filter(|f| f.next_tick() <= now)
                 {
                     follower.tick(now);
-                    self.carry_out(who);
+                    self.carry_out(process);
                 }
             }
             Command(_) => {}
@@ -622,7 +642,7 @@
         }
         self.carry_out(Gateway(index));
         if is_applied {
-            let newest = self.chosen.iter().rev().find(|(at, _)| *at + SETTLED <= started_at);
+            let newest = self.chosen.iter().rev().find(|(at, _)| *at + MAX_STALENESS <= started_at);
             if let Some((at, newest)) = newest.filter(|(_, newest)| newest.number > version.number) {
                 let since = started_at - *at;
                 self.faults.push(format!(
@@ -632,9 +652,9 @@
         }
     }
 
-    /// Runs for a while, and audits after each step.
-    pub fn run(&mut self, lasts: Duration) {
-        let until = self.now + lasts;
+    /// Runs the simulation for this time, and audits it after each step.
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
             self.run_register();
--- a/crates/rollout/tests/simulation/register.rs
+++ b/crates/rollout/tests/simulation/register.rs
@@ -1,4 +1,4 @@
-//! The register, whose answers may be lost and whose proposals may reach a minority only.
+//! The register. Its answers may be lost, and proposals may reach only a minority of the voters.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct Register {
     pub(super) value: Option<Vec<u8>>,
-    /// Accepted by a minority of the voters: the next operation may find it or not.
+    /// A value that only a minority of the voters has accepted: later operations may or may not find it.
     pub(super) pending: Option<Vec<u8>>,
     pub(super) ballot: u64,
     pub(super) requests: Vec<(Duration, usize, u64, RegisterRequest)>,
@@ -26,26 +26,26 @@
 
 impl Simulation {
     pub(super) fn request(&mut self, server: usize, request: RegisterRequest) {
-        let start = self.control_servers[server].start;
+        let incarnation = self.control_servers[server].incarnation;
         if matches!(request, RegisterRequest::Prepare) {
-            // A read under way is given up.
+            // The change replaces a read in progress.
             self.register
                 .requests
                 .retain(|(_, by, _, request)| *by != server || !matches!(request, RegisterRequest::Read(_)));
             self.register.answers.retain(|(_, by, _, is_read, _)| *by != server || !is_read);
         }
-        let at = self.now + self.conditions.delay.mul_f64(self.unit());
-        self.register.requests.push((at, server, start, request));
+        let at = self.now + self.conditions.delay.mul_f64(self.random_fraction());
+        self.register.requests.push((at, server, incarnation, request));
     }
 
-    /// The answer of a register that is broken on purpose, or none.
+    /// The wrong answer of the register under this variant; `None` if the variant does not affect the request.
     fn answer_of_variant(&mut self, server: usize, request: RegisterRequest) -> Option<RegisterEvent> {
-        let as_it_is = match &request {
+        let is_promised_value = match &request {
             RegisterRequest::Propose(value) => self.control_servers[server].promised.as_ref() == Some(value),
             _ => false,
         };
-        let alone = match self.variant {
-            Variant::TrustsPromise => as_it_is,
+        let answers_without_majority = match self.variant {
+            Variant::TrustsPromise => is_promised_value,
             Variant::OwnRegister => true,
             Variant::NumbersAlone => self.without_majority.contains(&server),
             Variant::SkipsRead => {
@@ -54,7 +54,7 @@
             }
             _ => false,
         };
-        if !alone {
+        if !answers_without_majority {
             return None;
         }
         let last_value = self.control_servers[server].last_value.clone();
@@ -77,12 +77,12 @@
             return;
         }
         self.chosen.push((self.now, newest));
-        let holds = |server: &&ControlServerRun| {
+        let has_stored = |server: &&ControlServerRun| {
             let stored = PersistentState::from_file(&server.store.file).unwrap_or_default();
             stored.pending.iter().any(|(digest, _)| *digest == newest.digest)
                 || stored.versions.iter().any(|document| document.version().digest == newest.digest)
         };
-        let disks = self.control_servers.iter().filter(holds).count();
+        let disks = self.control_servers.iter().filter(has_stored).count();
         if disks < 2 {
             self.faults.push(format!("version {newest} is on {disks} disks as it is chosen"));
         }
@@ -93,12 +93,16 @@
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.register.requests).into_iter().partition(|(at, ..)| *at <= now);
         self.register.requests = later;
-        for (_, server, start, request) in due {
+        for (_, server, incarnation, request) in due {
             let is_read = matches!(request, RegisterRequest::Read(_));
             let (answer, is_timeout) = self.answer_of_register(server, request);
-            let at =
-                now + if is_timeout { REGISTER_TIMEOUT } else { self.conditions.delay.mul_f64(self.unit()) };
-            self.register.answers.push((at, server, start, is_read, answer));
+            let at = now
+                + if is_timeout {
+                    REGISTER_TIMEOUT
+                } else {
+                    self.conditions.delay.mul_f64(self.random_fraction())
+                };
+            self.register.answers.push((at, server, incarnation, is_read, answer));
         }
         let ready = |(at, server, _, _, _): &(Duration, usize, u64, bool, RegisterEvent)| {
             *at <= now && self.control_servers[*server].state != State::Stopped
@@ -106,9 +110,9 @@
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.register.answers).into_iter().partition(ready);
         self.register.answers = later;
-        for (_, index, start, _, event) in due {
+        for (_, index, incarnation, _, event) in due {
             let server = &mut self.control_servers[index];
-            if server.start != start {
+            if server.incarnation != incarnation {
                 continue;
             }
             if let RegisterEvent::Read { value, .. } = &event {
@@ -139,14 +143,17 @@
             }
         }
         let without_majority = self.without_majority.contains(&server);
-        let (lost, minority, meets) =
-            (self.unit() < self.conditions.lost, self.unit() < self.conditions.minority, self.unit() < 0.5);
+        let (lost, minority, meets) = (
+            self.random_fraction() < self.conditions.lost,
+            self.random_fraction() < self.conditions.minority,
+            self.random_fraction() < 0.5,
+        );
         let register = &mut self.register;
         match request {
             _ if without_majority && !proposed => (failed(true), true),
             RegisterRequest::Read(started_at) => {
                 if let Some(value) = register.pending.take_if(|_| meets) {
-                    // A read has a value chosen before it returns it.
+                    // A read that finds an unchosen value completes its choice before it returns the value.
                     register.ballot += 1;
                     self.choose(value);
                 }
