--- a/crates/rollout/src/control/mod.rs
+++ b/crates/rollout/src/control/mod.rs
@@ -81,7 +81,7 @@
     versions: KnownVersions,
     /// The state on the disk: it changes only after a store has succeeded.
     stored: PersistentState,
-    /// When a failed store of the newest version is retried.
+    /// After a failed store, the earliest time at which the newest version's document is stored.
     store_retry_at: Duration,
     register: RegisterState,
     proposals: ProposalQueue,
--- a/crates/rollout/src/control/proposal.rs
+++ b/crates/rollout/src/control/proposal.rs
@@ -55,11 +55,13 @@
 
 /// How to continue a proposal after a majority of the voters has promised.
 enum CommitDecision {
+    /// Propose this history as the register's value.
     Propose(VersionHistory),
-    /// The newest version is another than the one that the document was validated against, or too few servers have
-    /// stored it.
+    /// Validate the document again, since the newest version is not the one that it was validated against, or too few
+    /// control servers have stored it.
     CheckAgain,
-    /// It was proposed to the register before, and may have become a version that is no longer in the history.
+    /// Reject the proposal with an unknown outcome: it was proposed to the register before, and may have become a
+    /// version that is no longer in the history.
     OutcomeUnknown,
 }
 
--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -45,7 +45,7 @@
     answer
 }
 
-fn number(answer: &Message) -> Option<u64> {
+fn accepted_number(answer: &Message) -> Option<u64> {
     match answer {
         Message::Accepted(version) => Some(version.number),
         _ => None,
@@ -118,13 +118,13 @@
     for seed in 0..24 {
         let simulation = run_with_faults(seed, Variant::Nothing);
         assert_eq!(simulation.faults, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(simulation.wrongly_denied(), None, "seed {seed}");
+        assert_eq!(simulation.wrongly_rejected(), None, "seed {seed}");
         assert_eq!(simulation.behind(), [], "seed {seed}");
         versions += simulation.chosen.len();
         answers += simulation.commands.iter().filter(|command| command.answer.is_some()).count();
-        let open =
+        let is_uncertain =
             |answer: &Option<Message>| matches!(answer, Some(Message::NotAccepted { uncertain: true, .. }));
-        uncertain += simulation.commands.iter().filter(|command| open(&command.answer)).count();
+        uncertain += simulation.commands.iter().filter(|command| is_uncertain(&command.answer)).count();
     }
     println!("{versions} versions, {answers} answers, {uncertain} of them uncertain");
     assert!(versions > 150 && uncertain > 0, "{versions} versions, {uncertain} uncertain");
@@ -134,7 +134,7 @@
 fn first_fault(variant: Variant) -> Option<(u64, String)> {
     (0..24).find_map(|seed| {
         let simulation = run_with_faults(seed, variant);
-        Some((seed, simulation.faults.first().cloned().or_else(|| simulation.wrongly_denied())?))
+        Some((seed, simulation.faults.first().cloned().or_else(|| simulation.wrongly_rejected())?))
     })
 }
 
@@ -144,7 +144,7 @@
 fn variants_of_disks_and_answers_are_found() {
     for (variant, word) in [
         (Variant::LosesWrites, "on 0 disks"),
-        (Variant::ClaimsCertainty, "told for certain"),
+        (Variant::ClaimsCertainty, "certain rejection"),
         (Variant::TrustsPromise, "never chosen"),
     ] {
         let found = first_fault(variant);
@@ -172,7 +172,7 @@
     let not = Message::NotAccepted { reason: "line 1: bad".to_string(), uncertain: false };
     assert_eq!(simulation.commands[1].answer, Some(not));
     assert_eq!(
-        number(simulation.commands[2].answer.as_ref().expect("an answer")),
+        accepted_number(simulation.commands[2].answer.as_ref().expect("an answer")),
         Some(2),
         "the invalid document has no number"
     );
@@ -231,7 +231,7 @@
         assert_eq!(simulation.behind(), [5]);
         let status = simulation.control_servers[2].control.as_ref().expect("up").status(simulation.now);
         assert!(status.fresh && !status.has_document);
-        assert_eq!(number(&propose(&mut simulation, 4, again)), Some(expected));
+        assert_eq!(accepted_number(&propose(&mut simulation, 4, again)), Some(expected));
         assert_eq!((simulation.behind(), simulation.faults), (vec![], vec![]));
     }
 }
@@ -368,7 +368,7 @@
             panic!("seed {seed}: {without:?}")
         };
         assert!(reason.contains("no majority of the voters"), "{reason}");
-        assert_eq!(number(&with), Some(2), "seed {seed}");
+        assert_eq!(accepted_number(&with), Some(2), "seed {seed}");
         let apart = simulation.behind();
         assert_eq!(apart, [3, 4, 5, 9, 10, 11], "seed {seed}: the gateways of the other region");
         for index in apart {
@@ -381,8 +381,8 @@
         simulation.end_faults();
         simulation.run(SECOND * 10);
         assert_eq!(simulation.behind(), [], "seed {seed}");
-        assert_eq!(number(&propose(&mut simulation, 4, "good again")), Some(3), "seed {seed}");
-        assert_eq!(simulation.wrongly_denied(), None, "seed {seed}");
+        assert_eq!(accepted_number(&propose(&mut simulation, 4, "good again")), Some(3), "seed {seed}");
+        assert_eq!(simulation.wrongly_rejected(), None, "seed {seed}");
     }
 }
 
@@ -417,7 +417,7 @@
         let mut numbers: Vec<u64> = simulation
             .commands
             .iter()
-            .map(|command| number(command.answer.as_ref().expect("an answer")).expect("accepted"))
+            .map(|command| accepted_number(command.answer.as_ref().expect("an answer")).expect("accepted"))
             .collect();
         numbers.sort();
         assert_eq!(numbers, (1..=11).collect::<Vec<u64>>(), "seed {seed}");
@@ -450,9 +450,9 @@
 /// The most connection attempts of gateways at a control server in one second since this time.
 fn max_attempts_in_a_second(simulation: &Simulation, server: usize, since: Duration) -> usize {
     let since = since.as_secs();
-    let here =
+    let attempts =
         simulation.connection_attempts.iter().filter(|((at, second), _)| *at == server && *second >= since);
-    here.map(|(_, count)| *count).max().unwrap_or_default()
+    attempts.map(|(_, count)| *count).max().unwrap_or_default()
 }
 
 /// A run in which a zone of 118 gateways loses its control server and gets it back. Returns the longest time without a
@@ -483,7 +483,7 @@
     for (seed, stopped) in [(1, false), (2, true)] {
         let (simulation, longest, most) = run_lost_server(seed, stopped, Variant::Nothing);
         println!(
-            "stopped {stopped}: {longest:?} without one, {most} connection attempts a second at the one that is back"
+            "stopped {stopped}: {longest:?} without a fresh server, {most} connection attempts a second after its return"
         );
         assert!(longest < SECOND, "{longest:?}");
         assert!(most <= 20, "{most}");
@@ -499,7 +499,7 @@
 #[test]
 fn a_return_of_all_at_once_is_found() {
     let (_, _, most) = run_lost_server(1, false, Variant::ReturnAtOnce);
-    println!("{most} connection attempts a second at the one that is back");
+    println!("{most} connection attempts a second after its return");
     assert!(most > 20);
 }
 
@@ -520,15 +520,15 @@
             simulation.run(STEP);
             let new = simulation.chosen[chosen..].iter().map(|(at, version)| (version.number, *at));
             open.extend(new);
-            let all = |number: u64| {
-                let has = |gateway: &simulation::GatewayRun| {
+            let is_in_force_everywhere = |number: u64| {
+                let is_in_force = |gateway: &simulation::GatewayRun| {
                     gateway.running.as_ref().is_some_and(|running| running.version().number >= number)
                 };
-                simulation.gateways.iter().all(has)
+                simulation.gateways.iter().all(is_in_force)
             };
             let now = simulation.now;
             open.retain(|(number, at)| {
-                let done = all(*number);
+                let done = is_in_force_everywhere(*number);
                 slowest = if done { slowest.max(now - *at) } else { slowest };
                 !done
             });
@@ -537,7 +537,7 @@
     assert_eq!(simulation.faults, Vec::<String>::new());
     let numbers: Vec<Option<u64>> = commands
         .iter()
-        .map(|command| number(simulation.commands[*command].answer.as_ref().expect("an answer")))
+        .map(|command| accepted_number(simulation.commands[*command].answer.as_ref().expect("an answer")))
         .collect();
     assert_eq!(numbers, (2..62).map(Some).collect::<Vec<_>>());
     let waited = commands
--- a/crates/rollout/tests/simulation/audit.rs
+++ b/crates/rollout/tests/simulation/audit.rs
@@ -62,27 +62,29 @@
         let chosen = self.chosen.iter().any(|(_, version)| version.digest == digest);
         match answer {
             Some(Message::Accepted(version)) if !self.chosen.iter().any(|(_, known)| known == version) => {
-                let fault = format!("command {command} was told {version}, which was never chosen");
+                let fault = format!("command {command} received {version}, which was never chosen");
                 self.faults.push(fault);
             }
             Some(Message::Accepted(version)) if version.digest != digest => {
-                self.faults.push(format!("command {command} was told another document's version, {version}"));
+                self.faults.push(format!("command {command} received another document's version, {version}"));
             }
             Some(Message::NotAccepted { reason, uncertain: false }) if chosen => {
-                self.faults.push(format!("command {command} was told for certain that it is none: {reason}"));
+                self.faults.push(format!(
+                    "command {command} received a certain rejection of a chosen document: {reason}"
+                ));
             }
             _ => {}
         }
     }
 
     /// A proposal that was rejected with certainty but became a version later. To be checked at the end of a run.
-    pub fn wrongly_denied(&self) -> Option<String> {
+    pub fn wrongly_rejected(&self) -> Option<String> {
         self.commands.iter().enumerate().find_map(|(index, command)| match (&command.request, &command.answer) {
             (Message::Propose(bytes), Some(Message::NotAccepted { reason, uncertain: false })) => {
                 let digest = Digest::of(bytes);
                 let chosen = self.chosen.iter().any(|(_, version)| version.digest == digest);
                 chosen.then(|| {
-                    format!("command {index} was told for certain that it is none, and it became one: {reason}")
+                    format!("command {index} received a certain rejection of a document that was chosen later: {reason}")
                 })
             }
             _ => None,
