--- a/crates/rollout/tests/rollout.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -483,7 +483,7 @@
     for (seed, stopped) in [(1, false), (2, true)] {
         let (simulation, longest, most) = run_lost_server(seed, stopped, Variant::Nothing);
         println!(
-            "stopped {stopped}: {longest:?} without a fresh server, {most} connection attempts a second after its return"
+            "stopped {stopped}: {longest:?} without a fresh server, {most} attempts a second after its return"
         );
         assert!(longest < SECOND, "{longest:?}");
         assert!(most <= 20, "{most}");
--- a/crates/rollout/tests/simulation/audit.rs
+++ b/crates/rollout/tests/simulation/audit.rs
@@ -84,7 +84,7 @@
                 let digest = Digest::of(bytes);
                 let chosen = self.chosen.iter().any(|(_, version)| version.digest == digest);
                 chosen.then(|| {
-                    format!("command {index} received a certain rejection of a document that was chosen later: {reason}")
+                    format!("command {index} received a certain rejection of a document chosen later: {reason}")
                 })
             }
             _ => None,
