--- a/crates/rollout/src/follower/connection.rs
+++ b/crates/rollout/src/follower/connection.rs
@@ -39,9 +39,9 @@
         self.established_at.is_some()
     }
 
-    /// When the connection times out unless more is received: `liveness` after the last bytes or after the last heartbeat
-    /// of a fresh server, whichever is earlier. Until the first such heartbeat, the time at which the connection was
-    /// established counts instead.
+    /// When the connection times out unless more is received: `liveness` after the last bytes or after the last
+    /// heartbeat of a fresh server, whichever is earlier. Until the first such heartbeat, the time at which the
+    /// connection was established counts instead.
     pub(super) fn expires_at(&self, liveness: Duration) -> Duration {
         let fresh_since = match (self.established_at, self.last_fresh) {
             (None, _) => self.last_received,
