--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,13 +1,14 @@
-//! Leases on the roles of a fleet (Gray and Cheriton, "Leases"): at most one process holds a role at a time, under an epoch
-//! that only rises.
+//! Leases on the roles of a fleet (Gray and Cheriton, "Leases"): at most one process holds a role at a time, under an
+//! epoch that only rises.
 //!
 //! The register of a role holds a [`LeaseRecord`]. It contains no time: a contender waits until it has seen the record
-//! unchanged for a lease's duration by its own monotonic clock, and the holder counts its lease from before it asked for the
-//! renewal, less the bound on clock drift. So time decides only when somebody may *try* to acquire the lease. What keeps a
-//! former holder that wakes up late from doing harm is the epoch on its orders, a fencing token ([`crate::fencing`]).
+//! unchanged for a lease's duration by its own monotonic clock, and the holder counts its lease from the moment before
+//! it sent the renewal, less the bound on clock drift. So time decides only when a contender may *try* to acquire the
+//! lease. The orders of a former holder that resumes late are rejected by their epoch, a fencing token
+//! ([`crate::fencing`]).
 //!
-//! Unlike a lock service's lease this one moves to the best candidate: one that has been first in the ranking for some
-//! leases asks the holder to hand over.
+//! Unlike the lease of a lock service, this one moves to the best candidate: a candidate that has been first in the
+//! ranking for several lease durations asks the holder to hand over.
 
 use std::time::Duration;
 
@@ -24,35 +25,35 @@
 
 pub use record::{next_record, LeaseChange, LeaseRecord};
 
-/// For so many lease durations a process has to be the first candidate before it asks a holder to hand over.
+/// Number of lease durations for which a process has to be the first candidate before it asks the holder to hand over.
 const LEASES_BEFORE_HANDOVER_REQUEST: u32 = 4;
-/// A holder renews after this part of the lease's duration.
+/// A holder renews its lease this many times in a lease's duration.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// A contender reads the record this often.
+/// A contender reads the record this many times in a lease's duration.
 const READS_PER_LEASE: u32 = 6;
-/// How much longer a candidate waits for each one that is ranked before it, as a part of the lease's duration.
-const RANK_DELAY: f64 = 0.1;
-/// Candidates ranked after this one wait no longer.
+/// Additional wait of a candidate for each candidate that is ranked before it, as a fraction of the lease's duration.
+const RANK_DELAY_FRACTION: f64 = 0.1;
+/// The wait does not grow for candidates ranked after this.
 const MAX_DELAYED_RANK: u32 = 8;
 
-/// How long a lease lasts.
+/// The times that govern a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// From the moment before a renewal is asked for.
+    /// How long a lease lasts, from the moment before its renewal is sent.
     pub duration: Duration,
-    /// The most by which the speeds of two monotonic clocks differ, as a part.
+    /// The largest difference between the rates of two monotonic clocks, as a fraction.
     pub max_clock_drift: f64,
-    /// Requests without a reply are sent again after this; a round ends after four times as long.
+    /// Requests without a reply are sent again after this interval; a round ends after four intervals.
     pub resend_interval: Duration,
 }
 
 impl LeaseSettings {
-    /// For how long a holder may rely on a renewal.
+    /// How long a holder may give orders after it sent a renewal that was accepted.
     fn holder_duration(&self) -> Duration {
         self.duration.mul_f64(1.0 - self.max_clock_drift)
     }
 
-    /// How long a contender waits for a record to change.
+    /// How long a record has to stand unchanged before a contender may acquire the lease.
     fn contender_wait(&self) -> Duration {
         self.duration.mul_f64(1.0 + self.max_clock_drift)
     }
@@ -61,27 +62,27 @@
 /// Why a lease is not held any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseLoss {
-    /// No majority has accepted a renewal in time.
+    /// No majority accepted a renewal in time.
     Expired,
-    /// Another process holds it.
+    /// Another process has acquired it.
     TakenOver,
     /// It was released, or handed over.
     Released,
 }
 
-/// What the owner of a [`LeaseContender`] has to know.
+/// A change that a [`LeaseContender`] reports to its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// The local process holds the lease from now on.
     Acquired {
-        /// Under this epoch.
+        /// The epoch under which it holds the lease.
         epoch: u64,
     },
-    /// It does not hold it any more.
+    /// The local process does not hold the lease any more.
     Lost {
-        /// The epoch that is over.
+        /// The epoch that has ended.
         epoch: u64,
-        /// Why.
+        /// Why the lease was lost.
         reason: LeaseLoss,
     },
 }
@@ -95,28 +96,29 @@
 #[derive(Clone, Debug)]
 struct ObservedRecord {
     record: LeaseRecord,
-    /// Since when it has stood unchanged.
+    /// When the record was first seen in this version.
     since: Duration,
 }
 
-/// One process's part in one role: holds its lease, or contends for it.
+/// The lease of one role as seen by one process, which holds the lease or contends for it.
 #[derive(Clone, Debug)]
 pub struct LeaseContender {
     node: NodeId,
     settings: LeaseSettings,
-    /// The purpose of a round is a change, or none for a read.
+    /// The purpose of a round is the change that it makes; `None` for a read.
     rounds: RoundDriver<Option<LeaseChange>>,
     observed: Option<ObservedRecord>,
     held: Option<HeldLease>,
     next_round_at: Duration,
-    /// It releases the lease with the next round, and gives no orders any more.
+    /// The next round releases the lease, and the process gives no more orders.
     is_releasing: bool,
-    /// Since when the local process is the first candidate.
+    /// Since when the local process has been the first candidate, or since its latest handover request if that is later;
+    /// `None` while it is not the first candidate.
     first_candidate_since: Option<Duration>,
 }
 
 impl LeaseContender {
-    /// A contender that knows nothing of the role yet.
+    /// Creates a contender that has not read the role's register yet.
     pub fn new(node: NodeId, role: Key, settings: LeaseSettings) -> LeaseContender {
         LeaseContender {
             node,
@@ -135,43 +137,44 @@
         self.rounds.highest_counter()
     }
 
-    /// Goes on above a ballot counter: a contender that is created again in the same process would use its ballots twice.
+    /// Uses only ballot counters above `highest`: otherwise a contender that is created again in the same process would
+    /// reuse the ballots of the earlier one.
     #[must_use]
     pub fn with_counters_above(mut self, highest: u64) -> LeaseContender {
         self.rounds.skip_counters(highest);
         self
     }
 
-    /// The epoch under which the local process may give orders at this moment: their fencing token. To be asked right before
-    /// each order, and again after anything that may have taken time.
+    /// The epoch under which the local process may give orders at this moment: their fencing token. Callers check it
+    /// right before each order, and again after anything that may have taken time.
     pub fn valid_epoch(&self, now: Duration) -> Option<u64> {
         self.held.filter(|held| now < held.until && !self.is_releasing).map(|held| held.epoch)
     }
 
-    /// Whether the lease is held, or was until just now.
+    /// Whether the lease is held. Also true from its expiry until the next [`LeaseContender::tick`].
     pub fn is_holder(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The record seen last; it may have changed since.
+    /// The latest record seen; it may have changed since.
     pub fn last_seen(&self) -> Option<&LeaseRecord> {
         self.observed.as_ref().map(|observed| &observed.record)
     }
 
-    /// Releases the lease; from now on no orders may be given.
+    /// Releases the lease with the next round; the local process may give no more orders.
     pub fn release(&mut self) {
         self.is_releasing = self.held.is_some();
         self.next_round_at = Duration::ZERO;
     }
 
-    /// When [`LeaseContender::tick`] is to be called next.
+    /// When [`LeaseContender::tick`] has to be called next.
     pub fn next_deadline(&self) -> Duration {
         let round = if self.rounds.is_active() { self.rounds.resend_at() } else { self.next_round_at };
         self.held.map_or(round, |held| round.min(held.until))
     }
 
-    /// Handles what has become due. `rank` is the local process's place among the candidates for the role, none if it is no
-    /// candidate; those ranked later try later, so that they do not preempt each other.
+    /// Handles expired deadlines. `rank` is the local process's rank among the candidates for the role, `None` if it is
+    /// not a candidate. Candidates with a later rank try later, so that they do not preempt each other.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -223,7 +226,7 @@
         }
     }
 
-    /// What the next round is for; none for a read.
+    /// The change that the next round makes; `None` for a read.
     fn next_change(&self, now: Duration, rank: Option<u32>) -> Option<LeaseChange> {
         if self.held.is_some() {
             return Some(if self.is_releasing { LeaseChange::Release } else { LeaseChange::Renew });
@@ -238,23 +241,24 @@
         }
     }
 
-    /// Whether the holder is to be asked to hand over: the local process has been the first candidate for long enough, so
-    /// that a member that comes and goes moves no leases.
+    /// Whether to ask the holder to hand over: only once the local process has been the first candidate for long
+    /// enough, so that a member that joins and leaves repeatedly moves no leases.
     fn may_request_handover(&self, now: Duration, record: &LeaseRecord) -> bool {
-        let settled = self.settings.duration * LEASES_BEFORE_HANDOVER_REQUEST;
-        let is_settled = self.first_candidate_since.is_some_and(|since| now >= since + settled);
+        let settle_time = self.settings.duration * LEASES_BEFORE_HANDOVER_REQUEST;
+        let is_settled = self.first_candidate_since.is_some_and(|since| now >= since + settle_time);
         is_settled && record.holder.is_some() && record.requested_by.is_none()
     }
 
-    /// Whether the lease is free, or its record has stood unchanged for a lease's duration.
+    /// Whether to try to acquire the lease: it is free or held by this node, or its record has stood unchanged for a
+    /// lease's duration.
     fn may_acquire(&self, now: Duration, observed: &ObservedRecord, rank: u32) -> bool {
         let ObservedRecord { record, since } = observed;
-        let rank_delay = self.settings.duration.mul_f64(RANK_DELAY) * rank.min(MAX_DELAYED_RANK);
+        let rank_delay = self.settings.duration.mul_f64(RANK_DELAY_FRACTION) * rank.min(MAX_DELAYED_RANK);
         match (record.holder, record.requested_by) {
             (Some(holder), _) if holder == self.node => true,
             (Some(_), _) => now >= *since + self.settings.contender_wait() + rank_delay,
             (None, Some(requester)) if requester == self.node => true,
-            // It is the requester's turn first.
+            // The process that requested the handover may try first.
             (None, Some(_)) => now >= *since + self.settings.duration / 2 + rank_delay,
             (None, None) => now >= *since + rank_delay,
         }
@@ -284,20 +288,20 @@
         }
     }
 
-    /// The latest value that a majority has accepted need not be chosen; to see that nobody renews, it will do.
+    /// The latest value in a majority need not be chosen, but it suffices to detect that the lease is not renewed.
     fn handle_read(&mut self, now: Duration, value: Option<&[u8]>) {
         self.next_round_at = now + self.settings.duration / READS_PER_LEASE;
         let Some(record) = decode_or_default(value) else { return };
         if record.holder.is_none() {
             self.next_round_at = now + self.settings.resend_interval / 4;
         } else if record.requested_by == Some(self.node) {
-            // Its holder releases it at its next renewal, and nobody has it until this process acquires it.
+            // The holder releases the lease at its next renewal, and it stays free until this process acquires it.
             self.next_round_at = now + self.settings.resend_interval / 2;
         }
         self.observe(now, record);
     }
 
-    /// Only a later record begins the wait anew.
+    /// Records what was read. Only a later version restarts the wait.
     fn observe(&mut self, now: Duration, record: LeaseRecord) {
         let since = match &self.observed {
             Some(observed) if record.version() < observed.record.version() => return,
@@ -307,7 +311,7 @@
         self.observed = Some(ObservedRecord { record, since });
     }
 
-    /// A majority has promised: proposes the next record, unless the change makes no sense any more.
+    /// A majority has promised: proposes the next record, unless the change does not apply to the current one.
     fn handle_prepared(
         &mut self,
         now: Duration,
@@ -317,20 +321,20 @@
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<LeaseEvent> {
         let Some(current) = decode_or_default(value.as_deref()) else {
-            // Of a later version: not to be overwritten.
+            // Written by a later version of the program: it must not be overwritten.
             self.back_off(now, rng);
             return None;
         };
         let Some(next) = next_record(change, self.node, &current, self.last_seen()) else {
             return self.withdraw(now, current, rng);
         };
-        // A holder that is asked to hand over gives no orders from here on.
+        // A holder that was asked to hand over gives no more orders.
         self.is_releasing |= change == LeaseChange::Renew && next.holder.is_none();
         self.rounds.propose(now, next.encode(), out);
         None
     }
 
-    /// Proposes nothing: the current record stands.
+    /// Ends the round without a proposal: the current record stays.
     fn withdraw(
         &mut self,
         now: Duration,
@@ -345,7 +349,7 @@
         lost.map(|held| LeaseEvent::Lost { epoch: held.epoch, reason: LeaseLoss::TakenOver })
     }
 
-    /// The register holds what the local process has proposed.
+    /// The record that the local process proposed is chosen.
     fn handle_chosen(&mut self, now: Duration, value: &[u8], change: LeaseChange) -> Option<LeaseEvent> {
         let record = LeaseRecord::decode(value)?;
         let (epoch, is_holder) = (record.epoch, record.holder == Some(self.node));
@@ -359,23 +363,23 @@
         Some(LeaseEvent::Lost { epoch: released.epoch, reason: LeaseLoss::Released })
     }
 
-    /// Holds the lease, counted from before the round began.
+    /// Holds the lease. Its duration counts from the start of the round.
     fn hold(&mut self, now: Duration, epoch: u64, change: LeaseChange) -> Option<LeaseEvent> {
         let started_at = self.rounds.started_at();
         let until = started_at + self.settings.holder_duration();
-        let before = self.held.replace(HeldLease { epoch, until });
+        let previous = self.held.replace(HeldLease { epoch, until });
         self.is_releasing &= change != LeaseChange::Acquire;
         self.next_round_at = if self.is_releasing {
-            // It was asked to release while it renewed.
+            // The release was requested while the renewal was under way.
             now
         } else {
             started_at + self.settings.duration / RENEWALS_PER_LEASE
         };
-        before.is_none().then_some(LeaseEvent::Acquired { epoch })
+        previous.is_none().then_some(LeaseEvent::Acquired { epoch })
     }
 }
 
-/// The record in a register's value; that of a register that holds nothing is of epoch 0, without a holder.
+/// Decodes the record in a register's value. An empty register gives a record of epoch 0 without a holder.
 fn decode_or_default(value: Option<&[u8]>) -> Option<LeaseRecord> {
     value.map_or(Some(LeaseRecord::default()), LeaseRecord::decode)
 }
--- a/crates/fleet/src/lease/record.rs
+++ b/crates/fleet/src/lease/record.rs
@@ -1,36 +1,37 @@
-//! What the register of a role holds, and how it may change.
+//! The lease record in a role's register, and its allowed changes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::node_id::NodeId;
 use crate::register::Value;
 
-/// What the register of a role holds. Postcard writes the fields in this order, without names.
+/// The value of a role's register. Postcard writes the fields in this order, without names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Rises with each change of the holder, and never falls: the fencing token of the holder's orders.
+    /// Increases each time the lease is acquired anew, and never decreases: the fencing token of the holder's orders.
     pub epoch: u64,
-    /// Who holds the lease; nobody after a release.
+    /// The lease holder; `None` after a release.
     pub holder: Option<NodeId>,
-    /// Rises with each renewal under an epoch.
+    /// Increases with each renewal and with the release under an epoch.
     pub renewal: u64,
-    /// Who has asked the holder to hand over.
+    /// The process that has asked the holder to hand over.
     pub requested_by: Option<NodeId>,
 }
 
 impl LeaseRecord {
-    /// Reads a register's value; none if it cannot be read, as of a later version: nobody may overwrite it then.
+    /// Decodes a register's value. `None` if it cannot be decoded, as when a later version of the program wrote it:
+    /// then it must not be overwritten.
     pub fn decode(value: &[u8]) -> Option<LeaseRecord> {
         postcard::from_bytes(value).ok()
     }
 
-    /// The register's value.
+    /// Encodes the record as a register's value.
     pub fn encode(&self) -> Value {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The order of records. A renewal that only some acceptors have accepted is returned by some majorities and not by
-    /// others, and must not look like one new renewal after the other.
+    /// Orders records by age. Some majorities return a renewal that only some acceptors have accepted, others do not;
+    /// without the order, reading it by turns would look like a series of new renewals.
     pub(super) fn version(&self) -> (u64, u64) {
         (self.epoch, self.renewal)
     }
@@ -39,18 +40,18 @@
 /// A change of a role's register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseChange {
-    /// To hold the lease under a new epoch.
+    /// Acquire the lease under a new epoch; by its own holder, a renewal.
     Acquire,
-    /// To hold it longer.
+    /// Extend the lease.
     Renew,
-    /// To leave it to others.
+    /// Give the lease up.
     Release,
-    /// To ask its holder to hand it over.
+    /// Ask the holder to hand the lease over.
     RequestHandover,
 }
 
-/// The next record, if the change still makes sense now that a majority has returned the current one. `expired` is the
-/// record that stood unchanged for a lease's duration. This is the one place where an epoch rises.
+/// The record that follows `current`, the one that a majority has returned, or `None` if the change does not apply to
+/// it. `expired` is the record that stood unchanged for a lease's duration. Epochs are incremented only here.
 pub fn next_record(
     change: LeaseChange,
     node: NodeId,
@@ -60,7 +61,7 @@
     let is_holder = current.holder == Some(node);
     match change {
         LeaseChange::Acquire if is_holder => Some(renewed(current)),
-        // Only if there is no later renewal than the one seen: any shows a holder that is alive.
+        // Only without a renewal later than the one seen, since a later one shows that the holder is alive.
         LeaseChange::Acquire
             if current.holder.is_none()
                 || expired.is_some_and(|expired| current.version() <= expired.version()) =>
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of [`crate::frame::MessageKind`], other than those of membership, as they go over the wire: postcard writes
-//! fields and variants by their order, without names. A new field or variant, or another order, needs a new
+//! The messages of [`crate::frame::MessageKind`], other than those of membership, in their wire format: postcard
+//! encodes fields and variants by their order, without names. A new field or variant, or another order, needs a new
 //! [`crate::frame::FORMAT_VERSION`].
 
 use std::collections::BTreeMap;
@@ -9,10 +9,10 @@
 use crate::node_id::NodeId;
 use crate::register::{AcceptorSet, AcceptorSlot, Ballot, Key, RegisterState, Value};
 
-/// What a proposer asks of an acceptor.
+/// An operation that a proposer requests from an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Operation {
-    /// Promise to accept no proposal below the ballot, and return what was accepted.
+    /// Promise to accept no proposal below the ballot, and return the accepted value.
     Prepare {
         /// The register.
         key: Key,
@@ -28,21 +28,22 @@
         /// The proposed value.
         value: Value,
     },
-    /// Return what was accepted, without a promise.
+    /// Return the accepted value, without a promise.
     Read {
         /// The register.
         key: Key,
     },
-    /// Adopt the request's acceptor set, joined with the one known, and return the registers that follow a name.
+    /// Adopt the request's acceptor set, joined with the acceptor's own, and return the registers after a key.
     Reconfigure {
-        /// The last name received so far; empty at first.
+        /// The last key received so far; empty at first.
         after: Key,
     },
-    /// To an acceptor that has no state: a part of what the others returned under the request's acceptor set.
+    /// Install registers in an acceptor that has no state: one page of the registers that the others returned under the
+    /// request's acceptor set.
     InstallState {
-        /// The registers of this part.
+        /// The registers of this page.
         registers: BTreeMap<Key, RegisterState>,
-        /// How many registers there are in all parts.
+        /// Number of registers in all pages.
         total: u32,
     },
 }
@@ -50,74 +51,75 @@
 /// A proposer's request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorRequest {
-    /// The acceptors that the proposer counts.
+    /// The acceptor set whose majority the proposer counts.
     pub acceptors: AcceptorSet,
     /// Identifies the proposer's round; the reply repeats it.
     pub nonce: u64,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
 }
 
-/// Why an acceptor does not do what it was asked.
+/// Why an acceptor rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
     /// It has promised this higher ballot.
     HigherPromise(Ballot),
-    /// It goes by another acceptor set.
+    /// It uses this acceptor set, which differs from the request's.
     AcceptorSetMismatch(AcceptorSet),
     /// It has lost its file, or never had one, and has to be admitted first.
     Uninitialized,
-    /// So many of the registers to be installed have arrived, and more are missing.
+    /// Only this many of the registers to be installed have arrived so far.
     InstallIncomplete(u32),
-    /// It could not store its new state. What it has answered before still holds.
+    /// It could not store its new state. Its earlier answers remain valid.
     StoreFailed,
-    /// A name or value is too long, or there are too many registers.
+    /// A key or value is too long, there are too many registers, or the acceptor set is invalid.
     LimitExceeded,
 }
 
 /// An acceptor's answer to an [`Operation`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
-    /// To `Prepare` and `Read`: what it has accepted; to `Prepare` also its promise.
+    /// To `Prepare` and `Read`: the accepted value; to `Prepare` also the promise.
     Promise {
         /// The ballot of the value.
         accepted: Ballot,
-        /// The value accepted last.
+        /// The latest accepted value.
         value: Option<Value>,
     },
     /// To `Accept`: it has accepted the value.
     Accepted,
-    /// To `Reconfigure`: it has adopted the acceptor set, and knows these registers.
+    /// To `Reconfigure`: it has adopted the acceptor set, and holds these registers.
     Reconfigured {
-        /// The name asked for.
+        /// The key of the request.
         after: Key,
-        /// The registers after that name, as many as fit.
+        /// The registers after that key, as many as fit.
         registers: BTreeMap<Key, RegisterState>,
         /// Whether there are more.
         more: bool,
     },
-    /// To `InstallState`: it has all registers, and takes part from now on.
+    /// To `InstallState`: it has all registers, and participates from now on.
     StateInstalled,
-    /// It does not do what it was asked.
+    /// The request is rejected.
     Rejected(Rejection),
 }
 
 /// An acceptor's reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorReply {
-    /// The request's.
+    /// The nonce of the request.
     pub nonce: u64,
-    /// Who replies.
+    /// The slot of the replying acceptor.
     pub slot: AcceptorSlot,
     /// The generation of its file.
     pub generation: u64,
-    /// How often it has stored its state. One that comes back with a lower count has an older copy of its file.
+    /// How often it has stored its state. A lower count than before shows that it restarted from an older copy of its
+    /// file.
     pub store_count: u64,
     /// The answer.
     pub answer: Answer,
 }
 
-/// What a lease holder orders a member to do on behalf of the fleet.
+/// An order of a lease holder to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The role of the lease.
@@ -126,6 +128,6 @@
     pub epoch: u64,
     /// The lease holder.
     pub from: NodeId,
-    /// What is ordered.
+    /// The order's contents, opaque to this crate.
     pub body: Vec<u8>,
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,5 +1,5 @@
-//! One process of the fleet: membership, its acceptor if it has one, its leases, its registers and the fencing of orders.
-//! Driven by datagrams and the time; hands out datagrams, what is to be stored, and events.
+//! One process of the fleet: membership, its acceptor if it has one, its leases, its registers and the fencing of
+//! orders. It is driven by datagrams and the time, and returns datagrams to be sent, state to be stored, and events.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -32,76 +32,76 @@
 /// Longest body of an order, in bytes.
 pub const MAX_ORDER_BYTES: usize = 1_024;
 
-/// What a process is started with.
+/// The settings of a process, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// The fleet's name.
     pub fleet: String,
-    /// This process.
+    /// This process's identity.
     pub local: MemberIdentity,
-    /// The processes with acceptors, by slot: names and addresses.
+    /// Names and addresses of the processes with acceptors, in the order of their slots.
     pub acceptors: Vec<MemberIdentity>,
     /// Members to announce this process to.
     pub seeds: Vec<MemberIdentity>,
-    /// About how many members there are.
+    /// Approximate number of members.
     pub fleet_size: u32,
-    /// The roles that somebody is to hold.
+    /// The roles that the members hold leases on.
     pub roles: Vec<Key>,
-    /// Leases.
+    /// Timing of the leases.
     pub lease: LeaseSettings,
-    /// Membership.
+    /// Timing of the membership protocol.
     pub membership: MembershipTimeouts,
-    /// Seed of the random number generator: drawn anew at each start.
+    /// Seed of the random number generator; has to differ at each start.
     pub rng_seed: u64,
 }
 
-/// What has happened.
+/// An event that a [`Node`] reports to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// A member joined or is gone, or this process is no member any more.
+    /// A member joined or went down, or this process is no longer a member.
     Membership(MembershipChange),
     /// This process has acquired or lost a role's lease.
     Lease {
         /// The role.
         role: Key,
-        /// What happened.
+        /// Whether it was acquired or lost, and under which epoch.
         event: LeaseEvent,
     },
-    /// A lease holder's order, which is to be carried out.
+    /// A lease holder's order, to be carried out.
     Order {
         /// The order.
         order: Order,
-        /// Whether it is the first one under its epoch.
+        /// Whether it is the first order received under its epoch.
         is_first_of_epoch: bool,
     },
     /// An order that must have no effect.
     OrderRejected {
         /// The order.
         order: Order,
-        /// Why.
+        /// Why it was rejected.
         error: FencingError,
     },
     /// This process's acceptor has been admitted by the others.
     AcceptorAdmitted,
-    /// What a read or a change of a register has come to.
+    /// The result of a read or a change of a register.
     Register {
         /// The register.
         key: Key,
-        /// What it has come to.
+        /// The result.
         outcome: RegisterOutcome,
     },
 }
 
-/// How often something was dropped.
+/// Numbers of dropped datagrams, messages and orders since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// Datagrams of another fleet or format version, or damaged.
+    /// Datagrams that are damaged, or of another fleet or format version.
     pub foreign_datagrams: u64,
-    /// Messages in datagrams of this fleet that make no sense.
+    /// Messages in datagrams of this fleet that cannot be decoded, and requests to an acceptor that this process lacks.
     pub malformed_messages: u64,
-    /// Orders rejected by their epoch.
+    /// Orders rejected because of a stale epoch or the limits on roles.
     pub rejected_orders: u64,
-    /// Messages too long to be sent.
+    /// Messages not sent because they are too long.
     pub oversized_messages: u64,
 }
 
@@ -115,20 +115,21 @@
     knowledge: AcceptorKnowledge,
     reconfiguration: Option<ActiveReconfiguration>,
     leases: BTreeMap<Key, LeaseContender>,
-    /// Of roles that this process was a candidate for, and is not now, the highest ballot counter: none is used again.
+    /// The highest ballot counter of each role for which this process is no longer a candidate, so that no ballot is
+    /// reused.
     former_lease_counters: BTreeMap<Key, u64>,
-    /// Kept as long as the process lives, so that no ballot is used again.
+    /// Kept for the lifetime of the process, so that no ballot is reused.
     registers: BTreeMap<Key, RegisterClient>,
     fencing: FencingGuard,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
     events: VecDeque<NodeEvent>,
     drop_counts: DropCounts,
-    /// It releases its leases and acquires no other.
+    /// The process releases its leases and acquires no others.
     is_leaving: bool,
 }
 
 impl Node {
-    /// A process, with its acceptor if it has one.
+    /// Creates a process, with its acceptor if it has one.
     pub fn new(settings: NodeSettings, acceptor: Option<Acceptor>) -> Node {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.rng_seed);
         let membership = Membership::new(
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Sets the acceptor once its file could be read; no effect if there is one.
+    /// Sets the acceptor once its file has been read; no effect if there already is an acceptor.
     pub fn set_acceptor(&mut self, acceptor: Acceptor) {
         self.acceptor.get_or_insert(acceptor);
     }
@@ -169,27 +170,27 @@
         &self.membership
     }
 
-    /// This process's acceptor.
+    /// This process's acceptor, if it has one.
     pub fn acceptor(&self) -> Option<&Acceptor> {
         self.acceptor.as_ref()
     }
 
-    /// What is known of all acceptors.
+    /// What this process knows about all acceptors.
     pub fn acceptor_knowledge(&self) -> &AcceptorKnowledge {
         &self.knowledge
     }
 
-    /// What was dropped.
+    /// How many datagrams, messages and orders were dropped.
     pub fn drop_counts(&self) -> DropCounts {
         self.drop_counts
     }
 
-    /// What it was started with.
+    /// The settings that the process was started with.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
-    /// The next datagram to be sent, and to whom.
+    /// The next datagram to be sent, and its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.datagrams.pop_front()
     }
@@ -199,7 +200,7 @@
         self.events.pop_front()
     }
 
-    /// When [`Node::tick`] is to be called next.
+    /// When [`Node::tick`] has to be called next.
     pub fn next_deadline(&self) -> Duration {
         let leases = self.leases.values().map(LeaseContender::next_deadline);
         let registers = self.registers.values().filter_map(RegisterClient::next_deadline);
@@ -207,7 +208,7 @@
         leases.chain(registers).chain(reconfiguration).fold(self.membership.next_deadline(), Duration::min)
     }
 
-    /// Handles what has become due.
+    /// Handles expired deadlines.
     pub fn tick(&mut self, now: Duration) {
         self.membership.tick(now);
         self.drain_membership();
@@ -221,7 +222,7 @@
     /// Handles a datagram.
     ///
     /// # Errors
-    /// Why it was dropped unread.
+    /// The reason why the datagram was dropped unread.
     pub fn handle_datagram(
         &mut self,
         now: Duration,
@@ -271,15 +272,15 @@
         }
     }
 
-    /// Leaves gracefully: releases its leases and tells the other members. The datagrams have to be sent, and
-    /// [`Node::tick`] called until [`Node::has_left`].
+    /// Leaves gracefully: releases the leases and notifies the other members. The caller sends the datagrams, and calls
+    /// [`Node::tick`] until [`Node::has_left`].
     pub fn leave(&mut self, now: Duration) {
         self.retire();
         self.membership.leave(now);
         self.drain_membership();
     }
 
-    /// Releases all leases and acquires none any more: a process that is no member is no candidate.
+    /// Releases all leases and stops acquiring them: only a member may be a candidate.
     fn retire(&mut self) {
         self.is_leaving = true;
         self.leases.values_mut().for_each(LeaseContender::release);
--- a/crates/fleet/src/node/acceptors.rs
+++ b/crates/fleet/src/node/acceptors.rs
@@ -1,5 +1,5 @@
-//! A process's talk with acceptors: requests to its own, replies of all, and help for those that lag or have lost their
-//! file.
+//! A process's communication with acceptors: requests to its own acceptor, replies of all acceptors, and help for
+//! acceptors that have an outdated acceptor set or have lost their file.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::reconfiguration::Reconfiguration;
 use crate::register::{AcceptorSlot, Key};
 
-/// A reconfiguration, and when its requests are sent next.
+/// A reconfiguration, and when its requests are to be sent again.
 pub(super) struct ActiveReconfiguration {
     reconfiguration: Reconfiguration,
     send_at: Duration,
@@ -78,7 +78,7 @@
             self.reconfiguration = None;
             return;
         }
-        // The acceptors that are asked next need not wait for the next time that requests are sent.
+        // Requests that have become possible are sent at once, not at the next resend.
         let pending = reconfiguration.pending_requests().into_iter();
         requests.extend(pending.filter(|(slot, _)| *slot != reply.slot));
     }
@@ -108,13 +108,13 @@
         let Some((slot, generation)) = self.knowledge.uninitialized.first().copied() else { return };
         let known_generation = self.knowledge.acceptors.generation(slot);
         if generation < known_generation {
-            // Another file has been admitted: the acceptor takes a higher generation when it learns of the set.
+            // Another file has been admitted: the acceptor moves to a higher generation once it receives the newer set.
             self.knowledge.uninitialized.remove(0);
             return;
         }
-        // If another process has begun to admit this very file, this one continues only if that does not finish.
-        let has_begun = generation == known_generation;
-        let delay = if has_begun { self.settings.lease.duration } else { Duration::ZERO };
+        // If another process is already admitting this file, this one takes over only if the other does not finish.
+        let is_under_way = generation == known_generation;
+        let delay = if is_under_way { self.settings.lease.duration } else { Duration::ZERO };
         let nonce = self.knowledge.next_nonce();
         let reconfiguration = Reconfiguration::new(
             slot,
@@ -128,7 +128,7 @@
     }
 }
 
-/// The acceptor's reply, once what it needs is stored.
+/// Lets the acceptor handle the request, and stores its new state, if any, before it returns the reply.
 fn store_and_reply(
     acceptor: &mut Acceptor,
     request: AcceptorRequest,
--- a/crates/fleet/src/node/leases.rs
+++ b/crates/fleet/src/node/leases.rs
@@ -1,4 +1,4 @@
-//! A process's leases: which roles it is a candidate for, and the orders that it sends as a holder.
+//! A process's leases: the roles for which it is a candidate, and the orders that it sends as a lease holder.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::messages::{AcceptorRequest, Order};
 use crate::register::{AcceptorSlot, Key};
 
-/// So many members, by rank, are candidates for a role; the others leave the acceptors alone.
+/// Number of members that are candidates for a role, by rank; the others send nothing about it to the acceptors.
 const CANDIDATES_PER_ROLE: usize = 3;
 
 impl Node {
-    /// The role's lease, if this process is a candidate for it.
+    /// The role's lease, if this process is a candidate for it or still holds it.
     pub fn lease(&self, role: &str) -> Option<&LeaseContender> {
         self.leases.get(role)
     }
@@ -24,8 +24,8 @@
         self.leases.iter().filter_map(move |(role, lease)| Some((role, lease.valid_epoch(now)?)))
     }
 
-    /// Sends an order in a role, at this moment. False if this process may not, or not any more: a caller that has taken
-    /// time since it decided has to look again.
+    /// Sends an order in a role. Returns false if this process does not hold the lease at `now`, which must be the
+    /// current time and not that of the decision, or if the body is too long.
     pub fn send_order(&mut self, now: Duration, role: &str, to: SocketAddr, body: Vec<u8>) -> bool {
         let Some(epoch) = self.leases.get(role).and_then(|lease| lease.valid_epoch(now)) else {
             return false;
@@ -74,8 +74,8 @@
         LeaseContender::new(node, role.clone(), self.settings.lease).with_counters_above(highest_counter)
     }
 
-    /// This process's place among the candidates for a role: each role has an order of its own over the members, which a
-    /// member that comes or goes changes for few roles only (rendezvous hashing).
+    /// This process's rank among the candidates for a role, `None` if it is not a candidate. Each role ranks the
+    /// members in its own order, and a member that joins or leaves changes the ranks of few roles (rendezvous hashing).
     fn rank(&self, role: &str) -> Option<u32> {
         let weight = |name: &str| fnv1a_64(&format!("{name}/{role}")).wrapping_mul(GOLDEN_RATIO);
         let local = &self.settings.local.name;
