--- a/crates/fleet/src/acceptor.rs
+++ b/crates/fleet/src/acceptor.rs
@@ -1,13 +1,15 @@
-//! A CASPaxos acceptor (Rystsov, "CASPaxos: Replicated State Machines without logs"): keeps promises and accepted values of
-//! each register, and replies only once its new state is durable.
+//! A CASPaxos acceptor (Rystsov, "CASPaxos: Replicated State Machines without logs"): keeps promises and accepted
+//! values of each register, and replies only once its new state is durable.
 //!
-//! It does no I/O. [`Acceptor::handle_request`] gives either a reply or a [`PendingStore`] with the bytes to be stored; the
-//! reply of a pending store exists only after [`PendingStore::stored`], so that no caller can send it before.
+//! It does no I/O. [`Acceptor::handle_request`] returns either a reply or a [`PendingStore`] with the bytes to be
+//! stored; the reply of a pending store exists only after [`PendingStore::stored`], so that no caller can send it too
+//! early.
 //!
-//! It differs from the published protocol in these points. A request names the acceptor set that its proposer counts, and
-//! is rejected under another one. An acceptor that has lost its file rejects everything until a majority of the others has
-//! adopted a set with its new file and handed over what they know ([`crate::reconfiguration`]). And each reply carries the
-//! number of stores so far, by which proposers recognise an acceptor that came back with an older copy of its file.
+//! It differs from the published protocol in these points. A request names the acceptor set that its proposer uses, and
+//! is rejected if the acceptor uses another one. An acceptor that has lost its file rejects everything until a majority
+//! of all acceptors, found among the others, has adopted a set with its new file and returned its registers
+//! ([`crate::reconfiguration`]). And each reply carries the number of stores so far, by which proposers recognise an
+//! acceptor that restarted from an older copy of its file.
 
 use std::collections::BTreeMap;
 
@@ -22,20 +24,20 @@
 pub use stored_state::AcceptorFileError;
 use stored_state::StoredState;
 
-/// One acceptor.
+/// The acceptor in one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     slot: AcceptorSlot,
     generation: u64,
-    /// Part of the generation of a file that is created anew.
+    /// The random part of the generation of a newly created file.
     salt: u32,
-    /// None while it is not admitted.
+    /// `None` until it is admitted.
     state: Option<StoredState>,
     installing: PartialState,
 }
 
-/// The registers that an uninitialized acceptor takes over, as far as they have arrived: of one reconfiguration under one
-/// acceptor set. Parts of two might add up to the total of one and lack some of its registers.
+/// The registers received so far by an uninitialized acceptor, all from one reconfiguration under one acceptor set.
+/// Pages of two reconfigurations could reach the total of one of them and yet lack some of its registers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct PartialState {
     nonce: u64,
@@ -43,16 +45,16 @@
     registers: BTreeMap<Key, RegisterState>,
 }
 
-/// What a request leads to.
+/// The result of a request.
 #[must_use]
 pub enum RequestOutcome<'a> {
-    /// Nothing has to be stored: the reply may be sent.
+    /// Nothing has to be stored: the reply may be sent at once.
     Reply(AcceptorReply),
-    /// The reply may be sent once this is stored.
+    /// The reply may be sent once the new state is stored.
     Store(PendingStore<'a>),
 }
 
-/// A change of the acceptor's state that has to be durable before anybody learns of it.
+/// A change of the acceptor's state that has to be durable before it is visible to any other process.
 #[must_use]
 pub struct PendingStore<'a> {
     acceptor: &'a mut Acceptor,
@@ -67,24 +69,25 @@
         self.next.encode()
     }
 
-    /// The file is durable: changes the state and gives the reply.
+    /// The file is durable: changes the state and returns the reply.
     pub fn stored(self) -> AcceptorReply {
         self.acceptor.state = Some(self.next);
         self.acceptor.installing = PartialState::default();
         self.acceptor.reply(self.nonce, self.answer)
     }
 
-    /// Whether the file is durable is unknown: gives a rejection. The file holds this change or what was stored before, and
-    /// nobody learns of this change, so an acceptor restarted on either keeps all that it has answered. The next store
-    /// writes the complete state again.
+    /// It is unknown whether the file is durable: returns a rejection. The file holds either this change or the state
+    /// before it, and no other process sees this change, so an acceptor restarted from either file keeps all its
+    /// earlier answers. The next store writes the complete state again.
     pub fn failed(self) -> AcceptorReply {
         self.acceptor.reply(self.nonce, Answer::Rejected(Rejection::StoreFailed))
     }
 }
 
 impl Acceptor {
-    /// An acceptor of a new fleet, which counts at once. Its file has to be stored before it replies to anything. Only for
-    /// fleets that the operator has said to be new, since two files of generation 0 in one slot cannot be told apart.
+    /// An acceptor of a new fleet, which participates at once. Its file has to be stored before it replies to anything.
+    /// Only for fleets that the operator has declared new, since two files of generation 0 in one slot cannot be
+    /// distinguished.
     pub fn founding(slot: AcceptorSlot) -> Acceptor {
         let state = StoredState {
             generation: 0,
@@ -95,8 +98,8 @@
         Acceptor { slot, generation: 0, salt: 0, state: Some(state), installing: PartialState::default() }
     }
 
-    /// An acceptor without a file: it takes no part until the others have admitted it. `salt` is drawn at random, so that
-    /// its new file is not mistaken for another one.
+    /// An acceptor without a file: it does not participate until the others have admitted it. `salt` is a random number
+    /// that distinguishes its new file from other files.
     pub fn uninitialized(slot: AcceptorSlot, salt: u32) -> Acceptor {
         let generation = AcceptorSet::default().next_generation(slot, salt);
         Acceptor { slot, generation, salt, state: None, installing: PartialState::default() }
@@ -105,24 +108,24 @@
     /// An acceptor that continues from its file.
     ///
     /// # Errors
-    /// Why the file cannot be used. The acceptor is [`Acceptor::uninitialized`] then.
+    /// The reason why the file cannot be used. The caller then creates an [`Acceptor::uninitialized`].
     pub fn from_file(slot: AcceptorSlot, file: &[u8]) -> Result<Acceptor, AcceptorFileError> {
         let state = StoredState::decode(file)?;
         let generation = state.generation;
         Ok(Acceptor { slot, generation, salt: 0, state: Some(state), installing: PartialState::default() })
     }
 
-    /// What the file must hold before this acceptor replies to anything; none while it is uninitialized.
+    /// The contents that the file must have before this acceptor replies to anything; `None` while it is uninitialized.
     pub fn file_bytes(&self) -> Option<Vec<u8>> {
         self.state.as_ref().map(StoredState::encode)
     }
 
-    /// Its slot.
+    /// The acceptor's slot.
     pub fn slot(&self) -> AcceptorSlot {
         self.slot
     }
 
-    /// The generation of its file.
+    /// The generation of the acceptor's file.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -132,12 +135,12 @@
         self.state.is_none()
     }
 
-    /// The acceptor set that it goes by; none while it is uninitialized.
+    /// The acceptor set that it uses; `None` while it is uninitialized.
     pub fn acceptors(&self) -> Option<&AcceptorSet> {
         self.state.as_ref().map(|state| &state.acceptors)
     }
 
-    /// How many registers it keeps.
+    /// Number of registers that it keeps.
     pub fn register_count(&self) -> usize {
         self.state.as_ref().map_or(0, |state| state.registers.len())
     }
@@ -165,10 +168,11 @@
         }
     }
 
-    /// While uninitialized: moves on to a generation that the set does not know yet, and collects registers to be installed.
+    /// For an uninitialized acceptor: moves on to a generation that the set does not contain yet, and collects
+    /// registers to be installed.
     fn prepare_installation(&mut self, acceptors: &AcceptorSet, nonce: u64, operation: &Operation) {
         if acceptors.is_valid() && acceptors.generation(self.slot) > self.generation {
-            // Another file of this slot has been admitted before, or its admission has begun.
+            // Another file of this slot has been admitted, or its admission is under way.
             self.generation = acceptors.next_generation(self.slot, self.salt);
         }
         if let Operation::InstallState { registers, .. } = operation {
@@ -209,7 +213,7 @@
         Ok((next, answer))
     }
 
-    /// Adopts an acceptor set, and returns the registers that follow a name.
+    /// Adopts an acceptor set, and returns the registers after a key.
     fn reconfigure(
         &self,
         mut next: StoredState,
@@ -218,7 +222,7 @@
     ) -> Result<(StoredState, Answer), Rejection> {
         let joined = next.acceptors.join(acceptors);
         if joined.generation(self.slot) != self.generation {
-            // Another file has been admitted in this slot: this acceptor does not count any more.
+            // Another file has been admitted in this slot: this acceptor is not in the set any more.
             return Err(Rejection::AcceptorSetMismatch(joined));
         }
         next.acceptors = joined;
@@ -227,7 +231,7 @@
         Ok((next, Answer::Reconfigured { after, registers, more }))
     }
 
-    /// Collects a part of the registers to be installed. None of them counts before all have arrived.
+    /// Collects one page of the registers to be installed. They take effect only once all have arrived.
     fn collect_registers(
         &mut self,
         nonce: u64,
@@ -250,14 +254,14 @@
         }
     }
 
-    /// Takes over the registers that have arrived, once they are complete; an acceptor with a state keeps it.
+    /// Installs the collected registers once they are complete. An acceptor that already has a state keeps it.
     fn install(&self, acceptors: AcceptorSet, total: u32) -> Result<(StoredState, Answer), Rejection> {
         if acceptors.generation(self.slot) != self.generation {
             return Err(Rejection::Uninitialized);
         }
         let arrived = self.installing.registers.len() as u32;
         match &self.state {
-            // It has been admitted already, perhaps by another process.
+            // The acceptor has already been admitted, perhaps by another process.
             Some(state) => Ok((state.clone(), Answer::StateInstalled)),
             None if arrived < total => Err(Rejection::InstallIncomplete(arrived)),
             None => {
@@ -275,7 +279,7 @@
     ballot: Ballot,
 ) -> Result<Answer, Rejection> {
     let state = register_mut(registers, key)?;
-    // An equal ballot is the same proposer's, whose reply was lost.
+    // An equal ballot comes from the same proposer, which has not received the reply.
     if ballot < state.promised {
         return Err(Rejection::HigherPromise(state.promised));
     }
--- a/crates/fleet/src/acceptor/stored_state.rs
+++ b/crates/fleet/src/acceptor/stored_state.rs
@@ -1,5 +1,5 @@
-//! An acceptor's file: magic bytes with the format version, length, checksum, and the state in postcard, whose fields are
-//! written in their order and without names. `docs/formats/fleet.md` gives it byte by byte.
+//! An acceptor's file: magic bytes with the format version, length, checksum, and the state in postcard, which writes
+//! the fields in their order and without names. `docs/formats/fleet.md` specifies it byte by byte.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 
 use crate::register::{AcceptorSet, Key, RegisterState};
 
-/// What the file is, and the version of its format.
+/// The file type, followed by the format version.
 const MAGIC: &[u8; 8] = b"DMVOTE\x00\x01";
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 
-/// All that an acceptor must remember across a crash.
+/// The state that an acceptor must keep across a crash.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct StoredState {
     pub(super) generation: u64,
@@ -25,13 +25,13 @@
 /// Why an acceptor's file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AcceptorFileError {
-    /// Shorter than it says, or than the header.
+    /// The file is shorter than its header, or than the length in it.
     #[error("cut off")]
     Truncated,
-    /// Not an acceptor's file, or of a format version that this program does not know.
+    /// The file is not an acceptor's file, or has a format version that this program does not support.
     #[error("not a voter's file of this form")]
     UnknownFormat,
-    /// The checksum does not match the contents.
+    /// The checksum does not match the contents, or there are bytes after them.
     #[error("the checksum does not fit")]
     ChecksumMismatch,
     /// The checksum matches, but the contents cannot be decoded.
--- a/crates/fleet/src/acceptor/tests.rs
+++ b/crates/fleet/src/acceptor/tests.rs
@@ -1,10 +1,10 @@
-//! An acceptor.
+//! Tests of the acceptor.
 
 use super::*;
 use crate::register::MAX_ACCEPTORS;
 
-/// Guards the admission of an acceptor: parts of two reconfigurations do not add up to one, and an acceptor set with slots
-/// that no fleet has is not stored.
+/// Guards the admission of an acceptor: pages of two reconfigurations are not combined into one state, and an acceptor
+/// set with a slot above the maximum is rejected.
 #[test]
 fn parts_of_two_reconfigurations_do_not_add_up() {
     let mut acceptor = Acceptor::uninitialized(AcceptorSlot(0), 5);
--- a/crates/fleet/src/acceptor_knowledge.rs
+++ b/crates/fleet/src/acceptor_knowledge.rs
@@ -1,40 +1,41 @@
-//! What a process knows of the acceptors, shared by all its rounds.
+//! What a process knows about the acceptors, shared by all its rounds.
 
 use crate::proposer::{RoundEvent, StoreCounts};
 use crate::register::{AcceptorSet, AcceptorSlot};
 
-/// What a process knows of the acceptors.
+/// What a process has learned about the acceptors from their replies.
 #[derive(Clone, Debug, Default)]
 pub struct AcceptorKnowledge {
-    /// Number of slots.
+    /// Number of acceptor slots.
     pub acceptor_count: u8,
     /// The newest acceptor set seen.
     pub acceptors: AcceptorSet,
-    /// How often each acceptor has stored.
+    /// The highest store count seen for each acceptor.
     pub store_counts: StoreCounts,
-    /// Slots whose acceptor goes by an older set.
+    /// Slots whose acceptor uses an older set.
     pub outdated: Vec<AcceptorSlot>,
     /// Acceptors that have lost their file, with the generation under which they are to be admitted.
     pub uninitialized: Vec<(AcceptorSlot, u64)>,
-    /// Replies of acceptors that came back with an older copy of their file or cannot store.
+    /// Number of replies from acceptors that restarted from an older copy of their file, cannot store, or have reached
+    /// a limit.
     pub unfit_replies: u64,
     last_nonce: u64,
 }
 
 impl AcceptorKnowledge {
-    /// Of acceptors in so many slots. `salt` is drawn at random, so that no reply to an earlier start of this process is
-    /// mistaken for one to this.
+    /// Creates the knowledge about acceptors in `acceptor_count` slots. `salt` is a random number, so that a reply to
+    /// an earlier start of this process is not mistaken for a reply to this one.
     pub fn new(acceptor_count: u8, salt: u64) -> AcceptorKnowledge {
         AcceptorKnowledge { acceptor_count, last_nonce: salt, ..AcceptorKnowledge::default() }
     }
 
-    /// A nonce that no other round of this process has.
+    /// A nonce that no other round of this process uses.
     pub fn next_nonce(&mut self) -> u64 {
         self.last_nonce = self.last_nonce.wrapping_add(1);
         self.last_nonce
     }
 
-    /// Records what an event says of the acceptors.
+    /// Records the information about the acceptors in an event.
     pub fn record_event(&mut self, event: &RoundEvent) {
         match event {
             RoundEvent::NewerAcceptorSet(set) => self.acceptors = self.acceptors.join(set),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The slot's acceptor need not be admitted any more.
+    /// Removes a slot whose acceptor no longer has to be admitted.
     pub fn forget_uninitialized(&mut self, slot: AcceptorSlot) {
         self.uninitialized.retain(|(known, _)| *known != slot);
     }
--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -1,15 +1,16 @@
-//! The frame around every datagram: magic bytes, format version, message kind, fleet tag and a checksum, so that datagrams
-//! of another fleet or another version, and damaged ones, are dropped unread. `docs/formats/fleet.md` gives it byte by byte.
+//! The frame around every datagram: magic bytes, format version, message kind, fleet tag and a checksum, so that
+//! datagrams of another fleet or another version, and damaged ones, are dropped unread. `docs/formats/fleet.md`
+//! specifies it byte by byte.
 
 use thiserror::Error;
 
 use crate::hash::fnv1a_64;
 
-/// Longest datagram, in bytes: it crosses common networks without fragmentation.
+/// Maximum length of a datagram, in bytes: such a datagram crosses common networks without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The format version that is written, and the newest that is read.
+/// The format version that is written, and the newest version that is read.
 pub const FORMAT_VERSION: u8 = 1;
-/// Longest message that fits into a datagram, in bytes.
+/// Maximum length of a message, in bytes, so that it fits into a datagram.
 pub const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - CHECKSUM_BYTES;
 
 const MAGIC: [u8; 2] = *b"DF";
@@ -21,7 +22,7 @@
 const TAG_OFFSET: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 
-/// What a datagram carries. The discriminants are the bytes on the wire.
+/// The kind of message that a datagram carries. The discriminants are the bytes on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// A message of the membership protocol.
@@ -51,37 +52,37 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum FrameError {
-    /// Shorter than a frame, or longer than a datagram may be.
+    /// It is shorter than an empty frame, or longer than [`MAX_DATAGRAM_BYTES`].
     #[error("the length is not one of a datagram of a fleet")]
     Length,
     /// It does not start with the magic bytes.
     #[error("not a datagram of a fleet")]
     Magic,
-    /// A format version that this program does not read.
+    /// It has a format version that this program does not read.
     #[error("unknown format version")]
     Version,
     /// It belongs to another fleet.
     #[error("of another fleet")]
     Fleet,
-    /// It was damaged on its way.
+    /// It was damaged in transit.
     #[error("the checksum does not match")]
     Checksum,
-    /// A kind that this format version does not have.
+    /// It has a message kind that this format version does not define.
     #[error("unknown kind of message")]
     Kind,
 }
 
-/// The tag of a fleet, from its name. It tells apart fleets that share a network, and is no secret.
+/// The tag of a fleet, computed from its name. It distinguishes fleets that share a network, and is not a secret.
 pub fn fleet_tag(fleet: &str) -> u64 {
     fnv1a_64(fleet)
 }
 
-/// The kind that a datagram claims to be of, without any check: for counting.
+/// The message kind in a datagram's header, without any check; for statistics only.
 pub fn peek_kind(datagram: &[u8]) -> Option<MessageKind> {
     datagram.get(KIND_OFFSET).copied().and_then(MessageKind::from_byte)
 }
 
-/// Puts a message into a datagram; none if the message is longer than [`MAX_MESSAGE_BYTES`].
+/// Encodes a message as a datagram; `None` if the message is longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(fleet_tag: u64, kind: MessageKind, message: &[u8]) -> Option<Vec<u8>> {
     if message.len() > MAX_MESSAGE_BYTES {
         return None;
@@ -96,10 +97,10 @@
     Some(datagram)
 }
 
-/// Checks a datagram and gives the message in it.
+/// Checks a datagram and returns the message in it.
 ///
 /// # Errors
-/// Why the datagram has to be dropped.
+/// The reason why the datagram has to be dropped.
 pub fn decode(fleet_tag: u64, datagram: &[u8]) -> Result<(MessageKind, &[u8]), FrameError> {
     if datagram.len() < HEADER_BYTES + CHECKSUM_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(FrameError::Length);
--- a/crates/fleet/src/frame/tests.rs
+++ b/crates/fleet/src/frame/tests.rs
@@ -1,8 +1,9 @@
-//! Datagrams of the fleet.
+//! Tests of the frame around datagrams.
 
 use super::*;
 
-/// Guards the fleet against datagrams that are not its own: every byte changed, every length cut, another name.
+/// Guards against foreign and damaged datagrams: those of a fleet with another name, with any single bit changed, or
+/// truncated to any length are rejected. A message that is too long is not encoded.
 #[test]
 fn foreign_and_damaged_datagrams_are_rejected() {
     let (ours, theirs) = (fleet_tag("ours"), fleet_tag("theirs"));
@@ -24,12 +25,12 @@
     assert!(longest.is_some_and(|datagram| decode(ours, &datagram).is_ok()));
 }
 
-/// Guards the format: a datagram kept from the first version is still read.
+/// Guards the format: a datagram written by the first version is still read.
 #[test]
 fn a_datagram_of_the_first_version_is_read() {
-    let kept = [0x44, 0x46, 0x01, 0x04, 0x2a, 0x5c, 0x4e, 0xfa, 0x50, 0x19, 0xe6, 0x12, 0x68, 0x69];
-    let checksum = crc32fast::hash(&kept).to_le_bytes();
-    let datagram = [&kept[..], &checksum].concat();
+    let content = [0x44, 0x46, 0x01, 0x04, 0x2a, 0x5c, 0x4e, 0xfa, 0x50, 0x19, 0xe6, 0x12, 0x68, 0x69];
+    let checksum = crc32fast::hash(&content).to_le_bytes();
+    let datagram = [&content[..], &checksum].concat();
     let tag = u64::from_le_bytes([0x2a, 0x5c, 0x4e, 0xfa, 0x50, 0x19, 0xe6, 0x12]);
     assert_eq!(decode(tag, &datagram), Ok((MessageKind::Order, &b"hi"[..])));
 }
--- a/crates/fleet/src/hash.rs
+++ b/crates/fleet/src/hash.rs
@@ -1,5 +1,5 @@
-//! A hash that is the same on every machine and in every version, for tags, identifiers and rankings. It is no secret and
-//! resists no attacker.
+//! A hash that is the same on every machine and in every version, for tags, identifiers and rankings. It is not
+//! cryptographic and gives no protection against an attacker.
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -112,8 +112,8 @@
     next_round_at: Duration,
     /// The next round releases the lease, and the process gives no more orders.
     is_releasing: bool,
-    /// Since when the local process has been the first candidate, or since its latest handover request if that is later;
-    /// `None` while it is not the first candidate.
+    /// Since when the local process has been the first candidate, or since its latest handover request if that is
+    /// later; `None` while it is not the first candidate.
     first_candidate_since: Option<Duration>,
 }
 
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,12 +1,12 @@
 //! Membership by SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-//! Protocol"), with suspicion and incarnations, on the `foca` crate. Messages, the time and a seed are passed in; messages
-//! and changes are handed out.
+//! Protocol"), with suspicion and incarnations, on the `foca` crate. The caller passes in messages, the time and a
+//! seed, and takes out messages and changes.
 //!
-//! It differs from the published protocol in three points. A member is a name that lasts and the number of its start: of two
-//! processes with one name the later start wins, and the other is told so ([`MembershipChange::Superseded`]), where SWIM by
-//! itself lets the two declare each other dead for ever. Members that are down are still announced to, so that the two
-//! sides of a healed network partition find each other again. And news is passed on more often than usual, see
-//! [`max_transmissions`].
+//! It differs from the published protocol in three points. A member is identified by a lasting name and a start number:
+//! of two processes with the same name the later start wins, and the other one is notified
+//! ([`MembershipChange::Superseded`]); in SWIM itself the two would declare each other dead forever. Members that are
+//! down still receive announcements, so that the two sides of a healed network partition find each other again. And
+//! updates are gossiped more often than usual, see [`max_transmissions`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -24,23 +24,23 @@
 use identity::IndexedIdentity;
 pub use identity::{MemberIdentity, MAX_NAME_BYTES};
 
-/// Most members of a fleet; further ones are ignored.
+/// Maximum number of members of a fleet; further members are ignored.
 pub const MAX_MEMBERS: usize = 1024;
 
 /// First byte of a message of the SWIM protocol.
 const SWIM_MESSAGE: u8 = 0;
-/// First byte of the notice that a process with the receiver's name has started later.
+/// First byte of a notice that another process with the receiver's name has started later.
 const LATER_START_NOTICE: u8 = 1;
 const MESSAGE_TYPE_BYTES: usize = 1;
 
-/// How soon a silent member is suspected and declared down.
+/// The times after which an unresponsive member is suspected, declared down and forgotten.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipTimeouts {
-    /// Time between two probes, each of one member.
+    /// Time between two probes; each probes one member.
     pub probe_interval: Duration,
-    /// How long a member may take to answer a probe, directly and through others.
+    /// Maximum time until a probed member answers, directly or through others.
     pub probe_timeout: Duration,
-    /// From suspicion to being declared down.
+    /// Time from the suspicion of a member until it is declared down.
     pub suspicion_timeout: Duration,
     /// How long a member that is down is remembered.
     pub down_retention: Duration,
@@ -51,13 +51,13 @@
 pub enum MembershipChange {
     /// A process has joined.
     Up(MemberIdentity),
-    /// A process is gone: dead, unreachable, or left.
+    /// A process is down: dead, unreachable, or left.
     Down(MemberIdentity),
-    /// Another process with the local name has started later: the local process is no member any more.
+    /// Another process with the local name has started later: the local process is no longer a member.
     Superseded,
 }
 
-/// What the protocol asks for while it handles an input.
+/// The protocol's output while it handles an input.
 #[derive(Default)]
 struct ProtocolOutput {
     messages: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -91,10 +91,11 @@
     }
 }
 
-/// How often each member passes a piece of news on, in a fleet of this size. Where each passes it on `k` times to members
-/// drawn at random, about one in `exp(k)` never hears it and is left to its own probe, whose turn comes once in as many
-/// probes as there are members. The library's own rule, four times the decimal logarithm, lets one in 1,100 miss it at 90
-/// members; three times the natural one lets one in the cube of their number.
+/// How often each member transmits an update, in a fleet of this size. If each member transmits it `k` times to members
+/// drawn at random, about one in `exp(k)` never receives it and finds out only by its own probe, which reaches a given
+/// member once in as many probes as there are members. With the library's default, four times the decimal logarithm,
+/// one in 1,100 misses an update at 90 members; with three times the natural logarithm, one in the cube of their
+/// number.
 fn max_transmissions(fleet_size: NonZeroU32) -> NonZeroU8 {
     let transmissions = 3.0 * f64::from(fleet_size.get().saturating_add(1)).ln();
     NonZeroU8::new(transmissions.ceil().clamp(6.0, 255.0) as u8).unwrap_or(NonZeroU8::MAX)
@@ -115,16 +116,17 @@
         max_packet_size: NonZeroUsize::new(max_packet_bytes).unwrap_or(NonZeroUsize::MIN),
         max_transmissions: max_transmissions(fleet_size),
         notify_down_members: true,
-        // The sides of a partition that have declared each other down find each other again through these.
+        // The sides of a partition declare each other down; these announcements let them find each other again.
         periodic_announce_to_down_members: to_members(1, timeouts.probe_interval * 5),
-        // Where hundreds start at once not all news of them gets round; an announcement is answered with some members.
+        // When hundreds of members start at once, not every update reaches all; the reply to an announcement names some
+        // members.
         periodic_announce: to_members(1, timeouts.probe_interval * 4),
         periodic_gossip: to_members(2, timeouts.probe_interval / 2),
         ..Config::new_lan(fleet_size)
     }
 }
 
-/// The members of a fleet as one of them sees them.
+/// One member's view of the members of the fleet.
 pub struct Membership {
     protocol: Foca<IndexedIdentity, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
     local: MemberIdentity,
@@ -133,17 +135,18 @@
     changes: VecDeque<MembershipChange>,
     /// By time, then in the order in which they were set.
     timers: BTreeMap<(Duration, u64), Timer<IndexedIdentity>>,
-    timers_set: u64,
+    timer_sequence: u64,
     next_announcement: Duration,
     announcement_interval: Duration,
-    /// The others that are up, by name.
+    /// The other members that are up, by name.
     up: BTreeMap<String, MemberIdentity>,
     superseded: bool,
     rejected_messages: u64,
 }
 
 impl Membership {
-    /// The local member of a fleet of about `fleet_size`. It announces itself to the seeds until it knows another member.
+    /// Creates the local member of a fleet of about `fleet_size` members. It announces itself to the seeds until it
+    /// knows another member.
     pub fn new(
         local: MemberIdentity,
         seeds: Vec<MemberIdentity>,
@@ -160,7 +163,7 @@
             output: ProtocolOutput::default(),
             changes: VecDeque::new(),
             timers: BTreeMap::new(),
-            timers_set: 0,
+            timer_sequence: 0,
             next_announcement: Duration::ZERO,
             announcement_interval: timeouts.probe_interval,
             up: BTreeMap::new(),
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The local process.
+    /// The identity of the local process.
     pub fn local(&self) -> &MemberIdentity {
         &self.local
     }
@@ -179,18 +182,19 @@
         self.up.values()
     }
 
-    /// How many messages made no sense, or named too many members or names that are too long.
+    /// Number of messages that could not be handled, and of members not added because there are too many or their name
+    /// is too long.
     pub fn rejected_messages(&self) -> u64 {
         self.rejected_messages
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// When [`Membership::tick`] has to be called next.
     pub fn next_deadline(&self) -> Duration {
         let timer = self.timers.keys().next().map(|(at, _)| *at);
         timer.map_or(self.next_announcement, |at| at.min(self.next_announcement))
     }
 
-    /// Handles the timers that have expired.
+    /// Handles the expired timers, and announces the local process while it knows no other member.
     pub fn tick(&mut self, now: Duration) {
         while let Some(first) = self.timers.first_entry().filter(|first| first.key().0 <= now) {
             let timer = first.remove();
@@ -212,7 +216,7 @@
         }
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn handle_message(&mut self, now: Duration, message: &[u8]) {
         match message.split_first() {
             Some((&SWIM_MESSAGE, _)) if self.superseded => {}
@@ -231,7 +235,7 @@
         self.apply_output(now, handled.is_ok());
     }
 
-    /// The notice to a message's sender if a process with its name has started later. The message is ignored then.
+    /// The notice to a message's sender if a process with its name has started later; its message is then ignored.
     fn later_start_notice(&mut self, mut data: &[u8]) -> Option<(SocketAddr, Vec<u8>)> {
         let header: foca::Header<IndexedIdentity> = PostcardCodec.decode_header(&mut data).ok()?;
         let sender = header.src.identity;
@@ -248,7 +252,7 @@
             self.rejected_messages += 1;
             return;
         };
-        // A notice to a process before this one, or to another one.
+        // Addressed to an earlier start of this process or to another process, or a repetition.
         if later.name != self.local.name || later.start <= self.local.start || self.superseded {
             return;
         }
@@ -258,7 +262,7 @@
         self.changes.push_back(MembershipChange::Superseded);
     }
 
-    /// Leaves gracefully: the others need not suspect this process first.
+    /// Leaves gracefully, so that the other members need not suspect this process first.
     pub fn leave(&mut self, now: Duration) {
         if self.superseded {
             return;
@@ -267,12 +271,12 @@
         self.apply_output(now, left.is_ok());
     }
 
-    /// Sets the timers and applies the changes that the protocol has asked for.
+    /// Sets the timers and applies the changes that the protocol has requested.
     fn apply_output(&mut self, now: Duration, succeeded: bool) {
         self.rejected_messages += u64::from(!succeeded);
         for (timer, after) in self.output.timers.drain(..) {
-            self.timers_set += 1;
-            self.timers.insert((now + after, self.timers_set), timer);
+            self.timer_sequence += 1;
+            self.timers.insert((now + after, self.timer_sequence), timer);
         }
         for change in std::mem::take(&mut self.output.changes) {
             if self.apply_change(&change) {
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Whether the change is one of the members that this process keeps.
+    /// Applies the change to the known members. Returns whether it has to be reported.
     fn apply_change(&mut self, change: &MembershipChange) -> bool {
         match change {
             MembershipChange::Up(member)
@@ -302,12 +306,12 @@
         }
     }
 
-    /// The next message to be sent, and to whom.
+    /// The next message to be sent, and its destination.
     pub fn next_message(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.output.messages.pop_front()
     }
 
-    /// The next change that the owner has to know of.
+    /// The next change, for the owner.
     pub fn next_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
--- a/crates/fleet/src/membership/identity.rs
+++ b/crates/fleet/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is: as it goes over the wire, and in the form that the protocol compares quickly.
+//! The identity of a member: its wire format, and the form that the protocol compares quickly.
 
 use std::net::SocketAddr;
 
@@ -7,37 +7,38 @@
 
 use crate::node_id::NodeId;
 
-/// Longest name of a member, in bytes.
+/// Maximum length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 const WORD_BYTES: usize = 8;
 
-/// A process of a gateway as the others know it. On the wire, postcard writes the fields in this order, without names.
+/// A process of a gateway as the other members know it. On the wire, postcard writes the fields in this order, without
+/// names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// The gateway's name: the same after a restart, and unlike all others'.
+    /// The gateway's name: unique in the fleet, and the same after a restart.
     pub name: String,
-    /// Rises with each start of the gateway.
+    /// Increases with each start of the gateway.
     pub start: u64,
-    /// Rises each time the process refutes that it is down (SWIM's incarnation number).
+    /// Increases each time the process refutes that it is down (SWIM's incarnation number).
     pub incarnation: u32,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
 impl MemberIdentity {
-    /// A process of which only name and address are known, as of a seed or an acceptor in the settings.
+    /// A process of which only the name and address are known, such as a seed or an acceptor in the settings.
     pub fn with_address(name: &str, address: SocketAddr) -> MemberIdentity {
         MemberIdentity { name: name.to_string(), start: 0, incarnation: 0, address }
     }
 
-    /// Its identifier as a proposer and lease holder: one for each start, whatever its incarnation.
+    /// Its identifier as a proposer and lease holder: different for each start, but independent of the incarnation.
     pub fn node_id(&self) -> NodeId {
         NodeId::from_start(&self.name, self.start)
     }
 }
 
-/// A name without an allocation, for comparisons. Of a name that is too long only the beginning is kept, and its length
-/// tells it from all that are not.
+/// A member's name without an allocation, for comparisons. Only the beginning of a name that is too long is kept; its
+/// length distinguishes it from all valid names.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NameKey {
     length: usize,
@@ -57,15 +58,15 @@
 impl Eq for NameKey {}
 
 impl PartialEq for NameKey {
-    // Word by word: most names differ in the first two, and comparing all at once would cost more.
+    // Compares word by word: most names differ in the first two words, so comparing all words at once would cost more.
     #[inline]
     fn eq(&self, other: &NameKey) -> bool {
-        self.length == other.length && self.words.iter().zip(&other.words).all(|(own, theirs)| own == theirs)
+        self.length == other.length && self.words.iter().zip(&other.words).all(|(left, right)| left == right)
     }
 }
 
-/// An identity with its name in a form that is compared quickly: for each piece of news the protocol looks a member up by
-/// comparing the names of all. On the wire it is a [`MemberIdentity`].
+/// An identity whose name is also kept in a form that compares quickly: for each update the protocol looks up a member
+/// by comparing it with the names of all members. On the wire it is a [`MemberIdentity`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "MemberIdentity", into = "MemberIdentity")]
 pub(super) struct IndexedIdentity {
@@ -101,7 +102,7 @@
         self.key
     }
 
-    /// Of two processes with one name the later start wins.
+    /// Of two processes with the same name the later start wins.
     fn win_addr_conflict(&self, other: &Self) -> bool {
         let (own, other) = (&self.identity, &other.identity);
         (own.start, own.incarnation, own.address) > (other.start, other.incarnation, other.address)
--- a/crates/fleet/src/node_id.rs
+++ b/crates/fleet/src/node_id.rs
@@ -4,8 +4,8 @@
 
 use crate::hash::{fnv1a_64, GOLDEN_RATIO};
 
-/// Identifies one start of one gateway. A restarted process has a new identifier, so that it is never mistaken for the one
-/// before it.
+/// Identifies one start of one gateway. A restarted process has a new identifier, so that it is never mistaken for its
+/// predecessor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
--- a/crates/fleet/src/proposer.rs
+++ b/crates/fleet/src/proposer.rs
@@ -1,30 +1,32 @@
 //! A CASPaxos proposer's round (Rystsov, "CASPaxos: Replicated State Machines without logs"): a majority promises and
 //! returns the register's value, the owner of the round computes the next value from it, and a majority accepts that.
 //!
-//! It differs from the published protocol in these points. Ballots are chosen by the caller; there is no shortcut that saves
-//! the first phase of a later change. A round may also read without promises: what it finds is certain only if the whole
-//! majority has accepted it under one ballot. And each round counts acceptors by the generation of their files and by how
-//! often they have stored.
+//! It differs from the published protocol in these points. Ballots are chosen by the caller, and the optimisation that
+//! skips the first phase of a later change is left out. A round may also read without promises: the value that it
+//! returns is known to be chosen only if the whole majority has accepted it under one ballot. And a reply counts only
+//! if it comes from the file of the generation in the acceptor set, with a store count that is not below the highest
+//! known at the start of the round.
 //!
-//! A round has no timers: its owner sends [`ProposerRound::pending_requests`] again while it lasts, and drops it when its
-//! time is over. What a dropped round has proposed may still be chosen later; only the next round shows that.
+//! A round has no timers: its owner resends [`ProposerRound::pending_requests`] while the round lasts, and drops it at
+//! its deadline. The value that a dropped round proposed may still be chosen later; only the next round can tell.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::messages::{AcceptorReply, AcceptorRequest, Answer, Operation, Rejection};
 use crate::register::{AcceptorSet, AcceptorSlot, Ballot, Key, Value};
 
-/// The highest store count seen of each acceptor's file, to recognise an acceptor that came back with an older copy of it.
+/// The highest store count seen for each acceptor's file, to recognise an acceptor that restarted from an older copy of
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct StoreCounts(BTreeMap<(AcceptorSlot, u64), u64>);
 
 impl StoreCounts {
-    /// The highest store count seen of a slot's file of this generation.
+    /// The highest store count seen for the file of this generation in a slot; 0 if none was seen.
     pub fn highest(&self, slot: AcceptorSlot, generation: u64) -> u64 {
         self.0.get(&(slot, generation)).copied().unwrap_or_default()
     }
 
-    /// Records the store count of a reply, and forgets files that are not in the acceptor set any more.
+    /// Records the store count of a reply, and removes files that are not in the acceptor set.
     pub fn record(&mut self, acceptors: &AcceptorSet, reply: &AcceptorReply) {
         let highest = self.0.entry((reply.slot, reply.generation)).or_default();
         *highest = reply.store_count.max(*highest);
@@ -32,7 +34,7 @@
     }
 }
 
-/// What each acceptor has accepted, by its reply to a prepare or read.
+/// The value that each acceptor has accepted, according to its reply to a prepare or read.
 type AcceptedValues = BTreeMap<AcceptorSlot, (Ballot, Option<Value>)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -45,33 +47,36 @@
     Finished,
 }
 
-/// What a reply has led to.
+/// The effect of a reply on a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundEvent {
-    /// Nothing yet.
+    /// No effect yet.
     None,
-    /// A read has a majority.
+    /// A majority has replied to a read.
     Read {
         /// The ballot of the value.
         ballot: Ballot,
         /// The value with the highest ballot in the majority.
         value: Option<Value>,
-        /// Whether the whole majority has accepted it under this ballot: then it is chosen, otherwise it need not be.
+        /// Whether the whole majority has accepted the value under this ballot. If so it is chosen, otherwise it may
+        /// not be.
         unanimous: bool,
     },
     /// A majority has promised, and this is the register's value: [`ProposerRound::propose`] is next.
     Prepared(Option<Value>),
     /// A majority has accepted the proposed value: it is chosen.
     Chosen(Value),
-    /// Another proposer has a higher ballot. What this round proposed may have been chosen or not.
+    /// Another proposer has a higher ballot. The value that this round proposed may or may not be chosen.
     Preempted(Ballot),
-    /// An acceptor knows files that this round's acceptor set does not: a new round has to begin under both joined.
+    /// An acceptor's set contains files that this round's acceptor set does not: a new round has to start under the
+    /// join of both.
     NewerAcceptorSet(AcceptorSet),
-    /// An acceptor goes by an older set: it has to adopt the newer one.
+    /// An acceptor uses an older set: it has to adopt the newer one.
     OutdatedAcceptor(AcceptorSlot),
     /// An acceptor has lost its file and has to be admitted under this generation.
     UninitializedAcceptor(AcceptorSlot, u64),
-    /// An acceptor came back with an older copy of its file, or cannot store: its reply does not count.
+    /// An acceptor restarted from an older copy of its file, cannot store, or has reached a limit: its reply does not
+    /// count.
     UnfitAcceptor(AcceptorSlot),
 }
 
@@ -83,13 +88,13 @@
     acceptors: AcceptorSet,
     nonce: u64,
     acceptor_count: u8,
-    /// As of the beginning of the round: a reply with a lower count is of an older copy of the file.
+    /// The counts at the start of the round: a reply with a lower count comes from an older copy of the file.
     store_counts: StoreCounts,
     phase: Phase,
 }
 
 impl ProposerRound {
-    /// Begins a change. No other round of this process may have the same nonce.
+    /// Starts a change. No other round of this process may have the same nonce.
     pub fn change(
         key: Key,
         ballot: Ballot,
@@ -102,7 +107,7 @@
         ProposerRound { key, ballot, acceptors, nonce, acceptor_count, store_counts, phase }
     }
 
-    /// Begins a read, which asks for no promise and changes nothing.
+    /// Starts a read, which requests no promise and changes nothing.
     pub fn read(
         key: Key,
         acceptors: AcceptorSet,
@@ -124,7 +129,7 @@
         usize::from(self.acceptor_count) / 2 + 1
     }
 
-    /// The requests that are not answered yet, to be sent now and again from time to time.
+    /// The requests that are not answered yet, to be sent at once and resent at intervals.
     pub fn pending_requests(&self) -> Vec<(AcceptorSlot, AcceptorRequest)> {
         let (key, ballot) = (self.key.clone(), self.ballot);
         let (operation, answered): (Operation, BTreeSet<AcceptorSlot>) = match &self.phase {
@@ -176,7 +181,7 @@
         }
     }
 
-    /// An event if the reply does not count, because of the acceptor's file or set.
+    /// Checks the acceptor's file and set. Returns an event if the reply does not count.
     fn check_acceptor(&mut self, reply: &AcceptorReply) -> Option<RoundEvent> {
         let is_member = reply.generation == self.acceptors.generation(reply.slot);
         match &reply.answer {
--- a/crates/fleet/src/reconfiguration.rs
+++ b/crates/fleet/src/reconfiguration.rs
@@ -1,10 +1,11 @@
 //! Reconfiguration: admits an acceptor that has lost its file, under a new generation.
 //!
-//! A majority *of all*, among the other acceptors, adopts an acceptor set with the new file and returns all registers that
-//! it keeps; then the acceptor takes over, of each register, the highest promise and the value accepted last. From then on
-//! no proposer gets a majority under an older set, since any majority includes an acceptor that has adopted the new one.
+//! A majority *of all* acceptors, found among the other ones, adopts an acceptor set with the new file and returns all
+//! its registers; then the acceptor installs the highest promise and the latest accepted value of each register. From
+//! then on no proposer gets a majority under an older set, since any majority includes an acceptor that has adopted the
+//! new set.
 //!
-//! CASPaxos changes its acceptors one at a time, in an order that an operator keeps. Here any number of processes may
+//! CASPaxos changes its acceptors one at a time, in an order that an operator ensures. Here any number of processes may
 //! reconfigure at once: sets are joined slot by slot, so concurrent changes need no order.
 
 use std::collections::BTreeMap;
@@ -13,10 +14,10 @@
 use crate::proposer::{RoundEvent, StoreCounts};
 use crate::register::{first_page, AcceptorSet, AcceptorSlot, Key, RegisterState};
 
-/// What one of the other acceptors has returned.
+/// The registers received from one of the other acceptors.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Transfer {
-    /// The generation of the file that it was read from.
+    /// The generation of the file from which the registers were read.
     generation: u64,
     registers: BTreeMap<Key, RegisterState>,
     is_complete: bool,
@@ -27,7 +28,7 @@
         Transfer { generation, registers: BTreeMap::new(), is_complete: false }
     }
 
-    /// The last name received so far.
+    /// The last key received so far; empty if there is none.
     fn last_key(&self) -> Key {
         self.registers.keys().next_back().cloned().unwrap_or_default()
     }
@@ -47,8 +48,9 @@
 }
 
 impl Reconfiguration {
-    /// Begins to admit the acceptor whose new file has this generation, under the set that follows the one known. The
-    /// generation has to be above the known one; an uninitialized acceptor takes such a one once it learns of the set.
+    /// Starts to admit the acceptor whose new file has this generation, under the known set extended by that file. The
+    /// generation has to be above the one in the known set, or the same if the admission of this file is under way; an
+    /// uninitialized acceptor moves to a higher generation once it receives the set.
     pub fn new(
         slot: AcceptorSlot,
         generation: u64,
@@ -69,17 +71,17 @@
         }
     }
 
-    /// Identifies it in its requests and their replies.
+    /// Identifies this reconfiguration in its requests and their replies.
     pub fn nonce(&self) -> u64 {
         self.nonce
     }
 
-    /// The acceptor set that it brings about.
+    /// The acceptor set that this reconfiguration establishes.
     pub fn acceptors(&self) -> &AcceptorSet {
         &self.acceptors
     }
 
-    /// Whether the acceptor is admitted.
+    /// Whether the acceptor has been admitted.
     pub fn is_done(&self) -> bool {
         self.is_done
     }
@@ -88,13 +90,13 @@
         self.transfers.values().filter(|transfer| transfer.is_complete)
     }
 
-    /// A majority of all has to be there among the others: any majority that ever chose a value or promised includes one of
-    /// them.
+    /// Whether a majority of all acceptors, among the other ones, has returned its registers: any majority that ever
+    /// chose a value or made a promise includes one of them.
     fn has_majority(&self) -> bool {
         self.complete_transfers().count() > usize::from(self.acceptor_count) / 2
     }
 
-    /// The requests that are not answered yet, to be sent now and again from time to time.
+    /// The requests that are not answered yet, to be sent at once and resent at intervals.
     pub fn pending_requests(&self) -> Vec<(AcceptorSlot, AcceptorRequest)> {
         if self.is_done {
             return Vec::new();
@@ -110,7 +112,7 @@
         AcceptorRequest { acceptors: self.acceptors.clone(), nonce: self.nonce, operation }
     }
 
-    /// To another acceptor, unless it has returned all.
+    /// The request to another acceptor; `None` if it has returned all its registers.
     fn reconfigure_request(&self, slot: AcceptorSlot) -> Option<(AcceptorSlot, AcceptorRequest)> {
         let transfer = self.transfers.get(&slot);
         if transfer.is_some_and(|transfer| transfer.is_complete) {
@@ -120,7 +122,7 @@
         Some((slot, self.request(Operation::Reconfigure { after })))
     }
 
-    /// To the acceptor to be admitted: all registers, in as many parts as they need.
+    /// The requests to the acceptor to be admitted: all registers, in as many pages as they need.
     fn install_requests(&self) -> Vec<(AcceptorSlot, AcceptorRequest)> {
         let merged = self.merged_registers();
         let total = merged.len() as u32;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Of each register the highest promise and the value accepted last.
+    /// The highest promise and the latest accepted value of each register.
     fn merged_registers(&self) -> BTreeMap<Key, RegisterState> {
         let mut merged: BTreeMap<Key, RegisterState> = BTreeMap::new();
         for (key, state) in self.complete_transfers().flat_map(|transfer| &transfer.registers) {
@@ -148,8 +150,8 @@
         merged
     }
 
-    /// Handles a reply. [`RoundEvent::NewerAcceptorSet`] says that another file was admitted in the slot first,
-    /// [`RoundEvent::UninitializedAcceptor`] that the acceptor has another file by now: either ends this attempt.
+    /// Handles a reply. [`RoundEvent::NewerAcceptorSet`] means that another file was admitted in the slot first,
+    /// [`RoundEvent::UninitializedAcceptor`] that the acceptor now has another file: either event ends this attempt.
     pub fn handle_reply(&mut self, reply: &AcceptorReply) -> RoundEvent {
         if reply.nonce != self.nonce || reply.slot.0 >= self.acceptor_count {
             return RoundEvent::None;
@@ -157,17 +159,19 @@
         let is_admitted_slot = reply.slot == self.slot;
         match &reply.answer {
             Answer::Rejected(Rejection::AcceptorSetMismatch(set)) => return self.join_acceptors(set),
-            // It was restarted meanwhile, and its former file is not to be admitted any more.
+            // The acceptor has been restarted, and its former file must not be admitted any more.
             Answer::Rejected(Rejection::Uninitialized)
                 if is_admitted_slot && reply.generation != self.generation =>
             {
                 return RoundEvent::UninitializedAcceptor(reply.slot, reply.generation);
             }
             Answer::StateInstalled if is_admitted_slot => self.is_done = true,
-            Answer::Reconfigured { after, registers, more } if !is_admitted_slot && self.counts(reply) => {
+            Answer::Reconfigured { after, registers, more }
+                if !is_admitted_slot && self.is_from_current_file(reply) =>
+            {
                 let transfer =
                     self.transfers.entry(reply.slot).or_insert_with(|| Transfer::new(reply.generation));
-                // A part may arrive twice, or belong to a transfer that was dropped since.
+                // A page may arrive twice, or belong to a transfer that has been dropped.
                 if *after == transfer.last_key() && !transfer.is_complete {
                     transfer.registers.extend(registers.clone());
                     transfer.is_complete = !more;
@@ -178,15 +182,15 @@
         RoundEvent::None
     }
 
-    /// Whether the reply is from a file that counts, and not from an older copy of it.
-    fn counts(&self, reply: &AcceptorReply) -> bool {
+    /// Whether the reply comes from the file in the acceptor set, and not from an older copy of it.
+    fn is_from_current_file(&self, reply: &AcceptorReply) -> bool {
         reply.generation == self.acceptors.generation(reply.slot)
             && reply.store_count >= self.store_counts.highest(reply.slot, reply.generation)
     }
 
     fn join_acceptors(&mut self, set: &AcceptorSet) -> RoundEvent {
         self.acceptors = self.acceptors.join(set);
-        // What was read from a file that does not count any more need not be all that a majority knew.
+        // Registers read from a file that is not in the set any more may lack some that a majority accepted.
         let acceptors = &self.acceptors;
         self.transfers.retain(|slot, transfer| acceptors.generation(*slot) == transfer.generation);
         if self.acceptors.generation(self.slot) == self.generation {
--- a/crates/fleet/src/register.rs
+++ b/crates/fleet/src/register.rs
@@ -1,4 +1,4 @@
-//! Registers, ballots, and the set of acceptors that decides on them.
+//! Registers, ballots, and the set of acceptors that stores the registers.
 
 use std::collections::BTreeMap;
 
@@ -6,72 +6,73 @@
 
 use crate::node_id::NodeId;
 
-/// Longest name of a register, in bytes.
+/// Maximum length of a register's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
-/// Longest value, in bytes.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024;
-/// Most registers that an acceptor keeps.
+/// Maximum number of registers that an acceptor keeps.
 pub const MAX_REGISTERS: usize = 1024;
-/// Most acceptors; an acceptor set with more slots is invalid.
+/// Maximum number of acceptors; an acceptor set with a slot beyond it is invalid.
 pub const MAX_ACCEPTORS: u8 = 7;
 
-/// Most bytes of registers in one message; a single register always fits.
+/// Maximum size of the registers in one message, in bytes; a single register always fits.
 const MAX_PAGE_BYTES: usize = 1_150;
-/// Of each register in a message: the lengths of name and value, and two ballots of at most twenty bytes each.
+/// Overhead of each register in a message: the lengths of key and value, and two ballots of at most twenty bytes each.
 const REGISTER_OVERHEAD_BYTES: usize = 48;
 
-/// The name of a register.
+/// The key, or name, of a register.
 pub type Key = String;
-/// What a register holds.
+/// The value of a register, opaque to acceptors and proposers.
 pub type Value = Vec<u8>;
 
-/// One of the fixed number of places for acceptors. The acceptor in it may be replaced.
+/// One of a fixed number of slots for acceptors. The acceptor in a slot may be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptorSlot(pub u8);
 
-/// The order of proposals. No two proposals ever have the same ballot.
+/// The ballot number of a proposal, by which proposals are ordered. No two proposals have the same ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// The higher counter wins.
     pub counter: u64,
-    /// Who proposes; decides between equal counters.
+    /// The proposer; decides between equal counters.
     pub proposer: NodeId,
 }
 
 /// An acceptor's state of one register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterState {
-    /// No proposal below this ballot is accepted any more.
+    /// The highest ballot promised: no proposal below it is accepted.
     pub promised: Ballot,
     /// The ballot of the value.
     pub accepted: Ballot,
-    /// The value accepted last.
+    /// The latest accepted value.
     pub value: Option<Value>,
 }
 
-/// The acceptors that count: for each slot the generation of the acceptor file admitted last. Generations only rise, so any
-/// two sets have a least one that follows both ([`AcceptorSet::join`]), and nobody has to agree on the order of sets.
+/// The current acceptors: for each slot the generation of the latest admitted acceptor file. Generations only increase,
+/// so any two sets have a least upper bound ([`AcceptorSet::join`]), and no agreement on the order of sets is needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorSet(BTreeMap<AcceptorSlot, u64>);
 
 impl AcceptorSet {
-    /// The set with another file in a slot.
+    /// The set with a file of this generation in a slot, unless the slot has one of a higher generation.
     #[must_use]
     pub fn with(&self, slot: AcceptorSlot, generation: u64) -> AcceptorSet {
         self.join(&AcceptorSet(BTreeMap::from([(slot, generation)])))
     }
 
-    /// The generation of the file that counts in a slot; 0 is that of the founding acceptor.
+    /// The generation of the admitted file in a slot; 0 is that of the founding acceptor.
     pub fn generation(&self, slot: AcceptorSlot) -> u64 {
         self.0.get(&slot).copied().unwrap_or_default()
     }
 
-    /// Whether it names only slots that a fleet may have. A set is stored for good, and has to fit into every request.
+    /// Whether it contains only slots that a fleet may have. A set is stored permanently, and has to fit into every
+    /// request.
     pub fn is_valid(&self) -> bool {
         self.0.keys().all(|slot| slot.0 < MAX_ACCEPTORS)
     }
 
-    /// The least set that follows both.
+    /// The least upper bound of both sets.
     #[must_use]
     pub fn join(&self, other: &AcceptorSet) -> AcceptorSet {
         let mut joined = self.clone();
@@ -82,14 +83,14 @@
         joined
     }
 
-    /// The generation of a file that is created anew in a slot: above all that this set knows, and different from any other
-    /// created at the same time. `salt` is a random number.
+    /// The generation of a newly created file in a slot: above the slot's generation in this set, and, by the random
+    /// number `salt`, different from that of any other file created at the same time.
     pub fn next_generation(&self, slot: AcceptorSlot, salt: u32) -> u64 {
         ((self.generation(slot) >> 32) + 1) << 32 | u64::from(salt)
     }
 }
 
-/// As many registers as fit into one message, and whether some are left.
+/// As many registers as fit into one message, and whether more remain.
 pub(crate) fn first_page<'a>(
     registers: impl Iterator<Item = (&'a Key, &'a RegisterState)>,
 ) -> (BTreeMap<Key, RegisterState>, bool) {
--- a/crates/fleet/src/register_client.rs
+++ b/crates/fleet/src/register_client.rs
@@ -1,8 +1,9 @@
 //! A client of one register that many processes may read and change: reads that return only chosen values, and changes
 //! whose next value is computed once a majority has returned the current one, as in CASPaxos.
 //!
-//! CASPaxos reads by a change that leaves the value as it is. Here a read asks for no promises first: if the whole majority
-//! has accepted one value under one ballot, that is chosen; otherwise the read proposes the latest value again.
+//! CASPaxos reads by a change that leaves the value as it is. Here a read requests no promises at first: if the whole
+//! majority has accepted one value under one ballot, that value is chosen; otherwise the read proposes the latest value
+//! again.
 
 use std::time::Duration;
 
@@ -15,83 +16,84 @@
 use crate::register::{AcceptorSlot, Key, Value};
 use crate::round_driver::RoundDriver;
 
-/// What a read or a change has come to.
+/// The outcome of a read or a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterOutcome {
-    /// The register holds this value, which is chosen; none if it never held one.
+    /// The register holds this value, which is chosen; `None` if it never held one.
     Read {
         /// The value.
         value: Option<Value>,
-        /// When the read began: the value is at least as new as this.
+        /// When the read started: the value was current then, or is newer.
         started_at: Duration,
     },
-    /// A majority has promised a change and returns the latest value: propose, or withdraw. The value need not be chosen;
-    /// whoever has to rely on it proposes it unchanged.
+    /// A majority has promised a change and returned this latest value: the owner proposes the next value or withdraws.
+    /// The latest value may not be chosen; an owner that has to rely on it proposes it unchanged.
     Prepared(Option<Value>),
     /// The register holds the proposed value.
     Chosen(Value),
-    /// Another proposer interfered, or no majority replied in time.
+    /// Another proposer or a newer acceptor set interfered, the deadline passed, or the node refused to start it.
     Failed {
         /// Whether a value was proposed, which may still be chosen.
         proposed: bool,
-        /// Whether no majority replied.
+        /// Whether the deadline passed without replies of a majority.
         no_majority: bool,
     },
 }
 
-/// What a round is for.
+/// The purpose of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Read,
-    /// A read that found a majority which does not agree: the latest value may be chosen or not, and is proposed again.
+    /// Completes a read whose majority was not unanimous: the latest value may or may not be chosen, and is proposed
+    /// again.
     Repair {
         read_started_at: Duration,
     },
     Change,
 }
 
-/// One process's reads and changes of one register, one at a time. It has to be kept as long as the process lives: a new one
-/// would use its ballots again.
+/// One process's reads and changes of one register, one at a time. It has to be kept for the lifetime of the process: a
+/// new client would reuse its ballots.
 #[derive(Clone, Debug)]
 pub struct RegisterClient {
     rounds: RoundDriver<Purpose>,
-    /// What begins once the rest after a failure is over.
+    /// The read or change that starts once the backoff after a failure has elapsed.
     requested: Option<Purpose>,
-    rest_until: Duration,
-    /// The active change has proposed a value.
+    backoff_until: Duration,
+    /// Whether the active change has proposed a value.
     proposed: bool,
 }
 
 impl RegisterClient {
-    /// A client that knows nothing of the register yet. Requests without a reply are sent again after the interval; a round
-    /// ends after four times as long.
+    /// Creates a client that has not read the register yet. Requests without a reply are sent again after the interval;
+    /// a round ends after four intervals.
     pub fn new(node: NodeId, key: Key, resend_interval: Duration) -> RegisterClient {
         RegisterClient {
             rounds: RoundDriver::new(node, key, resend_interval),
             requested: None,
-            rest_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             proposed: false,
         }
     }
 
-    /// When [`RegisterClient::tick`] is to be called next; none while there is nothing to do.
+    /// When [`RegisterClient::tick`] has to be called next; `None` while there is nothing to do.
     pub fn next_deadline(&self) -> Option<Duration> {
         if self.rounds.is_active() {
             Some(self.rounds.resend_at().min(self.rounds.deadline()))
         } else {
-            self.requested.map(|_| self.rest_until)
+            self.requested.map(|_| self.backoff_until)
         }
     }
 
-    /// Requests a read, which begins with the next [`RegisterClient::tick`]. No effect while a read or change is under way:
-    /// its outcome will do.
+    /// Requests a read, which starts with the next [`RegisterClient::tick`]. No effect while a read or change is under
+    /// way, whose outcome serves as well.
     pub fn read(&mut self) {
         if !self.rounds.is_active() && self.requested.is_none() {
             self.requested = Some(Purpose::Read);
         }
     }
 
-    /// Requests a change, which begins with the next [`RegisterClient::tick`]. A read under way is dropped without an
+    /// Requests a change, which starts with the next [`RegisterClient::tick`]. A read under way is dropped without an
     /// outcome.
     pub fn begin_change(&mut self) {
         if self.rounds.purpose() != Some(Purpose::Change) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// After [`RegisterOutcome::Prepared`]: proposes the register's next value; none withdraws the change.
+    /// Proposes the register's next value, after [`RegisterOutcome::Prepared`]; `None` withdraws the change.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Handles what has become due.
+    /// Handles expired deadlines.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -128,10 +130,10 @@
         rng: &mut impl RngCore,
         out: &mut Vec<(AcceptorSlot, AcceptorRequest)>,
     ) -> Option<RegisterOutcome> {
-        if let Some(purpose) = self.requested.take_if(|_| now >= self.rest_until) {
+        if let Some(purpose) = self.requested.take_if(|_| now >= self.backoff_until) {
             self.start_round(now, purpose, knowledge, rng, out);
         } else if self.rounds.is_active() && now >= self.rounds.deadline() {
-            // A round that was promised and has proposed nothing had its majority.
+            // A prepared round without a proposal has had the replies of a majority.
             let no_majority = !self.rounds.is_prepared();
             return Some(self.fail(now, no_majority, rng));
         } else if self.rounds.is_active() && now >= self.rounds.resend_at() {
@@ -157,9 +159,9 @@
         }
     }
 
-    /// Ends the active round, and rests.
+    /// Ends the active round, and starts the backoff.
     fn fail(&mut self, now: Duration, no_majority: bool, rng: &mut impl RngCore) -> RegisterOutcome {
-        self.rest_until = self.rounds.back_off(now, rng);
+        self.backoff_until = self.rounds.back_off(now, rng);
         RegisterOutcome::Failed { proposed: std::mem::take(&mut self.proposed), no_majority }
     }
 
@@ -187,7 +189,7 @@
                 self.rounds.propose(now, value, out);
                 None
             }
-            // The whole majority has accepted nothing.
+            // No acceptor of the majority has accepted a value.
             (RoundEvent::Prepared(None), Purpose::Repair { read_started_at }) => {
                 self.rounds.abandon();
                 read_outcome(None, read_started_at)
--- a/crates/fleet/src/round_driver.rs
+++ b/crates/fleet/src/round_driver.rs
@@ -1,6 +1,6 @@
-//! Runs one proposer round at a time against one register: draws ballots, sends requests again, and rests for a random time
-//! after a failure. What a round is for is its owner's purpose `P`: of a lease ([`crate::lease`]) or of a register's client
-//! ([`crate::register_client`]).
+//! Runs one proposer round at a time against one register: assigns ballots, resends requests, and backs off for a
+//! random time after a failure. The owner, a lease ([`crate::lease`]) or a register client
+//! ([`crate::register_client`]), gives each round a purpose `P`.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::proposer::{ProposerRound, RoundEvent};
 use crate::register::{AcceptorSlot, Ballot, Key, Value};
 
-/// A round ends after so many resend intervals.
+/// A round ends after this number of resend intervals.
 const ROUND_RESEND_INTERVALS: u32 = 4;
-/// Least rest after a failure, as a part of a resend interval; the random part of up to one interval comes on top.
-const MIN_BACKOFF: f64 = 0.25;
+/// Minimum backoff after a failure, as a fraction of the resend interval; a random time of up to one interval is added.
+const MIN_BACKOFF_FRACTION: f64 = 0.25;
 
-/// Requests to be sent, and to which acceptor.
+/// Requests to be sent, each with the slot of its acceptor.
 pub(crate) type Outbox = Vec<(AcceptorSlot, AcceptorRequest)>;
 
 #[derive(Clone, Debug)]
@@ -26,14 +26,14 @@
     purpose: P,
 }
 
-/// The rounds of one process at one register, one after the other.
+/// The rounds of one process at one register, one at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct RoundDriver<P> {
     node: NodeId,
     key: Key,
     resend_interval: Duration,
     active: Option<ActiveRound<P>>,
-    /// When the latest round began.
+    /// When the latest round started.
     started_at: Duration,
     resend_at: Duration,
     /// The highest ballot counter used or seen.
@@ -58,7 +58,7 @@
         self.highest_counter
     }
 
-    /// Goes on above a ballot counter.
+    /// Uses only ballot counters above `highest`.
     pub(crate) fn skip_counters(&mut self, highest: u64) {
         self.highest_counter = highest;
     }
@@ -67,7 +67,7 @@
         self.active.is_some()
     }
 
-    /// What the active round is for.
+    /// The purpose of the active round.
     pub(crate) fn purpose(&self) -> Option<P> {
         self.active.as_ref().map(|active| active.purpose)
     }
@@ -77,22 +77,22 @@
         self.active.as_ref().is_some_and(|active| active.round.is_prepared())
     }
 
-    /// When the latest round began.
+    /// When the latest round started.
     pub(crate) fn started_at(&self) -> Duration {
         self.started_at
     }
 
-    /// When the active round's requests are sent again.
+    /// When the active round's requests have to be sent again.
     pub(crate) fn resend_at(&self) -> Duration {
         self.resend_at
     }
 
-    /// When the active round is given up.
+    /// When the active round has to be ended.
     pub(crate) fn deadline(&self) -> Duration {
         self.started_at + self.resend_interval * ROUND_RESEND_INTERVALS
     }
 
-    /// Begins a read.
+    /// Starts a read.
     pub(crate) fn start_read(
         &mut self,
         now: Duration,
@@ -111,7 +111,7 @@
         self.start(now, ActiveRound { round, purpose }, out);
     }
 
-    /// Begins a change, under a ballot above all that are known.
+    /// Starts a change, under a ballot above all known ones.
     pub(crate) fn start_change(
         &mut self,
         now: Duration,
@@ -161,16 +161,16 @@
         self.active = None;
     }
 
-    /// Drops the active round. Gives the time to rest until: a random one, so that two proposers that preempt each other do
-    /// not do so for ever.
+    /// Drops the active round. Returns the end of the backoff, whose length is random so that two proposers do not
+    /// preempt each other forever.
     pub(crate) fn back_off(&mut self, now: Duration, rng: &mut impl RngCore) -> Duration {
         self.abandon();
-        let random_part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
-        now + self.resend_interval.mul_f64(MIN_BACKOFF + random_part)
+        let random_fraction = f64::from(rng.next_u32()) / f64::from(u32::MAX);
+        now + self.resend_interval.mul_f64(MIN_BACKOFF_FRACTION + random_fraction)
     }
 
-    /// Handles a reply: the event with the round's purpose, none if the reply is not to the active round. A round that the
-    /// event ends is dropped.
+    /// Handles a reply. Returns the event with the round's purpose, `None` if the reply does not belong to the active
+    /// round. Drops the round if the event ends it.
     pub(crate) fn handle_reply(
         &mut self,
         reply: &AcceptorReply,
