--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -301,7 +301,7 @@
         self.observe(now, record);
     }
 
-    /// Records what was read. Only a later version restarts the wait.
+    /// Keeps a record unless it is older than the latest one seen. Only a newer record restarts the wait.
     fn observe(&mut self, now: Duration, record: LeaseRecord) {
         let since = match &self.observed {
             Some(observed) if record.version() < observed.record.version() => return,
--- a/crates/fleet/src/lease/record.rs
+++ b/crates/fleet/src/lease/record.rs
@@ -50,8 +50,9 @@
     RequestHandover,
 }
 
-/// The record that follows `current`, the one that a majority has returned, or `None` if the change does not apply to
-/// it. `expired` is the record that stood unchanged for a lease's duration. Epochs are incremented only here.
+/// The next record after a change, or `None` if the change does not apply to the current record. `current` is the
+/// record that a majority has returned, `expired` the one that stood unchanged for a lease's duration. Epochs are
+/// incremented only here.
 pub fn next_record(
     change: LeaseChange,
     node: NodeId,
--- a/crates/fleet/src/node/acceptors.rs
+++ b/crates/fleet/src/node/acceptors.rs
@@ -83,7 +83,8 @@
         requests.extend(pending.filter(|(slot, _)| *slot != reply.slot));
     }
 
-    /// Whoever notices brings acceptors that lag up to the newest set, and admits one that has lost its file.
+    /// Sends the newest acceptor set to acceptors that use an older one, and admits an acceptor that has lost its file.
+    /// Any process that notices such an acceptor does so.
     pub(super) fn help_acceptors(
         &mut self,
         now: Duration,
