--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,5 +1,5 @@
-//! The formats on disk and on the wire, byte by byte: what the program writes equals files kept from the first version,
-//! and what these files say is still read. The files under `tests/fixtures/` never change.
+//! The formats on disk and on the wire, byte by byte: the program still writes the same bytes as its first version, and
+//! still reads them. The files under `tests/fixtures/` never change.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 const FLEET: &str = "formats";
 const ROLE: &str = "survey/1";
 const CONFIGURATION: &str = "config/version";
-/// Generation of the file that has been admitted in slot 2.
+/// Generation of the file that was admitted in slot 2.
 const OTHER_GENERATION: u64 = 0x0000_0001_8000_0007;
 
 fn fixture(name: &str) -> Vec<u8> {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Acceptor 1, whose acceptor set has a file admitted in slot 2, and which keeps two registers.
+/// The acceptor in slot 1, which keeps two registers and whose acceptor set contains an admitted file in slot 2.
 fn acceptor() -> Acceptor {
     let mut acceptor = Acceptor::founding(AcceptorSlot(1));
     let role = || ROLE.to_string();
@@ -87,16 +87,18 @@
     acceptor
 }
 
-/// Guards an acceptor's promises across versions: its file from the first one means the same, and is written the same.
+/// Guards an acceptor's promises across versions: its file from the first version is decoded to the same state, and
+/// encoded to the same bytes.
 #[test]
 fn an_acceptors_file() {
-    let kept = fixture("voter-file-v1.bin");
-    assert_eq!(acceptor().file_bytes().expect("it votes"), kept);
-    let mut resumed = Acceptor::from_file(AcceptorSlot(1), &kept).expect("a whole file");
-    assert_eq!(resumed.file_bytes().expect("it votes"), kept);
+    let fixture_bytes = fixture("voter-file-v1.bin");
+    assert_eq!(acceptor().file_bytes().expect("a state"), fixture_bytes);
+    let mut resumed = Acceptor::from_file(AcceptorSlot(1), &fixture_bytes).expect("a complete file");
+    assert_eq!(resumed.file_bytes().expect("a state"), fixture_bytes);
     assert_eq!(
         resumed,
-        Acceptor::from_file(AcceptorSlot(1), &acceptor().file_bytes().expect("it votes")).expect("whole")
+        Acceptor::from_file(AcceptorSlot(1), &acceptor().file_bytes().expect("a state"))
+            .expect("a complete file")
     );
     assert!(!resumed.is_uninitialized());
     assert_eq!((resumed.generation(), resumed.register_count()), (0, 2));
@@ -111,15 +113,16 @@
     );
 }
 
-/// Guards a role's epoch across versions: its lease record is read and written the same.
+/// Guards a role's epoch across versions: its lease record is decoded to the same values, and encoded to the same
+/// bytes.
 #[test]
 fn the_value_of_a_roles_register() {
     for (name, record) in
         [("role-register-owned-v1.bin", held_lease()), ("role-register-free-v1.bin", released_lease())]
     {
-        let kept = fixture(name);
-        assert_eq!(LeaseRecord::decode(&kept), Some(record.clone()), "{name}");
-        assert_eq!(record.encode(), kept, "{name}");
+        let fixture_bytes = fixture(name);
+        assert_eq!(LeaseRecord::decode(&fixture_bytes), Some(record.clone()), "{name}");
+        assert_eq!(record.encode(), fixture_bytes, "{name}");
     }
 }
 
@@ -179,23 +182,25 @@
 
 fn datagram<T: Serialize>(kind: MessageKind, message: &T) -> Vec<u8> {
     let message = postcard::to_stdvec(message).expect("bytes");
-    frame::encode(frame::fleet_tag(FLEET), kind, &message).expect("short")
+    frame::encode(frame::fleet_tag(FLEET), kind, &message).expect("short enough")
 }
 
-/// The datagram of this name means this message, and this message is written as this datagram.
+/// Checks that the fixture of this name decodes to this message, and that the message encodes to the fixture's bytes.
 fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
     name: &str,
     kind: MessageKind,
     message: &T,
 ) {
-    let kept = fixture(&format!("datagram-{name}-v1.bin"));
-    let (read, bytes) = frame::decode(frame::fleet_tag(FLEET), &kept).expect("this fleet's");
+    let fixture_bytes = fixture(&format!("datagram-{name}-v1.bin"));
+    let (read, bytes) =
+        frame::decode(frame::fleet_tag(FLEET), &fixture_bytes).expect("a datagram of this fleet");
     assert_eq!(read, kind, "{name}");
     assert_eq!(postcard::from_bytes::<T>(bytes).expect("a message"), *message, "{name}");
-    assert_eq!(datagram(kind, message), kept, "{name}");
+    assert_eq!(datagram(kind, message), fixture_bytes, "{name}");
 }
 
-/// Guards messages between versions: each between proposers and acceptors, and an order, is read and written the same.
+/// Guards messages between versions: each request, reply and order is decoded to the same message, and encoded to the
+/// same bytes.
 #[test]
 fn datagrams_of_acceptors_and_orders() {
     requests().iter().for_each(|(name, request)| check(name, MessageKind::AcceptorRequest, request));
@@ -203,7 +208,7 @@
     check("order", MessageKind::Order, &order());
 }
 
-/// Stores nothing.
+/// A storage that discards the file.
 struct NullStorage;
 
 impl AcceptorStorage for NullStorage {
@@ -242,49 +247,56 @@
     Node::new(settings, acceptor)
 }
 
-/// Guards the same through a whole node: a kept request gets the kept reply, a kept order is taken.
+/// Guards the formats in a whole node: requests of the first version get the replies of the first version, and its
+/// order is carried out.
 #[test]
 fn a_node_handles_kept_datagrams_and_replies_with_kept_ones() {
-    let mut node =
-        node(Some(Acceptor::from_file(AcceptorSlot(1), &fixture("voter-file-v1.bin")).expect("whole")));
+    let mut node = node(Some(
+        Acceptor::from_file(AcceptorSlot(1), &fixture("voter-file-v1.bin")).expect("a complete file"),
+    ));
     for name in ["read", "prepare", "accept"] {
         let request = fixture(&format!("datagram-call-{name}-v1.bin"));
-        node.handle_datagram(Duration::ZERO, address(2), &request, &mut NullStorage).expect("this fleet's");
+        node.handle_datagram(Duration::ZERO, address(2), &request, &mut NullStorage)
+            .expect("a datagram of this fleet");
         let answer = fixture(&format!("datagram-node-answers-{name}-v1.bin"));
         assert_eq!(node.next_datagram(), Some((address(2), answer)), "{name}");
     }
-    let kept = fixture("datagram-order-v1.bin");
-    node.handle_datagram(Duration::ZERO, address(0), &kept, &mut NullStorage).expect("this fleet's");
+    let fixture_bytes = fixture("datagram-order-v1.bin");
+    node.handle_datagram(Duration::ZERO, address(0), &fixture_bytes, &mut NullStorage)
+        .expect("a datagram of this fleet");
     assert_eq!(node.next_event(), Some(NodeEvent::Order { order: order(), is_first_of_epoch: true }));
 }
 
-/// Guards membership between versions: how a process announces itself, and how one is told of a later start.
+/// Guards membership between versions: the announcement of a process, and the notice of a later start.
 #[test]
 fn datagrams_of_membership() {
     let announce = fixture("datagram-membership-announce-v1.bin");
-    // A process without an acceptor announces itself first of all.
+    // The first datagram of a process without an acceptor is its announcement.
     let mut announcing = node(None);
     announcing.tick(Duration::ZERO);
     assert_eq!(announcing.next_datagram(), Some((address(0), announce.clone())));
-    let (kind, message) = frame::decode(frame::fleet_tag(FLEET), &announce).expect("this fleet's");
+    let (kind, message) =
+        frame::decode(frame::fleet_tag(FLEET), &announce).expect("a datagram of this fleet");
     assert_eq!(kind, MessageKind::Membership);
     let mut seed = Membership::new(identity(0, 3), Vec::new(), 3, timeouts(), 2);
     seed.handle_message(Duration::ZERO, message);
     assert_eq!(seed.next_change(), Some(MembershipChange::Up(identity(1, 7))));
 
-    // One with that name that has started later tells it so.
+    // A process with the same name that has started later sends it a notice.
     let later = fixture("datagram-membership-later-start-v1.bin");
     let mut namesake =
         Membership::new(MemberIdentity { incarnation: 4, ..identity(1, 8) }, Vec::new(), 3, timeouts(), 3);
     namesake.handle_message(Duration::ZERO, message);
-    let (to, told) = namesake.next_message().expect("it says so");
+    let (to, notice) = namesake.next_message().expect("a notice");
     assert_eq!(
-        (to, frame::encode(frame::fleet_tag(FLEET), MessageKind::Membership, &told)),
+        (to, frame::encode(frame::fleet_tag(FLEET), MessageKind::Membership, &notice)),
         (address(1), Some(later.clone()))
     );
-    let (_, message) = frame::decode(frame::fleet_tag(FLEET), &later).expect("this fleet's");
-    let namesake: MemberIdentity = postcard::from_bytes(&message[1..]).expect("a peer");
+    let (_, message) = frame::decode(frame::fleet_tag(FLEET), &later).expect("a datagram of this fleet");
+    let namesake: MemberIdentity = postcard::from_bytes(&message[1..]).expect("a member");
     assert_eq!((message[0], namesake), (1, MemberIdentity { incarnation: 4, ..identity(1, 8) }));
-    announcing.handle_datagram(Duration::ZERO, address(1), &later, &mut NullStorage).expect("this fleet's");
+    announcing
+        .handle_datagram(Duration::ZERO, address(1), &later, &mut NullStorage)
+        .expect("a datagram of this fleet");
     assert_eq!(announcing.next_event(), Some(NodeEvent::Membership(MembershipChange::Superseded)));
 }
--- a/crates/fleet/tests/leases.rs
+++ b/crates/fleet/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Leases and their epochs in a fleet in virtual time: thousands of seeds, and an injected bug for each rule.
+//! Leases and their epochs in a simulated fleet in virtual time: thousands of seeds, and injected bugs that the checks
+//! have to find.
 
 mod simulation;
 
@@ -17,8 +18,9 @@
     simulation
 }
 
-/// Guards the rules: one holder for each epoch, and no receiver carries out an epoch after a later one, through crashes,
-/// pauses, loss, duplication and delays. Afterwards somebody holds the lease again by itself.
+/// Guards the safety of leases under crashes, pauses, partitions, and lost, duplicated and delayed messages: each epoch
+/// has one holder, and no receiver carries out an order after one of a later epoch. Once the faults have ended, one
+/// process acquires the lease without intervention.
 #[test]
 fn every_epoch_has_one_holder_and_no_order_follows_a_later_one() {
     let run = |seed: u64| {
@@ -28,7 +30,7 @@
         assert_eq!(simulation.observations.violation(), None, "seed {seed}");
         simulation.end_faults();
         simulation.run(RUN + LEASE * 4);
-        // A handover to the first candidate may be under way at that moment.
+        // A handover to the first candidate may be under way at any single moment.
         let is_held = (0..10).any(|_| {
             simulation.run(simulation.now + LEASE / 10);
             simulation.holders().len() == 1
@@ -41,7 +43,7 @@
             simulation.observations.admissions,
         )
     };
-    // Each thread has seeds of its own; what they show does not depend on the thread.
+    // Each thread runs its own seeds; the results do not depend on the thread.
     let (mut rejected, mut epochs, mut admissions) = (0, 0, 0);
     std::thread::scope(|scope| {
         let runs = |from: u64| move || (from..SEEDS).step_by(THREADS as usize).map(run).collect::<Vec<_>>();
@@ -55,13 +57,14 @@
     println!(
         "{SEEDS} runs: {epochs} epochs, {rejected} late orders rejected, {admissions} acceptors admitted"
     );
-    // The runs are no proof of anything if nothing happens in them.
+    // The runs prove nothing unless leases change, orders arrive late and acceptors are admitted.
     assert!(rejected > 800, "{rejected} late orders");
     assert!(epochs > 16_000, "{epochs} epochs");
     assert!(admissions > 800, "{admissions} acceptors admitted");
 }
 
-/// Guards the lease: where clocks keep to the stated bound and nobody is paused, no two may give orders at once.
+/// Guards the lease itself: while clocks stay within the drift bound and no process is paused, no two processes may
+/// give orders at once.
 #[test]
 fn within_the_clock_drift_bound_no_two_may_give_orders_at_once() {
     for seed in 0..200 {
@@ -78,7 +81,7 @@
     }
 }
 
-/// Guards the checks themselves: each injected bug is found.
+/// Guards the checks themselves: they find each injected bug.
 #[test]
 fn each_injected_bug_is_found() {
     let lost = Conditions { lost_files: true, ..Conditions::FAULTY };
@@ -97,5 +100,5 @@
         simulation.run(RUN);
         simulation.observations.overlaps > 0
     });
-    assert!(found, "a lease that contenders do not wait for is not found");
+    assert!(found, "contenders that do not wait are not found");
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,4 +1,5 @@
-//! Membership in virtual time: joins, deaths, returns, partitions that heal, names used twice, and its cost at 300 members.
+//! Membership in virtual time: joins, deaths, restarts, partitions that heal, duplicate names, and the traffic at 300
+//! members.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -19,35 +20,36 @@
 };
 
 fn identity(index: usize, start: u64) -> MemberIdentity {
-    let address: SocketAddr = format!("127.0.{}.{}:7400", index / 250, index % 250 + 1).parse().expect("one");
+    let address: SocketAddr =
+        format!("127.0.{}.{}:7400", index / 250, index % 250 + 1).parse().expect("an address");
     MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address }
 }
 
-/// A message in transit: when it arrives, its sequence number, to whom, and its bytes.
+/// A message in transit: time of arrival, sequence number, index of the receiver, and bytes.
 type Envelope = (Duration, u64, usize, Vec<u8>);
 
 struct Network {
     now: Duration,
     members: Vec<Option<Membership>>,
     superseded: Vec<bool>,
-    at: BTreeMap<SocketAddr, usize>,
+    index_by_address: BTreeMap<SocketAddr, usize>,
     queue: BinaryHeap<Reverse<Envelope>>,
     sequence: u64,
     rng: Pcg64Mcg,
     loss: f64,
-    /// Members before and after this index cannot reach each other.
+    /// Members below this index cannot reach the others, nor the others them.
     partition_at: Option<usize>,
     sent: u64,
     bytes: u64,
 }
 
 impl Network {
-    fn of(count: usize, seed: u64) -> Network {
+    fn new(count: usize, seed: u64) -> Network {
         let mut network = Network {
             now: Duration::ZERO,
             members: Vec::new(),
             superseded: vec![false; count],
-            at: BTreeMap::new(),
+            index_by_address: BTreeMap::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -63,13 +65,13 @@
         network
     }
 
-    fn start(&mut self, index: usize, me: MemberIdentity, size: usize) {
+    fn start(&mut self, index: usize, local: MemberIdentity, size: usize) {
         let seeds = (0..3.min(size))
             .map(|seed| MemberIdentity::with_address(&identity(seed, 0).name, identity(seed, 0).address))
             .collect();
-        self.at.insert(me.address, index);
+        self.index_by_address.insert(local.address, index);
         let seed = self.rng.next_u64();
-        self.members[index] = Some(Membership::new(me, seeds, size as u32, TIMEOUTS, seed));
+        self.members[index] = Some(Membership::new(local, seeds, size as u32, TIMEOUTS, seed));
         self.superseded[index] = false;
     }
 
@@ -103,7 +105,7 @@
         while let Some((to, message)) = self.members[from].as_mut().and_then(Membership::next_message) {
             self.sent += 1;
             self.bytes += message.len() as u64;
-            let Some(to) = self.at.get(&to).copied() else { continue };
+            let Some(to) = self.index_by_address.get(&to).copied() else { continue };
             let is_partitioned = self.partition_at.is_some_and(|at| (from < at) != (to < at));
             let is_lost = (self.rng.next_u32() as f64 / u32::MAX as f64) < self.loss;
             if is_partitioned || is_lost {
@@ -118,24 +120,25 @@
         }
     }
 
-    /// How many others each member knows.
+    /// Number of other members that each member knows.
     fn members_seen(&self) -> Vec<usize> {
         self.members.iter().flatten().map(|member| member.members().len()).collect()
     }
 }
 
-/// Guards membership: all find each other through three seeds, a death is noticed by all and by nobody before, a return
-/// under the old name is a new process, a leave needs no suspicion.
+/// Guards membership: all members find each other through three seeds, a member that died is declared down by all but
+/// not at its first silence, a restart under the same name is a new process, and a leave takes effect without a
+/// suspicion.
 #[test]
 fn members_join_die_return_and_leave() {
-    let mut network = Network::of(7, 1);
+    let mut network = Network::new(7, 1);
     network.run(Duration::from_secs(5));
     assert_eq!(network.members_seen(), [6; 7]);
     network.members[5] = None;
     network.run(Duration::from_millis(400));
     assert!(
         network.members_seen().iter().filter(|members_seen| **members_seen == 6).count() > 3,
-        "silence alone is no death"
+        "a short silence does not take a member down"
     );
     network.run(Duration::from_secs(12));
     assert_eq!(network.members_seen(), [5; 6]);
@@ -143,24 +146,29 @@
     network.run(Duration::from_secs(5));
     assert_eq!(network.members_seen(), [6; 7]);
     let known = |network: &Network| {
-        let members_seen =
-            network.members[0].as_ref().expect("there").members().find(|p| p.name == "gw-5").cloned();
+        let members_seen = network.members[0]
+            .as_ref()
+            .expect("running")
+            .members()
+            .find(|member| member.name == "gw-5")
+            .cloned();
         members_seen.expect("known").start
     };
     assert_eq!(known(&network), 2);
     let now = network.now;
-    network.members[6].as_mut().expect("there").leave(now);
+    network.members[6].as_mut().expect("running").leave(now);
     network.deliver_output(6);
     network.members[6] = None;
     network.run(Duration::from_secs(2));
-    assert_eq!(network.members_seen(), [5; 6], "gone without a suspicion");
+    assert_eq!(network.members_seen(), [5; 6], "down without a suspicion");
 }
 
-/// Guards against false deaths and lasting partitions: 30% loss takes nobody down for good, two sides that have declared
-/// each other down are one fleet again by themselves.
+/// Guards against members that stay down by mistake, and against partitions that stay after the network has healed:
+/// with 30% loss no member is down permanently, and two sides that have declared each other down become one fleet
+/// again.
 #[test]
 fn loss_and_partitions_heal() {
-    let mut network = Network::of(9, 2);
+    let mut network = Network::new(9, 2);
     network.loss = 0.3;
     network.run(Duration::from_secs(60));
     network.loss = 0.0;
@@ -174,12 +182,14 @@
     assert_eq!(network.members_seen(), [8; 9]);
 }
 
-/// Guards names: of two processes with one name the later start counts and the other is notified.
+/// Guards against duplicate names: of two processes with the same name the later start is the member, and the other one
+/// is notified.
 #[test]
 fn of_two_processes_with_one_name_the_later_start_counts() {
-    let mut network = Network::of(5, 3);
+    let mut network = Network::new(5, 3);
     network.run(Duration::from_secs(5));
-    let namesake = MemberIdentity { address: "127.0.9.9:7400".parse().expect("one"), ..identity(4, 2) };
+    let namesake =
+        MemberIdentity { address: "127.0.9.9:7400".parse().expect("an address"), ..identity(4, 2) };
     network.members.push(None);
     network.superseded.push(false);
     network.start(5, namesake, 5);
@@ -188,34 +198,34 @@
     let starts: Vec<u64> = network.members[..4]
         .iter()
         .flatten()
-        .flat_map(|member| member.members().filter(|p| p.name == "gw-4").map(|p| p.start))
+        .flat_map(|member| member.members().filter(|member| member.name == "gw-4").map(|member| member.start))
         .collect();
     assert_eq!(starts, [2; 4]);
 }
 
-/// Guards against bytes that are no messages: they change nothing and are counted.
+/// Guards against malformed messages: they change nothing and are counted.
 #[test]
 fn malformed_messages_change_nothing() {
-    let mut network = Network::of(3, 4);
+    let mut network = Network::new(3, 4);
     network.run(Duration::from_secs(5));
     let now = network.now;
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let member = network.members[0].as_mut().expect("there");
-    let refused = member.rejected_messages();
+    let member = network.members[0].as_mut().expect("running");
+    let rejected_before = member.rejected_messages();
     for length in 0..600 {
         let bytes: Vec<u8> = (0..length).map(|_| rng.next_u32() as u8).collect();
         member.handle_message(now, &bytes);
         assert_eq!(member.members().len(), 2);
     }
-    assert!(member.rejected_messages() > refused + 500);
+    assert!(member.rejected_messages() > rejected_before + 500);
 }
 
-/// Guards the cost: what a member sends does not grow with the fleet.
+/// Guards the traffic: the messages that a member sends do not grow with the fleet.
 #[test]
 fn a_member_of_three_hundred_sends_as_much_as_one_of_thirty() {
     let mut rates = Vec::new();
     for count in [30, 300] {
-        let mut network = Network::of(count, 6);
+        let mut network = Network::new(count, 6);
         network.run(Duration::from_secs(45));
         let missing = network.members_seen().iter().filter(|members_seen| **members_seen < count - 1).count();
         assert_eq!(
@@ -234,17 +244,17 @@
             rate(network.bytes)
         );
     }
-    // A datagram with news of members is full at some fifty of them, and grows no more.
+    // A datagram holds updates on about fifty members and grows no further in a larger fleet.
     assert!(rates[1].0 < rates[0].0 * 1.2 && rates[1].1 < rates[0].1 * 2.5, "{rates:?}");
 }
 
-/// Guards dissemination: news of a death reaches each member by gossip, and nobody is left to find out by its own probe,
-/// whose turn comes once in as many probes as there are members.
+/// Guards dissemination: the update about a death reaches every member by gossip. A member that misses it would find
+/// out only by its own probe, which reaches a given member once in as many probes as there are members.
 #[test]
 fn news_of_a_death_reaches_the_last_member_by_gossip() {
     let (count, deaths) = (90, 24);
     for seed in 100..102 {
-        let mut network = Network::of(count, seed);
+        let mut network = Network::new(count, seed);
         network.run(Duration::from_secs(30));
         assert!(
             network.members_seen().iter().all(|members_seen| *members_seen == count - 1),
@@ -266,8 +276,8 @@
     }
 }
 
-/// Guards names against being mistaken for each other: names that differ in one byte only, at either end of the longest,
-/// are a member each, and one that is too long is none and hides none.
+/// Guards the comparison of names: names of the maximum length that differ in one byte only, or in their length, are
+/// separate members, and a name that is too long is rejected without hiding another member.
 #[test]
 fn names_that_differ_in_one_byte_are_a_member_each() {
     let longest = "n".repeat(MAX_NAME_BYTES);
@@ -282,7 +292,7 @@
         with_change(last, "\0"),
     ];
     let too_long = format!("{longest}n");
-    let mut network = Network::of(3, 8);
+    let mut network = Network::new(3, 8);
     for name in names.iter().chain([&too_long]) {
         let index = network.members.len();
         network.members.push(None);
@@ -293,11 +303,11 @@
     let mut all: Vec<&str> = names.iter().map(String::as_str).chain(["gw-0", "gw-1", "gw-2"]).collect();
     all.sort_unstable();
     for member in network.members.iter().take(3 + names.len()).flatten() {
-        let me = member.local().name.as_str();
+        let local = member.local().name.as_str();
         let members_seen: Vec<&str> = member.members().map(|identity| identity.name.as_str()).collect();
-        let others: Vec<&str> = all.iter().copied().filter(|name| *name != me).collect();
-        assert_eq!(members_seen, others, "as {me} sees them");
-        assert!(member.rejected_messages() > 0, "the name that is too long is refused and counted");
+        let others: Vec<&str> = all.iter().copied().filter(|name| *name != local).collect();
+        assert_eq!(members_seen, others, "as {local} sees them");
+        assert!(member.rejected_messages() > 0, "the name that is too long is rejected and counted");
     }
     assert_eq!(network.superseded, [false; 10]);
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the agreement: the acceptors and proposers that ship, with every order of messages, with losses and
-//! duplicates, and a crash of an acceptor with or without its file.
+//! Model checking of the agreement: the acceptors and proposers of this crate under every order of messages, with lost
+//! and duplicated messages, and a crash of an acceptor with or without loss of its file.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,7 +21,7 @@
     Reply { to: usize, reply: ReplyBytes },
 }
 
-/// Requests and replies have no order of their own; their bytes do.
+/// Requests and replies do not implement `Ord`, so the set of messages holds their bytes.
 type RequestBytes = Vec<u8>;
 type ReplyBytes = Vec<u8>;
 
@@ -30,13 +30,13 @@
 }
 
 fn decode<'a, T: serde::Deserialize<'a>>(bytes: &'a [u8]) -> T {
-    postcard::from_bytes(bytes).expect("what was encoded")
+    postcard::from_bytes(bytes).expect("an encoded message")
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     round: Option<ProposerRound>,
-    rounds_begun: u8,
+    rounds_started: u8,
     known_acceptors: AcceptorSet,
     reconfiguration: Option<Reconfiguration>,
     highest_counter: u64,
@@ -46,7 +46,7 @@
 struct State {
     acceptors: Vec<Acceptor>,
     processes: Vec<Process>,
-    /// Any message may arrive late or never, and some of them again.
+    /// Each message may arrive late or never, and some arrive more than once.
     in_transit: BTreeSet<Message>,
     duplicated: u8,
     holders: BTreeMap<u64, BTreeSet<NodeId>>,
@@ -55,9 +55,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    BeginRound(usize),
+    StartRound(usize),
     Deliver(Message),
-    /// Delivers a message that will arrive once more.
+    /// Delivers a message that stays in transit.
     DeliverCopy(Message),
     Crash {
         slot: u8,
@@ -66,14 +66,14 @@
 }
 
 struct Agreement {
-    /// How many changes each process may begin.
+    /// The number of changes that each process may start.
     rounds_by_process: Vec<u8>,
     max_crashes: u8,
     file_is_lost: bool,
     max_duplicates: u8,
-    /// Injected bug: an acceptor comes back from a crash as if the fleet were new.
+    /// Injected bug: an acceptor restarts after a crash as if the fleet were new.
     acceptors_forget: bool,
-    /// Injected bug: processes acquire the lease whatever the register holds by then.
+    /// Injected bug: processes acquire the lease regardless of the register's current value.
     ignores_current_record: bool,
 }
 
@@ -90,7 +90,9 @@
 
     fn handle_reply(&self, state: &mut State, to: usize, reply: &AcceptorReply) {
         let process = &mut state.processes[to];
-        if let Some(reconfiguration) = process.reconfiguration.as_mut().filter(|a| a.nonce() == reply.nonce) {
+        if let Some(reconfiguration) =
+            process.reconfiguration.as_mut().filter(|active| active.nonce() == reply.nonce)
+        {
             let is_over =
                 reconfiguration.handle_reply(reply) != RoundEvent::None || reconfiguration.is_done();
             process.known_acceptors = process.known_acceptors.join(reconfiguration.acceptors());
@@ -104,7 +106,7 @@
                 let known = value.map_or(LeaseRecord::default(), |value| {
                     LeaseRecord::decode(&value).expect("a lease record")
                 });
-                // There is no time here: any process may have waited for long enough.
+                // The model has no time: any process may have waited for long enough.
                 let next = match self.ignores_current_record {
                     true => Some(LeaseRecord {
                         epoch: 1,
@@ -121,10 +123,10 @@
                 }
             }
             RoundEvent::Chosen(value) => {
-                let tenure = LeaseRecord::decode(&value).expect("a lease record");
+                let record = LeaseRecord::decode(&value).expect("a lease record");
                 process.round = None;
-                if let Some(owner) = tenure.holder {
-                    state.holders.entry(tenure.epoch).or_default().insert(owner);
+                if let Some(holder) = record.holder {
+                    state.holders.entry(record.epoch).or_default().insert(holder);
                 }
             }
             RoundEvent::Preempted(by) => (process.round, process.highest_counter) = (None, by.counter),
@@ -157,7 +159,7 @@
     fn init_states(&self) -> Vec<State> {
         let process = Process {
             round: None,
-            rounds_begun: 0,
+            rounds_started: 0,
             known_acceptors: AcceptorSet::default(),
             reconfiguration: None,
             highest_counter: 0,
@@ -174,8 +176,8 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (index, process) in state.processes.iter().enumerate() {
-            if process.rounds_begun < self.rounds_by_process[index] {
-                actions.push(Action::BeginRound(index));
+            if process.rounds_started < self.rounds_by_process[index] {
+                actions.push(Action::StartRound(index));
             }
         }
         actions.extend(state.in_transit.iter().cloned().map(Action::Deliver));
@@ -196,12 +198,12 @@
             _ => {}
         }
         match action {
-            Action::BeginRound(index) => {
+            Action::StartRound(index) => {
                 let process = &mut state.processes[index];
-                process.rounds_begun += 1;
+                process.rounds_started += 1;
                 process.highest_counter += 1;
                 let ballot = Ballot { counter: process.highest_counter, proposer: node_id(index) };
-                let nonce = u64::from(process.rounds_begun);
+                let nonce = u64::from(process.rounds_started);
                 let round = ProposerRound::change(
                     KEY.into(),
                     ballot,
@@ -252,14 +254,16 @@
     }
 }
 
+/// Explores all states. Returns their number and the maximum depth.
 fn check_all(model: Agreement) -> (usize, usize) {
-    let check_all = model.checker().threads(4).spawn_bfs().join();
-    check_all.assert_no_discovery("an epoch has one holder");
-    check_all.assert_any_discovery("somebody holds the lease");
-    (check_all.unique_state_count(), check_all.max_depth())
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    checker.assert_no_discovery("an epoch has one holder");
+    checker.assert_any_discovery("somebody holds the lease");
+    (checker.unique_state_count(), checker.max_depth())
 }
 
-/// Guards the agreement under every order of its messages, to the stated sizes.
+/// Guards the agreement under every order of its messages: two processes without faults, and one process with the loss
+/// of an acceptor's file and a duplicate.
 #[test]
 fn every_order_of_messages() {
     let two_processes = Agreement {
@@ -282,7 +286,7 @@
     println!("one process, a lost file, a duplicate: {:?}", check_all(lost_file));
 }
 
-/// Guards the checks: each injected bug is found.
+/// Guards the checks themselves: they find each injected bug.
 #[test]
 fn injected_bugs_are_found() {
     let ignores_current_record = Agreement {
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -1,5 +1,5 @@
-//! Whole nodes in virtual time, by datagrams: who holds which lease after deaths, what a late holder's orders do, and how
-//! long a role is without a holder.
+//! Whole nodes in virtual time that exchange datagrams: the distribution of leases after deaths, the late orders of a
+//! former holder, and the time for which a role has no holder.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -20,11 +20,11 @@
 const STEP: Duration = Duration::from_millis(10);
 
 fn identity(index: usize, start: u64) -> MemberIdentity {
-    let address: SocketAddr = format!("127.0.0.{}:7400", index + 1).parse().expect("one");
+    let address: SocketAddr = format!("127.0.0.{}:7400", index + 1).parse().expect("an address");
     MemberIdentity { name: format!("gw-{index}"), start, incarnation: 0, address }
 }
 
-/// A file in memory.
+/// An acceptor's file in memory.
 #[derive(Default)]
 struct File(Option<Vec<u8>>);
 
@@ -35,12 +35,13 @@
     }
 }
 
+/// A datagram in transit: time of arrival, sequence number, sender, receiver, and bytes.
 type Envelope = (Duration, u64, SocketAddr, SocketAddr, Vec<u8>);
 
 struct Fleet {
     now: Duration,
     nodes: Vec<Option<Node>>,
-    /// Processes that are paused: time and datagrams wait for them.
+    /// Nodes that are paused: they handle neither ticks nor datagrams until they resume.
     paused: BTreeSet<usize>,
     files: Vec<File>,
     starts: u64,
@@ -53,17 +54,18 @@
     carried_out: Vec<(usize, String, u64)>,
     rejected: usize,
     admissions: usize,
-    /// Nodes whose requests are lost, and acceptors that no request reaches.
+    /// Nodes whose requests to acceptors are lost.
     silent: BTreeSet<usize>,
+    /// Acceptors that no request reaches.
     unreachable: BTreeSet<usize>,
-    /// Per register and ballot, the rounds that proposed under it.
+    /// For each register and ballot, the nonces of the rounds that used the ballot.
     rounds_by_ballot: BTreeMap<(Key, Ballot), BTreeSet<u64>>,
-    /// Of all datagrams that were sent: when, from whom, to whom, and each byte.
+    /// A hash over the time, sender, receiver and bytes of all datagrams that were sent.
     digest: u64,
 }
 
 impl Fleet {
-    fn of(count: usize, roles: usize, seed: u64) -> Fleet {
+    fn new(count: usize, roles: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             now: Duration::ZERO,
             nodes: (0..count).map(|_| None).collect(),
@@ -135,11 +137,11 @@
                     SocketAddr::V6(_) => 0,
                 });
                 if self.paused.contains(&index) {
-                    // It waits in the socket's buffer.
+                    // The datagram waits in the socket's buffer.
                     self.send(from, to, datagram, Duration::from_millis(50));
                 } else if let Some(node) = &mut self.nodes[index] {
                     node.handle_datagram(self.now, from, &datagram, &mut self.files[index])
-                        .expect("this fleet's");
+                        .expect("a datagram of this fleet");
                 }
                 self.deliver_output(index);
             }
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Who may give orders in a role now, paused or not.
+    /// The nodes that may give orders in a role now, paused or not.
     fn holders_of(&self, role: &str) -> Vec<usize> {
         let may_order = |index: &usize| {
             let node = self.nodes[*index].as_ref();
@@ -208,7 +210,7 @@
             assert_eq!(holders.len(), 1, "{role} under {epoch}");
         }
         for ((role, ballot), rounds) in &self.rounds_by_ballot {
-            assert_eq!(rounds.len(), 1, "{role}: {ballot:?} is used again, for another value perhaps");
+            assert_eq!(rounds.len(), 1, "{role}: {ballot:?} is reused, possibly for another value");
         }
         let mut highest = BTreeMap::new();
         for (receiver, role, epoch) in &self.carried_out {
@@ -219,11 +221,12 @@
     }
 }
 
-/// Guards the distribution of leases: members that join one after the other end with each role at its first candidate,
-/// which most of them are for some; then nothing moves any more, and a node that leaves acquires nothing again.
+/// Guards the distribution of leases: once members have joined one after the other, each role is held by its first
+/// candidate, and most members hold some role. Then no lease moves any more, and a node that leaves acquires none
+/// again.
 #[test]
 fn every_role_goes_to_its_first_candidate_and_stays() {
-    let mut fleet = Fleet::of(7, 21, 1);
+    let mut fleet = Fleet::new(7, 21, 1);
     (2..7).for_each(|index| fleet.nodes[index] = None);
     fleet.run(LEASE * 3);
     for index in 2..7 {
@@ -246,32 +249,32 @@
         "{leases_by_node:?}"
     );
     fleet.run(LEASE * 20);
-    assert_eq!((held(&fleet), fleet.holders.len()), (leases_by_node, epochs), "nothing moves");
+    assert_eq!((held(&fleet), fleet.holders.len()), (leases_by_node, epochs), "no lease moves");
     let now = fleet.now;
     let most = held(&fleet).iter().enumerate().max_by_key(|(_, held)| **held).map(|(index, _)| index);
-    let leaving_node = most.expect("somebody");
-    fleet.nodes[leaving_node].as_mut().expect("there").leave(now);
+    let leaving_node = most.expect("a holder");
+    fleet.nodes[leaving_node].as_mut().expect("running").leave(now);
     fleet.run(LEASE / 2);
-    assert!(fleet.nodes[leaving_node].as_ref().expect("there").has_left(), "released, not expired");
+    assert!(fleet.nodes[leaving_node].as_ref().expect("running").has_left(), "released, not expired");
     fleet.run(LEASE * 3);
-    assert_eq!(held(&fleet)[leaving_node], 0, "and not acquired again");
+    assert_eq!(held(&fleet)[leaving_node], 0, "not acquired again");
     fleet.assert_rules();
 }
 
-/// Guards against a former holder, paused between its own look at the lease and the send, and resumed after a successor
-/// has worked for a while: its orders are rejected by their epoch and none is carried out.
+/// Guards against the orders of a former holder that is paused between the check of its lease and the send, and resumes
+/// after its successor has given orders: they are rejected by their epoch, and none is carried out.
 #[test]
 fn the_late_order_of_a_former_holder_is_rejected() {
     for seed in 0..20 {
-        let mut fleet = Fleet::of(5, 1, seed);
+        let mut fleet = Fleet::new(5, 1, seed);
         fleet.run(LEASE * 3);
         let role = "survey/0";
         let former = fleet.holders_of(role)[0];
         let receiver = (0..5).find(|index| *index != former).expect("another");
         let address = identity(receiver, 0).address;
-        // It decides to give an order and is paused before the datagram leaves.
+        // The holder decides to give an order and is paused before the datagram is sent.
         let now = fleet.now;
-        let node = fleet.nodes[former].as_mut().expect("there");
+        let node = fleet.nodes[former].as_mut().expect("running");
         assert!(node.send_order(now, role, address, b"late".to_vec()));
         let late: Vec<_> = std::iter::from_fn(|| node.next_datagram()).collect();
         fleet.paused.insert(former);
@@ -280,12 +283,17 @@
         assert_eq!(new.len(), 1, "seed {seed}: another node holds the lease");
         assert_ne!(new[0], former);
         let now = fleet.now;
-        assert!(fleet.nodes[new[0]].as_mut().expect("there").send_order(now, role, address, b"new".to_vec()));
+        assert!(fleet.nodes[new[0]].as_mut().expect("running").send_order(
+            now,
+            role,
+            address,
+            b"new".to_vec()
+        ));
         fleet.deliver_output(new[0]);
         fleet.run(STEP * 10);
         let carried_out = fleet.carried_out.len();
         fleet.paused.remove(&former);
-        assert!(!fleet.nodes[former].as_mut().expect("there").send_order(
+        assert!(!fleet.nodes[former].as_mut().expect("running").send_order(
             now,
             role,
             address,
@@ -296,24 +304,25 @@
         }
         fleet.run(LEASE);
         assert_eq!(fleet.rejected, 1, "seed {seed}: the late order");
-        assert_eq!(fleet.carried_out.len(), carried_out, "seed {seed}: it is not carried out");
+        assert_eq!(fleet.carried_out.len(), carried_out, "seed {seed}: the late order is not carried out");
         fleet.assert_rules();
     }
 }
 
-/// Guards the time without a holder after one is killed: at most a lease and a half.
+/// Guards the time without a holder after the holder was killed: in 99 of 100 runs at most one and a half lease
+/// durations.
 #[test]
 fn a_killed_holder_is_succeeded_within_a_lease_and_a_half() {
     let mut gaps = Vec::new();
     for seed in 0..100 {
-        let mut fleet = Fleet::of(5, 1, 100 + seed);
+        let mut fleet = Fleet::new(5, 1, 100 + seed);
         fleet.run(LEASE * 3 + Duration::from_millis(seed * 37));
         let former = fleet.holders_of("survey/0")[0];
         fleet.nodes[former] = None;
         let killed = fleet.now;
         while fleet.holders_of("survey/0").is_empty() {
             fleet.run(STEP);
-            assert!(fleet.now < killed + LEASE * 5, "seed {seed}: nobody follows");
+            assert!(fleet.now < killed + LEASE * 5, "seed {seed}: no successor");
         }
         gaps.push(fleet.now - killed);
         fleet.assert_rules();
@@ -323,11 +332,12 @@
     assert!(gaps[98] <= LEASE.mul_f64(1.5), "{:?}", &gaps[90..]);
 }
 
-/// Guards acceptors: one that has lost its file is admitted by the others while leases go on, and with its help another
-/// may die; all killed at once and restarted know every epoch.
+/// Guards the recovery of acceptors: an acceptor that has lost its file is readmitted by the others while leases are
+/// held, and then forms a majority when another acceptor dies. After all nodes are killed and restarted at once, no
+/// epoch is reused.
 #[test]
 fn acceptors_lose_files_and_all_restart() {
-    let mut fleet = Fleet::of(5, 4, 9);
+    let mut fleet = Fleet::new(5, 4, 9);
     fleet.run(LEASE * 3);
     fleet.nodes[1] = None;
     fleet.files[1] = File::default();
@@ -340,22 +350,23 @@
     for role in 0..4 {
         assert_eq!(fleet.holders_of(&format!("survey/{role}")).len(), 1, "with the admitted acceptor");
     }
-    let epochs = |fleet: &Fleet| fleet.holders.keys().map(|(_, epoch)| *epoch).max();
-    let before = epochs(&fleet);
+    let highest_epoch = |fleet: &Fleet| fleet.holders.keys().map(|(_, epoch)| *epoch).max();
+    let before = highest_epoch(&fleet);
     fleet.nodes.iter_mut().for_each(|node| *node = None);
     (0..5).for_each(|index| fleet.start(index));
     fleet.run(LEASE * 4);
-    assert!(epochs(&fleet) > before, "later epochs only");
+    assert!(highest_epoch(&fleet) > before, "later epochs only");
     for role in 0..4 {
         assert_eq!(fleet.holders_of(&format!("survey/{role}")).len(), 1);
     }
     fleet.assert_rules();
 }
 
-/// Guards a fleet without a majority: no lease is held, nothing piles up, and all recovers by itself.
+/// Guards a fleet without a majority of acceptors: no lease is held, datagrams do not accumulate, and the leases are
+/// acquired again once there is a majority.
 #[test]
 fn without_a_majority_no_lease_is_held() {
-    let mut fleet = Fleet::of(5, 3, 11);
+    let mut fleet = Fleet::new(5, 3, 11);
     fleet.run(LEASE * 3);
     (fleet.nodes[0], fleet.nodes[1]) = (None, None);
     fleet.run(LEASE * 2);
@@ -374,10 +385,10 @@
     fleet.assert_rules();
 }
 
-/// Guards a fleet of one: it holds all leases, and again after each start, under later epochs.
+/// Guards a fleet of one node: the node holds all leases, and after each restart acquires them again under new epochs.
 #[test]
 fn a_fleet_of_one_holds_all_leases() {
-    let mut fleet = Fleet::of(1, 2, 12);
+    let mut fleet = Fleet::new(1, 2, 12);
     for starts in 1..4 {
         fleet.run(LEASE * 2);
         for role in ["survey/0", "survey/1"] {
@@ -390,18 +401,19 @@
     fleet.assert_rules();
 }
 
-/// Guards ballots, which have one value each: a process that is a role's candidate again after a while goes on above the
-/// ballots that it has used, also if the acceptors that it reaches now know nothing of them.
+/// Guards against the reuse of ballots, of which each may have only one value: a process that becomes a role's
+/// candidate again uses only ballots above its earlier ones, even if the acceptors that it reaches now have not seen
+/// those.
 #[test]
 fn no_ballot_is_used_again_by_a_returning_candidate() {
-    let mut fleet = Fleet::of(7, 16, 13);
+    let mut fleet = Fleet::new(7, 16, 13);
     fleet.silent = (0..7).filter(|index| *index != 3).collect();
     (4..7).for_each(|index| fleet.nodes[index] = None);
     fleet.run(LEASE * 3);
-    // Only one acceptor is reached by its proposals, again and again.
+    // Its proposals repeatedly reach one acceptor only.
     fleet.unreachable = BTreeSet::from([1, 2]);
     fleet.run(LEASE * 5);
-    // It is no candidate for some roles any more, and then it is again, with the two others.
+    // It ceases to be a candidate for some roles, then becomes one again and reaches only the two other acceptors.
     fleet.unreachable = BTreeSet::from([0, 1, 2]);
     (4..7).for_each(|index| fleet.start(index));
     fleet.run(LEASE * 2);
@@ -413,12 +425,12 @@
     fleet.assert_rules();
 }
 
-/// Guards decisions against an unintended change: the same seed gives the same datagrams at the same times, through
-/// deaths, a lost file, unreachable acceptors, registers that are read and changed, and a leave.
+/// Guards against unintended changes of behaviour: the same seed gives the same datagrams at the same times, with
+/// deaths, lost files, unreachable acceptors, reads and changes of registers, and leaves.
 #[test]
 fn the_same_seed_gives_the_same_datagrams() {
     let run = |seed: u64| {
-        let mut fleet = Fleet::of(7, 5, seed);
+        let mut fleet = Fleet::new(7, 5, seed);
         fleet.run(LEASE * 3);
         for round in 0..12 {
             let (index, now) = (fleet.rng.next_u32() as usize % 7, fleet.now);
@@ -453,6 +465,6 @@
         fleet.assert_rules();
         fleet.digest
     };
-    let kept = [12_943_390_530_538_999_451, 1_438_771_815_652_841_542, 7_092_480_359_083_854_448];
-    assert_eq!([run(21), run(22), run(23)], kept);
+    let expected = [12_943_390_530_538_999_451, 1_438_771_815_652_841_542, 7_092_480_359_083_854_448];
+    assert_eq!([run(21), run(22), run(23)], expected);
 }
--- a/crates/fleet/tests/register_clients.rs
+++ b/crates/fleet/tests/register_clients.rs
@@ -1,5 +1,5 @@
-//! Reads and changes of a register by several processes, in virtual time, over links that lose messages and are cut: no
-//! outcome contradicts an earlier one.
+//! Reads and changes of a register by several processes in virtual time, with lost messages and partitions: no outcome
+//! contradicts an earlier one.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -35,15 +35,16 @@
 struct Process {
     client: RegisterClient,
     knowledge: AcceptorKnowledge,
-    /// Injected bug: a read that trusts the latest value that a majority has accepted, and when it began.
-    trusting_read: Option<(ProposerRound, Duration)>,
-    /// The change under way: a number that no other change has.
+    /// Injected bug: a read that reports the latest value in a majority even if it may not be chosen, and when it
+    /// started.
+    unconfirmed_read: Option<(ProposerRound, Duration)>,
+    /// The unique number of the change under way.
     pending_change: Option<u8>,
     proposed_at: Duration,
     busy: bool,
 }
 
-/// What an outcome reported as the register's value.
+/// A value of the register that an outcome reported.
 #[derive(Debug)]
 struct Report {
     started_at: Duration,
@@ -74,7 +75,7 @@
                 LEASE_SETTINGS.resend_interval,
             ),
             knowledge: AcceptorKnowledge::new(3, (index as u64 + 1) << 32),
-            trusting_read: None,
+            unconfirmed_read: None,
             pending_change: None,
             proposed_at: Duration::ZERO,
             busy: false,
@@ -114,14 +115,14 @@
         }
     }
 
-    fn read(&mut self, index: usize, trusting_read: bool) {
+    fn read(&mut self, index: usize, unconfirmed_read: bool) {
         let now = self.now;
         let process = &mut self.processes[index];
-        if trusting_read {
+        if unconfirmed_read {
             let (nonce, acceptors) = (process.knowledge.next_nonce(), process.knowledge.acceptors.clone());
             let round = ProposerRound::read(KEY.to_string(), acceptors, nonce, 3, StoreCounts::default());
             let requests = round.pending_requests();
-            process.trusting_read = Some((round, now));
+            process.unconfirmed_read = Some((round, now));
             return self.send_requests(index, requests);
         }
         process.client.read();
@@ -156,7 +157,7 @@
             RegisterOutcome::Chosen(value) => {
                 process.busy = false;
                 process.pending_change = None;
-                // It was chosen at some time since.
+                // It was chosen at some time since the proposal.
                 let started_at = process.proposed_at;
                 self.reports.push(Report { started_at, reported_at: now, value });
             }
@@ -190,10 +191,10 @@
             }
             for index in 0..self.processes.len() {
                 let process = &mut self.processes[index];
-                if process.trusting_read.as_ref().is_some_and(|(_, started_at)| {
+                if process.unconfirmed_read.as_ref().is_some_and(|(_, started_at)| {
                     self.now >= *started_at + LEASE_SETTINGS.resend_interval * 4
                 }) {
-                    (process.trusting_read, process.busy) = (None, false);
+                    (process.unconfirmed_read, process.busy) = (None, false);
                 }
                 if process.client.next_deadline().is_some_and(|due| due <= self.now) {
                     let mut requests = Vec::new();
@@ -209,11 +210,11 @@
     fn handle_reply(&mut self, index: usize, reply: &AcceptorReply) {
         let now = self.now;
         let process = &mut self.processes[index];
-        if let Some((round, started_at)) = &mut process.trusting_read {
+        if let Some((round, started_at)) = &mut process.unconfirmed_read {
             if let RoundEvent::Read { value, .. } = round.handle_reply(reply) {
                 let report =
                     Report { started_at: *started_at, reported_at: now, value: value.unwrap_or_default() };
-                (process.trusting_read, process.busy) = (None, false);
+                (process.unconfirmed_read, process.busy) = (None, false);
                 self.reports.push(report);
             }
         }
@@ -224,8 +225,8 @@
         outcome.into_iter().for_each(|outcome| self.handle_outcome(index, outcome));
     }
 
-    /// Which reports contradict each other, if any. A change appends a number, so the value of a read that began after a
-    /// report starts with the reported one.
+    /// Two reports that contradict each other, or a change that was applied twice, if any. A change appends a number,
+    /// so the value of a read that started after a report has to begin with the reported value.
     fn contradiction(&self) -> Option<String> {
         for report in &self.reports {
             for later in self.reports.iter().filter(|later| later.started_at > report.reported_at) {
@@ -235,15 +236,16 @@
             }
             let values: BTreeSet<u8> = report.value.iter().copied().collect();
             if values.len() < report.value.len() {
-                return Some(format!("a change counted twice: {report:?}"));
+                return Some(format!("a change was applied twice: {report:?}"));
             }
         }
         None
     }
 }
 
-/// Four processes read and change over bad links; then the links are good and each process reads once more.
-fn run_reads_and_changes(seed: u64, trusting_read: bool) -> Simulation {
+/// Four processes read and change a register over faulty links. Then the links are repaired and each process reads once
+/// more.
+fn run_reads_and_changes(seed: u64, unconfirmed_read: bool) -> Simulation {
     let mut simulation = Simulation::new(4, seed);
     simulation.loss = 0.1;
     for _ in 0..150 {
@@ -256,7 +258,7 @@
             if draw < 0.08 && simulation.changes < 100 {
                 simulation.change(index);
             } else {
-                simulation.read(index, trusting_read);
+                simulation.read(index, unconfirmed_read);
             }
         }
         let pair = (simulation.rng.next_u32() as usize % 4, simulation.rng.next_u32() as usize % 3);
@@ -268,15 +270,15 @@
     (simulation.loss, simulation.partitions) = (0.0, BTreeSet::new());
     simulation.run(Duration::from_secs(5));
     for index in 0..4 {
-        // One after the other: two that repair at once may outbid each other.
-        simulation.read(index, trusting_read);
+        // One after the other: two concurrent repairs may preempt each other.
+        simulation.read(index, unconfirmed_read);
         simulation.run(Duration::from_secs(1));
     }
     simulation
 }
 
-/// Guards reads and changes over bad links: no outcome contradicts an earlier one, no change is lost or counted twice, and
-/// all agree in the end.
+/// Guards reads and changes over faulty links: no outcome contradicts an earlier one, no change is lost or applied
+/// twice, and in the end all processes read the same value.
 #[test]
 fn no_outcome_contradicts_an_earlier_one() {
     let (mut reads, mut changes) = (0, 0);
@@ -284,7 +286,7 @@
         let simulation = run_reads_and_changes(seed, false);
         assert_eq!(simulation.contradiction(), None, "seed {seed}");
         let last = &simulation.reports[simulation.reports.len() - 1].value;
-        assert_eq!(last.len(), usize::from(simulation.changes), "seed {seed}: every change is there");
+        assert_eq!(last.len(), usize::from(simulation.changes), "seed {seed}: every change is in the value");
         for (_, outcome) in &simulation.outcomes[simulation.outcomes.len() - 4..] {
             assert!(
                 matches!(outcome, RegisterOutcome::Read { value: Some(value), .. } if value == last),
@@ -302,7 +304,8 @@
     assert!(reads > 1_000 && changes > 1_000);
 }
 
-/// Guards the check: a read that trusts the latest value of a majority reports what was never chosen, and is found.
+/// Guards the check itself: a read that reports the latest value in a majority, although it may never be chosen, is
+/// found.
 #[test]
 fn a_read_that_trusts_the_latest_value_is_found() {
     let found = (0..150).filter(|seed| run_reads_and_changes(*seed, true).contradiction().is_some()).count();
@@ -310,8 +313,8 @@
     assert!(found > 0);
 }
 
-/// The first value is chosen by all, the next one is accepted by the first voter alone.
-fn minority() -> Simulation {
+/// The first value is accepted by all acceptors, the next value by the first acceptor only.
+fn value_accepted_by_minority() -> Simulation {
     let mut simulation = Simulation::new(3, 3);
     simulation.change(0);
     simulation.run(Duration::from_secs(1));
@@ -320,10 +323,10 @@
     while !matches!(simulation.outcomes.last(), Some((0, RegisterOutcome::Prepared(_)))) {
         simulation.run(STEP);
     }
-    // Its proposal is on its way to all; that to the first one arrives.
+    // Its proposal is in transit to all acceptors; only the first acceptor receives it.
     simulation.partitions.extend([(0, 1), (0, 2)]);
-    for send in &mut simulation.messages {
-        send.take_if(|send| matches!(send, Message::Request { acceptor, .. } if *acceptor > 0));
+    for message in &mut simulation.messages {
+        message.take_if(|message| matches!(message, Message::Request { acceptor, .. } if *acceptor > 0));
     }
     simulation.processes[0].pending_change = None;
     simulation.run(Duration::from_secs(2));
@@ -332,13 +335,14 @@
     simulation
 }
 
-/// Guards a value that a minority has accepted: a read that meets it has it chosen before it reports it, and all reads
-/// report the same from then on; a read that does not meet it does not report it.
+/// Guards reads of a value that only a minority has accepted: a read whose majority includes that minority gets the
+/// value chosen before it reports it, and later reads report the same value; a read without it reports the earlier
+/// value.
 #[test]
 fn a_value_of_a_minority_is_reported_only_once_it_is_chosen() {
-    let mut simulation = minority();
+    let mut simulation = value_accepted_by_minority();
     simulation.partitions.insert((1, 2));
-    let began = simulation.now;
+    let read_at = simulation.now;
     simulation.read(1, false);
     simulation.run(Duration::from_secs(1));
     let Some((1, RegisterOutcome::Read { value: Some(value), started_at: at })) = simulation.outcomes.last()
@@ -346,7 +350,7 @@
         panic!("{:?}", simulation.outcomes)
     };
     assert_eq!(*value, [1, 2]);
-    assert!(*at >= began && *at <= began + STEP * 2, "the time at which the read began");
+    assert!(*at >= read_at && *at <= read_at + STEP * 2, "the time at which the read started");
     simulation.partitions.insert((2, 0));
     simulation.read(2, false);
     simulation.run(Duration::from_secs(1));
@@ -354,7 +358,7 @@
         matches!(simulation.outcomes.last(), Some((2, RegisterOutcome::Read { value: Some(value), .. })) if *value == [1, 2])
     );
 
-    let mut simulation = minority();
+    let mut simulation = value_accepted_by_minority();
     simulation.partitions.insert((2, 0));
     simulation.read(2, false);
     simulation.run(Duration::from_secs(1));
@@ -364,7 +368,7 @@
     assert_eq!(simulation.contradiction(), None);
 }
 
-/// Guards two concurrent changes: two values, one after the other, whichever is first.
+/// Guards two concurrent changes: both are chosen, one after the other, in either order.
 #[test]
 fn two_concurrent_changes_give_two_values() {
     let mut firsts = BTreeSet::new();
@@ -386,7 +390,7 @@
     assert_eq!(firsts.len(), 2, "either may be first");
 }
 
-/// Guards the outcome without a majority, and that the register goes on once there is one.
+/// Guards the outcome without a majority, and that the register can be read again once there is one.
 #[test]
 fn without_a_majority_reads_and_changes_fail_and_say_why() {
     let mut simulation = Simulation::new(1, 5);
@@ -404,7 +408,8 @@
     assert!(matches!(simulation.outcomes.last(), Some((0, RegisterOutcome::Read { value: None, .. }))));
 }
 
-/// Guards a change whose owner never proposes a value: it ends, and not for want of a majority.
+/// Guards a change whose owner never proposes a value: it ends at its deadline, and the outcome does not report a
+/// missing majority.
 #[test]
 fn a_prepared_change_without_a_proposal_ends() {
     let mut simulation = Simulation::new(1, 6);
@@ -432,7 +437,7 @@
     assert!(requests.is_empty(), "too late");
 }
 
-/// Stores nothing.
+/// A storage that discards the file.
 struct NullStorage;
 
 impl AcceptorStorage for NullStorage {
@@ -470,7 +475,7 @@
     (0..3).map(node).collect()
 }
 
-/// Delivers datagrams and calls `tick`; the outcomes meanwhile.
+/// Delivers datagrams and calls `tick` for a duration. Returns the outcomes that the nodes reported.
 fn run_nodes(
     nodes: &mut [Node],
     now: &mut Duration,
@@ -487,7 +492,7 @@
                 let Some(to) = (0..nodes.len()).find(|other| address(*other) == to) else { continue };
                 nodes[to]
                     .handle_datagram(*now, address(index), &datagram, &mut NullStorage)
-                    .expect("this fleet's");
+                    .expect("a datagram of this fleet");
             }
             while let Some(event) = nodes[index].next_event() {
                 if let NodeEvent::Register { key, outcome } = event {
@@ -499,7 +504,8 @@
     outcomes
 }
 
-/// Guards registers of whole nodes: read, changed, and read by another node; and which reads and changes begin at all.
+/// Guards the registers of whole nodes: a value changed by one node is read by another, and reads and changes that are
+/// not allowed fail at once.
 #[test]
 fn nodes_read_and_change() {
     let (mut nodes, mut now) = (nodes(), Duration::ZERO);
@@ -521,15 +527,15 @@
     nodes[0].propose(now, KEY, Some(b"one".to_vec()));
     let outcomes = run_nodes(&mut nodes, &mut now, second);
     assert_eq!(outcomes, [(0, KEY.to_string(), RegisterOutcome::Chosen(b"one".to_vec()))]);
-    let began = now;
+    let read_at = now;
     nodes[2].read_register(now, KEY);
     let outcomes = run_nodes(&mut nodes, &mut now, second);
     assert_eq!(
         outcomes,
-        [(2, KEY.to_string(), RegisterOutcome::Read { value: Some(b"one".to_vec()), started_at: began })]
+        [(2, KEY.to_string(), RegisterOutcome::Read { value: Some(b"one".to_vec()), started_at: read_at })]
     );
 
-    // A withdrawn change has no outcome, and others go on.
+    // A withdrawn change has no outcome, and does not block other reads.
     nodes[1].begin_change(now, KEY);
     run_nodes(&mut nodes, &mut now, second / 10);
     nodes[1].propose(now, KEY, None);
@@ -537,29 +543,29 @@
     nodes[0].read_register(now, KEY);
     assert_eq!(run_nodes(&mut nodes, &mut now, second).len(), 1);
 
-    let not_begun = RegisterOutcome::Failed { proposed: false, no_majority: false };
+    let not_started = RegisterOutcome::Failed { proposed: false, no_majority: false };
     nodes[1].begin_change(now, KEY);
     run_nodes(&mut nodes, &mut now, second / 10);
     nodes[1].propose(now, KEY, Some(vec![0; MAX_VALUE_BYTES + 1]));
     assert_eq!(
         run_nodes(&mut nodes, &mut now, second),
-        [(1, KEY.to_string(), not_begun.clone())],
+        [(1, KEY.to_string(), not_started.clone())],
         "too long"
     );
     nodes[1].read_register(now, "survey/1");
     let outcomes = run_nodes(&mut nodes, &mut now, second);
     assert_eq!(
         outcomes,
-        [(1, "survey/1".to_string(), not_begun.clone())],
-        "a role's register is its lease's alone"
+        [(1, "survey/1".to_string(), not_started.clone())],
+        "the register of a role is used by its lease only"
     );
     for register in 1..=MAX_REGISTER_CLIENTS {
         nodes[1].read_register(now, &format!("other/{register}"));
         let outcomes = run_nodes(&mut nodes, &mut now, second);
-        assert_eq!(outcomes[0].2 == not_begun, register == MAX_REGISTER_CLIENTS, "bounded: {outcomes:?}");
+        assert_eq!(outcomes[0].2 == not_started, register == MAX_REGISTER_CLIENTS, "limited: {outcomes:?}");
     }
     nodes[0].leave(now);
     nodes[0].read_register(now, KEY);
     let outcomes = run_nodes(&mut nodes, &mut now, second);
-    assert_eq!(outcomes, [(0, KEY.to_string(), not_begun)], "whoever leaves begins none");
+    assert_eq!(outcomes, [(0, KEY.to_string(), not_started)], "a leaving node starts no reads");
 }
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: acceptors with files, processes that contend for a lease, receivers of orders, and links that
-//! lose, duplicate, delay and cut. One seed gives one run.
+//! A simulated fleet in virtual time: acceptors with files, processes that contend for a lease, receivers of orders,
+//! and links that lose, duplicate and delay messages or are partitioned. The same seed gives the same run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -22,23 +22,23 @@
 const TICK: Duration = Duration::from_millis(20);
 const RECEIVERS: usize = 2;
 
-/// What is broken on purpose, to see that a check finds it.
+/// A bug that is injected to verify that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     None,
-    /// An acceptor forgets all in a crash and takes part at once.
+    /// An acceptor loses its state in a crash and participates at once.
     AcceptorForgets,
     /// An acceptor replies before its state is stored.
     RepliesBeforeStore,
-    /// An acceptor that has lost its file is admitted without what the others know.
+    /// An acceptor that has lost its file is admitted without the registers of the others.
     AdmittedWithoutState,
-    /// Receivers carry out whatever arrives.
+    /// Receivers carry out every order, whatever its epoch.
     NoFencing,
-    /// A lease is held for longer than contenders wait.
+    /// Contenders wait for less time than a holder relies on its lease.
     ContendersDoNotWait,
 }
 
-/// What may happen in a run.
+/// The faults that may occur in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
     /// Probability that a message is lost.
@@ -49,9 +49,9 @@
     pub crashes: bool,
     pub pauses: bool,
     pub partitions: bool,
-    /// Acceptors lose their file in a crash, one at a time.
+    /// Whether acceptors lose their file in a crash, one at a time.
     pub lost_files: bool,
-    /// Clocks run apart by this part, either way.
+    /// The largest deviation of a clock's rate in either direction, as a fraction.
     pub clock_drift: f64,
 }
 
@@ -108,27 +108,27 @@
     reconfiguration: Option<Reconfiguration>,
 }
 
-struct AcceptorHost {
+struct AcceptorNode {
     acceptor: Acceptor,
     file: Option<Vec<u8>>,
     is_up: bool,
 }
 
-/// What a run has shown.
+/// The results of a run.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Who acquired the lease under each epoch.
+    /// The processes that acquired the lease under each epoch.
     pub holders: BTreeMap<u64, BTreeSet<NodeId>>,
-    /// Per receiver, the epochs of the orders carried out, in order.
+    /// For each receiver, the epochs of the orders carried out, in order.
     pub carried_out: Vec<Vec<u64>>,
     pub rejected_orders: u64,
-    /// Moments at which two processes could give orders at once.
+    /// Number of events after which more than one process could give orders.
     pub overlaps: u64,
     pub admissions: u64,
 }
 
 impl Observations {
-    /// Which rule of the fleet was violated, if any.
+    /// Describes a violation of the rules of the fleet, if there is one.
     pub fn violation(&self) -> Option<String> {
         if let Some((epoch, holders)) = self.holders.iter().find(|(_, holders)| holders.len() > 1) {
             return Some(format!("epoch {epoch} has the holders {holders:?}"));
@@ -144,14 +144,14 @@
 
 pub struct Simulation {
     pub now: Duration,
-    /// Time, sequence number, index into `events`.
+    /// Time, sequence number and index into `events`, earliest first.
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
     events: Vec<Option<Event>>,
     sequence: u64,
     rng: Pcg64Mcg,
     conditions: Conditions,
     bug: InjectedBug,
-    hosts: Vec<AcceptorHost>,
+    acceptor_nodes: Vec<AcceptorNode>,
     processes: Vec<Process>,
     guards: Vec<FencingGuard>,
     files_created: u32,
@@ -181,7 +181,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             conditions,
             bug,
-            hosts: Vec::new(),
+            acceptor_nodes: Vec::new(),
             processes: Vec::new(),
             guards: vec![FencingGuard::default(); RECEIVERS],
             files_created: 0,
@@ -194,7 +194,11 @@
         };
         for slot in 0..acceptors {
             let acceptor = Acceptor::founding(AcceptorSlot(slot as u8));
-            simulation.hosts.push(AcceptorHost { file: acceptor.file_bytes(), acceptor, is_up: true });
+            simulation.acceptor_nodes.push(AcceptorNode {
+                file: acceptor.file_bytes(),
+                acceptor,
+                is_up: true,
+            });
         }
         for index in 0..processes {
             let process = simulation.new_process(acceptors);
@@ -236,12 +240,12 @@
         self.queue.push(Reverse((self.now + after, self.sequence, self.events.len() - 1)));
     }
 
-    /// Puts a message on a link.
+    /// Sends a message over a link, which may lose, duplicate or delay it.
     fn send(&mut self, is_isolated: bool, event: impl Fn() -> Event) {
         let copies = if self.random_fraction() < self.conditions.duplication { 2 } else { 1 };
         for _ in 0..copies {
             let is_lost = is_isolated || !self.faults_ended && self.random_fraction() < self.conditions.loss;
-            // Mostly quick, now and then very late.
+            // Most messages arrive soon, a few very late.
             let lateness = if self.random_fraction() < 0.02 && !self.faults_ended { 40.0 } else { 1.0 };
             let delay = self.conditions.max_delay.mul_f64(self.random_fraction() * lateness);
             if !is_lost {
@@ -250,7 +254,7 @@
         }
     }
 
-    /// Runs up to a time.
+    /// Handles all events up to a time.
     pub fn run(&mut self, until: Duration) {
         while let Some(Reverse((at, _, index))) = self.queue.peek().copied() {
             if at > until {
@@ -269,7 +273,7 @@
     /// Ends all faults.
     pub fn end_faults(&mut self) {
         self.faults_ended = true;
-        for index in 0..self.hosts.len() {
+        for index in 0..self.acceptor_nodes.len() {
             self.recover(Fault::AcceptorDown(index));
         }
         for index in 0..self.processes.len() {
@@ -288,18 +292,18 @@
         self.processes.iter().filter(may_order).map(|process| process.id).collect()
     }
 
-    /// The acceptors and what processes know of them, for a run that does not end well.
+    /// Describes the acceptors and the processes' knowledge about them, for a failed run.
     pub fn describe(&self) -> String {
-        let describe_host = |host: &AcceptorHost| {
-            let acceptor = &host.acceptor;
+        let describe_acceptor = |node: &AcceptorNode| {
+            let acceptor = &node.acceptor;
             let (slot, generation) = (acceptor.slot(), acceptor.generation());
-            format!("{slot:?} up {} file {generation} set {:?}; ", host.is_up, acceptor.acceptors())
+            format!("{slot:?} up {} file {generation} set {:?}; ", node.is_up, acceptor.acceptors())
         };
         let describe_process = |process: &Process| {
             format!("{:?} {:?} {:?}; ", process.id, process.knowledge, process.reconfiguration)
         };
-        let hosts = self.hosts.iter().map(describe_host);
-        hosts.chain(self.processes.iter().map(describe_process)).collect()
+        let acceptors = self.acceptor_nodes.iter().map(describe_acceptor);
+        acceptors.chain(self.processes.iter().map(describe_process)).collect()
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -326,23 +330,23 @@
 
     fn handle_request(&mut self, index: usize, from: usize, start: u64, request: AcceptorRequest) {
         let crashes = self.conditions.crashes && !self.faults_ended && self.random_fraction() < 0.01;
-        let host = &mut self.hosts[index];
-        if !host.is_up {
+        let node = &mut self.acceptor_nodes[index];
+        if !node.is_up {
             return;
         }
-        let reply = match host.acceptor.handle_request(request) {
+        let reply = match node.acceptor.handle_request(request) {
             RequestOutcome::Reply(reply) => reply,
             RequestOutcome::Store(pending) => {
                 let bytes = pending.file_bytes();
                 if crashes && self.bug != InjectedBug::RepliesBeforeStore {
-                    // In the middle of storing: the file is the old or the new one, and nobody gets a reply.
+                    // A crash during the store: the file is the old or the new one, and no reply is sent.
                     if bytes.len() % 2 == 0 {
-                        host.file = Some(bytes);
+                        node.file = Some(bytes);
                     }
                     return self.inject(Fault::AcceptorDown(index));
                 }
                 if !crashes {
-                    host.file = Some(bytes);
+                    node.file = Some(bytes);
                 }
                 pending.stored()
             }
@@ -360,7 +364,7 @@
             return;
         }
         if process.is_paused {
-            // It stays in the process's buffer until it resumes.
+            // The reply stays in the process's receive buffer until the process resumes.
             let reply = reply.clone();
             return self.schedule(TICK, Event::Reply { to, start, reply });
         }
@@ -397,7 +401,7 @@
         let Process { lease, knowledge, .. } = process;
         let event = lease.tick(local_now, rank, knowledge, &mut self.rng, &mut requests);
         help_acceptors(process, self.sequence, self.bug, &mut requests);
-        // Between a holder's own look at its lease and its order it may be paused.
+        // A holder may be paused between the check of its lease and the order.
         let valid_epoch = process.lease.valid_epoch(local_now);
         self.record_event(index, event);
         self.send_requests(index, requests);
@@ -439,11 +443,11 @@
             return;
         }
         let conditions = self.conditions;
-        let acceptor = self.random_index(self.hosts.len());
+        let acceptor = self.random_index(self.acceptor_nodes.len());
         let process = self.random_index(self.processes.len());
         let holder = self.holders().first().copied();
         let holder = self.processes.iter().position(|process| Some(process.id) == holder);
-        // Holders are hit more often than others.
+        // Faults hit the holder more often than other processes.
         let process = if self.random_fraction() < 0.5 { holder.unwrap_or(process) } else { process };
         let fault = match self.random_index(4) {
             0 if conditions.crashes => Fault::AcceptorDown(acceptor),
@@ -460,11 +464,11 @@
         match fault {
             Fault::AcceptorDown(index) => {
                 let all_take_part =
-                    self.hosts.iter().all(|host| host.is_up && !host.acceptor.is_uninitialized());
-                let host = &mut self.hosts[index];
-                host.is_up = false;
+                    self.acceptor_nodes.iter().all(|node| node.is_up && !node.acceptor.is_uninitialized());
+                let node = &mut self.acceptor_nodes[index];
+                node.is_up = false;
                 if self.conditions.lost_files && all_take_part {
-                    host.file = None;
+                    node.file = None;
                 }
             }
             Fault::ProcessDown(index) => self.processes[index].is_up = false,
@@ -476,9 +480,9 @@
 
     fn recover(&mut self, fault: Fault) {
         match fault {
-            Fault::AcceptorDown(index) if !self.hosts[index].is_up => self.restart_acceptor(index),
+            Fault::AcceptorDown(index) if !self.acceptor_nodes[index].is_up => self.restart_acceptor(index),
             Fault::ProcessDown(index) if !self.processes[index].is_up => {
-                self.processes[index] = self.new_process(self.hosts.len());
+                self.processes[index] = self.new_process(self.acceptor_nodes.len());
             }
             Fault::AcceptorDown(_) | Fault::ProcessDown(_) => {}
             Fault::ProcessPaused(index) => self.processes[index].is_paused = false,
@@ -489,9 +493,9 @@
     fn restart_acceptor(&mut self, index: usize) {
         self.files_created += 1;
         let (slot, salt) = (AcceptorSlot(index as u8), 1_000 + self.files_created);
-        let host = &mut self.hosts[index];
-        host.is_up = true;
-        host.acceptor = match &host.file {
+        let node = &mut self.acceptor_nodes[index];
+        node.is_up = true;
+        node.acceptor = match &node.file {
             _ if self.bug == InjectedBug::AcceptorForgets => Acceptor::founding(slot),
             Some(file) => Acceptor::from_file(slot, file).expect("a complete file"),
             None => Acceptor::uninitialized(slot, salt),
@@ -499,7 +503,8 @@
     }
 }
 
-/// Acceptors that lag or have lost their file are helped by whoever notices.
+/// Sends requests to acceptors that have an outdated acceptor set or have lost their file, as any process does that
+/// notices them.
 fn help_acceptors(
     process: &mut Process,
     sequence: u64,
