--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -110,7 +110,7 @@
     observed: Option<ObservedRecord>,
     held: Option<HeldLease>,
     next_round_at: Duration,
-    /// The next round releases the lease, and the process gives no more orders.
+    /// Whether the lease is being released: the process gives no more orders.
     is_releasing: bool,
     /// Since when the local process has been the first candidate, or since its latest handover request if that is
     /// later; `None` while it is not the first candidate.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -286,7 +286,7 @@
         self.leases.values_mut().for_each(LeaseContender::release);
     }
 
-    /// Whether no lease is held any more.
+    /// Whether all leases are released, lost or expired.
     pub fn has_left(&self) -> bool {
         self.leases.values().all(|lease| !lease.is_holder())
     }
