--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -132,7 +132,7 @@
         let (workers, this_worker) = (&self.workers, self.this_worker);
         let own = snapshot.balancer.clone().for_groups(|group| workers.owning_worker(group) == this_worker);
         self.balancer.restore(own, previous_class, clock_error);
-        self.requests.add_elsewhere(snapshot.in_flight.iter().cloned());
+        self.requests.add_at_other_process(snapshot.in_flight.iter().cloned());
     }
 
     /// Takes the place of the process before, which goes on with its requests: this one takes clients from now on, and
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -85,7 +85,7 @@
         self.end_stalled_responses();
         self.evict_overdue_clients();
         self.evict_overdue_admins();
-        self.requests.forget_elsewhere(self.now);
+        self.requests.expire_at_other_process(self.now);
         if self.workers.has_successor() {
             self.hand_over_clients();
         }
--- a/src/request.rs
+++ b/src/request.rs
@@ -77,12 +77,12 @@
     }
 
     /// Adds requests that another process answers, by their client ids and deadlines.
-    pub fn add_elsewhere(&mut self, requests: impl IntoIterator<Item = (String, Micros)>) {
+    pub fn add_at_other_process(&mut self, requests: impl IntoIterator<Item = (String, Micros)>) {
         self.elsewhere.extend(requests);
     }
 
     /// Forgets the requests of another process whose deadlines have passed.
-    pub fn forget_elsewhere(&mut self, now: Micros) {
+    pub fn expire_at_other_process(&mut self, now: Micros) {
         self.elsewhere.retain(|_, deadline| *deadline > now);
     }
 
