--- a/src/classes.rs
+++ b/src/classes.rs
@@ -42,7 +42,7 @@
 
     /// Takes new settings' classes on and returns all by their numbers. A class that stays as it is keeps
     /// its number; any other gets one that neither a class nor a request in flight has.
-    pub fn adopt(
+    pub fn update(
         &mut self,
         now: Micros,
         new: Vec<(String, Class)>,
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -91,7 +91,7 @@
             self.metrics.class_mut(class);
         }
         let named = class_names.into_iter().zip(std::mem::take(&mut settings.classes)).collect();
-        settings.classes = self.classes.adopt(self.now, named, |class| self.balancer.has_requests_of(class));
+        settings.classes = self.classes.update(self.now, named, |class| self.balancer.has_requests_of(class));
         self.pool.set_idle_limit(settings.connection_idle_timeout);
         self.discovery.update_settings(&settings);
         self.balancer.update_settings(settings);
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -221,7 +221,7 @@
 fn initial_classes(site: &SiteSettings) -> Classes {
     let named = site.class_names.iter().cloned().zip(site.router.classes.clone());
     let mut classes = Classes::default();
-    classes.adopt(Micros(0), named.collect(), |_| false);
+    classes.update(Micros(0), named.collect(), |_| false);
     classes
 }
 
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -121,7 +121,7 @@
         for (file, ask, ends) in files {
             now = now + Micros::millis(700);
             let new: Vec<_> = file.iter().map(|(name, rule)| (name.to_string(), class(*rule))).collect();
-            let table = classes.adopt(now, new, |id| open.iter().any(|(borne, _)| *borne == id));
+            let table = classes.update(now, new, |id| open.iter().any(|(borne, _)| *borne == id));
             for (id, rules) in &open {
                 prop_assert_eq!(&table[id.0], rules);
             }
@@ -137,7 +137,7 @@
             open.extend(asked.map(|id| (id, table[id.0].clone())));
         }
         let later = now + Micros::millis(2_000);
-        let last = classes.adopt(later, vec![("0".into(), class(0))], |_| false);
+        let last = classes.update(later, vec![("0".into(), class(0))], |_| false);
         prop_assert!(!last.is_empty() && classes.id(later + Micros::millis(2_000), "4").is_none());
     }
 }
