--- a/crates/loadtest/src/capacity/commands.rs
+++ b/crates/loadtest/src/capacity/commands.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, ValueEnum};
-use dunemount::text_file::{self, AtLine};
+use dunemount::text_file::{self, LineError};
 
 use super::measure::{self, Setup};
 use super::page::{self, Inputs, Texts};
@@ -127,7 +127,7 @@
         }?;
         print(&points);
         let known = if given.slopes.exists() { read(&given.slopes)? } else { String::new() };
-        let fault = |fault: AtLine<String>| fault.in_file(&given.slopes).to_string();
+        let fault = |fault: LineError<String>| fault.in_file(&given.slopes).to_string();
         let mut slopes = Slopes::read(&known).map_err(fault)?;
         slopes.renew(points);
         write(&given.slopes, &slopes.write()?)?;
--- a/crates/loadtest/src/capacity/formulas.rs
+++ b/crates/loadtest/src/capacity/formulas.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-use dunemount::text_file::AtLine;
+use dunemount::text_file::LineError;
 use evalexpr::{
     build_operator_tree, ContextWithMutableFunctions, ContextWithMutableVariables, EvalexprError, Function,
     HashMapContext, Node, Value,
@@ -66,9 +66,10 @@
 }
 
 /// Reads the lines of a CSV file, each with its number.
-fn lines<T: DeserializeOwned>(text: &str) -> Result<Vec<(usize, T)>, AtLine<String>> {
+fn lines<T: DeserializeOwned>(text: &str) -> Result<Vec<(usize, T)>, LineError<String>> {
     let mut reader = csv::Reader::from_reader(text.as_bytes());
-    let fault = |e: csv::Error| AtLine::new(e.position().map_or(0, |at| at.line() as usize), e.to_string());
+    let fault =
+        |e: csv::Error| LineError::new(e.position().map_or(0, |at| at.line() as usize), e.to_string());
     let head = reader.headers().map_err(fault)?.clone();
     let mut found = Vec::new();
     for row in reader.records() {
@@ -79,12 +80,12 @@
     Ok(found)
 }
 
-fn parse(line: usize, formula: &str, known: &BTreeSet<String>) -> Result<Node, AtLine<String>> {
+fn parse(line: usize, formula: &str, known: &BTreeSet<String>) -> Result<Node, LineError<String>> {
     let tree = build_operator_tree(formula)
-        .map_err(|e| AtLine::new(line, format!("{formula:?} is no formula: {e}")))?;
+        .map_err(|e| LineError::new(line, format!("{formula:?} is no formula: {e}")))?;
     let unknown = tree.iter_variable_identifiers().find(|name| !known.contains(*name)).map(str::to_string);
     match unknown {
-        Some(name) => Err(AtLine::new(line, format!("{name}: neither in the size nor worked out above"))),
+        Some(name) => Err(LineError::new(line, format!("{name}: neither in the size nor worked out above"))),
         None => Ok(tree),
     }
 }
@@ -94,13 +95,13 @@
     ///
     /// # Errors
     /// The first line that is no formula, names what is unknown, or a name again.
-    pub fn read(text: &str, size: &Size) -> Result<Formulas, AtLine<String>> {
+    pub fn read(text: &str, size: &Size) -> Result<Formulas, LineError<String>> {
         let mut known: BTreeSet<String> = size.iter().map(|(name, _)| name.to_string()).collect();
         let (mut rows, mut trees) = (Vec::new(), Vec::new());
         for (line, row) in lines::<Row>(text)? {
             trees.push(parse(line, &row.formula, &known)?);
             if !known.insert(row.id.clone()) {
-                return Err(AtLine::new(line, format!("{}: stands there already", row.id)));
+                return Err(LineError::new(line, format!("{}: stands there already", row.id)));
             }
             rows.push(row);
         }
@@ -111,19 +112,19 @@
     ///
     /// # Errors
     /// The first line whose limit is no formula of the size, or that names no row or number.
-    pub fn budgets(&self, text: &str, size: &Size) -> Result<Vec<(Budget, f64)>, AtLine<String>> {
+    pub fn budgets(&self, text: &str, size: &Size) -> Result<Vec<(Budget, f64)>, LineError<String>> {
         let known: BTreeSet<String> = size.iter().map(|(name, _)| name.to_string()).collect();
         let mut budgets = Vec::new();
         for (line, budget) in lines::<Budget>(text)? {
             let tree = parse(line, &budget.limit, &known)?;
             if !self.rows.iter().any(|row| row.id == budget.worked) {
-                return Err(AtLine::new(line, format!("{}: no such row", budget.worked)));
+                return Err(LineError::new(line, format!("{}: no such row", budget.worked)));
             }
             if size.get(&budget.grows).is_none() {
-                return Err(AtLine::new(line, format!("{}: not in the size", budget.grows)));
+                return Err(LineError::new(line, format!("{}: not in the size", budget.grows)));
             }
             let limit = tree.eval_number_with_context(&numbers(size));
-            budgets.push((budget, limit.map_err(|e| AtLine::new(line, e.to_string()))?));
+            budgets.push((budget, limit.map_err(|e| LineError::new(line, e.to_string()))?));
         }
         Ok(budgets)
     }
--- a/crates/loadtest/src/capacity/page.rs
+++ b/crates/loadtest/src/capacity/page.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunemount::text_file::AtLine;
+use dunemount::text_file::LineError;
 
 use super::formulas::{Budget, Formulas, Worked};
 use super::size::Size;
@@ -39,7 +39,7 @@
     pub fn read(texts: &Texts) -> Result<Inputs, String> {
         let of = |(name, _): (&str, &str)| {
             let name = name.to_string();
-            move |fault: AtLine<String>| fault.in_file(&name).to_string()
+            move |fault: LineError<String>| fault.in_file(&name).to_string()
         };
         let size = Size::read(texts.size.1).map_err(of(texts.size))?;
         let slopes = Slopes::read(texts.slopes.1).map_err(of(texts.slopes))?;
@@ -193,13 +193,13 @@
 ///
 /// # Errors
 /// A mark without an end, one that names no table, or a table that has no mark.
-pub fn renew(page: &str, tables: &[(String, String)]) -> Result<String, AtLine<String>> {
+pub fn renew(page: &str, tables: &[(String, String)]) -> Result<String, LineError<String>> {
     let (mut text, mut inside, mut seen) = (String::new(), None, Vec::new());
     for (at, line) in page.lines().enumerate() {
         let mark = line.strip_prefix("<!-- table: ").and_then(|rest| rest.strip_suffix(" -->"));
         if let (Some(name), None) = (mark, inside) {
             let table = tables.iter().find(|(known, _)| known == name);
-            let (_, table) = table.ok_or(AtLine::new(at + 1, format!("{name}: no such table")))?;
+            let (_, table) = table.ok_or(LineError::new(at + 1, format!("{name}: no such table")))?;
             seen.push(name);
             inside = Some(at + 1);
             text += &format!("{line}\n{table}");
@@ -208,8 +208,8 @@
         }
     }
     match (inside, tables.iter().find(|(name, _)| !seen.contains(&name.as_str()))) {
-        (Some(line), _) => Err(AtLine::new(line, "a table's mark without its end")),
-        (None, Some((name, _))) => Err(AtLine::new(0, format!("{name}: no mark for this table"))),
+        (Some(line), _) => Err(LineError::new(line, "a table's mark without its end")),
+        (None, Some((name, _))) => Err(LineError::new(0, format!("{name}: no mark for this table"))),
         (None, None) => Ok(text),
     }
 }
--- a/crates/loadtest/src/capacity/size.rs
+++ b/crates/loadtest/src/capacity/size.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunemount::text_file::AtLine;
+use dunemount::text_file::LineError;
 use ini::Ini;
 
 /// A size: numbers by name. Sections are for the reader; a name stands once in the whole file.
@@ -14,9 +14,9 @@
     ///
     /// # Errors
     /// The first line that is no key with a finite number of zero or more, or that sets a name again.
-    pub fn read(text: &str) -> Result<Size, AtLine<String>> {
+    pub fn read(text: &str) -> Result<Size, LineError<String>> {
         let file = Ini::load_from_str_noescape(text)
-            .map_err(|e| AtLine::new(e.line + 1, "neither a [section] nor a key with its value"))?;
+            .map_err(|e| LineError::new(e.line + 1, "neither a [section] nor a key with its value"))?;
         let mut size = Size::default();
         for (section, values) in &file {
             for (name, value) in values {
@@ -26,15 +26,15 @@
                 let number: f64 = value
                     .trim()
                     .parse()
-                    .map_err(|_| AtLine::new(line, format!("{place}: {value:?} is no number")))?;
+                    .map_err(|_| LineError::new(line, format!("{place}: {value:?} is no number")))?;
                 if !number.is_finite() || number < 0.0 {
-                    return Err(AtLine::new(
+                    return Err(LineError::new(
                         line,
                         format!("{place}: {value:?} is not finite, or below zero"),
                     ));
                 }
                 if size.0.insert(name.to_string(), number).is_some() {
-                    return Err(AtLine::new(line, format!("{place}: set twice")));
+                    return Err(LineError::new(line, format!("{place}: set twice")));
                 }
             }
         }
--- a/crates/loadtest/src/capacity/slopes.rs
+++ b/crates/loadtest/src/capacity/slopes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunemount::text_file::AtLine;
+use dunemount::text_file::LineError;
 use serde::{Deserialize, Serialize};
 
 /// What may be measured: its name in formulas, its unit, what its size counts, and the measurement that gives it.
@@ -117,29 +117,29 @@
     ///
     /// # Errors
     /// The first line that does not hold a point, names no slope, or whose figures are out of order.
-    pub fn read(text: &str) -> Result<Slopes, AtLine<String>> {
+    pub fn read(text: &str) -> Result<Slopes, LineError<String>> {
         let mut slopes = Slopes::default();
         let mut reader = csv::Reader::from_reader(text.as_bytes());
         let mut row = csv::StringRecord::new();
         let fault = |e: csv::Error| {
             let line = e.position().map_or(0, |at| at.line() as usize);
-            AtLine::new(line, e.to_string())
+            LineError::new(line, e.to_string())
         };
         let head = reader.headers().map_err(fault)?.clone();
         while reader.read_record(&mut row).map_err(fault)? {
             let line = row.position().map_or(0, |at| at.line() as usize);
             let point: Point = row.deserialize(Some(&head)).map_err(fault)?;
             if !KINDS.iter().any(|kind| kind.name == point.slope) {
-                return Err(AtLine::new(line, format!("{:?}: no such slope", point.slope)));
+                return Err(LineError::new(line, format!("{:?}: no such slope", point.slope)));
             }
             let figures = [0.0, point.least, point.median, point.most];
             if !figures.is_sorted() || !point.most.is_finite() || !point.size.is_finite() || point.size < 0.0
             {
-                return Err(AtLine::new(line, format!("{}: figures out of order", point.slope)));
+                return Err(LineError::new(line, format!("{}: figures out of order", point.slope)));
             }
             let points = slopes.0.entry(point.slope.clone()).or_default();
             if points.last().is_some_and(|before| before.size >= point.size) {
-                return Err(AtLine::new(line, format!("{}: sizes do not rise", point.slope)));
+                return Err(LineError::new(line, format!("{}: sizes do not rise", point.slope)));
             }
             points.push(point);
         }
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,7 +9,7 @@
 
 use crate::net::discovery::Listing;
 use crate::settings::{SettingsDocument, SettingsError, SiteSettings, Zones};
-use crate::text_file::{AtLine, ReadError};
+use crate::text_file::{LineError, ReadError};
 
 pub mod version;
 
@@ -73,14 +73,14 @@
     text.strip_suffix(&position).unwrap_or(&text).to_string()
 }
 
-impl From<serde_json::Error> for AtLine<ConfigError> {
+impl From<serde_json::Error> for LineError<ConfigError> {
     fn from(error: serde_json::Error) -> Self {
-        AtLine::new(error.line(), ConfigError::Json(error))
+        LineError::new(error.line(), ConfigError::Json(error))
     }
 }
 
 /// What comes of a text that may be no usable configuration.
-pub type ConfigResult<T> = Result<T, AtLine<ConfigError>>;
+pub type ConfigResult<T> = Result<T, LineError<ConfigError>>;
 
 /// A text that is no address with a port.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -125,7 +125,7 @@
     /// # Errors
     /// One of them is no address with a port.
     pub fn check_listen_addresses(&self, text: &str) -> ConfigResult<()> {
-        let at_its_line = |error: AddressError| AtLine::new(line_of(text, error.name), error);
+        let at_its_line = |error: AddressError| LineError::new(line_of(text, error.name), error);
         address("listen", &self.listen).map_err(at_its_line)?;
         if let Some(admin) = &self.admin_addr {
             address("admin_addr", admin).map_err(at_its_line)?;
@@ -194,8 +194,8 @@
 }
 
 /// An error with the line of the key that its message names.
-fn at_key(text: &str, error: ConfigError) -> AtLine<ConfigError> {
-    AtLine::new(line_of(text, &error.to_string()), error)
+fn at_key(text: &str, error: ConfigError) -> LineError<ConfigError> {
+    LineError::new(line_of(text, &error.to_string()), error)
 }
 
 /// The line that a message is about, counted from 1: that of the last key of `a.b: c: what` which the text
--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -10,7 +10,7 @@
 
 use super::{line_of, ActiveConfig, ConfigError, ConfigResult, LoadedConfig};
 use crate::settings::Zones;
-use crate::text_file::{self, AtLine};
+use crate::text_file::{self, LineError};
 
 /// The keys that are each gateway's own.
 const OWN_KEYS: [&str; 6] = ["name", "listen", "admin_addr", "seed", "limits", "known"];
@@ -57,7 +57,7 @@
     let mut object = parse_object(text)?;
     check_shared(&mut object, text)?;
     if had_discovery && !object.contains_key(DISCOVERY) {
-        return Err(AtLine::whole(ConfigError::KeyRemoved { path: DISCOVERY.to_string() }));
+        return Err(LineError::without_line(ConfigError::KeyRemoved { path: DISCOVERY.to_string() }));
     }
     active.replace(with_placeholders(text, &object), &mut Zones::default()).map(|_| ())
 }
@@ -77,7 +77,7 @@
     let own_setting =
         || settings_of(object)?.contains_key(OWN_SETTING).then(|| format!("{SETTINGS}.{OWN_SETTING}"));
     match own_key.or_else(own_setting) {
-        Some(path) => Err(AtLine::new(line_of(text, &path), ConfigError::NotShared { path })),
+        Some(path) => Err(LineError::new(line_of(text, &path), ConfigError::NotShared { path })),
         None => Ok(()),
     }
 }
@@ -129,7 +129,7 @@
     ) -> ConfigResult<(String, LoadedConfig)> {
         let own_text = match new {
             Some(_) => self.own_text.clone(),
-            None => text_file::read(&self.path).map_err(AtLine::whole)?,
+            None => text_file::read(&self.path).map_err(LineError::without_line)?,
         };
         let text = match new.or(self.version.as_ref()) {
             Some(document) => overlay(&own_text, document.bytes())?,
@@ -149,13 +149,13 @@
 }
 
 fn parse_utf8(bytes: &[u8]) -> ConfigResult<&str> {
-    std::str::from_utf8(bytes).map_err(AtLine::whole)
+    std::str::from_utf8(bytes).map_err(LineError::without_line)
 }
 
 fn parse_object(text: &str) -> ConfigResult<Map<String, Value>> {
     match serde_json::from_str(text)? {
         Value::Object(object) => Ok(object),
-        _ => Err(AtLine::new(1, ConfigError::NotAnObject)),
+        _ => Err(LineError::new(1, ConfigError::NotAnObject)),
     }
 }
 
--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -12,7 +12,7 @@
 use super::status_report::StatusReport;
 use crate::config::{line_of, version, ConfigError};
 use crate::settings_file::{LoadError, LocalSettings, SettingsFile};
-use crate::text_file::{self, AtLine, InFile, ReadError};
+use crate::text_file::{self, LineError, ReadError, TextFileError};
 
 /// Why a command failed, in words for the operator.
 #[derive(Debug, thiserror::Error)]
@@ -28,7 +28,7 @@
     Read(#[from] ReadError),
     /// The file that is to be the next version is no valid configuration.
     #[error(transparent)]
-    Config(#[from] InFile<ConfigError>),
+    Config(#[from] TextFileError<ConfigError>),
     /// The file's shared part is too long.
     #[error("{}: {length} bytes as a version, {MAX_DOCUMENT_BYTES} at most", .path.display())]
     TooLong {
@@ -214,6 +214,6 @@
 fn with_line(path: &Path, text: &str, reason: String) -> String {
     match line_of(text, &reason) {
         0 => reason,
-        line => AtLine::<String>::new(line, reason).in_file(path).to_string(),
+        line => LineError::<String>::new(line, reason).in_file(path).to_string(),
     }
 }
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -16,7 +16,7 @@
 use crate::config::{ConfigError, ConfigResult};
 use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::settings::SiteSettings;
-use crate::text_file::AtLine;
+use crate::text_file::LineError;
 use crate::Micros;
 
 /// How long a configuration that cannot be read at this moment is read again, and the time between two attempts: it must be
@@ -67,7 +67,9 @@
     /// Puts a version, or the file as it is now, in force. Returns where discovery is from now on.
     fn apply_config(&mut self, version: Option<&Document>) -> ConfigResult<SocketAddr> {
         let mut zones = self.directory.zones().clone();
-        let Some(signals) = &mut self.signals else { return Err(AtLine::whole(ConfigError::NotFirstWorker)) };
+        let Some(signals) = &mut self.signals else {
+            return Err(LineError::without_line(ConfigError::NotFirstWorker));
+        };
         let (text, config) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
             self.metrics.config_rejected += u64::from(!why.error.is_transient());
         })?;
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -8,7 +8,7 @@
 use ini::Ini;
 
 use crate::shortage::START_RETRY_TIMEOUT;
-use crate::text_file::{self, AtLine, InFile, ReadError};
+use crate::text_file::{self, LineError, ReadError, TextFileError};
 
 mod keys;
 mod lines;
@@ -84,7 +84,7 @@
     Read(#[from] ReadError),
     /// It cannot be used.
     #[error(transparent)]
-    Settings(#[from] InFile<SettingsFileError>),
+    Settings(#[from] TextFileError<SettingsFileError>),
 }
 
 /// Everything that the file may set.
@@ -172,11 +172,11 @@
     ///
     /// # Errors
     /// The error on the first line that cannot be used.
-    pub fn parse(text: &str) -> Result<LocalSettings, AtLine<SettingsFileError>> {
+    pub fn parse(text: &str) -> Result<LocalSettings, LineError<SettingsFileError>> {
         let file = Ini::load_from_str_noescape(text).map_err(|e| {
             // The parser gives up a line or two behind what it could not read.
             let line = text.lines().position(|line| !lines::is_ini(line)).unwrap_or(e.line);
-            AtLine::new(line + 1, SettingsFileError::NotIni)
+            LineError::new(line + 1, SettingsFileError::NotIni)
         })?;
         let mut settings = LocalSettings::default();
         settings.apply_all(&file, text)?;
@@ -185,21 +185,21 @@
     }
 
     /// Sets all keys of a file, or none that can be relied on.
-    fn apply_all(&mut self, file: &Ini, text: &str) -> Result<(), AtLine<SettingsFileError>> {
+    fn apply_all(&mut self, file: &Ini, text: &str) -> Result<(), LineError<SettingsFileError>> {
         let mut errors = Vec::new();
         let mut seen = Vec::new();
         for (section, values) in file {
             let section = section.unwrap_or_default();
             if !section.is_empty() && !keys::is_section(section) {
                 let error = SettingsFileError::UnknownSection { section: section.to_string() };
-                errors.push(AtLine::new(lines::line_of_section(text, section), error));
+                errors.push(LineError::new(lines::line_of_section(text, section), error));
                 continue;
             }
             for (name, value) in values {
                 let repeats = seen.iter().filter(|known| **known == (section, name)).count();
                 seen.push((section, name));
                 if let Err(error) = self.apply(section, name, value, repeats > 0) {
-                    errors.push(AtLine::new(lines::line_of_key(text, section, name, repeats), error));
+                    errors.push(LineError::new(lines::line_of_key(text, section, name, repeats), error));
                 }
             }
         }
@@ -228,16 +228,16 @@
     }
 
     /// Checks keys that need each other.
-    fn check_dependencies(&mut self, text: &str) -> Result<(), AtLine<SettingsFileError>> {
+    fn check_dependencies(&mut self, text: &str) -> Result<(), LineError<SettingsFileError>> {
         let line_of = |section| lines::line_of_section(text, section);
-        self.fleet.check_complete().map_err(|error| AtLine::new(line_of("fleet"), error))?;
+        self.fleet.check_complete().map_err(|error| LineError::new(line_of("fleet"), error))?;
         if self.control.machines.is_empty() {
             return Ok(());
         }
         self.control.line = line_of("control");
         match self.fleet.name {
             Some(_) => Ok(()),
-            None => Err(AtLine::new(self.control.line, SettingsFileError::ControlWithoutFleet)),
+            None => Err(LineError::new(self.control.line, SettingsFileError::ControlWithoutFleet)),
         }
     }
 }
@@ -272,7 +272,7 @@
     ///
     /// # Errors
     /// A key is missing.
-    pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, AtLine<SettingsFileError>> {
+    pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, LineError<SettingsFileError>> {
         if self.machines.is_empty() {
             return Ok(None);
         }
@@ -284,7 +284,7 @@
     ///
     /// # Errors
     /// It is not named.
-    pub fn version_file(&self) -> Result<&Path, AtLine<SettingsFileError>> {
+    pub fn version_file(&self) -> Result<&Path, LineError<SettingsFileError>> {
         self.file.as_deref().ok_or_else(|| self.missing("file"))
     }
 
@@ -292,18 +292,18 @@
     ///
     /// # Errors
     /// They do not.
-    pub fn check_gateway_name(&self, name: &str) -> Result<(), AtLine<SettingsFileError>> {
+    pub fn check_gateway_name(&self, name: &str) -> Result<(), LineError<SettingsFileError>> {
         if self.machines.is_empty() {
             return Ok(());
         }
         match values::name(name, "the gateway's name") {
             Ok(_) => Ok(()),
-            Err(error) => Err(AtLine::new(self.line, SettingsFileError::GatewayName(error))),
+            Err(error) => Err(LineError::new(self.line, SettingsFileError::GatewayName(error))),
         }
     }
 
-    fn missing(&self, key: &'static str) -> AtLine<SettingsFileError> {
-        AtLine::new(self.line, SettingsFileError::MissingKey { section: "control", key })
+    fn missing(&self, key: &'static str) -> LineError<SettingsFileError> {
+        LineError::new(self.line, SettingsFileError::MissingKey { section: "control", key })
     }
 }
 
@@ -331,7 +331,7 @@
     ///
     /// # Errors
     /// A key is missing.
-    pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, InFile<SettingsFileError>> {
+    pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, TextFileError<SettingsFileError>> {
         self.settings.control.follower().map_err(|error| error.in_file(&self.path))
     }
 
@@ -339,7 +339,7 @@
     ///
     /// # Errors
     /// It is not named.
-    pub fn version_file(&self) -> Result<&Path, InFile<SettingsFileError>> {
+    pub fn version_file(&self) -> Result<&Path, TextFileError<SettingsFileError>> {
         self.settings.control.version_file().map_err(|error| error.in_file(&self.path))
     }
 
@@ -347,7 +347,7 @@
     ///
     /// # Errors
     /// They do not.
-    pub fn check_gateway_name(&self, name: &str) -> Result<(), InFile<SettingsFileError>> {
+    pub fn check_gateway_name(&self, name: &str) -> Result<(), TextFileError<SettingsFileError>> {
         self.settings.control.check_gateway_name(name).map_err(|error| error.in_file(&self.path))
     }
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -26,7 +26,7 @@
 use crate::settings::Zones;
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
 use crate::shortage::START_RETRY_TIMEOUT;
-use crate::text_file::{self, InFile, ReadError};
+use crate::text_file::{self, ReadError, TextFileError};
 
 mod initial_config;
 pub mod signals;
@@ -46,7 +46,7 @@
     Read(#[from] ReadError),
     /// The configuration cannot be used, and there is no process to take over from.
     #[error(transparent)]
-    Config(#[from] InFile<ConfigError>),
+    Config(#[from] TextFileError<ConfigError>),
     /// An address cannot be used.
     #[error(transparent)]
     Address(#[from] AddressError),
@@ -55,7 +55,7 @@
     Load(#[from] LoadError),
     /// The settings lack what this gateway needs.
     #[error(transparent)]
-    Settings(#[from] InFile<SettingsFileError>),
+    Settings(#[from] TextFileError<SettingsFileError>),
     /// The fleet's node does not start.
     #[error("cannot join the fleet: {0}")]
     JoinFleet(#[source] io::Error),
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -10,7 +10,7 @@
 use crate::fleet::rollout::gateway::{self, StoredVersionError};
 use crate::hot_restart::handover_socket::HandoverState;
 use crate::settings::Zones;
-use crate::text_file::{AtLine, ReadError};
+use crate::text_file::{LineError, ReadError};
 
 /// The configuration that a process starts with, and where it comes from: the gateway's own file, under the version
 /// that it has persisted if that can be used; where the file cannot be used, what the process before runs on.
@@ -41,7 +41,7 @@
         /// Its number.
         number: u64,
         /// What is wrong with it.
-        source: AtLine<ConfigError>,
+        source: LineError<ConfigError>,
     },
 }
 
--- a/src/text_file.rs
+++ b/src/text_file.rs
@@ -45,31 +45,31 @@
 
 /// An error in a text, and its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AtLine<E> {
+pub struct LineError<E> {
     /// The line, counted from 1; zero for the text as a whole.
     pub line: usize,
     /// What is wrong there.
     pub error: E,
 }
 
-impl<E> AtLine<E> {
+impl<E> LineError<E> {
     /// An error at a line.
-    pub fn new(line: usize, error: impl Into<E>) -> AtLine<E> {
-        AtLine { line, error: error.into() }
+    pub fn new(line: usize, error: impl Into<E>) -> LineError<E> {
+        LineError { line, error: error.into() }
     }
 
     /// An error of the text as a whole.
-    pub fn whole(error: impl Into<E>) -> AtLine<E> {
-        AtLine::new(0, error)
+    pub fn without_line(error: impl Into<E>) -> LineError<E> {
+        LineError::new(0, error)
     }
 
     /// Names the file that holds the text.
-    pub fn in_file(self, path: impl AsRef<Path>) -> InFile<E> {
-        InFile { path: path.as_ref().to_path_buf(), error: self }
+    pub fn in_file(self, path: impl AsRef<Path>) -> TextFileError<E> {
+        TextFileError { path: path.as_ref().to_path_buf(), error: self }
     }
 }
 
-impl<E: fmt::Display> fmt::Display for AtLine<E> {
+impl<E: fmt::Display> fmt::Display for LineError<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => self.error.fmt(f),
@@ -78,7 +78,7 @@
     }
 }
 
-impl<E: Error + 'static> Error for AtLine<E> {
+impl<E: Error + 'static> Error for LineError<E> {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         Some(&self.error)
     }
@@ -86,16 +86,16 @@
 
 /// An error in a file: its name, the line if there is one, what is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InFile<E> {
+pub struct TextFileError<E> {
     /// The file.
     pub path: PathBuf,
     /// What is wrong with it, and where.
-    pub error: AtLine<E>,
+    pub error: LineError<E>,
 }
 
-impl<E: fmt::Display> fmt::Display for InFile<E> {
+impl<E: fmt::Display> fmt::Display for TextFileError<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (path, AtLine { line, error }) = (self.path.display(), &self.error);
+        let (path, LineError { line, error }) = (self.path.display(), &self.error);
         match line {
             0 => write!(f, "{path}: {error}"),
             line => write!(f, "{path}:{line}: {error}"),
@@ -103,7 +103,7 @@
     }
 }
 
-impl<E: Error + 'static> Error for InFile<E> {
+impl<E: Error + 'static> Error for TextFileError<E> {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         Some(&self.error.error)
     }
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -10,7 +10,7 @@
 use crate::fleet::acceptor_file::AcceptorFile;
 use crate::settings::Zones;
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
-use crate::text_file::{self, InFile, ReadError};
+use crate::text_file::{self, ReadError, TextFileError};
 
 /// Why files cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -23,13 +23,13 @@
     Read(#[from] ReadError),
     /// The configuration cannot be used.
     #[error(transparent)]
-    Config(#[from] InFile<ConfigError>),
+    Config(#[from] TextFileError<ConfigError>),
     /// The settings cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
     /// The settings lack what this gateway needs.
     #[error(transparent)]
-    Settings(#[from] InFile<SettingsFileError>),
+    Settings(#[from] TextFileError<SettingsFileError>),
     /// The settings lack what this voter needs.
     #[error(transparent)]
     Voter(#[from] SettingsFileError),
@@ -90,6 +90,6 @@
     Ok(std::env::var("GW_NAME").unwrap_or(loaded.file.name))
 }
 
-fn load_config(path: &Path, text: String) -> Result<LoadedConfig, InFile<ConfigError>> {
+fn load_config(path: &Path, text: String) -> Result<LoadedConfig, TextFileError<ConfigError>> {
     ActiveConfig::default().replace(text, &mut Zones::default()).map_err(|error| error.in_file(path))
 }
