--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -90,8 +90,8 @@
     pub fn from_settings(settings: Option<&Path>) -> Result<ConfigClient, CommandError> {
         let LocalSettings { fleet, control, .. } = SettingsFile::load(settings)?.settings;
         match fleet.name {
-            Some(fleet) if !control.machines.is_empty() => {
-                Ok(ConfigClient { fleet, servers: control.machines })
+            Some(fleet) if !control.servers.is_empty() => {
+                Ok(ConfigClient { fleet, servers: control.servers })
             }
             _ => Err(CommandError::NoServers),
         }
--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -105,7 +105,7 @@
 /// # Errors
 /// The settings lack something, or the system refuses something.
 pub fn run(options: &LocalSettings, start: Start, log: &Logger) -> Result<(), StartError> {
-    let servers = &options.control.machines;
+    let servers = &options.control.servers;
     let own = servers.iter().position(|(server, _)| server.name == start.name);
     let own = own.ok_or_else(|| StartError::UnknownName(start.name.clone()))?;
     let (node, voter) = node_with_voter(options, &start)?;
--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -37,7 +37,7 @@
     Settings {
         fleet: fleet.to_string(),
         name: start.name.clone(),
-        servers: options.control.machines.iter().map(|(server, _)| server.clone()).collect(),
+        servers: options.control.servers.iter().map(|(server, _)| server.clone()).collect(),
         timeouts: Timeouts::default(),
         read_interval: READ_INTERVAL,
         freshness: FRESHNESS,
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlSettings {
     /// `machines`: the control servers and where they listen (TCP), in the same order everywhere.
-    pub machines: Vec<(ControlServerInfo, SocketAddr)>,
+    pub servers: Vec<(ControlServerInfo, SocketAddr)>,
     /// `zone`: a gateway's.
     pub zone: Option<String>,
     /// `file`: where a gateway persists the version in force, and a control server its state.
@@ -231,7 +231,7 @@
     fn check_dependencies(&mut self, text: &str) -> Result<(), LineError<SettingsFileError>> {
         let line_of = |section| lines::line_of_section(text, section);
         self.fleet.check_complete().map_err(|error| LineError::new(line_of("fleet"), error))?;
-        if self.control.machines.is_empty() {
+        if self.control.servers.is_empty() {
             return Ok(());
         }
         self.control.line = line_of("control");
@@ -273,7 +273,7 @@
     /// # Errors
     /// A key is missing.
     pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, LineError<SettingsFileError>> {
-        if self.machines.is_empty() {
+        if self.servers.is_empty() {
             return Ok(None);
         }
         let zone = self.zone.as_deref().ok_or_else(|| self.missing("zone"))?;
@@ -293,7 +293,7 @@
     /// # Errors
     /// They do not.
     pub fn check_gateway_name(&self, name: &str) -> Result<(), LineError<SettingsFileError>> {
-        if self.machines.is_empty() {
+        if self.servers.is_empty() {
             return Ok(());
         }
         match values::name(name, "the gateway's name") {
--- a/src/settings_file/keys.rs
+++ b/src/settings_file/keys.rs
@@ -53,7 +53,7 @@
         Ok(())
     }),
     text("control", "machines", |settings, text| {
-        settings.control.machines = values::control_servers(text)?;
+        settings.control.servers = values::control_servers(text)?;
         Ok(())
     }),
     text("control", "zone", |settings, text| {
--- a/tests/input_files.rs
+++ b/tests/input_files.rs
@@ -174,7 +174,7 @@
         file: Some("/var/lib/dunemount/voter".into()),
     };
     let control = ControlSettings {
-        machines: vec![machine("a", "cm-1", "10.0.1.1:7200"), machine("b", "cm-2", "10.0.1.2:7200")],
+        servers: vec![machine("a", "cm-1", "10.0.1.1:7200"), machine("b", "cm-2", "10.0.1.2:7200")],
         zone: Some("a".to_string()),
         file: Some("/var/lib/dunemount/version".into()),
         line: 15,
