--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -105,7 +105,7 @@
     /// The file.
     pub path: PathBuf,
     /// Its text, as it was last accepted.
-    pub own_text: String,
+    pub file_text: String,
     /// What is in force.
     pub active: ActiveConfig,
     /// The version in force, if one is.
@@ -127,13 +127,13 @@
         new: Option<&Document>,
         zones: &mut Zones,
     ) -> ConfigResult<(String, LoadedConfig)> {
-        let own_text = match new {
-            Some(_) => self.own_text.clone(),
+        let file_text = match new {
+            Some(_) => self.file_text.clone(),
             None => text_file::read(&self.path).map_err(LineError::without_line)?,
         };
         let text = match new.or(self.version.as_ref()) {
-            Some(document) => overlay(&own_text, document.bytes())?,
-            None => own_text.clone(),
+            Some(document) => overlay(&file_text, document.bytes())?,
+            None => file_text.clone(),
         };
         let mut loaded = self.active.replace(text.clone(), zones)?;
         // The file is the latest word: what the environment said at the start is over with it. A version that does not
@@ -142,7 +142,7 @@
             (self.configured_discovery, self.discovery) = (loaded.discovery, loaded.discovery);
         }
         loaded.discovery = self.discovery;
-        self.own_text = own_text;
+        self.file_text = file_text;
         self.version = new.cloned().or(self.version.take());
         Ok((text, loaded))
     }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -180,7 +180,7 @@
         addresses: &Addresses,
         fleet: Option<SharedStatus>,
     ) -> (Config, ConfigSource) {
-        let InitialConfig { loaded, active, zones, own_text, version, .. } = self.initial;
+        let InitialConfig { loaded, active, zones, file_text, version, .. } = self.initial;
         let config = Config {
             listen: addresses.listen,
             admin: addresses.admin,
@@ -198,7 +198,7 @@
         };
         let source = ConfigSource {
             path: self.path,
-            own_text,
+            file_text,
             active,
             version,
             configured_discovery: loaded.discovery,
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -22,7 +22,7 @@
     /// The zones that the settings name.
     pub zones: Zones,
     /// The text of the gateway's own file.
-    pub own_text: String,
+    pub file_text: String,
     /// The version that lies over it.
     pub version: Option<Document>,
     /// Why the persisted version is not used: the newest one comes from the control servers again.
@@ -60,11 +60,11 @@
         let fallback = predecessor.and_then(|predecessor| loader.load_from(predecessor));
         let version = version_file.and_then(|file| loader.read_version(file));
         match (loader.load_file(path, text, version), fallback) {
-            (Ok((loaded, own_text, version)), _) => Ok(loader.into_initial(loaded, own_text, version)),
+            (Ok((loaded, file_text, version)), _) => Ok(loader.into_initial(loaded, file_text, version)),
             // The process before has rejected the file as well.
             (Err(_), Some(loaded)) => {
-                let own_text = loader.active.text().to_string();
-                Ok(loader.into_initial(loaded, own_text, None))
+                let file_text = loader.active.text().to_string();
+                Ok(loader.into_initial(loaded, file_text, None))
             }
             (Err(error), None) => Err(error),
         }
@@ -105,32 +105,32 @@
         text: Result<String, ReadError>,
         version: Option<Document>,
     ) -> Result<(LoadedConfig, String, Option<Document>), StartError> {
-        let own_text = text?;
+        let file_text = text?;
         if let Some(document) = version {
-            match self.load_version(&own_text, &document) {
-                Ok(loaded) => return Ok((loaded, own_text, Some(document))),
+            match self.load_version(&file_text, &document) {
+                Ok(loaded) => return Ok((loaded, file_text, Some(document))),
                 Err(source) => {
                     let number = document.version().number;
                     self.unusable_version = Some(UnusableVersion::Config { number, source });
                 }
             }
         }
-        let loaded = self.active.replace(own_text.clone(), &mut self.zones);
-        Ok((loaded.map_err(|error| error.in_file(path))?, own_text, None))
+        let loaded = self.active.replace(file_text.clone(), &mut self.zones);
+        Ok((loaded.map_err(|error| error.in_file(path))?, file_text, None))
     }
 
-    fn load_version(&mut self, own_text: &str, document: &Document) -> ConfigResult<LoadedConfig> {
-        let text = overlay(own_text, document.bytes())?;
+    fn load_version(&mut self, file_text: &str, document: &Document) -> ConfigResult<LoadedConfig> {
+        let text = overlay(file_text, document.bytes())?;
         self.active.replace(text, &mut self.zones)
     }
 
     fn into_initial(
         self,
         loaded: LoadedConfig,
-        own_text: String,
+        file_text: String,
         version: Option<Document>,
     ) -> InitialConfig {
         let Loader { active, zones, unusable_version } = self;
-        InitialConfig { loaded, active, zones, own_text, version, unusable_version }
+        InitialConfig { loaded, active, zones, file_text, version, unusable_version }
     }
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -130,7 +130,7 @@
     let used = "127.0.0.1:77".parse().expect("an address");
     let mut source = ConfigSource {
         path: path.clone(),
-        own_text: text.clone(),
+        file_text: text.clone(),
         active: in_force,
         version: None,
         configured_discovery: named,
