--- a/src/config.rs
+++ b/src/config.rs
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// It is none.
-pub fn address(name: &'static str, text: &str) -> Result<SocketAddr, AddressError> {
+pub fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, AddressError> {
     text.parse().map_err(|_| AddressError { name, text: text.to_string() })
 }
 
@@ -126,9 +126,9 @@
     /// One of them is no address with a port.
     pub fn check_listen_addresses(&self, text: &str) -> ConfigResult<()> {
         let at_its_line = |error: AddressError| LineError::new(line_of(text, error.name), error);
-        address("listen", &self.listen).map_err(at_its_line)?;
+        parse_address("listen", &self.listen).map_err(at_its_line)?;
         if let Some(admin) = &self.admin_addr {
-            address("admin_addr", admin).map_err(at_its_line)?;
+            parse_address("admin_addr", admin).map_err(at_its_line)?;
         }
         Ok(())
     }
@@ -189,7 +189,7 @@
     let settings = std::mem::take(&mut file.settings).into_site_settings(zones)?;
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|source| ConfigError::Seed { text: file.seed.clone(), source })?;
-    let discovery = address("discovery", &file.discovery)?;
+    let discovery = parse_address("discovery", &file.discovery)?;
     Ok(LoadedConfig { file, seed, discovery, settings })
 }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -15,7 +15,7 @@
 
 use crate::cli::{LogFormat, ServeArgs};
 use crate::config::version::ConfigSource;
-use crate::config::{address, AddressError, ConfigError, LoadedConfig};
+use crate::config::{parse_address, AddressError, ConfigError, LoadedConfig};
 use crate::fleet::event_loop::{self as fleet_event_loop, FleetThread};
 use crate::fleet::node_settings::NodeStart;
 use crate::fleet::rollout::gateway::{self, FollowerThread};
@@ -218,13 +218,13 @@
 impl Addresses {
     fn of(loaded: &LoadedConfig) -> Result<Addresses, AddressError> {
         let address_of = |name, configured: &str| match variable(name) {
-            Some(text) => address(name, &text),
-            None => address(name, configured),
+            Some(text) => parse_address(name, &text),
+            None => parse_address(name, configured),
         };
         let admin = variable("GW_ADMIN_ADDR").or_else(|| loaded.file.admin_addr.clone());
         Ok(Addresses {
             listen: address_of("GW_LISTEN", &loaded.file.listen)?,
-            admin: admin.map(|text| address("GW_ADMIN_ADDR", &text)).transpose()?,
+            admin: admin.map(|text| parse_address("GW_ADMIN_ADDR", &text)).transpose()?,
             discovery: address_of("GW_DISCOVERY", &loaded.file.discovery)?,
         })
     }
