--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,44 +1,45 @@
-//! How an attempt at a database host ends: the response that came, or how far its request had come and what ended it.
+//! The outcome of an attempt at a database host: the response, or how much of the request was written and why the
+//! attempt failed.
 
 use crate::{AttemptStatus, Micros, Role};
 
-/// How far an attempt's request had been written when the attempt ended.
+/// How much of the request had been written when the attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// No connection was up for it.
+    /// No connection had been established.
     NotConnected,
-    /// Its last byte was not written yet.
+    /// The last byte had not been written.
     PartiallyWritten,
-    /// Its last byte was written.
+    /// The last byte had been written.
     FullyWritten,
 }
 
-/// What ended an attempt that got no response.
+/// Why an attempt ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The connection was refused, never came up or broke.
+    /// The connection was refused, was not established or broke.
     ConnectionLost,
-    /// The bytes that came back are no response.
+    /// The received bytes are not a valid response.
     MalformedResponse,
-    /// No response came in time.
+    /// No response was received in time.
     TimedOut,
     /// The gateway sent nothing: no descriptors, no address, or the choice of the host was out of date.
     NotAttempted,
-    /// The gateway was held up while it wrote: the host's data may be too old by now.
+    /// The gateway was delayed while it wrote the request: the host's data may be too old by now.
     WrittenTooLate,
 }
 
 /// An attempt that ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// How far its request had been written.
+    /// How much of the request had been written.
     pub progress: AttemptProgress,
-    /// What ended it.
+    /// Why it ended.
     pub cause: FailureCause,
 }
 
 impl FailedAttempt {
-    /// Whether the host may have run the request: it begins once the last byte has arrived, never before.
+    /// Whether the host may have run the request: a host never starts before it has received the last byte.
     pub fn may_have_run(self) -> bool {
         self.progress == AttemptProgress::FullyWritten
     }
@@ -61,16 +62,16 @@
     }
 }
 
-/// What a host's response says, whatever the protocol.
+/// The status that a host's response reports, independent of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// Served.
+    /// The host served the request.
     Served,
-    /// The host has the wrong role or is too far behind; the request had no effect.
+    /// The host has the wrong role or lags too far behind; the request had no effect.
     Unsuitable,
-    /// The host rejected the request; it never ran.
+    /// The host rejected the request and did not run it.
     Rejected,
-    /// The host failed; the request may have run.
+    /// The host reported an error; the request may have run.
     Failed,
 }
 
@@ -88,21 +89,21 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug)]
 pub enum AttemptOutcome {
-    /// With a response.
+    /// A response was received.
     Response {
-        /// What it says.
+        /// Its status.
         status: ResponseStatus,
-        /// The host's role as it responded.
+        /// The host's role at the time of the response, if it is in it.
         role: Option<Role>,
-        /// Its log position, or the commit of a write.
+        /// The host's log position, or the commit position of a write, if it is in the response.
         position: Option<Micros>,
     },
-    /// Without one.
+    /// No response was received.
     NoResponse(FailedAttempt),
 }
 
 impl AttemptOutcome {
-    /// The status that is reported to the router; nothing else depends on an attempt's progress.
+    /// The status that is reported to the router. The progress of a failed attempt affects nothing else.
     pub(crate) fn status(self) -> AttemptStatus {
         match self {
             AttemptOutcome::Response { status, .. } => status.status(),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The role and the log position that the host reported.
+    /// The role and the log position that the host reported, if any.
     pub(crate) fn reported(self) -> (Option<Role>, Option<Micros>) {
         match self {
             AttemptOutcome::Response { role, position, .. } => (role, position),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,6 +1,6 @@
-//! The router in blocking style, for a gateway's event loop: [`Balancer::pick`] decides on a request,
-//! [`Balancer::handle_outcome`] takes how its attempt ended, [`Balancer::poll_output`] gives out what is to be done next.
-//! Timers and attempt numbers are kept here; the router's events and actions are not seen outside.
+//! A facade over the router for a gateway's event loop: [`Balancer::pick`] decides on a request,
+//! [`Balancer::handle_outcome`] processes how its attempt ended, [`Balancer::poll_output`] returns the next output to
+//! carry out. The balancer keeps the timers and the attempt numbers and hides the router's events and actions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,47 +14,47 @@
 /// A request for which a member is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest {
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its group.
+    /// The group that it reads or writes.
     pub group: GroupId,
-    /// Its session; ignored in classes that have none.
+    /// The client's session; ignored unless the class writes or needs session consistency.
     pub session: SessionKey,
-    /// Position of its session's last commit, where the client carries one.
+    /// Log position of the session's last commit, if the client sent one.
     pub committed: Option<Micros>,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub repeat: bool,
     /// Time until the client gives up.
     pub time_left: Micros,
 }
 
-/// What becomes of a request.
+/// What the caller is to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingDecision {
     /// Start an attempt.
     Send {
-        /// Where to.
+        /// The member to send it to.
         member: MemberId,
-        /// How long to wait for its response.
+        /// How long to wait for the response.
         timeout: Micros,
     },
-    /// Wait: a later [`Output`] decides.
+    /// The request waits; a later [`Output::Decision`] follows.
     Queued,
-    /// Final answer: rejected, a retry is harmless.
+    /// Final answer: rejected; the client may safely retry.
     Reject {
-        /// When to retry, if there is advice.
+        /// How long the client should wait before a retry, if that is known.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, and it may have run.
+    /// Final answer: failed; the request may have run.
     Fail,
 }
 
-/// Something that the caller is to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Carry out the decision on a request that was queued.
     Decision(RequestId, RoutingDecision),
-    /// Stop waiting for the request's attempt, which has ended for the balancer already.
+    /// Stop waiting for the request's attempt; the balancer already counts it as cancelled.
     Cancel(RequestId),
     /// Check a member's health and call [`Balancer::health_checked`].
     HealthCheck(MemberId),
@@ -69,30 +69,30 @@
         matches!(self, Output::Decision(id, _) if *id == request)
     }
 
-    fn concerns(&self, request: RequestId) -> bool {
+    fn refers_to(&self, request: RequestId) -> bool {
         self.is_decision_on(request) || matches!(self, Output::Cancel(id) if *id == request)
     }
 }
 
-/// Numbers of the members that the endpoint list names.
+/// How many members are in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// All of them.
+    /// Members in the endpoint list.
     pub listed: usize,
-    /// Those that get nothing new: administratively down, or ejected.
+    /// Members in the endpoint list that receive no new requests: administratively down, or ejected as outliers.
     pub ejected: usize,
 }
 
-/// The attempt that is out for a request.
+/// A request's attempt in flight.
 struct AttemptInFlight {
     number: AttemptNo,
     member: MemberId,
     started_at: Micros,
-    /// When its response began to stream to the client.
+    /// When its response began to stream to the client, if it did.
     streaming_since: Option<Micros>,
 }
 
-/// A request until it is finished.
+/// A request that is not finished.
 struct TrackedRequest {
     class: ClassId,
     deadline: Micros,
@@ -100,7 +100,8 @@
     attempt: Option<AttemptInFlight>,
 }
 
-/// What a balancer knows, for the next process of its gateway. Its fields are named as in the message to that.
+/// The balancer's state, handed over to the successor process in a hot restart. The field names are those of the
+/// serialised form.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Snapshot {
     groups: BTreeSet<GroupId>,
@@ -109,14 +110,14 @@
 }
 
 impl Snapshot {
-    /// Adds what another worker of the same gateway knows; their groups differ.
+    /// Merges the snapshot of another worker of the same gateway. No group is in both.
     pub fn merge(&mut self, other: Snapshot) {
         self.groups.extend(other.groups);
         self.pool.extend(other.pool);
         self.router.join(other.router);
     }
 
-    /// What concerns these groups.
+    /// Reduces the snapshot to the groups for which `is_included` is true, and their members.
     pub fn for_groups(mut self, is_included: impl Fn(GroupId) -> bool) -> Snapshot {
         self.groups.retain(|group| is_included(*group));
         self.router = self.router.part(is_included);
@@ -126,13 +127,13 @@
     }
 }
 
-/// Drives the router for a caller that carries out one decision after the other.
+/// Drives the router for a caller that carries out its decisions one at a time.
 pub struct Balancer {
     router: Router,
-    /// Consistency and idempotency of each class.
-    kinds: Vec<(Consistency, Idempotency)>,
+    /// Consistency and idempotency of each class, indexed by [`ClassId`].
+    class_guarantees: Vec<(Consistency, Idempotency)>,
     groups: BTreeSet<GroupId>,
-    /// The members that the endpoint list names.
+    /// The members in the endpoint list.
     listed: BTreeSet<MemberId>,
     next_request: u64,
     requests: BTreeMap<RequestId, TrackedRequest>,
@@ -141,11 +142,11 @@
 }
 
 impl Balancer {
-    /// A balancer that knows its settings only. It never hedges, whatever they say.
+    /// Creates a balancer without endpoints. It never hedges, even if the settings enable hedging.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = Settings { hedging: false, ..settings };
         Balancer {
-            kinds: kinds(&settings),
+            class_guarantees: class_guarantees(&settings),
             router: Router::with_own_clock(settings, seed),
             groups: BTreeSet::new(),
             listed: BTreeSet::new(),
@@ -156,13 +157,13 @@
         }
     }
 
-    /// Continues under new settings. Classes of requests in flight must keep their ids.
+    /// Replaces the settings. The classes of requests in flight must keep their ids.
     pub fn update_settings(&mut self, settings: Settings) {
-        self.kinds = kinds(&settings);
+        self.class_guarantees = class_guarantees(&settings);
         self.router.retune(Settings { hedging: false, ..settings });
     }
 
-    /// The longest that any client waits, by the settings.
+    /// The longest deadline of all classes in the settings.
     pub fn longest_deadline(&self) -> Micros {
         self.router.longest_deadline()
     }
@@ -172,7 +173,7 @@
         self.requests.values().any(|request| request.class == class)
     }
 
-    /// Takes in an endpoint list or changes to it.
+    /// Processes a full endpoint list, or an incremental update if `is_full` is false.
     pub fn update_endpoints(&mut self, now: Micros, is_full: bool, endpoints: Vec<Endpoint>) {
         self.groups.extend(endpoints.iter().map(|endpoint| endpoint.group));
         if is_full {
@@ -188,13 +189,13 @@
         self.drive(now, Event::Endpoints { update, endpoints });
     }
 
-    /// What is known, for the next process.
+    /// Takes a snapshot for the successor process.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot { groups: self.groups.clone(), pool: self.listed.clone(), router: self.router.snapshot() }
     }
 
-    /// Restores what another process knew. `previous_class` gives the id that a class of this process had there;
-    /// `clock_error` is by how much the clocks of the two may differ.
+    /// Restores the state of another process. `previous_class` returns the id that a class of this process had there;
+    /// `clock_error` is the largest possible difference between the clocks of the two processes.
     pub fn restore(
         &mut self,
         snapshot: Snapshot,
@@ -203,32 +204,33 @@
     ) {
         let known_mean =
             |class| previous_class(ClassId(class)).and_then(|id| snapshot.router.means.get(id.0).copied());
-        let means: Vec<Option<f64>> = (0..self.kinds.len()).map(known_mean).collect();
+        let means: Vec<Option<f64>> = (0..self.class_guarantees.len()).map(known_mean).collect();
         (self.groups, self.listed) = (snapshot.groups, snapshot.pool);
         self.router.inherit(snapshot.router, &means, clock_error);
     }
 
-    /// Records a commit of a session at another process of this gateway.
+    /// Records a session's commit that another process of this gateway has received.
     pub fn record_commit(&mut self, group: GroupId, session: SessionKey, commit: Micros) {
         self.router.committed(group, session, commit);
     }
 
-    /// The commit that a session's reads in a group must see, where it is known for this session alone.
+    /// The commit that a session's reads in a group must see, if one is recorded for this very session.
     pub fn session_commit(&self, group: GroupId, session: SessionKey) -> Option<Micros> {
         self.router.commit(group, session)
     }
 
-    /// Takes a member out of use on the operators' order, whatever the endpoint list says, or puts it back.
+    /// Takes a member out of service on an operator's request, regardless of the endpoint list, or returns it to
+    /// service.
     pub fn set_administratively_down(&mut self, now: Micros, member: MemberId, down: bool) {
         self.drive(now, Event::SetAdministrativelyDown { member, down });
     }
 
-    /// Whether the endpoint list names a member.
+    /// Whether the member is in the endpoint list.
     pub fn is_listed(&self, member: MemberId) -> bool {
         self.listed.contains(&member)
     }
 
-    /// Numbers of members in the endpoint list.
+    /// How many members are in the endpoint list, and how many of them receive no new requests.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         EndpointCounts {
             listed: self.listed.len(),
@@ -236,35 +238,37 @@
         }
     }
 
-    /// Whether the member may be sent anything new.
+    /// Whether new requests may be sent to the member.
     pub fn is_routable(&self, member: MemberId) -> bool {
         self.router.admits(member)
     }
 
-    /// Whether an endpoint list has ever named this group.
+    /// Whether the group has ever been in an endpoint list.
     pub fn has_group(&self, group: GroupId) -> bool {
         self.groups.contains(&group)
     }
 
     /// Whether requests of this class write.
     pub fn is_write_class(&self, class: ClassId) -> bool {
-        self.kinds[class.0].0 == Consistency::Write
+        self.class_guarantees[class.0].0 == Consistency::Write
     }
 
     /// Whether requests of this class carry an idempotency key.
     pub fn is_keyed_class(&self, class: ClassId) -> bool {
-        matches!(self.kinds[class.0].1, Idempotency::IdempotencyKey { .. })
+        matches!(self.class_guarantees[class.0].1, Idempotency::IdempotencyKey { .. })
     }
 
-    /// Takes a request on. Unless it is queued it is decided at once.
+    /// Accepts a request and returns the decision on it; [`RoutingDecision::Queued`] if the decision comes later.
     pub fn pick(&mut self, now: Micros, request: RoutingRequest) -> (RequestId, RoutingDecision) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let deadline = now + request.time_left;
         let tracked = TrackedRequest { class: request.class, deadline, attempts: 0, attempt: None };
         self.requests.insert(id, tracked);
-        let has_session =
-            matches!(self.kinds.get(request.class.0), Some((Consistency::Write | Consistency::Session, _)));
+        let has_session = matches!(
+            self.class_guarantees.get(request.class.0),
+            Some((Consistency::Write | Consistency::Session, _))
+        );
         self.drive(
             now,
             Event::Request(Request {
@@ -281,8 +285,8 @@
         (id, self.take_decision(id))
     }
 
-    /// The response of the attempt that is out has begun to stream to the client: nothing will be decided about the
-    /// request any more. False if it has been decided already.
+    /// Records that the response of the attempt in flight has begun to stream to the client; no further decision on the
+    /// request follows. Returns false if no attempt is in flight, because the request has been decided already.
     #[must_use]
     pub fn start_streaming(&mut self, now: Micros, request: RequestId) -> bool {
         let tracked = self.requests.get_mut(&request);
@@ -292,8 +296,8 @@
         true
     }
 
-    /// Takes in how the attempt that is out ended. A served request is finished; for any other the decision says how it
-    /// goes on.
+    /// Processes the outcome of the attempt in flight. A request that was served, or whose response streams, is
+    /// finished; for any other the decision says what to do next.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -311,47 +315,48 @@
         self.take_decision(request)
     }
 
-    /// Whether the attempt that is out may still be written to its member, after its connection took time to come up.
+    /// Whether the attempt in flight may still be sent to its member: its connection may have taken long to establish.
     pub fn is_attempt_valid(&self, now: Micros, request: RequestId) -> bool {
         self.requests.contains_key(&request) && self.router.holds(now, request)
     }
 
-    /// Whether the member of the attempt that is out is known to be recent enough for the request, were its last byte
+    /// Whether the member of the attempt in flight is known to be recent enough for the request if its last byte is
     /// written now.
     pub fn is_fresh_enough(&self, now: Micros, request: RequestId) -> bool {
         self.router.covers(now, request)
     }
 
-    /// What the choice of the member of the attempt that is out rested on.
+    /// The facts on which the choice of the member for the attempt in flight was based.
     pub fn read_basis(&self, now: Micros, request: RequestId) -> Option<ReadBasis> {
         self.router.read_basis(now, request)
     }
 
-    /// Gives notices of single requests as well from now on.
+    /// Enables notices about single requests.
     pub fn enable_request_notices(&mut self) {
         self.router.trace();
     }
 
-    /// The client has left or was answered by other means: the request is finished.
+    /// Finishes a request whose client has disconnected or has been answered without the balancer.
     pub fn handle_client_gone(&mut self, now: Micros, request: RequestId) {
-        self.outputs.retain(|output| !output.concerns(request));
+        self.outputs.retain(|output| !output.refers_to(request));
         if self.requests.contains_key(&request) {
             self.drive(now, Event::ClientLeft(request));
-            self.forget(now, request);
+            self.remove_request(now, request);
         }
     }
 
-    /// Takes in how a health check ended and what the member reported.
+    /// Processes the outcome of a health check and the role and log position that the member reported.
     pub fn health_checked(&mut self, now: Micros, member: MemberId, outcome: AttemptOutcome) {
         let (role, position) = outcome.reported();
         let report = HealthReport { position, role };
         self.drive(now, Event::HealthChecked { member, status: outcome.status(), report });
     }
 
-    /// Fires the timers that are due and gives the next output, in order.
+    /// Returns the next output, in order. If there is none, fires the timers that are due first.
     pub fn poll_output(&mut self, now: Micros) -> Option<Output> {
         if self.outputs.is_empty() {
-            // Timers set while these fire wait for the next call, or one due at once would never end.
+            // Timers set while these fire wait for the next call: one that sets itself as due at once would loop
+            // forever.
             let later = self.timers.split_off(&(now + Micros(1), TimerId(0)));
             for (_, timer) in std::mem::replace(&mut self.timers, later) {
                 self.drive(now, Event::Timer(timer));
@@ -360,7 +365,8 @@
         self.outputs.pop_front()
     }
 
-    /// When [`Balancer::poll_output`] has something to do next.
+    /// When [`Balancer::poll_output`] is to be called next: at once (zero) if outputs are pending, otherwise when the
+    /// first timer is due.
     pub fn next_deadline(&self) -> Option<Micros> {
         if self.outputs.is_empty() {
             self.timers.first().map(|(at, _)| *at)
@@ -369,7 +375,7 @@
         }
     }
 
-    /// Takes out the decision that the last event brought for a request.
+    /// Removes and returns the pending decision on a request; [`RoutingDecision::Queued`] if there is none.
     fn take_decision(&mut self, request: RequestId) -> RoutingDecision {
         let index = self.outputs.iter().position(|output| output.is_decision_on(request));
         match index.and_then(|index| self.outputs.remove(index)) {
@@ -405,8 +411,8 @@
         );
     }
 
-    /// Forgets a finished request; an attempt that is still out counts as cancelled.
-    fn forget(&mut self, now: Micros, request: RequestId) {
+    /// Removes a finished request; an attempt still in flight counts as cancelled.
+    fn remove_request(&mut self, now: Micros, request: RequestId) {
         self.cancel_attempt(now, request);
         self.requests.remove(&request);
     }
@@ -442,7 +448,7 @@
                 self.timers.insert((at, timer));
             }
             Action::Notice(notice) => self.outputs.push_back(Output::Notice(notice)),
-            // The endpoint list is always watched, and this driver has no way to other gateways.
+            // The gateway always watches the endpoint list, and the balancer has no connection to other gateways.
             Action::Watch | Action::Gossip { .. } => {}
         }
     }
@@ -458,19 +464,19 @@
         self.outputs.push_back(Output::Decision(request, decision));
     }
 
-    /// Gives out a final answer. A decision to send that nobody has taken yet is void with it, and whoever takes the
-    /// answer closes the attempt's connection.
+    /// Outputs a final answer and removes the request. A pending decision to send is dropped; the caller that receives
+    /// the answer closes the attempt's connection.
     fn conclude(&mut self, now: Micros, request: RequestId, decision: RoutingDecision) {
         if !self.requests.contains_key(&request) {
             return;
         }
         self.outputs.retain(|output| !output.is_decision_on(request));
         self.outputs.push_back(Output::Decision(request, decision));
-        self.forget(now, request);
+        self.remove_request(now, request);
     }
 }
 
-/// Consistency and idempotency of each class.
-fn kinds(settings: &Settings) -> Vec<(Consistency, Idempotency)> {
+/// Consistency and idempotency of each class, indexed by [`ClassId`].
+fn class_guarantees(settings: &Settings) -> Vec<(Consistency, Idempotency)> {
     settings.classes.iter().map(|class| (class.consistency, class.idempotency)).collect()
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,44 +1,44 @@
-//! The requests that are owed a response: who waits for each, which attempt is out and when the client gives up.
-//! Knows no protocol and no sockets: owners and connections are whatever the caller names them by.
+//! The requests in flight: which client waits for each, which attempt is in flight and when the client gives up.
+//! Independent of protocol and sockets: the caller chooses the types that identify owners and connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Micros, RequestId};
 
-/// A request that is owed a response.
+/// A request that has not been answered.
 #[derive(Debug)]
 pub struct InFlightRequest<C, S, O = C> {
-    /// Who waits for the response.
+    /// The client that waits for the response.
     pub owner: O,
-    /// What is forwarded to a host.
+    /// The statement to forward to a host.
     pub statement: S,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// The id that the client gave it, which no other request may have while it is in flight.
+    /// The client's id for the request, unique among the requests in flight.
     client_id: String,
     attempt: Option<C>,
     is_streaming: bool,
 }
 
 impl<C: Copy, S, O> InFlightRequest<C, S, O> {
-    /// The connection that carries the attempt now out.
+    /// The connection that carries the attempt in flight.
     pub fn attempt(&self) -> Option<C> {
         self.attempt
     }
 
-    /// Whether its response has begun to stream to the client: from then on it has no deadline and no retry.
+    /// Whether the response has begun to stream to the client: from then on there is no deadline and no retry.
     pub fn is_streaming(&self) -> bool {
         self.is_streaming
     }
 }
 
-/// All requests that are owed a response. Each leaves exactly once, through [`InFlightRequests::finish`].
+/// All requests that have not been answered. Each is removed exactly once, by [`InFlightRequests::finish`].
 #[derive(Debug)]
 pub struct InFlightRequests<C, S, O = C> {
     requests: BTreeMap<RequestId, InFlightRequest<C, S, O>>,
     client_ids: BTreeSet<String>,
-    /// Client ids of requests that another process answers, and when each ends at the latest.
-    elsewhere: BTreeMap<String, Micros>,
+    /// Client ids and deadlines of requests that another process of this gateway answers during a hot restart.
+    at_other_process: BTreeMap<String, Micros>,
 }
 
 impl<C, S, O> Default for InFlightRequests<C, S, O> {
@@ -46,7 +46,7 @@
         InFlightRequests {
             requests: BTreeMap::new(),
             client_ids: BTreeSet::new(),
-            elsewhere: BTreeMap::new(),
+            at_other_process: BTreeMap::new(),
         }
     }
 }
@@ -61,68 +61,68 @@
         self.requests.insert(id, request);
     }
 
-    /// Whether a request to which a client gave this id is in flight, here or at another process.
+    /// Whether a request with this client id is in flight, at this process or at another one.
     pub fn has_client_id(&self, client_id: &str) -> bool {
-        self.client_ids.contains(client_id) || self.elsewhere.contains_key(client_id)
+        self.client_ids.contains(client_id) || self.at_other_process.contains_key(client_id)
     }
 
-    /// The client ids of the requests, and when each request ends at the latest.
+    /// The client id and the deadline of each request.
     pub fn client_ids(&self) -> impl Iterator<Item = (&str, Micros)> {
         self.requests.values().map(|request| (request.client_id.as_str(), request.deadline))
     }
 
-    /// The requests whose responses do not stream yet.
+    /// The requests whose responses have not begun to stream.
     pub fn waiting(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.iter().filter(|(_, request)| !request.is_streaming).map(|(id, _)| *id)
     }
 
-    /// Adds requests that another process answers, by their client ids and deadlines.
+    /// Adds the client ids and deadlines of requests that another process answers.
     pub fn add_at_other_process(&mut self, requests: impl IntoIterator<Item = (String, Micros)>) {
-        self.elsewhere.extend(requests);
+        self.at_other_process.extend(requests);
     }
 
-    /// Forgets the requests of another process whose deadlines have passed.
+    /// Removes the requests of another process whose deadlines have passed.
     pub fn expire_at_other_process(&mut self, now: Micros) {
-        self.elsewhere.retain(|_, deadline| *deadline > now);
+        self.at_other_process.retain(|_, deadline| *deadline > now);
     }
 
-    /// The request, while it is owed a response.
+    /// The request, unless it has been answered.
     pub fn get(&self, id: RequestId) -> Option<&InFlightRequest<C, S, O>> {
         self.requests.get(&id)
     }
 
-    /// Records an attempt. False, and nothing is recorded, if the request has finished or an attempt is out already.
+    /// Records an attempt. Returns false and records none if the request is finished or another attempt is in flight.
     #[must_use]
     pub fn start_attempt(&mut self, id: RequestId, connection: C) -> bool {
-        let free = self.requests.get_mut(&id).filter(|request| request.attempt.is_none());
-        free.map(|request| request.attempt = Some(connection)).is_some()
+        let idle = self.requests.get_mut(&id).filter(|request| request.attempt.is_none());
+        idle.map(|request| request.attempt = Some(connection)).is_some()
     }
 
-    /// Records that the response of the attempt that is out streams to the client from now on.
+    /// Records that the response of the attempt in flight has begun to stream to the client.
     pub fn start_streaming(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = request.attempt.is_some();
         }
     }
 
-    /// Records the end of the attempt that is out, and returns its connection.
+    /// Records the end of the attempt in flight and returns its connection.
     pub fn end_attempt(&mut self, id: RequestId) -> Option<C> {
         self.requests.get_mut(&id)?.attempt.take()
     }
 
-    /// Removes a request: whoever gets it must answer it, nobody else may.
+    /// Removes and returns a request. The caller must answer it; later calls return none.
     pub fn finish(&mut self, id: RequestId) -> Option<InFlightRequest<C, S, O>> {
         let request = self.requests.remove(&id)?;
         self.client_ids.remove(&request.client_id);
         Some(request)
     }
 
-    /// Number of requests that are owed a response.
+    /// Number of requests that have not been answered.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request is owed a response.
+    /// Whether all requests have been answered.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
