--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration file: accepted whole or not at all. [`version`] is the part of it that all gateways share.
+//! The platform's configuration file. It takes effect only if all of it can be used. [`version`] handles the part
+//! that all gateways share.
 
 use std::net::SocketAddr;
 use std::num::ParseIntError;
@@ -16,57 +17,57 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Its file cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// It is no JSON, or lacks a key, or has a value of another type.
+    /// The text is not valid JSON, lacks a required key or has a value of the wrong type.
     #[error("{}", without_position(.0))]
     Json(#[source] serde_json::Error),
-    /// It is no text.
+    /// The bytes are not valid UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] Utf8Error),
-    /// It is JSON, but no object.
+    /// The JSON value is not an object.
     #[error("a configuration is a JSON object")]
     NotAnObject,
-    /// It lacks a key that the one in force has.
+    /// A key of the configuration in force is missing.
     #[error("{path}: missing")]
     KeyRemoved {
-        /// The key, behind those that it is in.
+        /// The path of the key, separated by dots.
         path: String,
     },
-    /// Its settings cannot be used.
+    /// The settings object cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// Its seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: {text:?}: {source}")]
     Seed {
-        /// What stands there.
+        /// The value.
         text: String,
-        /// Why it is none.
+        /// The parser's error.
         source: ParseIntError,
     },
     /// An address cannot be used.
     #[error(transparent)]
     Address(#[from] AddressError),
-    /// A worker that has no source of configurations was asked for one.
+    /// A reload was requested from a worker other than the first, which alone has a [`version::ConfigSource`].
     #[error("not the first worker")]
     NotFirstWorker,
-    /// A version has a key that each gateway has for itself.
+    /// A version has a key that only a gateway's own file may have.
     #[error("{path}: is each gateway's own")]
     NotShared {
-        /// The key, behind the one that it is in.
+        /// The path of the key, separated by dots.
         path: String,
     },
 }
 
 impl ConfigError {
-    /// Whether the same configuration may be usable soon.
+    /// Whether a retry with the same configuration may succeed soon.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Read(error) if error.is_transient())
     }
 }
 
-/// The parser's message without the line and column at its end, which an error in a file names first.
+/// The parser's message without the line and column at its end: [`LineError`] shows the line before the message.
 fn without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     let position = format!(" at line {} column {}", error.line(), error.column());
@@ -79,80 +80,81 @@
     }
 }
 
-/// What comes of a text that may be no usable configuration.
+/// The result of loading a configuration, with the line of the error.
 pub type ConfigResult<T> = Result<T, LineError<ConfigError>>;
 
-/// A text that is no address with a port.
+/// A value that is not an address with a port.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{name}: {text:?} is no address with a port")]
 pub struct AddressError {
-    /// The key or the variable that holds it.
+    /// The key or the environment variable that has the value.
     pub name: &'static str,
-    /// The text.
+    /// The value.
     pub text: String,
 }
 
-/// Reads the address with a port that a key or a variable of this name holds.
+/// Parses the value of a key or an environment variable of this name as an address with a port.
 ///
 /// # Errors
-/// It is none.
+/// The value is not an address with a port.
 pub fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, AddressError> {
     text.parse().map_err(|_| AddressError { name, text: text.to_string() })
 }
 
-/// The file in its serialised form.
+/// The serialised form of the configuration file.
 #[derive(Deserialize)]
 pub struct ConfigFile {
     /// The gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: String,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub admin_addr: Option<String>,
-    /// Discovery's address.
+    /// Address of discovery.
     pub discovery: String,
     seed: String,
-    /// What the gateway may use.
+    /// Limits on the gateway's resources.
     pub limits: Limits,
-    /// The hosts as last known.
+    /// The endpoint list to start with, until discovery sends a newer one.
     pub known: Listing,
     settings: SettingsDocument,
 }
 
 impl ConfigFile {
-    /// Checks the addresses that the environment may replace at a start, in the file of this text.
+    /// Checks the addresses that environment variables may override at a start. `text` is the file's text, for the
+    /// lines of errors.
     ///
     /// # Errors
-    /// One of them is no address with a port.
+    /// One of them is not an address with a port.
     pub fn check_listen_addresses(&self, text: &str) -> ConfigResult<()> {
-        let at_its_line = |error: AddressError| LineError::new(line_of(text, error.name), error);
-        parse_address("listen", &self.listen).map_err(at_its_line)?;
+        let with_line = |error: AddressError| LineError::new(line_of(text, error.name), error);
+        parse_address("listen", &self.listen).map_err(with_line)?;
         if let Some(admin) = &self.admin_addr {
-            parse_address("admin_addr", admin).map_err(at_its_line)?;
+            parse_address("admin_addr", admin).map_err(with_line)?;
         }
         Ok(())
     }
 }
 
-/// What the gateway may use.
+/// Limits on the gateway's resources.
 #[derive(Deserialize)]
 pub struct Limits {
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Most memory, in MiB.
+    /// Maximum memory in MiB.
     #[serde(default)]
     pub memory_mb: usize,
 }
 
-/// A configuration that can be used.
+/// A configuration that has passed all checks.
 pub struct LoadedConfig {
-    /// The file, its settings aside.
+    /// The file; its settings have been moved to `settings`.
     pub file: ConfigFile,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Discovery's address.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The settings.
+    /// The file's settings.
     pub settings: SiteSettings,
 }
 
@@ -164,22 +166,22 @@
 }
 
 impl ActiveConfig {
-    /// The text in force.
+    /// The text of the configuration in force.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Puts another text in force.
+    /// Puts another configuration in force.
     ///
     /// # Errors
-    /// It cannot be used; then nothing has changed.
+    /// The text cannot be used; the configuration in force has not changed.
     pub fn replace(&mut self, text: String, zones: &mut Zones) -> ConfigResult<LoadedConfig> {
         let json: Value = serde_json::from_str(&text)?;
         if let Some(path) = first_removed_key(&self.json, &json) {
-            return Err(at_key(&text, ConfigError::KeyRemoved { path }));
+            return Err(with_line_of_key(&text, ConfigError::KeyRemoved { path }));
         }
         let file: ConfigFile = serde_json::from_str(&text)?;
-        let loaded = load(file, zones).map_err(|error| at_key(&text, error))?;
+        let loaded = load(file, zones).map_err(|error| with_line_of_key(&text, error))?;
         (self.text, self.json) = (text, json);
         Ok(loaded)
     }
@@ -193,13 +195,14 @@
     Ok(LoadedConfig { file, seed, discovery, settings })
 }
 
-/// An error with the line of the key that its message names.
-fn at_key(text: &str, error: ConfigError) -> LineError<ConfigError> {
+/// Adds to an error the line of the key that its message names.
+fn with_line_of_key(text: &str, error: ConfigError) -> LineError<ConfigError> {
     LineError::new(line_of(text, &error.to_string()), error)
 }
 
-/// The line that a message is about, counted from 1: that of the last key of `a.b: c: what` which the text
-/// holds after the ones before it; zero where it holds none. The parser gives values without their places.
+/// The line, counted from 1, of the key that an error message such as `a.b: c: reason` names; zero if the text has none
+/// of its keys. Each key is searched after the one before it, and the last one found counts: the parser does not report
+/// the positions of values.
 pub fn line_of(text: &str, message: &str) -> usize {
     let mut offset = None;
     for key in message.split(": ").flat_map(|part| part.split('.')) {
@@ -209,22 +212,22 @@
     offset.map_or(0, |offset| text[..offset].matches('\n').count() + 1)
 }
 
-/// The first key that the old value has and the new one lacks, behind those that it is in. Of a list's entries each must
-/// have what all the old ones have in common.
+/// The path of the first key that is in the old value and not in the new one. Each entry of a new list must have the
+/// keys that all entries of the old list have in common.
 fn first_removed_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| match new.get(key) {
             None => Some(key.clone()),
-            // The list counts at the start only: what its entries say is discovery's business.
+            // The endpoint list is used only at the start; afterwards discovery determines its entries.
             Some(_) if key == "known" => None,
             Some(new) => first_removed_key(old, new).map(|inner| format!("{key}.{inner}")),
         }),
-        (Value::Array(old), Value::Array(new)) => first_key_lacking_in_entries(old, new),
+        (Value::Array(old), Value::Array(new)) => first_key_missing_in_entries(old, new),
         _ => None,
     }
 }
 
-fn first_key_lacking_in_entries(old: &[Value], new: &[Value]) -> Option<String> {
+fn first_key_missing_in_entries(old: &[Value], new: &[Value]) -> Option<String> {
     let entries: Vec<_> = old.iter().filter_map(Value::as_object).collect();
     let (first, others) = entries.split_first()?;
     let in_all = |key: &&String| others.iter().all(|entry| entry.contains_key(*key));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object: the same JSON in the simulator's first message and in a gateway's configuration, mapped here once
-//! for both programs.
+//! The settings object, which the simulator's first message and a gateway's configuration both contain as the same
+//! JSON. This module checks it and maps its keys to the fields that both programs use:
 //!
 //! | key | field |
 //! | --- | --- |
@@ -15,13 +15,15 @@
 //! | `Specifics.ServerChecks` | [`Settings::replica_checks`] |
 //! | `Specifics.SessionMarks` | [`Settings::session_tokens`] |
 //! | `OverShareWorth` | [`Settings::over_quota_weight`] |
-//! | `Permissions.Cancelling`, `Probing`, `Peers` | [`Settings::cancels`], [`Settings::health_checks`], [`Settings::peers`] |
+//! | `Permissions.Cancelling`, `Probing` | [`Settings::cancels`], [`Settings::health_checks`] |
+//! | `Permissions.Peers` | [`Settings::peers`] |
 //! | `Permissions.ParallelTries` | [`Settings::hedging`] |
 //! | `Permissions.RetryAfter`, `MaxRetryAfterMs` | [`Settings::retry_after`], [`Settings::max_retry_after`] |
 //! | `Permissions.ConnIdleMs` | [`Settings::connection_idle_timeout`] |
 //! | `Permissions.ConnectTimeoutMs` | [`SiteSettings::connect_timeout`] |
 //! | `Permissions.SendCap` | [`Settings::max_attempts`] |
-//! | `Deductions.CrossZone`, `Handshake`, `Probe` | [`Settings::cross_zone_price`], [`Settings::handshake_price`], [`Settings::health_check_price`] |
+//! | `Deductions.CrossZone`, `Handshake` | [`Settings::cross_zone_price`], [`Settings::handshake_price`] |
+//! | `Deductions.Probe` | [`Settings::health_check_price`] |
 //! | `Safety.ColdFrom`, `ColdMs` | [`Settings::slow_start_initial`], [`Settings::slow_start_window`] |
 //! | `Safety.TipMultiple`, `FallMs` | [`Settings::overload_multiple`], [`Settings::overload_window`] |
 //! | `Safety.StopSendingWithinMs`, `DrainBindsAlone` | [`Settings::drain_grace`], [`Settings::removed_may_serve`] |
@@ -40,7 +42,7 @@
 use self::document::*;
 pub use self::document::{Ms, SettingsDocument};
 
-/// Why settings cannot be used. Each text begins with the key, behind the class if it is one's.
+/// Why settings cannot be used. Each message begins with the key; with the class and the key if the key is a class's.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A key's value is out of its range.
@@ -48,7 +50,7 @@
     Key {
         /// The key.
         key: &'static str,
-        /// What is wrong with its value.
+        /// Why its value is out of range.
         source: RangeError,
     },
     /// A key of a class has a value out of its range.
@@ -58,19 +60,19 @@
         class: String,
         /// The key.
         key: &'static str,
-        /// What is wrong with its value.
+        /// Why its value is out of range.
         source: RangeError,
     },
-    /// Two classes have one name.
+    /// Two classes have the same name.
     #[error("{class}: named twice")]
     DuplicateClass {
         /// The name.
         class: String,
     },
-    /// The lists of classes and of their needs differ in length.
+    /// `Specifics.NeedsByClass` and `Classes` differ in length.
     #[error("NeedsByClass: not one for each of Classes")]
-    NeedsOfOtherClasses,
-    /// A class may lag behind by a bound that is not there.
+    NeedsCountMismatch,
+    /// A class needs bounded staleness, but `Specifics.LagAllowedMs` has no entry for it.
     #[error("LagAllowedMs: lacks the bound of a class")]
     MissingLagBound,
 }
@@ -78,26 +80,26 @@
 /// Why a value is out of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RangeError {
-    /// A list that needs an entry has none.
+    /// A list that must have an entry is empty.
     #[error("empty")]
     Empty,
-    /// Zero, or less.
+    /// Zero or less.
     #[error("not positive")]
     NotPositive,
     /// Less than zero.
     #[error("negative")]
     Negative,
-    /// Less than zero, or more than one.
+    /// Less than zero or more than one.
     #[error("not within 0 to 1")]
     NotAFraction,
 }
 
-/// Zone names and the numbers given to them.
+/// Zone names and the ids assigned to them.
 #[derive(Clone, Default, Deserialize, Serialize)]
 pub struct Zones(Vec<String>);
 
 impl Zones {
-    /// The zone's number; a name that is not known yet gets the next one.
+    /// The zone's id; a new name is assigned the next one.
     pub fn id(&mut self, name: String) -> ZoneId {
         let known = self.0.iter().position(|zone| *zone == name);
         ZoneId(known.unwrap_or_else(|| {
@@ -107,7 +109,7 @@
     }
 }
 
-/// What the settings object says: the router's settings, and what only those around the router need.
+/// The settings object after the checks: the router's settings, and the values that only its callers use.
 #[derive(Clone)]
 pub struct SiteSettings {
     /// The router's settings.
@@ -116,14 +118,14 @@
     pub class_names: Vec<String>,
     /// Names of the tenants, in the order of [`TenantId`].
     pub tenant_names: Vec<String>,
-    /// Point on the simulator's clock from which its positions count.
+    /// Time on the simulator's clock that is the zero of its log positions.
     pub positions_from: Micros,
-    /// A connection that is not established by then counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
 }
 
 impl SettingsDocument {
-    /// Checks the object and maps it to the code's terms.
+    /// Checks the object and maps its keys to the fields of [`SiteSettings`].
     ///
     /// # Errors
     /// A value cannot be used.
@@ -139,14 +141,14 @@
         })
     }
 
-    /// Checks all values but those of single classes.
+    /// Checks all values except those within a class.
     fn check(&self) -> Result<(), SettingsError> {
         let fail = |key, source| Err(SettingsError::Key { key, source });
         if self.classes.is_empty() {
             return fail("Classes", RangeError::Empty);
         }
         if self.specifics.needs_by_class.len() != self.classes.len() {
-            return Err(SettingsError::NeedsOfOtherClasses);
+            return Err(SettingsError::NeedsCountMismatch);
         }
         if self.permissions.send_cap == 0 {
             return fail("SendCap", RangeError::NotPositive);
@@ -157,7 +159,7 @@
         if !is_fraction(self.safety.cold_from) {
             return fail("Safety.ColdFrom", RangeError::NotAFraction);
         }
-        // At zero a cold member would never be sent what warms it.
+        // At zero a cold member would never receive the requests that warm it up.
         if self.safety.tip_multiple <= 0.0 {
             return fail("Safety.TipMultiple", RangeError::NotPositive);
         }
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,10 +1,10 @@
-//! The settings object in its serialised form: the names, the types and the defaults of its keys.
+//! The serialised form of the settings object: the names, types and defaults of its keys.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// A length of time in its serialised form, in milliseconds.
+/// The serialised form of a duration, in milliseconds.
 #[derive(Clone, Copy, Default, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Ms(pub f64);
@@ -21,7 +21,7 @@
     }
 }
 
-/// The settings object as it stands in JSON.
+/// The settings object as JSON has it.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsDocument {
