--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! dunemount routes reads and writes over replicated database groups.
 //!
-//! Its decisions are made by the [`Router`]. The gateway drives that through [`balancer`] and knows
-//! sockets in [`net`], the clients' and hosts' protocol in [`pg`] and a request's life in [`request`].
+//! The [`Router`] makes the decisions. The gateway drives it through [`balancer`]; [`net`] handles the
+//! sockets, [`pg`] the protocol of clients and hosts, and [`request`] tracks the requests in flight.
 //!
-//! A [`Router`] does no input or output and reads no clock. The driver hands it each [`Event`]
-//! with the present time and carries out the [`Action`]s that come back. The same seed and the
-//! same events always give the same actions.
+//! A [`Router`] does no input or output and reads no clock. The driver passes it each [`Event`]
+//! with the current time and carries out the [`Action`]s that it returns. The same seed and the
+//! same events always produce the same actions.
 //!
 //! ```
 //! use dunemount::*;
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -1,5 +1,5 @@
-//! The project's own settings: an INI file beside the platform's JSON configuration. A key that is not set has the value
-//! that the platform's deployment needs; a key that is not known is an error and never passed over.
+//! The settings of this project: an INI file, separate from the platform's JSON configuration. The default of each
+//! key is the value that the platform's deployment needs; an unknown key is an error and is never ignored.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,62 +16,62 @@
 
 pub use self::values::ValueError;
 
-/// Most control servers: one a zone of the largest fleet, and room to move one.
+/// Maximum number of control servers: one per zone of the largest fleet, with room to move one.
 pub const MAX_CONTROL_SERVERS: usize = 16;
-/// Most worker threads that may be asked for.
+/// Maximum number of worker threads.
 pub const MAX_CORES: u64 = 64;
 
-/// Why settings cannot be used.
+/// Why the settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsFileError {
-    /// A line is no INI.
+    /// A line is not valid INI.
     #[error("neither a [section] nor a key with its value")]
     NotIni,
-    /// A section is not known.
+    /// A section is unknown.
     #[error("[{section}]: no such section")]
     UnknownSection {
-        /// Its name.
+        /// Name of the section.
         section: String,
     },
-    /// A key stands in its section more than once.
+    /// A key is set more than once in a section.
     #[error("[{section}] {key}: set twice")]
     DuplicateKey {
-        /// Its section.
+        /// Section of the key.
         section: String,
-        /// Its name.
+        /// Name of the key.
         key: String,
     },
-    /// A key is not known, or its value cannot be used.
+    /// A key is unknown, or its value cannot be used.
     #[error("[{section}] {key}: {source}")]
     Key {
-        /// Its section.
+        /// Section of the key.
         section: String,
-        /// Its name.
+        /// Name of the key.
         key: String,
-        /// What is wrong with it.
+        /// The reason.
         source: ValueError,
     },
-    /// A key is needed and is not set.
+    /// A required key is not set.
     #[error("[{section}] {key}: missing")]
     MissingKey {
-        /// Its section.
+        /// Section of the key.
         section: &'static str,
-        /// Its name.
+        /// Name of the key.
         key: &'static str,
     },
-    /// A lease would end between two probes.
+    /// The lease is shorter than the probe interval and would expire between two probes.
     #[error("[fleet] lease_ms: shorter than probe_ms")]
     LeaseShorterThanProbe,
-    /// Control servers are named, but no fleet.
+    /// Control servers are configured, but the fleet has no name.
     #[error("[control] machines: [fleet] name is missing, which each connection says first")]
     ControlWithoutFleet,
-    /// Control servers cannot take a gateway of this name.
+    /// Control servers do not accept the gateway's name.
     #[error("[control] machines: {0}")]
     GatewayName(#[source] ValueError),
-    /// A voter without a file would have promised nothing after each start.
+    /// A voter has no file: it would forget its promises at each restart.
     #[error("[fleet] file: missing, and {voter} is a voter")]
     VoterWithoutFile {
-        /// Its name.
+        /// Name of the voter.
         voter: String,
     },
 }
@@ -79,75 +79,74 @@
 /// Why a settings file cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// It cannot be used.
+    /// The settings in the file cannot be used.
     #[error(transparent)]
     Settings(#[from] TextFileError<SettingsFileError>),
 }
 
-/// Everything that the file may set.
+/// All settings of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalSettings {
-    /// `[cores] count`: worker threads for the traffic, 1 to [`MAX_CORES`].
+    /// `[cores] count`: number of worker threads for client traffic, 1 to [`MAX_CORES`].
     pub cores: usize,
-    /// `[fleet]`: communication between gateways; none unless the fleet is named.
+    /// `[fleet]`: communication between gateways; disabled unless the fleet's name is set.
     pub fleet: FleetSettings,
-    /// `[control]`: where versions of the configuration come from; nowhere unless control servers are named.
+    /// `[control]`: the sources of configuration versions; disabled unless control servers are set.
     pub control: ControlSettings,
 }
 
-/// The name of a member of the fleet, and the address of its datagrams.
+/// The name of a member of the fleet and the address on which it receives datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedAddress {
-    /// The name, as in the gateway's configuration.
+    /// The name in the gateway's configuration.
     pub name: String,
-    /// Its datagrams' address.
+    /// The address on which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// `[fleet]`: what a gateway needs to know of the others.
+/// `[fleet]`: membership of the fleet and leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// `name`: unless it is set there is no fleet, no socket and no thread for it.
+    /// `name`: the fleet's name. Unless it is set, no fleet is joined, and no socket or thread is created for one.
     pub name: Option<String>,
-    /// `listen`: where datagrams are received.
+    /// `listen`: the address on which datagrams are received.
     pub listen: Option<SocketAddr>,
-    /// `voters`: those that keep the registers, in the same order at all gateways.
+    /// `voters`: the members that are acceptors of the registers, in the same order at all gateways.
     pub voters: Vec<NamedAddress>,
-    /// `seeds`: whom to contact first; the voters if none are named.
+    /// `seeds`: the members to contact first; if there are none, the voters.
     pub seeds: Vec<NamedAddress>,
-    /// `size`: about how many gateways there are.
+    /// `size`: the approximate number of gateways.
     pub size: u32,
-    /// `lease_ms`: how long a role is held without a renewal, in milliseconds.
+    /// `lease_ms`: duration of a lease that is not renewed, in milliseconds.
     pub lease_ms: u64,
-    /// `probe_ms`: time between two probes of other members, in milliseconds.
+    /// `probe_ms`: interval between probes of other members, in milliseconds.
     pub probe_ms: u64,
-    /// `file`: where a voter persists what it has promised.
+    /// `file`: the file in which a voter persists its acceptor state.
     pub file: Option<PathBuf>,
 }
 
-/// `[control]`: what a gateway, a control server and the operators' commands need to know of versions of the
-/// configuration.
+/// `[control]`: distribution of configuration versions; used by gateways, control servers and the operators' commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// `machines`: the control servers and where they listen (TCP), in the same order everywhere.
+    /// `machines`: the control servers and their TCP addresses, in the same order in all settings files of the fleet.
     pub servers: Vec<(ControlServerInfo, SocketAddr)>,
-    /// `zone`: a gateway's.
+    /// `zone`: the zone of the gateway.
     pub zone: Option<String>,
-    /// `file`: where a gateway persists the version in force, and a control server its state.
+    /// `file`: the file in which a gateway persists the version in force, or a control server its state.
     pub file: Option<PathBuf>,
-    /// The line on which the section starts, where control servers are named.
+    /// The line on which the section starts, if control servers are set; otherwise zero.
     pub line: usize,
 }
 
-/// What a gateway that follows control servers needs of its own.
+/// The gateway's own settings for following the control servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerSettings<'a> {
     /// The gateway's zone.
     pub zone: &'a str,
-    /// Where it persists the version in force.
+    /// The file in which the gateway persists the version in force.
     pub file: &'a Path,
 }
 
@@ -168,13 +167,13 @@
 }
 
 impl LocalSettings {
-    /// Reads a file's text.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     /// The error on the first line that cannot be used.
     pub fn parse(text: &str) -> Result<LocalSettings, LineError<SettingsFileError>> {
         let file = Ini::load_from_str_noescape(text).map_err(|e| {
-            // The parser gives up a line or two behind what it could not read.
+            // The parser reports a line that is one or two after the invalid one.
             let line = text.lines().position(|line| !lines::is_ini(line)).unwrap_or(e.line);
             LineError::new(line + 1, SettingsFileError::NotIni)
         })?;
@@ -184,7 +183,7 @@
         Ok(settings)
     }
 
-    /// Sets all keys of a file, or none that can be relied on.
+    /// Applies all keys of a file. After an error some keys are set and others are not: the settings must not be used.
     fn apply_all(&mut self, file: &Ini, text: &str) -> Result<(), LineError<SettingsFileError>> {
         let mut errors = Vec::new();
         let mut seen = Vec::new();
@@ -196,7 +195,7 @@
                 continue;
             }
             for (name, value) in values {
-                let repeats = seen.iter().filter(|known| **known == (section, name)).count();
+                let repeats = seen.iter().filter(|earlier| **earlier == (section, name)).count();
                 seen.push((section, name));
                 if let Err(error) = self.apply(section, name, value, repeats > 0) {
                     errors.push(LineError::new(lines::line_of_key(text, section, name, repeats), error));
@@ -227,7 +226,7 @@
         })
     }
 
-    /// Checks keys that need each other.
+    /// Checks the keys that require other keys.
     fn check_dependencies(&mut self, text: &str) -> Result<(), LineError<SettingsFileError>> {
         let line_of = |section| lines::line_of_section(text, section);
         self.fleet.check_complete().map_err(|error| LineError::new(line_of("fleet"), error))?;
@@ -243,7 +242,7 @@
 }
 
 impl FleetSettings {
-    /// Checks that a fleet with a name has all that it needs; nothing else of the section counts without one.
+    /// Checks that a fleet with a name has the other required keys. Without a name the section is ignored.
     fn check_complete(&self) -> Result<(), SettingsFileError> {
         let missing = |key| Err(SettingsFileError::MissingKey { section: "fleet", key });
         match self.name {
@@ -255,10 +254,10 @@
         }
     }
 
-    /// The index among the voters of the gateway with this name, and its file; none for one without a vote.
+    /// The index of the gateway with this name among the voters, and its file; `None` if it is not a voter.
     ///
     /// # Errors
-    /// It is a voter without a file.
+    /// The gateway is a voter, but `file` is not set.
     pub fn voter(&self, name: &str) -> Result<Option<(usize, &Path)>, SettingsFileError> {
         let Some(index) = self.voters.iter().position(|voter| voter.name == name) else { return Ok(None) };
         let file = self.file.as_deref();
@@ -268,10 +267,10 @@
 }
 
 impl ControlSettings {
-    /// What a gateway needs to follow the control servers; none where no control servers are named.
+    /// The settings for following the control servers; `None` if no control servers are set.
     ///
     /// # Errors
-    /// A key is missing.
+    /// A required key is missing.
     pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, LineError<SettingsFileError>> {
         if self.servers.is_empty() {
             return Ok(None);
@@ -280,18 +279,18 @@
         Ok(Some(FollowerSettings { zone, file: self.version_file()? }))
     }
 
-    /// Where versions are persisted.
+    /// The file in which versions are persisted.
     ///
     /// # Errors
-    /// It is not named.
+    /// The key is missing.
     pub fn version_file(&self) -> Result<&Path, LineError<SettingsFileError>> {
         self.file.as_deref().ok_or_else(|| self.missing("file"))
     }
 
-    /// Checks that the control servers, if there are any, accept a gateway of this name.
+    /// Checks that the control servers, if any, accept a gateway of this name.
     ///
     /// # Errors
-    /// They do not.
+    /// The name is empty or too long.
     pub fn check_gateway_name(&self, name: &str) -> Result<(), LineError<SettingsFileError>> {
         if self.servers.is_empty() {
             return Ok(());
@@ -307,19 +306,19 @@
     }
 }
 
-/// The settings of a process, and the file that they come from.
+/// The settings of a process and the file that they were loaded from.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// What the file says.
+    /// The settings in the file.
     pub settings: LocalSettings,
 }
 
 impl SettingsFile {
-    /// Loads a file; without one everything has its default.
+    /// Loads a settings file. Without a path, all settings have their defaults.
     ///
     /// # Errors
-    /// It cannot be read, also after some retries, or cannot be used.
+    /// The file cannot be read, even after retries, or cannot be used.
     pub fn load(path: Option<&Path>) -> Result<SettingsFile, LoadError> {
         let Some(path) = path else { return Ok(SettingsFile::default()) };
         let text = text_file::read_within(START_RETRY_TIMEOUT, path)?;
@@ -327,26 +326,26 @@
         Ok(SettingsFile { path: path.to_path_buf(), settings })
     }
 
-    /// What a gateway needs to follow the control servers; none where no control servers are named.
+    /// The settings for following the control servers; `None` if no control servers are set.
     ///
     /// # Errors
-    /// A key is missing.
+    /// A required key is missing.
     pub fn follower(&self) -> Result<Option<FollowerSettings<'_>>, TextFileError<SettingsFileError>> {
         self.settings.control.follower().map_err(|error| error.in_file(&self.path))
     }
 
-    /// Where versions are persisted.
+    /// The file in which versions are persisted.
     ///
     /// # Errors
-    /// It is not named.
+    /// The key is missing.
     pub fn version_file(&self) -> Result<&Path, TextFileError<SettingsFileError>> {
         self.settings.control.version_file().map_err(|error| error.in_file(&self.path))
     }
 
-    /// Checks that the control servers, if there are any, accept a gateway of this name.
+    /// Checks that the control servers, if any, accept a gateway of this name.
     ///
     /// # Errors
-    /// They do not.
+    /// The name is empty or too long.
     pub fn check_gateway_name(&self, name: &str) -> Result<(), TextFileError<SettingsFileError>> {
         self.settings.control.check_gateway_name(name).map_err(|error| error.in_file(&self.path))
     }
--- a/src/settings_file/keys.rs
+++ b/src/settings_file/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings file: the range of each, and where its value goes.
+//! The keys of the settings file: the range of each, and the field of [`LocalSettings`] that it sets.
 
 use super::values::{self, ValueError};
 use super::{LocalSettings, MAX_CORES};
@@ -6,7 +6,7 @@
 type SetNumber = fn(&mut LocalSettings, u64);
 type SetText = fn(&mut LocalSettings, &str) -> Result<(), ValueError>;
 
-/// How a value is read, and where it goes.
+/// How the value of a key is parsed, and the function that stores it.
 enum Setter {
     Number { min: u64, max: u64, set: SetNumber },
     Text(SetText),
@@ -71,10 +71,10 @@
     KEYS.iter().any(|key| key.section == name)
 }
 
-/// Sets a key.
+/// Parses the value of a key and stores it in the settings.
 ///
 /// # Errors
-/// There is no such key, or its value cannot be used.
+/// The key is unknown, or its value cannot be used.
 pub fn set(settings: &mut LocalSettings, section: &str, name: &str, value: &str) -> Result<(), ValueError> {
     let key = KEYS.iter().find(|key| key.section == section && key.name == name);
     match key.ok_or(ValueError::UnknownKey)?.setter {
--- a/src/settings_file/lines.rs
+++ b/src/settings_file/lines.rs
@@ -1,6 +1,6 @@
-//! Lines of an INI text. The parser gives values without their places.
+//! Finds sections and keys in an INI text by line: the parser does not report the positions of values.
 
-/// Whether a line by itself is a comment, a section's head or a key with a value.
+/// Whether a line is empty, a comment, a section header or a key with a value.
 pub fn is_ini(line: &str) -> bool {
     let line = line.trim();
     match line.chars().next() {
@@ -10,14 +10,13 @@
     }
 }
 
-/// The line, counted from 1, on which a section starts; zero where it does not.
+/// The line, counted from 1, on which a section starts; zero if the text does not have it.
 pub fn line_of_section(text: &str, section: &str) -> usize {
     let starts = |line: &str| section_name(line).is_some_and(|name| name == section);
     text.lines().position(|line| starts(line.trim())).map_or(0, |index| index + 1)
 }
 
-/// The line, counted from 1, on which a key of a section stands for the `nth` time, counted from 0; zero where it does
-/// not.
+/// The line, counted from 1, of the `nth` occurrence of a key in a section, counted from 0; zero if there is none.
 pub fn line_of_key(text: &str, section: &str, key: &str, nth: usize) -> usize {
     let mut current_section = "";
     let mut found = 0;
--- a/src/settings_file/values.rs
+++ b/src/settings_file/values.rs
@@ -1,4 +1,4 @@
-//! Values of the settings file: how each kind is read.
+//! Parsers for the values of the settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,60 +7,60 @@
 
 use super::{NamedAddress, MAX_CONTROL_SERVERS};
 
-/// Longest name that goes over the wire, in bytes.
-const MAX_NAME: usize = 64;
+/// Maximum length of a name that is sent to other processes, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
 /// Why a value cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ValueError {
-    /// There is no key of this name.
+    /// The key is unknown.
     #[error("no such key")]
     UnknownKey,
-    /// Not a number.
+    /// Not a whole number.
     #[error("{0:?} is no whole number")]
     NotANumber(String),
-    /// Less than the least value, or more than the greatest.
+    /// Less than the minimum or more than the maximum.
     #[error("{value} is out of range ({min} to {max})")]
     OutOfRange {
         /// The value.
         value: u64,
-        /// The least that is accepted.
+        /// The minimum.
         min: u64,
-        /// The greatest that is accepted.
+        /// The maximum.
         max: u64,
     },
-    /// Nothing where something is needed.
+    /// An empty value.
     #[error("{0} is empty")]
     Empty(&'static str),
     /// A name that is too long.
-    #[error("{what} of {length} bytes, {MAX_NAME} at most")]
+    #[error("{what} of {length} bytes, {MAX_NAME_BYTES} at most")]
     TooLong {
-        /// Whose name.
+        /// Which name, for the message.
         what: &'static str,
         /// Its length in bytes.
         length: usize,
     },
-    /// Not an address and a port.
+    /// Not an address with a port.
     #[error("{0:?} is no address with a port")]
     NotAnAddress(String),
-    /// A name or an address is missing.
+    /// Not a name and an address, separated by `@`.
     #[error("{0:?} is not NAME@ADDRESS:PORT")]
     NotANamedAddress(String),
-    /// A zone is missing.
+    /// Has no zone before the name.
     #[error("{0:?} is not ZONE/NAME@ADDRESS:PORT")]
     WithoutZone(String),
-    /// The same name or address more than once.
+    /// A name or an address that occurs more than once.
     #[error("{0:?}: a name or an address that stands there already")]
     Duplicate(String),
-    /// A number of voters of which a majority is no use.
+    /// Not one of the supported numbers of voters.
     #[error("{0} voters: 1, 3, 5 or 7 keep a majority")]
     VoterCount(usize),
-    /// Too many control servers.
+    /// More control servers than [`MAX_CONTROL_SERVERS`].
     #[error("{0} machines, {MAX_CONTROL_SERVERS} at most")]
     TooManyControlServers(usize),
 }
 
-/// A whole number within a range.
+/// Parses a whole number from `min` to `max`.
 pub fn number(text: &str, min: u64, max: u64) -> Result<u64, ValueError> {
     let value: u64 = text.parse().map_err(|_| ValueError::NotANumber(text.to_string()))?;
     match (min..=max).contains(&value) {
@@ -69,16 +69,16 @@
     }
 }
 
-/// A name that goes over the wire; `what` says whose.
+/// Checks a name that is sent to other processes. `what` describes it in error messages.
 pub fn name(text: &str, what: &'static str) -> Result<String, ValueError> {
     match text.len() {
         0 => Err(ValueError::Empty(what)),
-        1..=MAX_NAME => Ok(text.to_string()),
+        1..=MAX_NAME_BYTES => Ok(text.to_string()),
         length => Err(ValueError::TooLong { what, length }),
     }
 }
 
-/// A path.
+/// Parses a path that must not be empty.
 pub fn path(text: &str) -> Result<PathBuf, ValueError> {
     match text {
         "" => Err(ValueError::Empty("a path")),
@@ -86,17 +86,17 @@
     }
 }
 
-/// An address with a port.
+/// Parses an address with a port.
 pub fn address(text: &str) -> Result<SocketAddr, ValueError> {
     text.parse().map_err(|_| ValueError::NotAnAddress(text.to_string()))
 }
 
-/// `NAME@ADDRESS:PORT`, separated by commas.
+/// Parses a list of `NAME@ADDRESS:PORT`, separated by commas.
 pub fn named_addresses(text: &str) -> Result<Vec<NamedAddress>, ValueError> {
     let mut addresses: Vec<NamedAddress> = Vec::new();
     for part in text.split(',').map(str::trim) {
         let new = named_address(part)?;
-        if addresses.iter().any(|known| known.name == new.name || known.address == new.address) {
+        if addresses.iter().any(|earlier| earlier.name == new.name || earlier.address == new.address) {
             return Err(ValueError::Duplicate(part.to_string()));
         }
         addresses.push(new);
@@ -110,7 +110,8 @@
     Ok(NamedAddress { name: name(name_text, "a gateway's name")?, address: address(address_text)? })
 }
 
-/// The voters, as [`named_addresses`]: a number of which a majority survives as many failures as possible.
+/// Parses the voters as [`named_addresses`] does. There must be 1, 3, 5 or 7: an even number tolerates no more failures
+/// than the odd number below it.
 pub fn voters(text: &str) -> Result<Vec<NamedAddress>, ValueError> {
     let voters = named_addresses(text)?;
     match voters.len() {
@@ -119,20 +120,20 @@
     }
 }
 
-/// `ZONE/NAME@ADDRESS:PORT`, separated by commas.
+/// Parses a list of `ZONE/NAME@ADDRESS:PORT`, separated by commas.
 pub fn control_servers(text: &str) -> Result<Vec<(ControlServerInfo, SocketAddr)>, ValueError> {
     let parts: Vec<&str> = text.split(',').map(str::trim).collect();
     if parts.len() > MAX_CONTROL_SERVERS {
         return Err(ValueError::TooManyControlServers(parts.len()));
     }
     let mut zones = Vec::new();
-    let mut without_zones = Vec::new();
+    let mut named_servers = Vec::new();
     for part in parts {
         let (zone, rest) = part.split_once('/').ok_or_else(|| ValueError::WithoutZone(part.to_string()))?;
         zones.push(name(zone, "a zone's name")?);
-        without_zones.push(rest);
+        named_servers.push(rest);
     }
-    let servers = named_addresses(&without_zones.join(","))?.into_iter().zip(zones);
+    let servers = named_addresses(&named_servers.join(","))?.into_iter().zip(zones);
     Ok(servers
         .map(|(NamedAddress { name, address }, zone)| (ControlServerInfo { name, zone }, address))
         .collect())
--- a/src/text_file.rs
+++ b/src/text_file.rs
@@ -1,4 +1,4 @@
-//! Text files that operators write: how they are read, and errors that name the file and the line.
+//! Reads text files written by operators; error types that show the file and the line.
 
 use std::error::Error;
 use std::fmt;
@@ -14,56 +14,57 @@
 pub struct ReadError {
     /// The file.
     pub path: PathBuf,
-    /// Why not.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
 impl ReadError {
-    /// Whether the file may be readable soon: the error says nothing of what it holds.
+    /// Whether a retry may succeed soon: the cause is a shortage of this machine or a passing fault of the file
+    /// system, not the file's content.
     pub fn is_transient(&self) -> bool {
         is_transient_file_error(&self.source)
     }
 }
 
-/// Reads a whole file.
+/// Reads a file once.
 ///
 /// # Errors
-/// It cannot be read, perhaps only at this moment.
+/// The file cannot be read; [`ReadError::is_transient`] tells whether a retry may succeed.
 pub fn read(path: &Path) -> Result<String, ReadError> {
     std::fs::read_to_string(path).map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
-/// Reads a whole file, and retries for so long where it cannot be read at this moment.
+/// Reads a file and retries transient errors until the timeout.
 ///
 /// # Errors
-/// That of the last attempt.
+/// The error of the last attempt.
 pub fn read_within(timeout: Duration, path: &Path) -> Result<String, ReadError> {
     let attempt = || std::fs::read_to_string(path);
     retry(Instant::now() + timeout, is_transient_file_error, attempt)
         .map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
-/// An error in a text, and its line.
+/// An error in a text, with its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineError<E> {
-    /// The line, counted from 1; zero for the text as a whole.
+    /// The line, counted from 1; zero if the error has no line.
     pub line: usize,
-    /// What is wrong there.
+    /// The error.
     pub error: E,
 }
 
 impl<E> LineError<E> {
-    /// An error at a line.
+    /// Creates an error on a line, counted from 1.
     pub fn new(line: usize, error: impl Into<E>) -> LineError<E> {
         LineError { line, error: error.into() }
     }
 
-    /// An error of the text as a whole.
+    /// Creates an error that concerns no particular line.
     pub fn without_line(error: impl Into<E>) -> LineError<E> {
         LineError::new(0, error)
     }
 
-    /// Names the file that holds the text.
+    /// Adds the path of the file that contains the text.
     pub fn in_file(self, path: impl AsRef<Path>) -> TextFileError<E> {
         TextFileError { path: path.as_ref().to_path_buf(), error: self }
     }
@@ -84,12 +85,12 @@
     }
 }
 
-/// An error in a file: its name, the line if there is one, what is wrong.
+/// An error in a text file. The message shows the path, the line if there is one, and the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextFileError<E> {
     /// The file.
     pub path: PathBuf,
-    /// What is wrong with it, and where.
+    /// The error and its line.
     pub error: LineError<E>,
 }
 
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of the files that a gateway is started with, and the creation of a voter's file.
+//! Checks the files that a gateway is started with, and creates a voter's file.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,10 +12,10 @@
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
 use crate::text_file::{self, ReadError, TextFileError};
 
-/// Why files cannot be used.
+/// Why the files cannot be used, or a voter's file cannot be created.
 #[derive(Debug, thiserror::Error)]
 pub enum ValidationError {
-    /// No configuration is named.
+    /// No path of a configuration is given.
     #[error("--config or GW_CONFIG must name the configuration")]
     NoConfig,
     /// The configuration cannot be read.
@@ -27,16 +27,16 @@
     /// The settings cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The settings lack what this gateway needs.
+    /// The settings lack a key that this gateway requires, or the control servers do not accept its name.
     #[error(transparent)]
     Settings(#[from] TextFileError<SettingsFileError>),
-    /// The settings lack what this voter needs.
+    /// The settings lack a key that this voter requires.
     #[error(transparent)]
     Voter(#[from] SettingsFileError),
-    /// A file was to be created for a gateway without a vote.
+    /// A voter's file was requested for a gateway that is not a voter.
     #[error("{name} is none of the voters that [fleet] names")]
     NotAVoter {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
     },
     /// A voter's file cannot be created.
@@ -44,15 +44,16 @@
     CreateVoterFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Reads both files as a start would and changes nothing: one line on what they hold.
+/// Loads and checks the configuration and the settings as a start would, without changing anything. Returns a line that
+/// summarises them.
 ///
 /// # Errors
-/// The first fault.
+/// The first error.
 pub fn validate(files: &FileArgs) -> Result<String, ValidationError> {
     let path = files.config.as_deref().ok_or(ValidationError::NoConfig)?;
     let text = text_file::read(path)?;
@@ -67,11 +68,11 @@
     Ok(format!("usable: {classes} classes, {hosts} hosts known, {cores} cores"))
 }
 
-/// Creates the file of a voter of a new fleet, whose name the configuration gives unless it is given here: one line on
-/// what was done.
+/// Creates the file of a voter of a new fleet. Without a `name`, the voter is the gateway that the configuration or
+/// `GW_NAME` names. Returns a line that reports the created file.
 ///
 /// # Errors
-/// There is no such voter, or its file cannot be created.
+/// The gateway is not a voter, or its file cannot be created.
 pub fn create_voter_file(files: &FileArgs, name: Option<&str>) -> Result<String, ValidationError> {
     let name = match name {
         Some(name) => name.to_string(),
