--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -1,4 +1,5 @@
-//! The facade against random steps: what the network code relies on, whatever hosts do.
+//! Tests of the balancer, the facade over the router: the guarantees on which the network code relies, under random
+//! steps and in single cases.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 const START: Micros = Micros::millis(100_000);
-const LONG: Micros = Micros::millis(800);
+const TIME_LEFT: Micros = Micros::millis(800);
 
 fn class(consistency: Consistency, late_weight: f64) -> Class {
     let window = Micros::millis(900);
@@ -42,7 +43,7 @@
         health_checks: true,
         cancels,
         peers: false,
-        // The facade rules a second copy out even where a site would permit it.
+        // The facade disables hedged requests even if the settings permit them.
         hedging: true,
         retry_after: true,
         clients_mark_retries: false,
@@ -82,22 +83,22 @@
     }
 }
 
-fn answer(said: ResponseStatus, member: MemberId, position: Micros) -> AttemptOutcome {
+fn answer(status: ResponseStatus, member: MemberId, position: Micros) -> AttemptOutcome {
     let role = Some(if member == MemberId(1) { Role::Primary } else { Role::Replica });
-    AttemptOutcome::Response { status: said, role, position: Some(position) }
+    AttemptOutcome::Response { status, role, position: Some(position) }
 }
 
-/// The primary answers two reads, its log having gone on in between, and so proves the time of its log: without that no
-/// replica's position says how old its data are, and one answer alone proves nothing.
+/// Has the primary serve two reads with an advancing log position, which establishes the log time: without it, the
+/// age of a replica's data is unknown, and a single response is not enough evidence.
 fn prove_log_time(balancer: &mut Balancer) {
     for now in [START, START + Micros::millis(2)] {
-        let (request_id, decision) = balancer.pick(now, request(0, 1, LONG));
+        let (request_id, decision) = balancer.pick(now, request(0, 1, TIME_LEFT));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
         balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, MemberId(1), now));
     }
 }
 
-/// What the network code would hold: the deadline of each open request and the member it is out at.
+/// Open requests as the network code tracks them: the deadline, and the member that has the attempt in flight.
 #[derive(Default)]
 struct OpenRequests {
     open: BTreeMap<RequestId, (Micros, Option<MemberId>)>,
@@ -105,11 +106,11 @@
 
 impl OpenRequests {
     fn apply(&mut self, request_id: RequestId, decision: RoutingDecision) {
-        let (_, out) = self.open.get_mut(&request_id).expect("a decision on a request that has ended");
+        let (_, out) = self.open.get_mut(&request_id).expect("a decision on a request that is finished");
         match decision {
             RoutingDecision::Queued => {}
             RoutingDecision::Send { member, .. } => {
-                assert!(out.replace(member).is_none(), "two attempts out at once");
+                assert!(out.replace(member).is_none(), "two attempts in flight at once");
             }
             RoutingDecision::Reject { .. } | RoutingDecision::Fail => {
                 self.open.remove(&request_id);
@@ -122,7 +123,7 @@
             match output {
                 Output::Decision(request_id, decision) => self.apply(request_id, decision),
                 Output::Cancel(request_id) => {
-                    self.open.get_mut(&request_id).expect("a cancel after the end").1 = None;
+                    self.open.get_mut(&request_id).expect("a cancel of a finished request").1 = None;
                 }
                 Output::HealthCheck(member) => {
                     balancer.health_checked(now, member, answer(ResponseStatus::Served, member, now));
@@ -131,7 +132,7 @@
             }
         }
         let overdue = self.open.values().any(|(until, _)| *until < now);
-        assert!(!overdue, "a request was left without its answer");
+        assert!(!overdue, "a request has no answer at its deadline");
     }
 }
 
@@ -140,8 +141,8 @@
         cases: 200, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Default::default()
     })]
 
-    /// Guards the two promises the network code builds on: one final answer for every request before
-    /// its client gives up, and never a send while an attempt is out.
+    /// Guards the two guarantees on which the network code relies: every request gets one final answer before its
+    /// deadline, and no attempt starts while another one of the request is in flight.
     #[test]
     fn every_request_gets_one_decision_in_time(
         steps in prop::collection::vec((0..9u8, any::<u8>(), 1..60u64), 1..120),
@@ -151,10 +152,10 @@
         for (step, pick, ms) in steps {
             let nth = |n: usize| usize::from(pick) % n.max(1);
             let out: Vec<_> = requests.open.iter().filter_map(|(t, (_, m))| Some((*t, (*m)?))).collect();
-            let flying = out.get(nth(out.len())).copied();
-            match (step, flying) {
+            let in_flight = out.get(nth(out.len())).copied();
+            match (step, in_flight) {
                 (0..=2, _) => {
-                    // Down to nothing: a client's last try has little of its time left.
+                    // From zero up: a client's last retry may have hardly any time left.
                     let left = Micros::millis(u64::from(pick) * 4);
                     let (request_id, decision) = balancer.pick(now, request(nth(4), u64::from(pick) % 5, left));
                     requests.open.insert(request_id, (now + left, None));
@@ -183,7 +184,7 @@
                     requests.open.remove(&request_id);
                 }
                 _ => {
-                    // The loop wakes when something is due; it may be a little late.
+                    // The event loop wakes at the next deadline, or slightly later.
                     let next = balancer.next_deadline().unwrap_or(START);
                     now = now.max(next.min(now + Micros::millis(ms))) + Micros(u64::from(pick));
                 }
@@ -193,15 +194,15 @@
     }
 }
 
-/// Guards the one place where the progress of a failed attempt decides whether it may have run: a write
-/// that never ran is refused and so may be repeated, one that may have run is failed.
+/// Guards the decision by the progress of a failed attempt whether the request may have run: a write that cannot have
+/// run is rejected, so that the client may retry it; one that may have run fails.
 #[test]
 fn progress_decides_how_a_write_is_answered() {
     for progress in
         [AttemptProgress::NotConnected, AttemptProgress::PartiallyWritten, AttemptProgress::FullyWritten]
     {
         let (mut balancer, mut now) = (balancer(true), START);
-        let (request_id, mut decision) = balancer.pick(now, request(3, 1, LONG));
+        let (request_id, mut decision) = balancer.pick(now, request(3, 1, TIME_LEFT));
         let last = loop {
             match decision {
                 RoutingDecision::Send { .. } => {
@@ -220,10 +221,10 @@
     }
 }
 
-/// Guards against a stale read: a replica chosen as just fresh enough may no longer be by the time
-/// that its connection is up.
+/// Guards against a stale read: a replica that was just fresh enough when it was chosen may be too old by the time its
+/// connection is established.
 #[test]
-fn a_choice_goes_stale_while_its_connection_comes_up() {
+fn an_attempt_becomes_invalid_while_its_connection_is_established() {
     let mut balancer = balancer(true);
     prove_log_time(&mut balancer);
     let position = START - Micros::millis(490);
@@ -234,19 +235,19 @@
             answer(ResponseStatus::Served, MemberId(member), position),
         );
     }
-    let (request_id, decision) = balancer.pick(START, request(0, 1, LONG));
+    let (request_id, decision) = balancer.pick(START, request(0, 1, TIME_LEFT));
     assert!(matches!(decision, RoutingDecision::Send { member: MemberId(2 | 3), .. }));
     assert!(balancer.is_attempt_valid(START, request_id));
     assert!(!balancer.is_attempt_valid(START + Micros::millis(20), request_id));
     balancer.handle_client_gone(START, request_id);
-    assert!(!balancer.is_attempt_valid(START, request_id), "a request that has ended");
+    assert!(!balancer.is_attempt_valid(START, request_id), "the request is finished");
 }
 
-/// Guards that a client's leaving frees the member at once: the attempt counts as cancelled.
+/// Guards against decisions on a request whose client has disconnected: its attempt counts as cancelled at once.
 #[test]
-fn a_request_that_is_gone_gets_no_decision() {
+fn a_request_without_a_client_gets_no_decision() {
     let mut balancer = balancer(true);
-    let (request_id, decision) = balancer.pick(START, request(3, 1, LONG));
+    let (request_id, decision) = balancer.pick(START, request(3, 1, TIME_LEFT));
     assert!(matches!(decision, RoutingDecision::Send { .. }));
     balancer.handle_client_gone(START, request_id);
     let failed = AttemptOutcome::NoResponse(FailedAttempt {
@@ -260,15 +261,15 @@
     }
 }
 
-/// Guards the requests in flight: one answer a request, one attempt at a time.
+/// Guards the requests in flight: each is answered once and has at most one attempt at a time.
 #[test]
 fn each_in_flight_request_is_finished_once() {
     let (mut requests, mut balancer) = (InFlightRequests::default(), balancer(true));
-    let (request_id, _) = balancer.pick(START, request(0, 1, LONG));
+    let (request_id, _) = balancer.pick(START, request(0, 1, TIME_LEFT));
     requests.insert(request_id, "name", 'c', "work", START);
     assert!(requests.has_client_id("name") && !requests.has_client_id("other"));
     assert!(requests.start_attempt(request_id, 'a'));
-    assert!(!requests.start_attempt(request_id, 'b'), "a second attempt while one is out");
+    assert!(!requests.start_attempt(request_id, 'b'), "a second attempt while one is in flight");
     assert_eq!(requests.end_attempt(request_id), Some('a'));
     assert!(requests.start_attempt(request_id, 'b'));
     assert_eq!(requests.finish(request_id).and_then(|request| request.attempt()), Some('b'));
@@ -277,11 +278,11 @@
             && !requests.start_attempt(request_id, 'd')
             && requests.is_empty()
     );
-    assert!(!requests.has_client_id("name"), "an ended request leaves its name");
+    assert!(!requests.has_client_id("name"), "a finished request frees its client id");
 }
 
-/// Guards against a request overdue: a client's last retry may come with less time than the router needs
-/// to notice, and is rejected at once, harmlessly, instead of at its deadline.
+/// Guards against an answer after the deadline: a client's last retry may have less time left than the router needs
+/// for an attempt, and is then rejected at once, which is safe to retry, instead of at its deadline.
 #[test]
 fn an_attempt_without_time_is_rejected_at_once() {
     for class in 0..4 {
@@ -291,13 +292,13 @@
     }
 }
 
-/// Guards the client's chance to come again: a request that never reached a host gets its answer before
-/// half of its time is over, in every class, though its group has no primary all the while.
+/// Guards the time that a client has left for a retry: a request that never reached a host gets its answer before
+/// half of its time has passed, in every class, even if its group has no primary throughout.
 #[test]
-fn what_never_reached_a_host_is_not_queued_for_long() {
+fn a_request_that_never_reached_a_host_is_not_queued_for_long() {
     for class in 0..4 {
         let (mut balancer, mut now) = (balancer(true), START);
-        let (request_id, mut decision) = balancer.pick(now, request(class, 1, LONG));
+        let (request_id, mut decision) = balancer.pick(now, request(class, 1, TIME_LEFT));
         while matches!(decision, RoutingDecision::Queued | RoutingDecision::Send { .. }) {
             let failed = FailedAttempt {
                 progress: AttemptProgress::NotConnected,
@@ -316,16 +317,16 @@
             }
         }
         assert!(matches!(decision, RoutingDecision::Reject { .. }), "class {class}: {decision:?}");
-        assert!(now < START + LONG.scale(0.5), "class {class}: held until {now:?}");
+        assert!(now < START + TIME_LEFT.scale(0.5), "class {class}: queued until {now:?}");
     }
 }
 
-/// Guards hosts put down by hand: whatever the list says, and also once it forgets them and names them
-/// again, nothing new goes there until the call back, not even what waits for a connection. Back up, a
-/// host counts as cold and gets its share within seconds.
+/// Guards members that are administratively down: they receive no requests until an operator returns them to service,
+/// even if the endpoint list removes and lists them again in between; an attempt that waits for a connection is not
+/// sent either. A member that returns is in slow start and receives requests within seconds.
 #[test]
 fn a_member_that_is_administratively_down_gets_nothing_until_it_is_up() {
-    let (mut balancer, out) = (balancer(true), MemberId(2));
+    let (mut balancer, down_member) = (balancer(true), MemberId(2));
     let entry = |id: u64, listed| Endpoint {
         member: MemberId(id),
         group: GroupId(1),
@@ -335,7 +336,7 @@
         ..Endpoint::default()
     };
     let mut now = START;
-    // Counts what each member is sent in so many milliseconds of reads, all answered at once.
+    // Counts the reads and health checks sent to each member in this time; all are answered at once.
     let mut serve = |balancer: &mut Balancer, ms: u64| {
         let mut sent = BTreeMap::new();
         for _ in 0..ms / 20 {
@@ -347,7 +348,7 @@
                 }
             }
             if let (request_id, RoutingDecision::Send { member, .. }) =
-                balancer.pick(now, request(0, 1, LONG))
+                balancer.pick(now, request(0, 1, TIME_LEFT))
             {
                 *sent.entry(member).or_insert(0) += 1;
                 balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, member, now));
@@ -356,38 +357,37 @@
         (now, sent)
     };
     let (at, sent) = serve(&mut balancer, 2_000);
-    assert!(sent[&out] > 10);
+    assert!(sent[&down_member] > 10);
     let (waiting, decision) = loop {
-        let (request_id, decision) = balancer.pick(at, request(0, 1, LONG));
-        if matches!(decision, RoutingDecision::Send { member, .. } if member == out) {
+        let (request_id, decision) = balancer.pick(at, request(0, 1, TIME_LEFT));
+        if matches!(decision, RoutingDecision::Send { member, .. } if member == down_member) {
             break (request_id, decision);
         }
     };
     assert!(matches!(decision, RoutingDecision::Send { .. }) && balancer.is_attempt_valid(at, waiting));
     for _ in 0..2 {
-        balancer.set_administratively_down(at, out, true);
-        assert!(!balancer.is_routable(out) && !balancer.is_attempt_valid(at, waiting));
+        balancer.set_administratively_down(at, down_member, true);
+        assert!(!balancer.is_routable(down_member) && !balancer.is_attempt_valid(at, waiting));
     }
     assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 3, ejected: 1 });
     let (at, sent) = serve(&mut balancer, 1_000);
-    assert!(!sent.contains_key(&out));
+    assert!(!sent.contains_key(&down_member));
     balancer.update_endpoints(at, true, vec![entry(1, EndpointState::Ready), entry(3, EndpointState::Ready)]);
     assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 2, ejected: 0 });
     let (at, _) = serve(&mut balancer, 1_000);
     balancer.update_endpoints(at, false, vec![entry(2, EndpointState::Ready)]);
     let (at, sent) = serve(&mut balancer, 1_000);
-    assert!(!sent.contains_key(&out), "it is back in the list and still down");
-    balancer.set_administratively_down(at, out, false);
+    assert!(!sent.contains_key(&down_member), "it is listed again and still administratively down");
+    balancer.set_administratively_down(at, down_member, false);
     assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 3, ejected: 0 });
     let (_, sent) = serve(&mut balancer, 5_000);
-    assert!((1..120).contains(&sent[&out]), "a trickle for a cold member: {}", sent[&out]);
+    assert!((1..120).contains(&sent[&down_member]), "few requests during slow start: {}", sent[&down_member]);
 }
 
-/// Guards the rules across an upgrade: what the process before knew binds this one, through the text
-/// that it is passed on as. A session reads what it has written there, a replica's position counts, and
-/// who was put down stays down.
+/// Guards the balancer's state across a hot restart: the snapshot, in its serialised form, carries the commits of
+/// sessions, the positions of replicas and the members that are administratively down over to the next process.
 #[test]
-fn what_another_process_knew_is_restored() {
+fn the_state_of_another_process_is_restored() {
     let mut before = balancer(true);
     for member in [2, 3] {
         before.health_checked(
@@ -403,22 +403,22 @@
     after.restore(serde_json::from_str(&text).expect("read"), Some, Micros(0));
     let now = START + Micros::millis(100);
     for (session, wanted) in [(9, 1), (8, 3)] {
-        let (_, decision) = after.pick(now, request(1, session, LONG));
+        let (_, decision) = after.pick(now, request(1, session, TIME_LEFT));
         assert!(
             matches!(decision, RoutingDecision::Send { member: MemberId(to), .. } if to == wanted),
             "{decision:?}"
         );
     }
-    // What is told later counts as well.
+    // A commit that is reported after the restore counts as well.
     after.record_commit(GroupId(1), SessionKey(8), now);
-    let (_, decision) = after.pick(now, request(1, 8, LONG));
+    let (_, decision) = after.pick(now, request(1, 8, TIME_LEFT));
     assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
     assert_eq!(after.endpoint_counts(), EndpointCounts { listed: 3, ejected: 1 });
 }
 
-/// Guards room at members whose answers flow: their work is done, and a slow reader must not keep
-/// others waiting. The end of the answer is booked once, and a write's commit binds its session though
-/// its request was closed at the first byte.
+/// Guards the capacity of members whose responses stream: the member's work is done, and a client that reads slowly
+/// must not block other requests. The end of the response is counted once. The commit of a streamed write still
+/// counts for its session, although the request is closed for the balancer at the first byte.
 #[test]
 fn a_member_has_capacity_again_once_its_response_streams() {
     let mut balancer = balancer(true);
@@ -430,8 +430,8 @@
         );
     }
     let mut out = Vec::new();
-    let held = loop {
-        match balancer.pick(START, request(0, 1, LONG)) {
+    let queued = loop {
+        match balancer.pick(START, request(0, 1, TIME_LEFT)) {
             (request_id, RoutingDecision::Send { member, .. }) => out.push((request_id, member)),
             (request_id, _) => break request_id,
         }
@@ -440,30 +440,31 @@
         assert!(balancer.start_streaming(START, *request_id));
     }
     let placed = std::iter::from_fn(|| balancer.poll_output(START)).any(
-        |output| matches!(output, Output::Decision(request_id, RoutingDecision::Send { .. }) if request_id == held),
+        |output| matches!(output, Output::Decision(request_id, RoutingDecision::Send { .. }) if request_id == queued),
     );
-    assert!(placed, "the one that was held goes out while the answers still flow");
+    assert!(placed, "the queued request is sent while the responses still stream");
     let late = START + Micros::millis(5_000);
     for (request_id, member) in out {
-        balancer.handle_client_gone(START, held);
+        balancer.handle_client_gone(START, queued);
         assert_eq!(
             balancer.handle_outcome(late, request_id, answer(ResponseStatus::Served, member, START)),
             RoutingDecision::Queued
         );
     }
-    let (write, decision) = balancer.pick(late, request(3, 5, LONG));
+    let (write, decision) = balancer.pick(late, request(3, 5, TIME_LEFT));
     assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
     assert!(balancer.start_streaming(late, write));
     balancer.handle_outcome(late, write, answer(ResponseStatus::Served, MemberId(1), late));
-    assert!(!balancer.start_streaming(late, write), "it has ended");
-    let (_, decision) = balancer.pick(late, request(1, 5, LONG));
+    assert!(!balancer.start_streaming(late, write), "the request is finished");
+    let (_, decision) = balancer.pick(late, request(1, 5, TIME_LEFT));
     assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
 }
 
-/// Guards slow start where the time of day of this machine is off: a host whose start the list tells is cold or warm by the
-/// databases' time, as soon as a primary has told it, whether its start seems to lie ahead, or long ago.
+/// Guards slow start when the wall clock of this machine is wrong: the age of a host, from the start time in the
+/// endpoint list, is computed by the log time as soon as a primary has reported it. By this machine's clock the start
+/// may seem to be in the future or long ago.
 #[test]
-fn a_host_is_in_slow_start_by_the_time_of_the_databases() {
+fn slow_start_depends_on_the_log_time() {
     let now = Micros::millis(20_000_000);
     for off in [-3_600_000_000i64, -3_000_000, 0, 3_000_000, 3_600_000_000] {
         let start = now;
@@ -480,12 +481,12 @@
                 ..Endpoint::default()
             };
             balancer.update_endpoints(now, true, (1..=3).map(entry).collect());
-            // One to start from, and as many proofs as are asked for where the time of day is off by much.
+            // The first response is the starting point; a clock that is far off takes several more as evidence.
             for _ in 0..4 {
-                let (request_id, decision) = balancer.pick(now, request(0, 1, LONG));
+                let (request_id, decision) = balancer.pick(now, request(0, 1, TIME_LEFT));
                 assert!(
                     matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
-                    "off by {off}: {decision:?}"
+                    "clock off by {off} us: {decision:?}"
                 );
                 balancer.handle_outcome(
                     now,
@@ -503,29 +504,31 @@
             }
             let mut sent = BTreeMap::new();
             for _ in 0..8 {
-                if let (_, RoutingDecision::Send { member, .. }) = balancer.pick(now, request(0, 1, LONG)) {
+                if let (_, RoutingDecision::Send { member, .. }) =
+                    balancer.pick(now, request(0, 1, TIME_LEFT))
+                {
                     *sent.entry(member.0).or_insert(0) += 1;
                 }
             }
-            assert!(sent.contains_key(&3), "off by {off}: {sent:?}");
-            assert_eq!(sent.contains_key(&2), !cold, "off by {off}, {age:?} old: {sent:?}");
+            assert!(sent.contains_key(&3), "clock off by {off} us: {sent:?}");
+            assert_eq!(sent.contains_key(&2), !cold, "clock off by {off} us, host up for {age:?}: {sent:?}");
         }
     }
 }
 
-/// Guards session reads of a gateway that was held up for 0.15 s between its clock and the answer to a write: the commit is of
-/// later than its clock shows, and is what the session has to see all the same.
+/// Guards session reads after a gateway was delayed for up to 0.15 s between reading its clock and receiving the
+/// response to a write: the commit is later than its clock shows, and the session must see it nevertheless.
 #[test]
-fn a_commit_received_while_the_gateway_was_held_up_counts_as_it_was_reported() {
-    for held in [1, 10, 60, 100, 149] {
+fn a_commit_ahead_of_the_clock_of_a_delayed_gateway_counts() {
+    for delay_ms in [1, 10, 60, 100, 149] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
-        let (write, decision) = balancer.pick(now, request(3, 7, LONG));
+        let (write, decision) = balancer.pick(now, request(3, 7, TIME_LEFT));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
-        let commit = now + Micros::millis(held);
+        let commit = now + Micros::millis(delay_ms);
         balancer.handle_outcome(now, write, answer(ResponseStatus::Served, MemberId(1), commit));
-        // Surveys of the family pass meanwhile.
+        // Refreshes of the group's members take place in the meantime.
         for _ in 0..30 {
             now = now + Micros::millis(5);
             while balancer.poll_output(now).is_some() {}
@@ -538,46 +541,46 @@
                 answer(ResponseStatus::Served, MemberId(member), before),
             );
         }
-        let (_, decision) = balancer.pick(now, request(1, 7, LONG));
+        let (_, decision) = balancer.pick(now, request(1, 7, TIME_LEFT));
         assert!(
             matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
-            "held for {held} ms: {decision:?}"
+            "delayed by {delay_ms} ms: {decision:?}"
         );
     }
 }
 
-/// Guards bounded reads after an answer of the primary whose position was spoilt: later, as a replica that is far behind, it is
-/// not taken for as fresh as that said.
+/// Guards bounded reads after a response of the primary with a wrong position, ahead of its log: once that member is a
+/// replica that lags far behind, it must not be considered as fresh as the wrong position.
 #[test]
-fn a_wrong_position_of_the_primary_is_not_believed_of_it_later() {
-    for beyond in [200, 2_000, 3_600_000] {
+fn a_wrong_position_of_the_primary_is_not_used_once_it_is_a_replica() {
+    for ahead_ms in [200, 2_000, 3_600_000] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
         let mut now = START + Micros::millis(5);
-        let (request_id, _) = balancer.pick(now, request(2, 1, LONG));
-        let spoilt = now + Micros::millis(beyond);
-        balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, MemberId(1), spoilt));
+        let (request_id, _) = balancer.pick(now, request(2, 1, TIME_LEFT));
+        let wrong_position = now + Micros::millis(ahead_ms);
+        balancer.handle_outcome(now, request_id, answer(ResponseStatus::Served, MemberId(1), wrong_position));
         now = now + Micros::millis(700);
         while balancer.poll_output(now).is_some() {}
-        // A write tells that it is a replica now, 700 ms behind.
-        let (request_id, decision) = balancer.pick(now, request(3, 1, LONG));
+        // The response to a write reports that it is now a replica, 700 ms behind.
+        let (request_id, decision) = balancer.pick(now, request(3, 1, TIME_LEFT));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }), "{decision:?}");
-        let (said, role, position) =
+        let (status, role, position) =
             (ResponseStatus::Unsuitable, Some(Role::Replica), Some(START + Micros::millis(5)));
-        balancer.handle_outcome(now, request_id, AttemptOutcome::Response { status: said, role, position });
-        let (_, decision) = balancer.pick(now, request(0, 2, LONG));
+        balancer.handle_outcome(now, request_id, AttemptOutcome::Response { status, role, position });
+        let (_, decision) = balancer.pick(now, request(0, 2, TIME_LEFT));
         assert!(
             !matches!(decision, RoutingDecision::Send { member: MemberId(1), .. }),
-            "{beyond} ms: {decision:?}"
+            "{ahead_ms} ms ahead: {decision:?}"
         );
     }
 }
 
-/// Guards hosts from what is this gateway's own doing: a read that was written too late is asked elsewhere, and nothing is held
-/// against the host; one that may not be repeated fails, since it may have run.
+/// Guards hosts against blame for delays of this gateway: a read that was written too late is retried at another
+/// member, and the host is not ejected. (A request that must not be retried would fail, since it may have run.)
 #[test]
 fn a_read_that_was_written_too_late_is_retried_elsewhere() {
-    for late in [10, 150, 2_000] {
+    for delay_ms in [10, 150, 2_000] {
         let mut balancer = balancer(true);
         prove_log_time(&mut balancer);
         let now = START + Micros::millis(2);
@@ -592,13 +595,13 @@
         let (request_id, decision) = balancer.pick(now, request(0, 1, Micros::millis(5_000)));
         assert!(matches!(decision, RoutingDecision::Send { member: MemberId(2 | 3), .. }), "{decision:?}");
         assert!(balancer.is_fresh_enough(now, request_id));
-        let written = now + Micros::millis(late);
-        assert!(!balancer.is_fresh_enough(written, request_id), "{late} ms");
+        let written = now + Micros::millis(delay_ms);
+        assert!(!balancer.is_fresh_enough(written, request_id), "written {delay_ms} ms late");
         let failed =
             FailedAttempt { progress: AttemptProgress::FullyWritten, cause: FailureCause::WrittenTooLate };
         let decision = balancer.handle_outcome(now, request_id, AttemptOutcome::NoResponse(failed));
-        let asked_elsewhere = matches!(decision, RoutingDecision::Send { .. } | RoutingDecision::Queued);
-        assert!(asked_elsewhere, "{decision:?}");
-        assert_eq!(balancer.endpoint_counts().ejected, 0, "nobody is ejected");
+        let is_retried = matches!(decision, RoutingDecision::Send { .. } | RoutingDecision::Queued);
+        assert!(is_retried, "{decision:?}");
+        assert_eq!(balancer.endpoint_counts().ejected, 0, "no member is ejected");
     }
 }
--- a/tests/input_files.rs
+++ b/tests/input_files.rs
@@ -1,5 +1,5 @@
-//! The files that operators write: what each key means, and what is said of a file that cannot be used, word for word.
-//! The files under `tests/fixtures` stay as they are.
+//! Tests of the files that operators write: the meaning of each key, and the exact error messages of unusable files.
+//! The files under `tests/fixtures` must not change.
 
 use std::path::Path;
 
@@ -40,30 +40,30 @@
     Idempotency::IdempotencyKey { scope, window: ms(window) }
 }
 
-/// Guards the meaning of every key of the configuration.
+/// Guards the mapping of every key of the configuration.
 #[test]
-fn each_key_of_the_configuration_goes_where_it_belongs() {
+fn each_key_of_the_configuration_sets_its_field() {
     let mut zones = Zones::default();
     zones.id("a".to_string());
     let text = fixture("configuration-v1.json");
-    let mut in_force = ActiveConfig::default();
-    let taken = in_force.replace(text.clone(), &mut zones).expect("usable");
-    assert_eq!(in_force.text(), text);
-    let file = &taken.file;
+    let mut active = ActiveConfig::default();
+    let loaded = active.replace(text.clone(), &mut zones).expect("usable");
+    assert_eq!(active.text(), text);
+    let file = &loaded.file;
     assert_eq!((file.name.as_str(), file.listen.as_str()), ("gw-a-1", "127.0.0.1:6432"));
     assert_eq!(
         (file.admin_addr.as_deref(), file.discovery.as_str()),
         (Some("127.0.0.1:6433"), "10.0.0.9:7000")
     );
-    assert_eq!((taken.discovery.to_string().as_str(), taken.seed), ("10.0.0.9:7000", 0x1fa));
+    assert_eq!((loaded.discovery.to_string().as_str(), loaded.seed), ("10.0.0.9:7000", 0x1fa));
     assert_eq!((file.limits.sockets, file.limits.memory_mb), (200, 48));
     assert_eq!((file.known.len(), file.known.groups().collect::<Vec<_>>()), (3, vec![1, 1, 2]));
 
-    let site = &taken.settings;
+    let site = &loaded.settings;
     assert_eq!(site.class_names, ["any", "fresh", "own", "recent", "store"]);
     assert_eq!(site.tenant_names, ["t-1", "t-2"]);
     assert_eq!((site.positions_from, site.connect_timeout), (ms(16.0), ms(21.0)));
-    let wanted = Settings {
+    let expected = Settings {
         classes: vec![
             class([1.5, 2.0], 1.25, 0.0, Idempotency::Idempotent, Consistency::Eventual),
             class([3.0, 4.0], 0.0, 0.5, Idempotency::NonIdempotent, Consistency::Strong),
@@ -105,17 +105,17 @@
         overload_multiple: 30.5,
         overload_window: ms(28.0),
     };
-    assert_eq!(format!("{:?}", site.router), format!("{wanted:?}"));
+    assert_eq!(format!("{:?}", site.router), format!("{expected:?}"));
 }
 
-/// Guards what holds where a key may be missing and is.
+/// Guards the defaults of the optional keys.
 #[test]
-fn a_key_that_may_be_missing_has_its_default() {
+fn an_optional_key_has_its_default() {
     let text = fixture("configuration-least-v1.json");
-    let taken = ActiveConfig::default().replace(text, &mut Zones::default()).expect("usable");
-    assert_eq!((taken.file.admin_addr, taken.file.limits.memory_mb), (None, 0));
-    assert_eq!((taken.settings.positions_from, taken.settings.connect_timeout), (Micros(0), Micros(0)));
-    let wanted = Settings {
+    let loaded = ActiveConfig::default().replace(text, &mut Zones::default()).expect("usable");
+    assert_eq!((loaded.file.admin_addr, loaded.file.limits.memory_mb), (None, 0));
+    assert_eq!((loaded.settings.positions_from, loaded.settings.connect_timeout), (Micros(0), Micros(0)));
+    let expected = Settings {
         classes: vec![class([1.0, 2.0], 1.0, 0.0, Idempotency::Idempotent, Consistency::Eventual)],
         tenants: Vec::new(),
         over_quota_weight: 0.0,
@@ -145,36 +145,36 @@
         overload_multiple: 2.0,
         overload_window: ms(7.0),
     };
-    assert_eq!(format!("{:?}", taken.settings.router), format!("{wanted:?}"));
+    assert_eq!(format!("{:?}", loaded.settings.router), format!("{expected:?}"));
 }
 
-/// Guards the meaning of every key of the project's own settings, and of a file without any.
+/// Guards the mapping of every key of the settings file, and the defaults of an empty file.
 #[test]
-fn each_key_of_the_settings_goes_where_it_belongs() {
-    let place = |name: &str, address: &str| NamedAddress {
+fn each_key_of_the_settings_sets_its_field() {
+    let member = |name: &str, address: &str| NamedAddress {
         name: name.to_string(),
         address: address.parse().expect("an address"),
     };
-    let machine = |zone: &str, name: &str, address: &str| {
-        let machine = ControlServerInfo { name: name.to_string(), zone: zone.to_string() };
-        (machine, address.parse().expect("an address"))
+    let server = |zone: &str, name: &str, address: &str| {
+        let info = ControlServerInfo { name: name.to_string(), zone: zone.to_string() };
+        (info, address.parse().expect("an address"))
     };
     let fleet = FleetSettings {
         name: Some("shop".to_string()),
         listen: Some("127.0.0.1:7100".parse().expect("an address")),
         voters: vec![
-            place("gw-1", "10.0.0.1:7100"),
-            place("gw-2", "10.0.0.2:7100"),
-            place("gw-3", "10.0.0.3:7100"),
+            member("gw-1", "10.0.0.1:7100"),
+            member("gw-2", "10.0.0.2:7100"),
+            member("gw-3", "10.0.0.3:7100"),
         ],
-        seeds: vec![place("gw-4", "10.0.0.4:7100")],
+        seeds: vec![member("gw-4", "10.0.0.4:7100")],
         size: 30,
         lease_ms: 4000,
         probe_ms: 600,
         file: Some("/var/lib/dunemount/voter".into()),
     };
     let control = ControlSettings {
-        servers: vec![machine("a", "cm-1", "10.0.1.1:7200"), machine("b", "cm-2", "10.0.1.2:7200")],
+        servers: vec![server("a", "cm-1", "10.0.1.1:7200"), server("b", "cm-2", "10.0.1.2:7200")],
         zone: Some("a".to_string()),
         file: Some("/var/lib/dunemount/version".into()),
         line: 15,
@@ -188,7 +188,7 @@
     assert_eq!(none, LocalSettings::default());
 }
 
-/// Settings that cannot be used, of which each says something else.
+/// Unusable settings, each with a different error.
 const BAD_SETTINGS: [&str; 30] = [
     "nothing",
     "[cores]\ncount = 2\nnothing\n",
@@ -222,28 +222,28 @@
     "[control]\nmachines = a/cm-1@127.0.0.1:1\n",
 ];
 
-/// Guards what is said of settings that cannot be used, and of which line.
+/// Guards the messages and lines of errors in unusable settings.
 #[test]
-fn faults_of_the_settings_keep_their_words() {
+fn errors_of_the_settings_keep_their_messages() {
     let long = format!("[fleet]\nname = {}\n", "x".repeat(65));
     let machines: Vec<String> = (0..17).map(|n| format!("a/m{n}@127.0.0.1:{}", n + 1)).collect();
     let many = format!("[control]\nmachines = {}\n", machines.join(","));
     let all = BAD_SETTINGS.into_iter().chain([long.as_str(), many.as_str()]);
-    let faults: Vec<String> = all
+    let errors: Vec<String> = all
         .map(|text| LocalSettings::parse(text).expect_err("unusable").in_file("FILE").to_string() + "\n")
         .collect();
-    assert_eq!(faults.concat(), fixture("settings-faults-v1.txt"));
+    assert_eq!(errors.concat(), fixture("settings-faults-v1.txt"));
 }
 
-/// Guards what is said of settings that name control machines but not all that a gateway needs with them.
+/// Guards the messages for settings that have control servers but lack other keys that a gateway then requires.
 #[test]
-fn faults_of_a_gateway_with_control_machines_keep_their_words() {
+fn errors_of_a_gateway_with_control_servers_keep_their_messages() {
     let fleet = "[fleet]\nname = shop\nlisten = 127.0.0.1:1\nvoters = gw-1@127.0.0.1:1\n";
     let options = |rest: &str| {
         LocalSettings::parse(&format!("{fleet}[control]\nmachines = a/cm-1@127.0.0.1:2\n{rest}"))
             .expect("usable")
     };
-    let faults = [
+    let errors = [
         options("").control.follower().expect_err("no zone").in_file("FILE").to_string(),
         options("zone = a\n").control.follower().expect_err("no file").in_file("FILE").to_string(),
         options("").control.version_file().expect_err("no file").in_file("FILE").to_string(),
@@ -256,20 +256,20 @@
             .to_string(),
         options("").fleet.voter("gw-1").expect_err("no file").to_string(),
     ];
-    assert_eq!(faults.join("\n") + "\n", fixture("control-faults-v1.txt"));
+    assert_eq!(errors.join("\n") + "\n", fixture("control-faults-v1.txt"));
 }
 
-/// Guards what is said of a configuration that cannot be used, and of which line.
+/// Guards the messages and lines of errors in unusable configurations.
 #[test]
-fn faults_of_the_configuration_keep_their_words() {
-    let good: Value = serde_json::from_str(&fixture("configuration-v1.json")).expect("JSON");
+fn errors_of_the_configuration_keep_their_messages() {
+    let valid: Value = serde_json::from_str(&fixture("configuration-v1.json")).expect("JSON");
     let with = |pointer: &str, value: Value| {
-        let mut bad = good.clone();
+        let mut bad = valid.clone();
         *bad.pointer_mut(pointer).expect("a key") = value;
         format!("{bad:#}")
     };
     let without = |parent: &str, key: &str| {
-        let mut bad = good.clone();
+        let mut bad = valid.clone();
         let parent = bad.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
         parent.remove(key).expect("a key");
         format!("{bad:#}")
@@ -296,24 +296,24 @@
         without("/settings", "Zone"),
         without("/settings/Safety", "ColdMs"),
     ];
-    let fault = |text: &String| {
-        let fault =
+    let error = |text: &String| {
+        let error =
             ActiveConfig::default().replace(text.clone(), &mut Zones::default()).err().expect("unusable");
-        let alone = fault.to_string();
-        format!("{}\n{alone}\n", fault.in_file("FILE"))
+        let without_path = error.to_string();
+        format!("{}\n{without_path}\n", error.in_file("FILE"))
     };
-    let mut faults: Vec<String> = texts.iter().map(fault).collect();
-    let mut in_force = ActiveConfig::default();
-    in_force.replace(format!("{good:#}"), &mut Zones::default()).expect("usable");
-    let fewer = [
+    let mut errors: Vec<String> = texts.iter().map(error).collect();
+    let mut active = ActiveConfig::default();
+    active.replace(format!("{valid:#}"), &mut Zones::default()).expect("usable");
+    let with_removed_keys = [
         without("", "admin_addr"),
         without("/settings/Clients", "MarksRetry"),
         without("/settings/Classes/2", "Effect"),
         without("/settings/Tenants/0", "QuotaPerS"),
     ];
-    for text in fewer {
-        let fault = in_force.replace(text, &mut Zones::default()).err().expect("a key has vanished");
-        faults.push(fault.in_file("FILE").to_string() + "\n");
+    for text in with_removed_keys {
+        let error = active.replace(text, &mut Zones::default()).err().expect("a key was removed");
+        errors.push(error.in_file("FILE").to_string() + "\n");
     }
-    assert_eq!(faults.concat(), fixture("configuration-faults-v1.txt"));
+    assert_eq!(errors.concat(), fixture("configuration-faults-v1.txt"));
 }
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -1,4 +1,5 @@
-//! New settings at SIGHUP: files taken whole or not at all, and classes that change under open requests.
+//! Tests of new settings at SIGHUP: a file takes effect completely or not at all, and classes may change while
+//! requests of them are in flight.
 
 mod harness;
 
@@ -11,16 +12,16 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
 
-/// Guards against half a file: whatever is missing or cannot be, nothing of it counts, the figures say
-/// so, and the classes in force go on.
+/// Guards against a file that takes effect in part: if a key is missing or unusable, the file is ignored and counted as
+/// rejected, and the classes in force stay.
 #[test]
 fn a_broken_file_changes_nothing() {
     let mut harness = Harness::start(200);
-    let whole = harness.text.clone();
+    let full_text = harness.text.clone();
     let none: [Option<Value>; 1] = [None];
     let broken: Vec<String> = [
         String::new(),
-        whole[..whole.len() / 2].to_string(),
+        full_text[..full_text.len() / 2].to_string(),
         "[]".to_string(),
         harness.with("/settings", None),
         harness.with("/listen", None),
@@ -48,7 +49,7 @@
     .collect();
     let count = broken.len() as u64;
     for text in broken {
-        // A class that only the broken file names tells whether anything of it was taken.
+        // A class that only the broken file has shows whether a part of it took effect.
         harness.retune(&text.replace("\"look\"", "\"glance\""));
     }
     while figure(harness.admin, "config_rejected") < count {}
@@ -61,17 +62,18 @@
     harness.end();
 }
 
-/// Guards a new class: it is served under its own rules at once, with counts of its own, while a request
-/// of the class that it replaces is still open and gets its answer.
+/// Guards a new class: requests of it are served by its settings and counted separately at once, while a request of
+/// the class that it replaces is still in flight and is answered.
 #[test]
-fn new_classes_count_at_once_and_open_requests_keep_theirs() {
+fn new_classes_apply_at_once_and_requests_in_flight_keep_theirs() {
     let mut harness = Harness::start(200);
     let mut busy = harness.client();
     busy.ask(&read("held"));
     while !harness.heard.recv().expect("heard").contains("'held'") {}
     let mut config: Value = serde_json::from_str(&harness.text).expect("json");
     let classes = &mut config["settings"]["Classes"];
-    // The first name now stands for an unsafe write, and the second is dropped for another.
+    // The first class is renamed, its old name now stands for a write that is not idempotent, and the second class is
+    // removed.
     classes[0]["Name"] = json!("glance");
     classes[1] = json!({"Name": "look", "AimMs": 30000.0, "DeadlineMs": 30000.0, "Value": 1.0,
         "Effect": "non_idempotent"});
@@ -81,7 +83,7 @@
     for (text, frames) in [
         (read("k").replace("c=look", "c=glance"), 4),
         (write("k").replace("c=store", "c=look"), 4),
-        // May have run, and may not be repeated: one attempt, then failed.
+        // May have run and must not be retried: one attempt, then an error.
         (write("first-breaks").replace("c=store", "c=look"), 2),
         (read("k"), 2),
     ] {
@@ -89,7 +91,7 @@
         assert_eq!(client.answer().len(), frames, "{text}");
     }
     harness.mood.released.store(true, Ordering::SeqCst);
-    assert_eq!(busy.answer().len(), 4, "under the rules it came with");
+    assert_eq!(busy.answer().len(), 4, "by the settings of the class at its arrival");
     for (name, value) in [("glance.ok", 1), ("look.ok", 2), ("look.tries", 3), ("store.ok", 0)] {
         assert_eq!(figure(harness.admin, &format!("responses.{name}")), value, "{name}");
     }
@@ -111,17 +113,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards the numbers of classes: while a request bears one it keeps its rules, every named class has
-    /// the rules that the last file gave it, and numbers nobody bears are used again.
+    /// Guards the ids of classes: while a request in flight has an id, its class stays the same; every class in the
+    /// last file has that file's settings; and ids that nothing uses are assigned again.
     #[test]
-    fn numbers_keep_their_meaning_while_they_are_borne(
+    fn ids_keep_their_classes_while_requests_use_them(
         files in prop::collection::vec((prop::collection::btree_map(0..5u8, 0..4u8, 1..5), 0..5u8, any::<bool>()), 1..40),
     ) {
         let (mut classes, mut now, mut open) = (Classes::default(), Micros(0), Vec::<(ClassId, Class)>::new());
         for (file, ask, ends) in files {
             now = now + Micros::millis(700);
             let new: Vec<_> = file.iter().map(|(name, rule)| (name.to_string(), class(*rule))).collect();
-            let table = classes.update(now, new, |id| open.iter().any(|(borne, _)| *borne == id));
+            let table = classes.update(now, new, |id| open.iter().any(|(used, _)| *used == id));
             for (id, rules) in &open {
                 prop_assert_eq!(&table[id.0], rules);
             }
@@ -129,7 +131,7 @@
                 let id = classes.id(now, &name.to_string()).expect("named");
                 prop_assert_eq!(&table[id.0], &class(*rule));
             }
-            prop_assert!(table.len() <= 10 + open.len() + 15, "numbers are never given back");
+            prop_assert!(table.len() <= 10 + open.len() + 15, "ids are not used again");
             if ends && !open.is_empty() {
                 open.remove(0);
             }
