--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -194,8 +194,8 @@
         Snapshot { groups: self.groups.clone(), pool: self.listed.clone(), router: self.router.snapshot() }
     }
 
-    /// Restores the state of another process. `previous_class` returns the id that a class of this process had there;
-    /// `clock_error` is the largest possible difference between the clocks of the two processes.
+    /// Restores the state of another process. `previous_class` returns the id that a class of this process had at the
+    /// other one; `clock_error` is the largest possible difference between the clocks of the two processes.
     pub fn restore(
         &mut self,
         snapshot: Snapshot,
@@ -297,7 +297,7 @@
     }
 
     /// Processes the outcome of the attempt in flight. A request that was served, or whose response streams, is
-    /// finished; for any other the decision says what to do next.
+    /// finished; for any other the caller carries out the returned decision.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
--- a/tests/input_files.rs
+++ b/tests/input_files.rs
@@ -183,9 +183,12 @@
         LocalSettings::parse(&fixture("settings-v1.ini")),
         Ok(LocalSettings { cores: 8, fleet, control })
     );
-    let none = LocalSettings::parse("").expect("usable");
-    assert_eq!((none.cores, none.fleet.size, none.fleet.lease_ms, none.fleet.probe_ms), (1, 3, 3_000, 500));
-    assert_eq!(none, LocalSettings::default());
+    let defaults = LocalSettings::parse("").expect("usable");
+    assert_eq!(
+        (defaults.cores, defaults.fleet.size, defaults.fleet.lease_ms, defaults.fleet.probe_ms),
+        (1, 3, 3_000, 500)
+    );
+    assert_eq!(defaults, LocalSettings::default());
 }
 
 /// Unusable settings, each with a different error.
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -18,7 +18,7 @@
 fn a_broken_file_changes_nothing() {
     let mut harness = Harness::start(200);
     let full_text = harness.text.clone();
-    let none: [Option<Value>; 1] = [None];
+    let removed: [Option<Value>; 1] = [None];
     let broken: Vec<String> = [
         String::new(),
         full_text[..full_text.len() / 2].to_string(),
@@ -34,7 +34,8 @@
     ]
     .into_iter()
     .chain(
-        none.into_iter()
+        removed
+            .into_iter()
             .chain([-4, 0].map(|n| Some(json!(n))))
             .chain([Some(json!("x")), Some(json!(null))])
             .flat_map(|bad| {
