--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,7 +38,7 @@
         /// How long to wait for the response.
         timeout: Micros,
     },
-    /// The request waits; a later [`Output::Decision`] follows.
+    /// The request waits; a later [`Output::Decision`] follows. For a finished request: there is no decision.
     Queued,
     /// Final answer: rejected; the client may safely retry.
     Reject {
