--- a/src/startup.rs
+++ b/src/startup.rs
@@ -15,7 +15,7 @@
 
 use crate::cli::{LogFormat, ServeArgs};
 use crate::config::version::ConfigSource;
-use crate::config::{address, AddressError, ConfigError, LoadedConfig};
+use crate::config::{parse_address, AddressError, ConfigError, LoadedConfig};
 use crate::fleet::event_loop::{self as fleet_event_loop, FleetThread};
 use crate::fleet::node_settings::NodeStart;
 use crate::fleet::rollout::gateway::{self, FollowerThread};
@@ -26,7 +26,7 @@
 use crate::settings::Zones;
 use crate::settings_file::{LoadError, SettingsFile, SettingsFileError};
 use crate::shortage::START_RETRY_TIMEOUT;
-use crate::text_file::{self, InFile, ReadError};
+use crate::text_file::{self, ReadError, TextFileError};
 
 mod initial_config;
 pub mod signals;
@@ -46,7 +46,7 @@
     Read(#[from] ReadError),
     /// The configuration cannot be used, and there is no process to take over from.
     #[error(transparent)]
-    Config(#[from] InFile<ConfigError>),
+    Config(#[from] TextFileError<ConfigError>),
     /// An address cannot be used.
     #[error(transparent)]
     Address(#[from] AddressError),
@@ -55,7 +55,7 @@
     Load(#[from] LoadError),
     /// The settings lack what this gateway needs.
     #[error(transparent)]
-    Settings(#[from] InFile<SettingsFileError>),
+    Settings(#[from] TextFileError<SettingsFileError>),
     /// The fleet's node does not start.
     #[error("cannot join the fleet: {0}")]
     JoinFleet(#[source] io::Error),
@@ -162,11 +162,11 @@
                 fleet: settings.fleet.name.clone().unwrap_or_default(),
                 name: self.name.clone(),
                 zone: own.zone.to_string(),
-                servers: settings.control.machines.iter().map(|(server, _)| server.clone()).collect(),
+                servers: settings.control.servers.iter().map(|(server, _)| server.clone()).collect(),
                 timeouts: Timeouts::default(),
                 seed: random_seed(),
             },
-            addresses: settings.control.machines.iter().map(|(_, address)| *address).collect(),
+            addresses: settings.control.servers.iter().map(|(_, address)| *address).collect(),
             file: own.file.to_path_buf(),
             in_force: self.initial.version.as_ref().map(Document::version),
             board: fleet.status.clone(),
@@ -180,7 +180,7 @@
         addresses: &Addresses,
         fleet: Option<SharedStatus>,
     ) -> (Config, ConfigSource) {
-        let InitialConfig { loaded, active, zones, own_text, version, .. } = self.initial;
+        let InitialConfig { loaded, active, zones, file_text, version, .. } = self.initial;
         let config = Config {
             listen: addresses.listen,
             admin: addresses.admin,
@@ -198,7 +198,7 @@
         };
         let source = ConfigSource {
             path: self.path,
-            own_text,
+            file_text,
             active,
             version,
             configured_discovery: loaded.discovery,
@@ -218,13 +218,13 @@
 impl Addresses {
     fn of(loaded: &LoadedConfig) -> Result<Addresses, AddressError> {
         let address_of = |name, configured: &str| match variable(name) {
-            Some(text) => address(name, &text),
-            None => address(name, configured),
+            Some(text) => parse_address(name, &text),
+            None => parse_address(name, configured),
         };
         let admin = variable("GW_ADMIN_ADDR").or_else(|| loaded.file.admin_addr.clone());
         Ok(Addresses {
             listen: address_of("GW_LISTEN", &loaded.file.listen)?,
-            admin: admin.map(|text| address("GW_ADMIN_ADDR", &text)).transpose()?,
+            admin: admin.map(|text| parse_address("GW_ADMIN_ADDR", &text)).transpose()?,
             discovery: address_of("GW_DISCOVERY", &loaded.file.discovery)?,
         })
     }
--- a/src/text_file.rs
+++ b/src/text_file.rs
@@ -1,4 +1,4 @@
-//! Text files that operators write: how they are read, and errors that name the file and the line.
+//! Reads text files written by operators; error types that show the file and the line.
 
 use std::error::Error;
 use std::fmt;
@@ -14,62 +14,63 @@
 pub struct ReadError {
     /// The file.
     pub path: PathBuf,
-    /// Why not.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
 impl ReadError {
-    /// Whether the file may be readable soon: the error says nothing of what it holds.
+    /// Whether a retry may succeed soon: the cause is a shortage of this machine or a passing fault of the file
+    /// system, not the file's content.
     pub fn is_transient(&self) -> bool {
         is_transient_file_error(&self.source)
     }
 }
 
-/// Reads a whole file.
+/// Reads a file once.
 ///
 /// # Errors
-/// It cannot be read, perhaps only at this moment.
+/// The file cannot be read; [`ReadError::is_transient`] tells whether a retry may succeed.
 pub fn read(path: &Path) -> Result<String, ReadError> {
     std::fs::read_to_string(path).map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
-/// Reads a whole file, and retries for so long where it cannot be read at this moment.
+/// Reads a file and retries transient errors until the timeout.
 ///
 /// # Errors
-/// That of the last attempt.
+/// The error of the last attempt.
 pub fn read_within(timeout: Duration, path: &Path) -> Result<String, ReadError> {
     let attempt = || std::fs::read_to_string(path);
     retry(Instant::now() + timeout, is_transient_file_error, attempt)
         .map_err(|source| ReadError { path: path.to_path_buf(), source })
 }
 
-/// An error in a text, and its line.
+/// An error in a text, with its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AtLine<E> {
-    /// The line, counted from 1; zero for the text as a whole.
+pub struct LineError<E> {
+    /// The line, counted from 1; zero if the error has no line.
     pub line: usize,
-    /// What is wrong there.
+    /// The error.
     pub error: E,
 }
 
-impl<E> AtLine<E> {
-    /// An error at a line.
-    pub fn new(line: usize, error: impl Into<E>) -> AtLine<E> {
-        AtLine { line, error: error.into() }
+impl<E> LineError<E> {
+    /// Creates an error on a line, counted from 1.
+    pub fn new(line: usize, error: impl Into<E>) -> LineError<E> {
+        LineError { line, error: error.into() }
     }
 
-    /// An error of the text as a whole.
-    pub fn whole(error: impl Into<E>) -> AtLine<E> {
-        AtLine::new(0, error)
+    /// Creates an error that concerns no particular line.
+    pub fn without_line(error: impl Into<E>) -> LineError<E> {
+        LineError::new(0, error)
     }
 
-    /// Names the file that holds the text.
-    pub fn in_file(self, path: impl AsRef<Path>) -> InFile<E> {
-        InFile { path: path.as_ref().to_path_buf(), error: self }
+    /// Adds the path of the file that contains the text.
+    pub fn in_file(self, path: impl AsRef<Path>) -> TextFileError<E> {
+        TextFileError { path: path.as_ref().to_path_buf(), error: self }
     }
 }
 
-impl<E: fmt::Display> fmt::Display for AtLine<E> {
+impl<E: fmt::Display> fmt::Display for LineError<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => self.error.fmt(f),
@@ -78,24 +79,24 @@
     }
 }
 
-impl<E: Error + 'static> Error for AtLine<E> {
+impl<E: Error + 'static> Error for LineError<E> {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         Some(&self.error)
     }
 }
 
-/// An error in a file: its name, the line if there is one, what is wrong.
+/// An error in a text file. The message shows the path, the line if there is one, and the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InFile<E> {
+pub struct TextFileError<E> {
     /// The file.
     pub path: PathBuf,
-    /// What is wrong with it, and where.
-    pub error: AtLine<E>,
+    /// The error and its line.
+    pub error: LineError<E>,
 }
 
-impl<E: fmt::Display> fmt::Display for InFile<E> {
+impl<E: fmt::Display> fmt::Display for TextFileError<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (path, AtLine { line, error }) = (self.path.display(), &self.error);
+        let (path, LineError { line, error }) = (self.path.display(), &self.error);
         match line {
             0 => write!(f, "{path}: {error}"),
             line => write!(f, "{path}:{line}: {error}"),
@@ -103,7 +104,7 @@
     }
 }
 
-impl<E: Error + 'static> Error for InFile<E> {
+impl<E: Error + 'static> Error for TextFileError<E> {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         Some(&self.error.error)
     }
