--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,8 +1,9 @@
 //! The router: the state of the decision module and the dispatch of its events. Its types, events and actions
 //! are in `src/api.rs`; each module below makes one kind of decision.
 //!
-//! The usual case: a read goes to a replica whose last known log position covers the read's token or bound,
-//! drawn at random by weight and load, the primary excluded. If there is none, it goes to the primary.
+//! The usual case: a read goes to a replica whose last known log position covers the read's session token or
+//! staleness bound, drawn at random by weight and load, the primary excluded. If there is no such replica,
+//! the read goes to the primary.
 //!
 //! Inputs of decisions: [`member`] and [`group`] hold the reported state, [`log_time`] and
 //! [`class_latencies`] the estimates. A request arrives in [`queue`], [`choice`] selects its member by
@@ -84,23 +85,23 @@
     refreshed_at: Micros,
     /// The refresh in progress, if there is one.
     refresh: Option<RefreshProgress>,
-    /// The members whose health checks come first, among those that the refresh in progress has visited.
+    /// The first members to check, among those that the refresh in progress has visited.
     due_health_checks: Vec<HealthCheckCandidate>,
-    /// Number of health checks that may be started; each request adds a fraction of one.
+    /// Number of health checks that refreshes may start; each request adds a fraction of one.
     health_check_tokens: f64,
     /// The last group whose queue the previous sweep retried, if it did not reach all waiting groups.
     last_retried_group: Option<GroupId>,
     /// When the next sweep is due; zero before the first. A timer that fires earlier is stale.
     next_sweep: Micros,
-    /// Time that the groups' served cost covers, in microseconds, with the same decay. Its half-life is two
-    /// slow-start windows, so that it reaches back further than a slow start.
+    /// Time over which the groups' served cost was accumulated, in microseconds. Both decay with a half-life
+    /// of two slow-start windows, so that they reach back further than a slow start.
     served_span: f64,
     log_time: LogTime,
     /// When a primary's health was last checked to learn the log's time.
     log_time_checked_at: Micros,
     /// Notices of the event in progress, emitted at its end.
     notices: Vec<Notice>,
-    /// Notices are given for single requests as well.
+    /// Notices about single requests are emitted as well.
     request_tracing: bool,
 }
 
@@ -140,7 +141,7 @@
         Router { log_time: LogTime::new(false), ..Router::new(settings, seed) }
     }
 
-    /// From now on, notices are given for single requests as well.
+    /// From now on, notices about single requests are emitted as well.
     pub fn enable_request_tracing(&mut self) {
         self.request_tracing = true;
     }
--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -12,7 +12,8 @@
 const MAX_READ_ERRORS: u32 = 2;
 
 impl Router {
-    /// Whether a further attempt is within the limits on attempts and cannot execute the request twice.
+    /// Whether a further attempt is within the limits on attempts and cannot make the request take effect
+    /// twice. An idempotent request may be executed twice.
     pub(super) fn may_send(&self, now: Micros, open: &OpenRequest) -> bool {
         let not_executed = open.proved_not_executed();
         let may_hedge = open.in_flight.is_empty() || self.settings.hedging;
@@ -72,7 +73,8 @@
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 
-    /// Queues a request again after a failed attempt or, if no further attempt is allowed, gives it up.
+    /// Records a failed attempt. If no other attempt of the request is in flight, queues the request again
+    /// or, if no further attempt is allowed or the deadline is a tick away or less, gives it up.
     pub(super) fn after_failure(&mut self, now: Micros, outcome: &Outcome, actions: &mut Actions) {
         let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
         open.record_failure(outcome);
--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -6,10 +6,11 @@
 use super::Router;
 use crate::api::*;
 
-/// Up to this number of gateways each has the whole limit; more gateways share the limits of this many.
+/// Up to this number of gateways, each one has the usual concurrency limits; more gateways share what this
+/// many have in total.
 const FULL_LIMIT_GATEWAYS: f64 = 4.0;
-/// Multiple of the primary's limit that reads with strong consistency may use, more than the others: they can
-/// be sent nowhere else, are few, and would otherwise be the class that is served worst.
+/// Multiple of the primary's limit that reads with strong consistency may use, more than other requests: they
+/// can be sent nowhere else, are few, and would otherwise be the class that is served worst.
 const STRONG_READ_LIMIT_FACTOR: f64 = 1.4;
 /// Multiple of the primary's limit that writes may use while all replicas of the group keep up: all of them
 /// apply each write.
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -29,7 +29,7 @@
 const HANDSHAKE_PRICE_WEIGHT: f64 = 100.0;
 /// Exponent with which load lowers a draw weight.
 const LOAD_EXPONENT: i32 = 4;
-/// Maximum number of members that one draw considers; in a larger group it starts at a random index.
+/// Maximum number of members that one draw considers; in a larger group the draw starts at a random index.
 pub(super) const MAX_CANDIDATES: usize = 64;
 
 /// Members with their weights in a draw.
@@ -46,10 +46,10 @@
     /// The position that the read must see.
     needed: Option<Micros>,
     /// Upper bound of the log's time.
-    latest: Option<Micros>,
+    latest_log_time: Option<Micros>,
     /// A write of the read's session is in flight: only the primary is sure to have it.
     awaits_commit: bool,
-    /// Reads check replicas that do not respond before they rely on them.
+    /// The health of an unresponsive replica is checked before a read is sent to it.
     checks_replicas: bool,
 }
 
@@ -71,8 +71,8 @@
 
     /// Whether a replica should have applied that position by now, given its last known lag.
     fn should_be_covered_by(&self, id: MemberId, member: &Member) -> bool {
-        let (Some(latest), Some(needed)) = (self.latest, self.needed) else { return false };
-        latest - member.log.lag() > needed && self.is_candidate(id, member)
+        let (Some(latest_log_time), Some(needed)) = (self.latest_log_time, self.needed) else { return false };
+        latest_log_time - member.log.lag() > needed && self.is_candidate(id, member)
     }
 }
 
@@ -85,8 +85,8 @@
         CandidateWindow { group, start }
     }
 
-    /// The members of a window that may be sent requests. If all of them are ejected, ejection is ignored:
-    /// the cause is then not in the single members.
+    /// The members of a window that may be sent requests. If all members in service are ejected, the cause is
+    /// something that they share, so that none is treated as ejected.
     pub(super) fn candidates(&self, window: CandidateWindow) -> impl Iterator<Item = (MemberId, &Member)> {
         let members = self.groups.get(&window.group).map_or(&[][..], |group| &group.members);
         let (before, after) = members.split_at(window.start.min(members.len()));
@@ -129,7 +129,7 @@
             cost: self.latencies.cost(open.request.class),
             primary: self.primary(window.group),
             needed: self.needed(now, open),
-            latest: self.log_now(now, window.group),
+            latest_log_time: self.log_now(now, window.group),
             awaits_commit: self.awaits_commit(open),
             checks_replicas: self.reads_check_replicas(),
         };
--- a/src/balance/final_answer.rs
+++ b/src/balance/final_answer.rs
@@ -37,8 +37,9 @@
         harmless || open.proved_not_executed()
     }
 
-    /// After how long the client may retry: about when the next of the group's attempts in flight ends. None
-    /// if that would be too late or the settings disable the hint.
+    /// After how long the client may retry: about when the next attempt in flight ends in a group with the
+    /// average number of attempts over all groups. None if that would be too late or the settings disable
+    /// the hint.
     fn retry_after(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
         let in_flight = 1.0 + self.attempts.len() as f64 / self.groups.len().max(1) as f64;
         let wait = Micros((self.latencies.mean(open.request.class) / in_flight) as u64);
--- a/src/balance/health_checks.rs
+++ b/src/balance/health_checks.rs
@@ -1,13 +1,13 @@
-//! Health checks: which members are checked, within the budget that requests provide, and how a result is
-//! used.
+//! Health checks: which members are checked periodically, within the budget that requests provide, and how
+//! the result of any check is used.
 
 use super::housekeeping::MIN_HEALTH_CHECK_INTERVAL;
 use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
 
-/// A member whose health may be checked. They sort in the order of the checks: first the members with broken
-/// connections, then by the time of the last contact, the earliest first.
+/// A member whose health may be checked. Candidates sort in the order of their checks: members with connect
+/// failures come first; among equals, the member whose last contact is the longest ago.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HealthCheckCandidate {
     is_routine: bool,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Starts a health check of a member, without taking a token.
+    /// Starts a health check of a member. Takes no token: callers whose checks are bounded by tokens take one.
     pub(super) fn start_health_check(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.health_check.start(now);
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -11,11 +11,14 @@
 /// Ticks between sweeps while a request waits: two, so that a sweep costs little compared with the events of
 /// its ticks.
 const SWEEP_TICKS: u64 = 2;
-/// Time between refreshes, and between sweeps while no request waits.
+/// Minimum time between refreshes, and maximum time between sweeps while requests are open but none waits.
 pub(super) const REFRESH_PERIOD: Micros = Micros::millis(50);
-/// Half-life of a member's failure rate and lag: a member that failed gets another chance.
+/// Half-life of a member's failure rate and lag: a member that failed gets another chance. It also paces,
+/// through `RECOVERY_EXPONENT` in `idle_connections`, how fast the trusted idle time of connections recovers.
 const FAILURE_HALF_LIFE: Micros = Micros::millis(3000);
 /// Minimum time between health checks of a member, and between writes sent to it in search of the primary.
+/// Also the time between sweeps while no request is open, and the time without use after which a member's
+/// connections count as idle.
 pub(super) const MIN_HEALTH_CHECK_INTERVAL: Micros = Micros::millis(200);
 /// Maximum number of health check tokens: a gateway with little traffic can check a whole small group at
 /// once.
@@ -23,7 +26,7 @@
 /// Fraction of the overload multiple that a member in slow start may be sent; the rest is a margin for random
 /// variation.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.7;
-/// Fraction of the overload window whose budget a member in slow start may get in one burst.
+/// Fraction of the overload window: a member in slow start may get the tokens of that time in one burst.
 const SLOW_START_BURST_FRACTION: f64 = 0.25;
 /// Maximum number of members refreshed, sessions forgotten and groups retried in one step; the rest follows
 /// in the next.
@@ -61,9 +64,9 @@
 }
 
 impl MemberRefresh<'_> {
-    /// Updates a member's failure penalty, slow-start tokens and weight. During slow start each gateway sends
-    /// a member its even share of the cost that the group serves for this gateway, scaled by the member's
-    /// warmth, so that the sum over all gateways stays within the overload multiple.
+    /// Updates a member's failure penalty, slow-start tokens, failure rate, lag and weight. During slow start
+    /// each gateway sends a member its even share of the cost that the group serves for this gateway, scaled
+    /// by the member's warmth, so that the sum over all gateways stays within the overload multiple.
     fn apply(&self, member: &mut Member) {
         let warmth = member.slow_start.warmth(self.now, self.settings);
         let failure_rate = member.failure_rate();
@@ -128,8 +131,8 @@
     }
 
     /// Refreshes the groups in steps of about [`MAX_ITEMS_PER_STEP`] members. After the last step it starts
-    /// the health checks that are due; the next refresh begins at least [`REFRESH_PERIOD`]
-    /// after the start of this one.
+    /// the health checks that are due. The next refresh starts [`REFRESH_PERIOD`] or later after the start of
+    /// this one.
     fn refresh(&mut self, now: Micros, actions: &mut Actions) {
         let Some(RefreshProgress { elapsed, mut next_group }) =
             self.refresh.or_else(|| self.begin_refresh(now))
@@ -184,9 +187,9 @@
         let (id, members) = (*id, group.members.len());
         let first = group.refreshed_at == Micros(0);
         let elapsed = if first { elapsed } else { now - group.refreshed_at }.as_f64().max(1.0);
-        let latest = self.log_now(now, id);
-        let passed = self.refresh_members(now, index, elapsed, due);
-        self.forget_sessions(id, passed, latest);
+        let latest_log_time = self.log_now(now, id);
+        let reached_by_replicas = self.refresh_members(now, index, elapsed, due);
+        self.forget_sessions(id, reached_by_replicas, latest_log_time);
         if let Some(group) = self.groups.get(&id) {
             self.log_time.refresh(group);
         }
@@ -216,7 +219,7 @@
             usual_latency,
             served_rate: served_rate(group, *served_span, usual_latency, settings),
         };
-        let (mut lost_in_service, mut passed) = (0.0, None);
+        let (mut lost_in_service, mut reached_by_replicas) = (0.0, None);
         group.members.retain(|id| {
             let Some(member) = members.get_mut(id) else { return false };
             refresh.apply(member);
@@ -228,7 +231,7 @@
                 return false;
             }
             if in_service {
-                passed = least_position(passed, member);
+                reached_by_replicas = least_position(reached_by_replicas, member);
                 member.outlier.readmit_when_due(now, *limit_share);
                 due.extend(HealthCheckCandidate::new(now, *id, member, settings));
             }
@@ -236,20 +239,26 @@
         });
         group.members_in_service -= lost_in_service;
         group.primary = group.primary.filter(|primary| members.contains_key(primary));
-        passed
+        reached_by_replicas
     }
 
     /// Forgets the sessions of a group that no longer restrict any read: all replicas have reached their
-    /// commits.
-    fn forget_sessions(&mut self, id: GroupId, passed: Option<Micros>, latest: Option<Micros>) {
-        let passed = passed.or(latest).unwrap_or_default();
-        let forgotten = self.sessions.forget(id, passed, MAX_ITEMS_PER_STEP);
+    /// commits. Without replicas in service, these are the commits up to the log's latest possible time.
+    fn forget_sessions(
+        &mut self,
+        id: GroupId,
+        reached_by_replicas: Option<Micros>,
+        latest_log_time: Option<Micros>,
+    ) {
+        let reached = reached_by_replicas.or(latest_log_time).unwrap_or_default();
+        let forgotten = self.sessions.forget(id, reached, MAX_ITEMS_PER_STEP);
         if let (Some(commit), Some(group)) = (forgotten, self.groups.get_mut(&id)) {
             group.forgotten_commit = group.forgotten_commit.max(commit);
         }
-        if let Some(latest) = latest {
-            // A later commit stands for a log time that was unknown when the answer to the write was lost.
-            self.sessions.lower(id, latest + HOLD + Micros(ROUNDING as u64), MAX_ITEMS_PER_STEP);
+        if let Some(latest_log_time) = latest_log_time {
+            // A commit beyond this position was recorded for a write whose answer was lost while the log's
+            // time was unknown.
+            self.sessions.lower(id, latest_log_time + HOLD + Micros(ROUNDING as u64), MAX_ITEMS_PER_STEP);
         }
     }
 }
@@ -261,7 +270,7 @@
     (group.served_cost / served_span / group.members_in_service.max(1.0)).max(least)
 }
 
-/// The lower of `least` and the member's position, if the member is a replica.
+/// The lower of `least` and the member's position if the member is not the primary, otherwise `least`.
 fn least_position(least: Option<Micros>, member: &Member) -> Option<Micros> {
     if member.role.role() == Role::Primary {
         return least;
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -8,17 +8,18 @@
 use crate::api::*;
 use crate::notice::{LogTimeEvidence, PositionSource};
 
-/// Minimum concurrency limit of a member over all gateways: enough to keep its cores busy, whatever slows all
-/// answers, and to keep adapting to them.
+/// Minimum concurrency limit of a member, summed over all gateways. Even if something slows all answers, it
+/// is enough to keep the member's cores busy and to get the answers by which the limit adapts.
 const MIN_LIMIT: f64 = 6.5;
 /// Fraction of the latency objective to which a limit steers the mean latency: few answers then miss the
 /// objective.
 const TARGET_LATENCY_FRACTION: f64 = 0.25;
-/// Step of a concurrency limit per answer, in costs of the request: several answers move it by one cost.
+/// Step of a concurrency limit per answer, as a fraction of the request's cost: about three fast answers
+/// raise the limit by the cost of one request.
 const LIMIT_STEP: f64 = 0.3;
 /// Maximum step where many gateways share the limits.
 const MAX_LIMIT_STEP: f64 = 0.85;
-/// Maximum ratio of a latency to its latency objective that counts, and the ratio of a rejection: a few
+/// Cap on the ratio of a latency to its latency objective, and the ratio that a rejection counts as: a few
 /// requests with many times the usual work must not dominate the limit.
 const MAX_OBJECTIVE_RATIO: f64 = 1.0;
 
@@ -64,7 +65,8 @@
         self.observe_report(now, member, report);
     }
 
-    /// Records the position of a session's commit, or the latest one that its write may have.
+    /// Records the position of a session's commit or, if that is unknown, the latest position that it may
+    /// have.
     fn record_commit(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
         let Some(key) = attempt.session else { return };
         if self.settings.classes[attempt.class.0].consistency != Consistency::Write {
@@ -73,8 +75,8 @@
         let commit = match (outcome.status, outcome.position) {
             (status, _) if status.proves_not_executed() => Micros(0),
             (AttemptStatus::Ok, Some(commit)) => commit,
-            // The lost answer may have reported a commit: later reads of the session must see the log's
-            // state of this moment.
+            // The lost answer may have reported a commit: later reads of the session must see the log as of
+            // this moment.
             _ => self.log_now(now + self.hold(), attempt.group).unwrap_or(Micros(u64::MAX)),
         };
         self.committed(attempt.group, key, commit);
@@ -189,7 +191,8 @@
     settings: &Settings,
     share: f64,
 ) {
-    // Each of many gateways gets few answers, and the noise of their steps averages out: steps are longer.
+    // Each of many gateways gets few answers, and the noise of their steps averages out: the steps are
+    // longer.
     let step = (LIMIT_STEP / share.sqrt()).min(MAX_LIMIT_STEP);
     let step = step * (1.0 - objective_ratio.min(MAX_OBJECTIVE_RATIO) / TARGET_LATENCY_FRACTION);
     let step = step * attempt.cost.min(member.load.limit().max(1.0));
@@ -201,7 +204,7 @@
 fn record_failure(now: Micros, member: &mut Member, status: AttemptStatus, cost: f64) {
     match status {
         AttemptStatus::Ok => member.record_success(),
-        // The member has done the work and sent an answer: it is neither down nor idle.
+        // The member has done the work and sent an answer: it is neither down nor idle, and gets no penalty.
         AttemptStatus::Malformed => member.record_failure(),
         // The member may continue the work for about as long as a request takes.
         AttemptStatus::Timeout | AttemptStatus::Cancelled => member.load.add_failure_penalty(cost),
--- a/src/balance/progress.rs
+++ b/src/balance/progress.rs
@@ -16,7 +16,7 @@
 struct ObservedPosition {
     position: Micros,
     since: Micros,
-    /// When that answer was received.
+    /// When the answer that reported it was received.
     received: Micros,
 }
 
@@ -49,7 +49,7 @@
             self.last = current.then_some(observed);
             return None;
         };
-        // One position may be rounded down in one answer and, as a commit, rounded up in another.
+        // The same position may be rounded down in one answer and, as a commit, rounded up in another.
         if position > last.position + Micros(ROUNDING as u64) {
             let proof = Offset::between(last.since, received, position);
             let since = if current { last.since.max(sent) } else { last.since };
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -13,14 +13,15 @@
 /// The same once the group drops [`OVERLOAD_DROP_RATE`] of its requests or more; linear in between. A request
 /// that waits in an overload is late, and its client retries before the queue gets to it.
 const MIN_QUEUE_TIME_FRACTION: f64 = 0.03;
-/// Fraction of dropped requests from which on [`MIN_QUEUE_TIME_FRACTION`] applies.
+/// Fraction of dropped requests at and above which [`MIN_QUEUE_TIME_FRACTION`] applies.
 const OVERLOAD_DROP_RATE: f64 = 0.5;
 /// Weight of a new request in the running drop rate: about the last fifty count.
 pub(super) const DROP_RATE_SAMPLE_WEIGHT: f64 = 0.02;
-/// Requests of a class that may fail to find capacity before the rest of the class waits for the next pass:
-/// to try each request of a long queue costs processor time.
+/// Number of requests of a class that may fail to find capacity before the rest of the class waits for the
+/// next pass: trying each request of a long queue costs processor time.
 const MAX_FAILED_PLACEMENTS: usize = 4;
-/// Highest long-run cost of health checks, as a fraction of the cost of all requests.
+/// Highest long-run cost of the health checks that take a token, as a fraction of the cost of all requests.
+/// These are the checks that a refresh starts; the checks that a read starts take none and are not included.
 const HEALTH_CHECK_COST_FRACTION: f64 = 0.004;
 
 impl Router {
