--- a/src/balance/health_checks.rs
+++ b/src/balance/health_checks.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Starts a health check of a member. Takes no token: callers whose checks are bounded by tokens take one.
+    /// Starts a health check of a member. Takes no token: callers whose checks are bounded by tokens take one
+    /// themselves.
     pub(super) fn start_health_check(&mut self, now: Micros, id: MemberId, actions: &mut Actions) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.health_check.start(now);
