--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -14,7 +14,7 @@
 /// Positions are whole milliseconds, rounded down, or up where they are commits.
 pub(super) const ROUNDING: i64 = 1_000;
 /// Longest that a router may be held up between reading its clock and what it then reads or writes.
-pub(super) const HOLD: Micros = Micros::millis(150);
+pub(super) const MAX_STALL: Micros = Micros::millis(150);
 /// How far the time of day of this machine and a position may be apart for the first proof to be enough.
 const PLAUSIBLE: i64 = 1_000_000;
 /// Proofs in a row that agree with each other and with nothing that is known: then the log's time was stepped
@@ -45,7 +45,7 @@
     /// to a hold later than the clock shows.
     pub fn between(since: Micros, now: Micros, position: Micros) -> Offset {
         let less = |time: Micros| position.0 as i64 - time.0 as i64;
-        Offset { at: now, least: less(now + HOLD) - ROUNDING, most: less(since) + ROUNDING }
+        Offset { at: now, least: less(now + MAX_STALL) - ROUNDING, most: less(since) + ROUNDING }
     }
 
     /// The log's time less the router's in microseconds, at least and at most.
@@ -56,7 +56,7 @@
     /// How far the log's time may lie below the latest that it is taken for.
     pub fn width(self, now: Micros) -> Micros {
         let bounds = self.at(now);
-        Micros((bounds.most - bounds.least).max(0) as u64) - HOLD
+        Micros((bounds.most - bounds.least).max(0) as u64) - MAX_STALL
     }
 
     /// The bounds at another time.
@@ -101,7 +101,7 @@
 
     /// Whether the log may stand at this position by now.
     pub fn allows(self, now: Micros, position: Micros) -> bool {
-        position <= self.latest(now + HOLD) + Micros(ROUNDING as u64)
+        position <= self.latest(now + MAX_STALL) + Micros(ROUNDING as u64)
     }
 
     /// A time of the log on the router's clock, the latest that it may be.
--- a/src/balance/log_time.rs
+++ b/src/balance/log_time.rs
@@ -1,7 +1,7 @@
 //! The offset between the clock of the groups' logs and this router's clock.
 
 use super::group::Group;
-use super::log_clock::{Change, LogClock, Offset, HOLD};
+use super::log_clock::{Change, LogClock, Offset, MAX_STALL};
 use crate::api::Micros;
 use crate::notice::LogTimeEvidence;
 
@@ -42,11 +42,11 @@
 
     /// For how long the router may be held up between reading its clock and what it does then: a router whose
     /// clock is the log's acts in no time.
-    pub fn hold(&self) -> Micros {
+    pub fn max_stall(&self) -> Micros {
         if self.same_clock {
             Micros(0)
         } else {
-            HOLD
+            MAX_STALL
         }
     }
 
--- a/src/balance/log_time_evidence.rs
+++ b/src/balance/log_time_evidence.rs
@@ -1,6 +1,6 @@
 //! Answers of members that call themselves primaries, as evidence of the log's time.
 
-use super::log_clock::{Change, Offset, HOLD};
+use super::log_clock::{Change, Offset, MAX_STALL};
 use super::member::Member;
 use super::open_request::Attempt;
 use super::{Actions, Router};
@@ -69,7 +69,7 @@
         if change == Change::Stepped {
             // Commits and positions of before are on another scale: all that was committed so far has to be
             // seen.
-            group.forgotten_commit = offset.latest(now + HOLD);
+            group.forgotten_commit = offset.latest(now + MAX_STALL);
         }
         for id in &group.members {
             if let Some(member) = self.members.get_mut(id) {
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -73,7 +73,7 @@
             (status, _) if status.proves_not_executed() => Micros(0),
             (AttemptStatus::Ok, Some(commit)) => commit,
             // What was lost on the way may have been a commit: its session reads on from this moment.
-            _ => self.log_now(now + self.hold(), attempt.group).unwrap_or(Micros(u64::MAX)),
+            _ => self.log_now(now + self.max_stall(), attempt.group).unwrap_or(Micros(u64::MAX)),
         };
         self.committed(attempt.group, key, commit);
         self.sessions.end(attempt.group, key);
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -63,8 +63,8 @@
     }
 
     /// For how long this router may be held up between reading its clock and what it does then.
-    pub(super) fn hold(&self) -> Micros {
-        self.log_time.hold()
+    pub(super) fn max_stall(&self) -> Micros {
+        self.log_time.max_stall()
     }
 
     /// The offset between a group's log time and this router's clock.
@@ -85,7 +85,7 @@
             Consistency::BoundedStaleness(bound) => Some(self.log_now(now, group)? - bound),
             Consistency::Strong => {
                 // The request may have arrived up to a hold after the clock was read.
-                Some(self.log_now(now, group)? + self.hold() - (now - open.arrived_at))
+                Some(self.log_now(now, group)? + self.max_stall() - (now - open.arrived_at))
             }
             Consistency::Session => Some(self.session_token(&open.request)),
         }
