--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -3,7 +3,7 @@
 
 use super::group::Group;
 use super::health_checks::HealthCheckCandidate;
-use super::log_clock::{MAX_STALL, ROUNDING};
+use super::log_clock::{MAX_STALL, POSITION_ROUNDING_US};
 use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
@@ -242,7 +242,7 @@
         }
         if let Some(latest) = latest {
             // What is further on stands for a time that was not known when the commit's answer was lost.
-            self.sessions.lower(id, latest + MAX_STALL + Micros(ROUNDING as u64), MAX_PER_STEP);
+            self.sessions.lower(id, latest + MAX_STALL + Micros(POSITION_ROUNDING_US as u64), MAX_PER_STEP);
         }
     }
 }
--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -12,7 +12,7 @@
 /// that is being set.
 const DRIFT: f64 = 0.001;
 /// Positions are whole milliseconds, rounded down, or up where they are commits.
-pub(super) const ROUNDING: i64 = 1_000;
+pub(super) const POSITION_ROUNDING_US: i64 = 1_000;
 /// Longest that a router may be held up between reading its clock and what it then reads or writes.
 pub(super) const MAX_STALL: Micros = Micros::millis(150);
 /// How far the time of day of this machine and a position may be apart for the first proof to be enough.
@@ -45,7 +45,11 @@
     /// to a hold later than the clock shows.
     pub fn between(since: Micros, now: Micros, position: Micros) -> Offset {
         let less = |time: Micros| position.0 as i64 - time.0 as i64;
-        Offset { at: now, least: less(now + MAX_STALL) - ROUNDING, most: less(since) + ROUNDING }
+        Offset {
+            at: now,
+            least: less(now + MAX_STALL) - POSITION_ROUNDING_US,
+            most: less(since) + POSITION_ROUNDING_US,
+        }
     }
 
     /// The log's time less the router's in microseconds, at least and at most.
@@ -101,7 +105,7 @@
 
     /// Whether the log may stand at this position by now.
     pub fn allows(self, now: Micros, position: Micros) -> bool {
-        position <= self.latest(now + MAX_STALL) + Micros(ROUNDING as u64)
+        position <= self.latest(now + MAX_STALL) + Micros(POSITION_ROUNDING_US as u64)
     }
 
     /// A time of the log on the router's clock, the latest that it may be.
--- a/src/balance/member/role_claim.rs
+++ b/src/balance/member/role_claim.rs
@@ -1,7 +1,7 @@
 //! Which role a member claims.
 
 use crate::api::{Micros, Role};
-use crate::balance::log_clock::ROUNDING;
+use crate::balance::log_clock::POSITION_ROUNDING_US;
 
 /// The latest claim of a member about its role.
 #[derive(Default)]
@@ -41,7 +41,7 @@
     /// and answers may be received in another order than they were given. Positions are rounded either way,
     /// and a member that hands its role over claims both roles at one position, the replica's last.
     fn is_later(&self, role: Role, at: Micros, position: Option<Micros>) -> bool {
-        let rounding = Micros(ROUNDING as u64);
+        let rounding = Micros(POSITION_ROUNDING_US as u64);
         match (position, self.position) {
             (Some(position), Some(last)) if role == Role::Primary && self.role == Role::Replica => {
                 position > last + rounding
--- a/src/balance/progress.rs
+++ b/src/balance/progress.rs
@@ -7,7 +7,7 @@
 //! advances stands at its present, so the later position was the present at some time after the earlier
 //! answer had been asked for.
 
-use super::log_clock::{Offset, ROUNDING};
+use super::log_clock::{Offset, POSITION_ROUNDING_US};
 use crate::api::Micros;
 use crate::notice::{LogTimeEvidence, PositionKind};
 
@@ -50,7 +50,7 @@
             return None;
         };
         // One position may be rounded down in one answer and, as a commit, rounded up in another.
-        if position > last.position + Micros(ROUNDING as u64) {
+        if position > last.position + Micros(POSITION_ROUNDING_US as u64) {
             let proof = Offset::between(last.since, received, position);
             let since = if current { last.since.max(sent) } else { last.since };
             *last = Standing { position, since, received };
