--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -25,27 +25,27 @@
 
 /// Bounds of an offset, in microseconds: the log's time less the router's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Offset {
+pub struct OffsetBounds {
     /// When they were exact: they drift apart from there.
     at: Micros,
     least: i64,
     most: i64,
 }
 
-impl Offset {
+impl OffsetBounds {
     /// For a router whose clock is the log's.
-    pub const NONE: Offset = Offset { at: Micros(u64::MAX), least: 0, most: 0 };
+    pub const NONE: OffsetBounds = OffsetBounds { at: Micros(u64::MAX), least: 0, most: 0 };
 
     /// What this machine's time of day says, for as long as nothing is proved.
-    pub fn plausible(now: Micros) -> Offset {
-        Offset { at: now, least: -PLAUSIBLE, most: PLAUSIBLE }
+    pub fn plausible(now: Micros) -> OffsetBounds {
+        OffsetBounds { at: now, least: -PLAUSIBLE, most: PLAUSIBLE }
     }
 
     /// The log stood at this position at some time from `since` on, by an answer that has been received: up
     /// to a hold later than the clock shows.
-    pub fn between(since: Micros, now: Micros, position: Micros) -> Offset {
+    pub fn between(since: Micros, now: Micros, position: Micros) -> OffsetBounds {
         let less = |time: Micros| position.0 as i64 - time.0 as i64;
-        Offset {
+        OffsetBounds {
             at: now,
             least: less(now + MAX_STALL) - POSITION_ROUNDING_US,
             most: less(since) + POSITION_ROUNDING_US,
@@ -64,37 +64,37 @@
     }
 
     /// The bounds at another time.
-    fn at(self, now: Micros) -> Offset {
+    fn at(self, now: Micros) -> OffsetBounds {
         let drift = (now - self.at).scale(DRIFT).0 as i64;
-        Offset { at: self.at.max(now), least: self.least - drift, most: self.most + drift }
+        OffsetBounds { at: self.at.max(now), least: self.least - drift, most: self.most + drift }
     }
 
     /// The bounds that both allow, if they can both be right.
-    pub fn intersection(self, other: Offset) -> Option<Offset> {
+    pub fn intersection(self, other: OffsetBounds) -> Option<OffsetBounds> {
         let at = self.at.max(other.at);
         let (one, two) = (self.at(at), other.at(at));
         let (least, most) = (one.least.max(two.least), one.most.min(two.most));
-        (least <= most).then_some(Offset { at, least, most })
+        (least <= most).then_some(OffsetBounds { at, least, most })
     }
 
     /// Bounds within which both lie.
-    pub fn hull(self, other: Offset) -> Offset {
+    pub fn hull(self, other: OffsetBounds) -> OffsetBounds {
         let at = self.at.max(other.at);
         let (one, two) = (self.at(at), other.at(at));
-        Offset { at, least: one.least.min(two.least), most: one.most.max(two.most) }
+        OffsetBounds { at, least: one.least.min(two.least), most: one.most.max(two.most) }
     }
 
     /// The same where the router's clock may be off by an error either way.
-    fn widened(self, error: Micros) -> Offset {
+    fn widened(self, error: Micros) -> OffsetBounds {
         let error = error.0 as i64;
-        Offset { least: self.least - error, most: self.most + error, ..self }
+        OffsetBounds { least: self.least - error, most: self.most + error, ..self }
     }
 
     /// The same with room for a log that has come to this position by now at the least.
-    fn reaching(self, now: Micros, position: Micros) -> Offset {
+    fn reaching(self, now: Micros, position: Micros) -> OffsetBounds {
         let bounds = self.at(now);
         let reached = position.0 as i64 - bounds.at.0 as i64;
-        Offset { most: bounds.most.max(reached), ..bounds }
+        OffsetBounds { most: bounds.most.max(reached), ..bounds }
     }
 
     /// The log's time at the latest.
@@ -135,7 +135,7 @@
 /// Proofs that agree with each other and contradict what is known.
 #[derive(Clone, Copy, Debug)]
 struct Contradiction {
-    offset: Offset,
+    offset: OffsetBounds,
     proofs: u32,
     since: Micros,
 }
@@ -143,19 +143,19 @@
 /// What is proved of a log's time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogClock {
-    known: Option<Offset>,
+    known: Option<OffsetBounds>,
     /// The latest proofs that contradict it.
     contradiction: Option<Contradiction>,
 }
 
 impl LogClock {
     /// The offset that all proofs fit.
-    pub fn known(&self) -> Option<Offset> {
+    pub fn known(&self) -> Option<OffsetBounds> {
         self.known
     }
 
     /// Takes in a proof; `expected` is what is plausible as long as nothing is known.
-    pub fn add_proof(&mut self, proof: Offset, expected: Offset) -> Change {
+    pub fn add_proof(&mut self, proof: OffsetBounds, expected: OffsetBounds) -> Change {
         let Some(known) = self.known else {
             return match expected.intersection(proof) {
                 Some(_) => self.adopt(proof, Change::Learned),
@@ -178,7 +178,7 @@
         if known.allows(now, position) {
             self.known = Some(known.reaching(now, position));
         } else if self.latest_if_contradicted(now).is_none_or(|latest| latest < position) {
-            let offset = Offset::between(sent, now, position);
+            let offset = OffsetBounds::between(sent, now, position);
             self.contradiction = Some(Contradiction { offset, proofs: 0, since: now });
         }
     }
@@ -193,12 +193,12 @@
         LogClock { known: self.known.map(|known| known.widened(error)), contradiction: None }
     }
 
-    fn adopt(&mut self, offset: Offset, change: Change) -> Change {
+    fn adopt(&mut self, offset: OffsetBounds, change: Change) -> Change {
         *self = LogClock { known: Some(offset), contradiction: None };
         change
     }
 
-    fn contradict(&mut self, proof: Offset, time: Micros, change: Change) -> Change {
+    fn contradict(&mut self, proof: OffsetBounds, time: Micros, change: Change) -> Change {
         let agrees = |contradiction: Contradiction| {
             let offset = contradiction.offset.intersection(proof)?;
             Some(Contradiction { offset, proofs: contradiction.proofs + 1, ..contradiction })
@@ -213,15 +213,15 @@
     }
 }
 
-impl From<Offset> for OffsetRecord {
-    fn from(Offset { at, least, most }: Offset) -> OffsetRecord {
+impl From<OffsetBounds> for OffsetRecord {
+    fn from(OffsetBounds { at, least, most }: OffsetBounds) -> OffsetRecord {
         OffsetRecord { at, least, most }
     }
 }
 
-impl From<OffsetRecord> for Offset {
-    fn from(OffsetRecord { at, least, most }: OffsetRecord) -> Offset {
-        Offset { at, least, most }
+impl From<OffsetRecord> for OffsetBounds {
+    fn from(OffsetRecord { at, least, most }: OffsetRecord) -> OffsetBounds {
+        OffsetBounds { at, least, most }
     }
 }
 
--- a/src/balance/log_clock/tests.rs
+++ b/src/balance/log_clock/tests.rs
@@ -133,7 +133,7 @@
         let mut changes = Vec::new();
         for Coming { evidence, at } in here {
             if let Some(proof) = self.progress.observe(&evidence) {
-                changes.push(self.clock.add_proof(proof, Offset::plausible(evidence.received)));
+                changes.push(self.clock.add_proof(proof, OffsetBounds::plausible(evidence.received)));
             } else {
                 self.clock.advance_to(evidence.sent, evidence.received, evidence.position);
             }
@@ -266,7 +266,7 @@
     assert_eq!((changes.len(), world.clock.known()), (0, None));
     // Taken for proof, its first answer would put the log's time half a second back.
     let position = Micros(world.still.expect("still") as u64);
-    let alone = Offset::between(world.now(), world.now(), position);
+    let alone = OffsetBounds::between(world.now(), world.now(), position);
     assert!((alone.latest(world.now()).0 as f64) < world.present() - 400_000.0);
 }
 
--- a/src/balance/log_time.rs
+++ b/src/balance/log_time.rs
@@ -1,7 +1,7 @@
 //! The offset between the clock of the groups' logs and this router's clock.
 
 use super::group::Group;
-use super::log_clock::{Change, LogClock, Offset, MAX_STALL};
+use super::log_clock::{Change, LogClock, OffsetBounds, MAX_STALL};
 use crate::api::Micros;
 use crate::notice::LogTimeEvidence;
 
@@ -12,9 +12,9 @@
     /// The time of all logs: databases read one clock. A group whose own answers do not fit it goes by those.
     common: LogClock,
     /// Bounds of the offset over all groups, for those of which nothing is proved.
-    usual: Option<Offset>,
+    usual: Option<OffsetBounds>,
     /// Those bounds over the groups that the refresh under way has seen.
-    refreshed: Option<Offset>,
+    refreshed: Option<OffsetBounds>,
 }
 
 impl LogTime {
@@ -27,7 +27,7 @@
     pub fn restore<'a>(&mut self, common: LogClock, groups: impl Iterator<Item = &'a Group>) {
         self.common = common;
         let known = groups.filter_map(|group| Some(self.within_common(group.log_clock.known()?)));
-        self.usual = known.reduce(Offset::hull);
+        self.usual = known.reduce(OffsetBounds::hull);
     }
 
     /// Whether positions are times of the router's clock.
@@ -51,9 +51,9 @@
     }
 
     /// The offset of a group's log: as its own primaries prove, or as those of the others do.
-    pub fn offset(&self, group: Option<&Group>) -> Option<Offset> {
+    pub fn offset(&self, group: Option<&Group>) -> Option<OffsetBounds> {
         if self.same_clock {
-            return Some(Offset::NONE);
+            return Some(OffsetBounds::NONE);
         }
         let own = group.and_then(|group| group.log_clock.known());
         own.map_or(self.usual, |own| Some(self.within_common(own)))
@@ -83,12 +83,12 @@
         now: Micros,
         group: &mut Group,
         answer: &LogTimeEvidence,
-        proof: Option<Offset>,
+        proof: Option<OffsetBounds>,
     ) -> Change {
         let change = proof.map_or(Change::None, |proof| {
             group.evidence = Some(*answer);
-            self.common.add_proof(proof, Offset::plausible(now));
-            group.log_clock.add_proof(proof, self.usual.unwrap_or(Offset::plausible(now)))
+            self.common.add_proof(proof, OffsetBounds::plausible(now));
+            group.log_clock.add_proof(proof, self.usual.unwrap_or(OffsetBounds::plausible(now)))
         });
         self.common.advance_to(answer.sent, now, answer.position);
         group.log_clock.advance_to(answer.sent, now, answer.position);
@@ -96,7 +96,7 @@
     }
 
     /// A group's offset has changed: the usual bounds have room for it from now on.
-    pub fn include(&mut self, offset: Offset) {
+    pub fn include(&mut self, offset: OffsetBounds) {
         self.usual = Some(self.usual.map_or(offset, |usual| usual.hull(offset)));
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// What is proved of a group's log, closer where the proofs of all groups fit.
-    fn within_common(&self, own: Offset) -> Offset {
+    fn within_common(&self, own: OffsetBounds) -> OffsetBounds {
         let common = self.common.known().and_then(|common| common.intersection(own));
         common.unwrap_or(own)
     }
--- a/src/balance/log_time_evidence.rs
+++ b/src/balance/log_time_evidence.rs
@@ -1,6 +1,6 @@
 //! Answers of members that call themselves primaries, as evidence of the log's time.
 
-use super::log_clock::{Change, Offset, MAX_STALL};
+use super::log_clock::{Change, OffsetBounds, MAX_STALL};
 use super::member::Member;
 use super::open_request::Attempt;
 use super::{Actions, Router};
@@ -107,7 +107,7 @@
 }
 
 /// Brings what is known of a member into line with a log time that has changed.
-fn adopt_offset(now: Micros, member: &mut Member, offset: Offset, change: Change) {
+fn adopt_offset(now: Micros, member: &mut Member, offset: OffsetBounds, change: Change) {
     let impossible = |position| !offset.allows(now, position);
     if change == Change::Stepped || member.log.position().is_some_and(impossible) {
         member.log.forget_position();
--- a/src/balance/member/log_position.rs
+++ b/src/balance/member/log_position.rs
@@ -1,7 +1,7 @@
 //! How far a member has applied the log, and how that is known.
 
 use crate::api::Micros;
-use crate::balance::log_clock::Offset;
+use crate::balance::log_clock::OffsetBounds;
 use crate::balance::progress::PrimaryProgress;
 use crate::notice::{LogTimeEvidence, PositionSource};
 
@@ -66,7 +66,7 @@
     }
 
     /// Takes in an answer of the member as the primary. What it proves of the log's time, if anything.
-    pub fn observe_as_primary(&mut self, answer: &LogTimeEvidence) -> Option<Offset> {
+    pub fn observe_as_primary(&mut self, answer: &LogTimeEvidence) -> Option<OffsetBounds> {
         self.progress.observe(answer)
     }
 
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -1,6 +1,6 @@
 //! How far members have applied the log, and what a read must see.
 
-use super::log_clock::Offset;
+use super::log_clock::OffsetBounds;
 use super::member::Member;
 use super::open_request::OpenRequest;
 use super::Router;
@@ -68,7 +68,7 @@
     }
 
     /// The offset between a group's log time and this router's clock.
-    pub(super) fn offset(&self, group: GroupId) -> Option<Offset> {
+    pub(super) fn offset(&self, group: GroupId) -> Option<OffsetBounds> {
         self.log_time.offset(self.groups.get(&group))
     }
 
--- a/src/balance/progress.rs
+++ b/src/balance/progress.rs
@@ -7,7 +7,7 @@
 //! advances stands at its present, so the later position was the present at some time after the earlier
 //! answer had been asked for.
 
-use super::log_clock::{Offset, POSITION_ROUNDING_US};
+use super::log_clock::{OffsetBounds, POSITION_ROUNDING_US};
 use crate::api::Micros;
 use crate::notice::{LogTimeEvidence, PositionKind};
 
@@ -34,14 +34,14 @@
 
     /// Takes in a further answer of the member as the primary. What it proves of the log's time, if the
     /// position has advanced.
-    pub fn observe(&mut self, answer: &LogTimeEvidence) -> Option<Offset> {
+    pub fn observe(&mut self, answer: &LogTimeEvidence) -> Option<OffsetBounds> {
         let &LogTimeEvidence { position, sent, received, kind, .. } = answer;
         let standing = Standing { position, since: sent, received };
         if kind == PositionKind::NewCommit {
             // A member that commits is at its present.
             let last = self.last.filter(|last| last.position > position);
             self.last = last.or(Some(standing));
-            return Some(Offset::between(sent, received, position));
+            return Some(OffsetBounds::between(sent, received, position));
         }
         // A reported position or an old commit may be long past: the log need not stand there.
         let current = kind == PositionKind::Current;
@@ -51,7 +51,7 @@
         };
         // One position may be rounded down in one answer and, as a commit, rounded up in another.
         if position > last.position + Micros(POSITION_ROUNDING_US as u64) {
-            let proof = Offset::between(last.since, received, position);
+            let proof = OffsetBounds::between(last.since, received, position);
             let since = if current { last.since.max(sent) } else { last.since };
             *last = Standing { position, since, received };
             return Some(proof);
