--- a/src/api.rs
+++ b/src/api.rs
@@ -234,7 +234,7 @@
 
 impl Settings {
     /// The least bound on the age of data that a class has, if any has one.
-    pub fn least_staleness_bound(&self) -> Option<Micros> {
+    pub fn min_staleness_bound(&self) -> Option<Micros> {
         let bounds = self.classes.iter().filter_map(|class| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
             _ => None,
--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -43,7 +43,7 @@
 
     /// Part of the primary's limit open to writes: the less, the more replicas lag behind a bound.
     pub(super) fn write_part(&self, window: CandidateWindow) -> f64 {
-        let bound = self.settings.least_staleness_bound().unwrap_or(DEFAULT_LAG_BOUND);
+        let bound = self.settings.min_staleness_bound().unwrap_or(DEFAULT_LAG_BOUND);
         let (mut replicas, mut lagging) = (0, 0);
         for (_, member) in self.candidates(window) {
             if member.role.role() == Role::Replica {
--- a/src/balance/log_time_evidence.rs
+++ b/src/balance/log_time_evidence.rs
@@ -81,7 +81,7 @@
     /// Checks a primary whose position was learned a short while ago, while no log's time is known closely
     /// enough.
     pub(super) fn check_primary_for_log_time(&mut self, now: Micros, actions: &mut Actions) {
-        let Some(bound) = self.settings.least_staleness_bound() else { return };
+        let Some(bound) = self.settings.min_staleness_bound() else { return };
         let resting = now - self.log_time_checked_at < LOG_TIME_CHECK_PAUSE || self.health_check_tokens < 1.0;
         let needless =
             self.log_time.is_same_clock() || self.log_time.is_known_within(now, bound.scale(CLOSE));
