--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -242,7 +242,11 @@
         }
         if let Some(latest) = latest {
             // What is further on stands for a time that was not known when the commit's answer was lost.
-            self.sessions.lower(id, latest + MAX_STALL + Micros(POSITION_ROUNDING_US as u64), MAX_PER_STEP);
+            self.sessions.clamp_commits(
+                id,
+                latest + MAX_STALL + Micros(POSITION_ROUNDING_US as u64),
+                MAX_PER_STEP,
+            );
         }
     }
 }
--- a/src/balance/sessions.rs
+++ b/src/balance/sessions.rs
@@ -83,7 +83,7 @@
     }
 
     /// Lowers commits beyond this position to it, so many at most: they are later than the log can be.
-    pub fn lower(&mut self, group: GroupId, latest: Micros, most: usize) {
+    pub fn clamp_commits(&mut self, group: GroupId, latest: Micros, most: usize) {
         let Some(settled) = self.settled.get_mut(&group) else { return };
         for _ in 0..most {
             let Some(last) = settled.last().copied().filter(|(commit, _)| *commit > latest) else { break };
