--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -66,7 +66,7 @@
         let multiple = self.settings.overload_multiple * SLOW_START_PART;
         let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST;
         member.slow_start.refill(self.served_rate * warmth * multiple, self.elapsed, burst);
-        member.forget_by(self.decay);
+        member.decay_failures_and_lag(self.decay);
         member.refresh_weight(warmth);
     }
 }
@@ -215,7 +215,7 @@
             refresh.apply(member);
             let in_service = member.is_in_service();
             // Members gone for good are forgotten, or years of replacements would add up.
-            if !member.is_held() && (!in_service || member.outlier.is_lost()) {
+            if !member.is_retained() && (!in_service || member.outlier.is_lost()) {
                 members.swap_remove(id);
                 lost_in_service += f64::from(u8::from(in_service));
                 return false;
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether it is kept whatever is known of it.
-    pub fn is_held(&self) -> bool {
+    pub fn is_retained(&self) -> bool {
         self.load.is_in_use() || self.endpoint.state == EndpointState::Ready
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Lets failures and the lag fade by this factor.
-    pub fn forget_by(&mut self, factor: f64) {
+    pub fn decay_failures_and_lag(&mut self, factor: f64) {
         self.failure_rate *= factor;
         self.log.decay_lag(factor);
     }
