--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -59,7 +59,7 @@
     /// Renews a member's penalty, slow-start tokens and weight. In slow start a member gets of each gateway
     /// its even part of what the group served there, as far as it is warm: the sum stays inside the multiple.
     fn apply(&self, member: &mut Member) {
-        let warmth = member.slow_start.warmth(self.now, self.settings);
+        let warmth = member.slow_start.capacity_fraction(self.now, self.settings);
         let failure_rate = member.failure_rate();
         let decay = || (-self.elapsed * (1.0 - failure_rate) / self.usual_latency).exp();
         member.load.decay_failure_penalty(decay);
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -200,7 +200,7 @@
     /// The same for a request that can be sent nowhere else, pause or not: few are such, and a pause is for
     /// the many that may be sent elsewhere or be retried.
     pub fn has_capacity_in_pause(&self, now: Micros, settings: &Settings, cost: f64, part: f64) -> bool {
-        let warmth = self.slow_start.warmth(now, settings);
+        let warmth = self.slow_start.capacity_fraction(now, settings);
         !self.slow_start.is_exhausted(warmth) && self.load.fits(cost, warmth, part)
     }
 }
--- a/src/balance/member/slow_start.rs
+++ b/src/balance/member/slow_start.rs
@@ -23,7 +23,7 @@
     }
 
     /// Part of its capacity that the member surely has: growth is never slower than linear.
-    pub fn warmth(&self, now: Micros, settings: &Settings) -> f64 {
+    pub fn capacity_fraction(&self, now: Micros, settings: &Settings) -> f64 {
         let window = settings.slow_start_window.as_f64();
         let age = (now - self.started_at).as_f64();
         if self.started_at == Micros(0) || age >= window {
