--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -11,7 +11,7 @@
 
 impl Snapshot {
     /// Adds what another worker of the same gateway knows; their groups differ.
-    pub fn join(&mut self, other: Snapshot) {
+    pub fn merge(&mut self, other: Snapshot) {
         self.members.extend(other.members);
         self.groups.extend(other.groups);
         for (key, session) in other.sessions.into_iter().chain(other.roaming) {
@@ -32,7 +32,7 @@
     }
 
     /// The part that concerns some groups.
-    pub fn part(mut self, own: impl Fn(GroupId) -> bool) -> Snapshot {
+    pub fn for_groups(mut self, own: impl Fn(GroupId) -> bool) -> Snapshot {
         self.members.retain(|_, member| own(member.entry.group));
         self.groups.retain(|group, _| own(*group));
         self.sessions.retain(|_, session| own(session.group));
@@ -66,7 +66,7 @@
 
     /// Takes over what another router knew; `mean_latencies` are those of this router's classes, where known.
     /// This router's clock may differ from the other's by `error` either way.
-    pub fn inherit(&mut self, snapshot: Snapshot, mean_latencies: &[Option<f64>], error: Micros) {
+    pub fn restore(&mut self, snapshot: Snapshot, mean_latencies: &[Option<f64>], error: Micros) {
         self.members = snapshot.members.into_iter().map(|(id, record)| (id, record.into())).collect();
         self.groups = snapshot.groups.into_iter().map(|(id, record)| (id, record.into())).collect();
         for group in self.groups.values_mut() {
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -113,13 +113,13 @@
     pub fn merge(&mut self, other: Snapshot) {
         self.groups.extend(other.groups);
         self.pool.extend(other.pool);
-        self.router.join(other.router);
+        self.router.merge(other.router);
     }
 
     /// What concerns these groups.
     pub fn for_groups(mut self, is_included: impl Fn(GroupId) -> bool) -> Snapshot {
         self.groups.retain(|group| is_included(*group));
-        self.router = self.router.part(is_included);
+        self.router = self.router.for_groups(is_included);
         let members = self.router.members();
         self.pool.retain(|member| members.contains(member));
         self
@@ -205,7 +205,7 @@
             |class| previous_class(ClassId(class)).and_then(|id| snapshot.router.means.get(id.0).copied());
         let means: Vec<Option<f64>> = (0..self.kinds.len()).map(known_mean).collect();
         (self.groups, self.listed) = (snapshot.groups, snapshot.pool);
-        self.router.inherit(snapshot.router, &means, clock_error);
+        self.router.restore(snapshot.router, &means, clock_error);
     }
 
     /// Records a commit of a session at another process of this gateway.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -230,7 +230,7 @@
     }
     let told = serde_json::to_string(&site.router.snapshot()).expect("a snapshot");
     let mut next = Site::new(2, 2);
-    next.router.inherit(serde_json::from_str(&told).expect("as it was told"), &[], Micros(0));
+    next.router.restore(serde_json::from_str(&told).expect("as it was told"), &[], Micros(0));
     for (group, replica) in [(0, 2), (1, 4)] {
         next.tell(replica, Micros(commit.0 - 1));
         assert_eq!(next.ask(OWN, group, 7, None), Some(MemberId(replica - 1)));
