--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -55,7 +55,7 @@
             administratively_down: self.administratively_down.clone(),
             common_clock: self.log_time.common().into(),
             span: self.served_span,
-            means: self.latencies.all().to_vec(),
+            mean_latencies: self.latencies.all().to_vec(),
             ..Snapshot::default()
         };
         for (key, group, commit) in self.sessions.commits() {
--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -23,7 +23,8 @@
     pub(super) common_clock: LogClockRecord,
     pub(super) span: f64,
     /// Mean latency of each class, by its place in the settings.
-    pub means: Vec<f64>,
+    #[serde(rename = "means")]
+    pub mean_latencies: Vec<f64>,
 }
 
 /// A member.
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -201,8 +201,9 @@
         previous_class: impl Fn(ClassId) -> Option<ClassId>,
         clock_error: Micros,
     ) {
-        let known_mean =
-            |class| previous_class(ClassId(class)).and_then(|id| snapshot.router.means.get(id.0).copied());
+        let known_mean = |class| {
+            previous_class(ClassId(class)).and_then(|id| snapshot.router.mean_latencies.get(id.0).copied())
+        };
         let means: Vec<Option<f64>> = (0..self.kinds.len()).map(known_mean).collect();
         (self.groups, self.listed) = (snapshot.groups, snapshot.pool);
         self.router.restore(snapshot.router, &means, clock_error);
