--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,8 @@
 //! The interface between the router and its caller: settings, ids, events and actions.
 //!
 //! All times and durations are whole microseconds. Log positions are times of the databases' clock: a
-//! member at position `p` has applied every commit made up to `p`. [`crate::Router::new`] takes them for
-//! points on the caller's clock, [`crate::Router::with_own_clock`] learns the offset between the two clocks.
+//! member at position `p` has applied every commit made up to `p`. [`crate::Router::new`] treats positions as
+//! points on the caller's clock; [`crate::Router::with_own_clock`] learns the offset between the two clocks.
 
 use std::ops::{Add, Sub};
 
@@ -59,7 +59,7 @@
     MemberId(u64);
     /// A group of members that hold the same data.
     GroupId(u64);
-    /// A request, unique while the router lives.
+    /// A request; the id is unique during the lifetime of the router.
     RequestId(u64);
     /// A client session.
     SessionKey(u64);
@@ -69,7 +69,7 @@
     TenantId(usize);
     /// A zone, for comparison only.
     ZoneId(usize);
-    /// The attempts of a request, counted from 0 in the order of their sends.
+    /// An attempt of a request, counted from 0 in the order of sending.
     AttemptNo(u32);
     /// A timer that the router asked for.
     TimerId(u64);
@@ -80,39 +80,39 @@
 /// How recent the data behind an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// A write: only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
-    /// Every commit before the request's arrival.
+    /// The answer reflects every commit before the request's arrival.
     Strong,
-    /// Every commit of the request's session.
+    /// The answer reflects every earlier commit of the request's session.
     Session,
-    /// Data no older than this when the request is sent.
+    /// The data is no older than this when the request is sent.
     BoundedStaleness(Micros),
-    /// Any member will do.
+    /// Data of any age: every member may answer.
     Eventual,
 }
 
-/// Which members drop duplicates of a request that bears an idempotency key.
+/// Which members drop duplicates of a request that has an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All members.
     All,
-    /// Those in the zone of the first attempt's member.
+    /// The members in the zone of the first attempt's member.
     Zone,
-    /// Those in the group of the first attempt's member.
+    /// The members in the group of the first attempt's member.
     Group,
 }
 
-/// What executing a request twice does.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// The same as executing it once.
     Idempotent,
     /// A duplicate is dropped within the scope, for the window that begins with the first send.
     IdempotencyKey {
-        /// Which members drop it.
+        /// Which members drop the duplicate.
         scope: DeduplicationScope,
-        /// For how long.
+        /// How long after the first send duplicates are dropped.
         window: Micros,
     },
     /// It takes effect twice.
@@ -122,15 +122,15 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time counts with the full weight.
+    /// An answer within this time counts with its full weight.
     pub latency_objective: Micros,
-    /// The longest that a client waits, over all attempts.
+    /// How long a client waits at most, over all attempts.
     pub deadline: Micros,
-    /// Weight of a request against those of other classes.
+    /// Weight of a request relative to those of other classes.
     pub priority_weight: f64,
-    /// Part of the weight that an answer after the latency objective still has.
+    /// Fraction of its weight that an answer keeps after the latency objective has passed.
     pub late_weight: f64,
-    /// Whether a request may be repeated.
+    /// Whether a request may be sent more than once.
     pub idempotency: Idempotency,
     /// How recent the data must be.
     pub consistency: Consistency,
@@ -139,35 +139,35 @@
 /// A customer with a quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within the quota, over all gateways.
+    /// Requests per second within the quota, over all gateways.
     pub quota_per_s: f64,
 }
 
-/// What a member does with a read that it lags too far behind for.
+/// How a member handles a read that needs a later position than it has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaChecks {
-    /// It answers from what it has.
+    /// It answers from the data that it has.
     None,
-    /// It rejects the read unexecuted, at once or after a short wait.
+    /// It rejects the read without executing it, at once or after a short wait.
     Reject,
 }
 
-/// Who keeps the position of a session's last commit.
+/// Where the position of a session's last commit is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokens {
-    /// The client: each request says how long ago the last commit was.
+    /// By the client: each request says how long ago the session's last commit was.
     Carried,
-    /// The router, from the answers to the session's writes.
+    /// By the router, which learns it from the answers to the session's writes.
     Remembered,
 }
 
 /// What a class's weight applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightBasis {
-    /// Each request, whatever it costs.
+    /// Each request, whatever its cost.
     #[default]
     Request,
-    /// Each unit of the work that a request takes.
+    /// Each unit of work that a request takes.
     Work,
 }
 
@@ -178,7 +178,7 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a part of its usual weight.
+    /// Weight of a request beyond its tenant's quota, as a fraction of its usual weight.
     pub over_quota_weight: f64,
     /// What a class's weight applies to.
     pub weight_basis: WeightBasis,
@@ -188,52 +188,53 @@
     pub gateways: u32,
     /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// Endpoint lists come only after [`Action::Watch`].
+    /// Endpoint lists are sent only after an [`Action::Watch`].
     pub watch_required: bool,
-    /// What members do with reads that they lag too far behind for.
+    /// How members handle reads that need a later position than they have applied.
     pub replica_checks: ReplicaChecks,
-    /// Who keeps the position of a session's last commit.
+    /// Where the position of a session's last commit is kept.
     pub session_tokens: SessionTokens,
     /// Health checks are permitted.
     pub health_checks: bool,
-    /// Cancels are permitted.
+    /// Cancelling an attempt is permitted.
     pub cancels: bool,
     /// Messages to other gateways are permitted.
     pub peers: bool,
     /// Two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Rejected clients are told when to come back.
+    /// A rejection tells the client when to retry.
     pub retry_after: bool,
-    /// Clients mark a request that repeats an earlier one of theirs.
+    /// Clients mark a request that repeats one of their earlier requests.
     pub clients_mark_retries: bool,
     /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Price of a health check, as a part of the service, for each request.
+    /// Cost of a health check for each request, as a fraction of the value of serving the request.
     pub health_check_price: f64,
-    /// Price of an attempt that crosses zones, likewise.
+    /// Cost of an attempt that crosses zones, in the same unit.
     pub cross_zone_price: f64,
-    /// Price of a connection that is opened, likewise.
+    /// Cost of opening a connection, in the same unit.
     pub handshake_price: f64,
-    /// Sends to a member must end this long after it is listed as draining or removed.
+    /// Sending to a member must end within this time after it is listed as draining or removed.
     pub drain_grace: Micros,
-    /// A member that is removed from the list without having drained may still be sent to.
+    /// A member that is removed from the list without having drained may still be sent requests.
     pub removed_may_serve: bool,
     /// Connections are closed after this time without use.
     pub connection_idle_timeout: Micros,
-    /// Least part of its capacity that a member has as its slow start begins.
+    /// Minimum fraction of its capacity that a member has when its slow start begins.
     pub slow_start_initial: f64,
     /// Slow start ends after this time at the latest.
     pub slow_start_window: Micros,
-    /// Sent more than this multiple of its present capacity...
+    /// A member in slow start fails if it is sent more than this multiple of its present capacity for
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ...for this long, a member in slow start breaks down.
+    /// How long a member in slow start withstands more than `overload_multiple`.
     pub overload_window: Micros,
 }
 
 impl Settings {
-    /// The least bound on the age of data that a class has, if any has one.
+    /// The smallest staleness bound of all classes, if any class has one.
     pub fn min_staleness_bound(&self) -> Option<Micros> {
         let bounds = self.classes.iter().filter_map(|class| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -242,7 +243,7 @@
         bounds.min()
     }
 
-    /// The weight of a unit of work for a request of this class that takes so many units.
+    /// The weight per unit of work, for a request of this class that takes `work` units.
     pub fn weight_per_work(&self, class: ClassId, work: f64) -> f64 {
         let priority_weight = self.classes[class.0].priority_weight;
         match self.weight_basis {
@@ -255,16 +256,16 @@
 /// A member's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes the requests that it has and takes no new ones.
+    /// It finishes the requests that it has and accepts no new ones.
     Draining,
     /// It has been removed.
     Removed,
 }
 
-/// A member as the endpoint list names it.
+/// A member's entry in the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
     /// The member.
@@ -275,22 +276,22 @@
     pub zone: ZoneId,
     /// Its state.
     pub state: EndpointState,
-    /// Its capacity relative to that of others.
+    /// Its capacity relative to that of other members.
     pub weight: f64,
-    /// Its latest start; zero if long ago.
+    /// When it was last started; zero if long ago.
     pub started: Micros,
-    /// The list regards it as its group's primary.
+    /// Whether the list names it as its group's primary.
     pub primary: bool,
 }
 
-/// What an update of the endpoint list holds.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Changed endpoints only.
     Incremental,
     /// All endpoints; a member that is missing has been removed.
     Full,
-    /// Nothing: the list could not be fetched.
+    /// No endpoints: the list could not be fetched.
     Failed,
 }
 
@@ -309,7 +310,7 @@
     pub committed: Option<Micros>,
     /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
-    /// The client marked it as a repeat.
+    /// The client marked it as a repeat of an earlier request.
     pub repeat: bool,
     /// Time until the client gives up.
     pub time_left: Micros,
@@ -318,7 +319,7 @@
 /// A member's role in its group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Takes writes.
+    /// Accepts writes.
     Primary,
     /// Follows the primary's log.
     #[default]
@@ -332,7 +333,7 @@
     Ok,
     /// The member failed; the request may have taken effect.
     Error,
-    /// Rejected unexecuted: no capacity, or draining.
+    /// Rejected without being executed: the member has no capacity or is draining.
     Rejected,
     /// No answer in time; it may have been executed.
     Timeout,
@@ -344,17 +345,16 @@
     Malformed,
     /// Cancelled; it may have been executed.
     Cancelled,
-    /// Withdrawn for a reason of the caller's own, which says nothing about the member; it may have been
-    /// executed.
+    /// Withdrawn by the caller for a reason that does not concern the member; it may have been executed.
     Withdrawn,
     /// Never sent.
     NotSent,
-    /// Rejected unexecuted: the member has the wrong role or is too far behind.
+    /// Rejected without being executed: the member has the wrong role or lags too far behind.
     Unsuitable,
 }
 
 impl AttemptStatus {
-    /// Whether it proves that the attempt had no effect.
+    /// Whether this status proves that the attempt was not executed.
     pub fn proves_not_executed(self) -> bool {
         use AttemptStatus::{ConnectFailed, NotSent, Rejected, Unsuitable};
         matches!(self, Rejected | ConnectFailed | NotSent | Unsuitable)
@@ -364,9 +364,9 @@
 /// What a member reported about itself some time ago.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HealthReport {
-    /// Its log position then.
+    /// Its log position at that time.
     pub position: Option<Micros>,
-    /// Its role then.
+    /// Its role at that time.
     pub role: Option<Role>,
 }
 
@@ -383,13 +383,13 @@
     pub status: AttemptStatus,
     /// Time since it was sent.
     pub latency: Micros,
-    /// The request has finished, by this attempt or earlier.
+    /// The request has finished, with this attempt or earlier.
     pub finished: bool,
-    /// The member's role as it answered.
+    /// The member's role when it answered.
     pub role: Option<Role>,
-    /// The member's position, or for a served write the time of the commit.
+    /// The member's log position; for a served write, the position of its commit.
     pub position: Option<Micros>,
-    /// The member's health report, if one came with the answer.
+    /// The member's health report; its fields are `None` unless the answer contained one.
     pub report: HealthReport,
 }
 
@@ -398,9 +398,9 @@
 pub enum Event {
     /// The endpoint list, or a change to it.
     Endpoints {
-        /// What it holds.
+        /// What it contains.
         update: EndpointUpdate,
-        /// Its endpoints.
+        /// The endpoints in it.
         endpoints: Vec<Endpoint>,
     },
     /// A request has arrived.
@@ -412,29 +412,29 @@
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left: no answer is owed any more.
+    /// The client has disconnected: the request needs no answer any more.
     ClientLeft(RequestId),
     /// A timer is due.
     Timer(TimerId),
-    /// Operators took a member out of service, or put it back.
+    /// Operators took a member out of service, or put it back into service.
     SetAdministrativelyDown {
         /// The member.
         member: MemberId,
-        /// Out of service, or back.
+        /// `true` for out of service, `false` for back in service.
         down: bool,
     },
     /// A health check has ended.
     HealthChecked {
         /// The member.
         member: MemberId,
-        /// How it ended.
+        /// How the health check ended.
         status: AttemptStatus,
         /// What the member reported.
         report: HealthReport,
     },
     /// Another gateway's message.
     Peer {
-        /// Its sender.
+        /// The gateway that sent it.
         from: PeerId,
         /// Its text.
         text: String,
@@ -448,9 +448,9 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The member to send it to.
         member: MemberId,
-        /// How long to wait; `None` waits until the client gives up.
+        /// How long to wait for an answer; `None` waits until the client gives up.
         timeout: Option<Micros>,
     },
     /// Stop waiting for an attempt.
@@ -464,7 +464,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When to come back, if the client is to be told.
+        /// When the client may retry, if the rejection is to say so.
         retry_after: Option<Micros>,
     },
     /// Final answer: failed, and the request may or may not have taken effect.
@@ -486,16 +486,16 @@
     SetTimer {
         /// The timer.
         timer: TimerId,
-        /// When.
+        /// The earliest time at which it is due.
         at: Micros,
     },
-    /// Ask for endpoint lists from here on.
+    /// Subscribe to endpoint lists.
     Watch,
     /// Send a message to every other gateway.
     Gossip {
         /// Its text, at most 256 bytes.
         text: String,
     },
-    /// Something for the operators' log.
+    /// An event to be logged for operators.
     Notice(Notice),
 }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -1,34 +1,34 @@
-//! What the decision module reports to operators: changes of what it knows with the evidence for them, what the choice
-//! of a replica rested on, and why a request was given up.
+//! What the router reports to operators: changes of log times and primaries with their evidence, the basis of the choice
+//! of a replica, and why a request was given up.
 
 use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId, Role};
 
-/// Where a member's position is known from.
+/// The source of a member's last known position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PositionSource {
-    /// It is not known.
+    /// No source is known.
     #[default]
     Unknown,
-    /// An answer to a request, whose attempt ended in this way.
+    /// The answer to an attempt that ended with this status.
     Answer(AttemptStatus),
-    /// The member's health report.
+    /// A health report of the member.
     Report,
 }
 
-/// What the position in an answer is.
+/// The meaning of the position in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionKind {
-    /// Where the member's log stood as it answered.
+    /// The position of the member's log when it answered.
     Current,
-    /// Where its log stood some time ago.
+    /// The position of its log some time before it answered.
     Reported,
-    /// The commit of a write that was executed between request and answer.
+    /// The commit of a write that was executed between the request and its answer.
     NewCommit,
-    /// The commit of a write that may have been executed before: this may be a duplicate that was dropped.
+    /// The commit of a write that may have been executed earlier: the request may be a duplicate that was dropped.
     Commit,
 }
 
-/// An answer from which the time of a group's log was derived.
+/// An answer from which a group's log time was derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogTimeEvidence {
     /// The member that answered.
@@ -37,7 +37,7 @@
     pub status: AttemptStatus,
     /// The position in the answer.
     pub position: Micros,
-    /// What that position is.
+    /// The meaning of that position.
     pub kind: PositionKind,
     /// When the request was sent.
     pub sent: Micros,
@@ -45,66 +45,66 @@
     pub received: Micros,
 }
 
-/// What the choice of a member for a read rested on.
+/// The basis of the choice of a member for a read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadBasis {
-    /// The position that the read must see; none as long as the log's time is unknown.
+    /// The position that the member must have applied; `None` while the log time is unknown.
     pub needed: Option<Micros>,
     /// The member's last known position, if there is one.
     pub position: Option<Micros>,
-    /// How long ago it was learned.
+    /// How long ago that position was last confirmed or advanced.
     pub age: Micros,
-    /// Where it is known from.
+    /// The source of that position.
     pub source: PositionSource,
-    /// The latest that the log's time may be by now.
+    /// The upper bound of the present log time, if it is known.
     pub log_time: Option<Micros>,
-    /// The answer that this time was last derived from, if it was one of this group.
+    /// The answer of this group from which the log time was last derived, if there was one.
     pub evidence: Option<LogTimeEvidence>,
 }
 
-/// Why a request was given up before it was served. The names are what the log shows.
+/// Why a request was given up before it was served. The log shows these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// It came with less time left than an attempt takes.
+    /// It arrived with less time left than an attempt takes.
     NoTime,
-    /// It waited in the queue for as long as it may, or an answer could no longer be in time.
+    /// Its time in the queue reached the limit, or an answer could no longer be in time.
     Waited,
-    /// Its time was over while an attempt was in flight.
+    /// Its deadline passed while an attempt was in flight.
     Overdue,
     /// An attempt failed and no retry is allowed.
     NoRetry,
 }
 
-/// Something that operators may want to know of.
+/// An event that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
-    /// The time of a group's log was learned, or what was known of it no longer holds.
+    /// A group's log time was learned, or an answer showed that the known log time was wrong.
     LogTime {
         /// The group.
         group: GroupId,
-        /// What was known before no longer holds.
+        /// Whether an earlier known log time was replaced.
         stepped: bool,
-        /// The answer that it was derived from.
+        /// The answer from which the log time was derived.
         evidence: LogTimeEvidence,
-        /// Bounds of the log's time less this clock's, in microseconds.
+        /// Lower and upper bound of the log time minus this router's clock, in microseconds.
         bounds: (i64, i64),
     },
-    /// Another member is taken for a group's primary.
+    /// The known primary of a group has changed.
     Primary {
         /// The group.
         group: GroupId,
-        /// The member that was taken for it before, if any.
+        /// The previous primary, if one was known.
         before: Option<MemberId>,
-        /// The member that is now, if any.
+        /// The new primary, if one is known.
         after: Option<MemberId>,
     },
-    /// A request was given up; only while single requests are traced.
+    /// A request was given up; reported only while individual requests are traced.
     GivenUp {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         why: GiveUp,
-        /// Attempts that it had.
+        /// The number of its attempts.
         attempts: u32,
     },
 }
