--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -109,7 +109,7 @@
     }
 
     /// A time of the log on the router's clock, the latest that it may be.
-    pub fn local(self, now: Micros, time: Micros) -> Micros {
+    pub fn local_latest(self, now: Micros, time: Micros) -> Micros {
         let least = self.at(now).least;
         Micros(time.0.saturating_add_signed(-least))
     }
--- a/src/balance/log_time_evidence.rs
+++ b/src/balance/log_time_evidence.rs
@@ -116,6 +116,6 @@
     member.log.recompute_lag(offset.latest(now));
     if change == Change::Learned {
         let started = member.endpoint().started;
-        member.slow_start.correct_listed_start(|| offset.local(now, started).min(now));
+        member.slow_start.correct_listed_start(|| offset.local_latest(now, started).min(now));
     }
 }
--- a/src/balance/membership.rs
+++ b/src/balance/membership.rs
@@ -75,7 +75,9 @@
         let (offset, limit) = (self.offset(endpoint.group), self.initial_limit());
         let Some(member) = self.members.get_mut(&endpoint.member) else { return };
         let started = match offset {
-            Some(offset) if endpoint.started != Micros(0) => offset.local(now, endpoint.started).min(now),
+            Some(offset) if endpoint.started != Micros(0) => {
+                offset.local_latest(now, endpoint.started).min(now)
+            }
             _ => endpoint.started,
         };
         if started > member.slow_start.started_at() {
