--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -1,138 +1,143 @@
 //! Bounds of the offset between the clock of a group's log and the router's own clock.
 //!
-//! Positions are times of the databases' clock, and the router's clock runs on its own: this machine's time
-//! of day may be off, or be stepped, and says nothing. What counts is proof that a primary was at its present
-//! between two moments, see [`super::progress`]: each proof bounds the offset between the two clocks, and all
-//! of them hold.
+//! Positions are times of the databases' clock, and the router's clock runs independently of it. This
+//! machine's time of day may be wrong or be stepped, so it is no evidence. A proof is evidence that a
+//! primary's position was current at some time between two points on the router's clock, see
+//! [`super::progress`]. Each proof bounds the offset between the two clocks, and all bounds hold together.
 
 use super::snapshot_format::{DoubtRecord, LogClockRecord, OffsetRecord};
 use crate::api::Micros;
 
-/// Most that two clocks drift apart, as a part of the time that passes: twice the fastest slew of a clock
-/// that is being set.
-const DRIFT: f64 = 0.001;
-/// Positions are whole milliseconds, rounded down, or up where they are commits.
+/// Maximum drift between two clocks, as a fraction of the elapsed time: twice the fastest slew rate of a
+/// clock that is being adjusted.
+const MAX_DRIFT_RATE: f64 = 0.001;
+/// Rounding error of a position: positions are whole milliseconds, rounded down, and commits are rounded up.
 pub(super) const POSITION_ROUNDING_US: i64 = 1_000;
-/// Longest that a router may be held up between reading its clock and what it then reads or writes.
+/// Longest time for which the process may be stalled between reading its clock and the reads or writes that
+/// follow.
 pub(super) const MAX_STALL: Micros = Micros::millis(150);
-/// How far the time of day of this machine and a position may be apart for the first proof to be enough.
-const PLAUSIBLE: i64 = 1_000_000;
-/// Proofs in a row that agree with each other and with nothing that is known: then the log's time was stepped
-/// back, or what is known came from a corrupt answer.
-const CONVINCING_PROOFS: u32 = 3;
-/// Time over which they have to agree where something else is known.
-const CONVINCING_TIME: Micros = Micros::millis(3_000);
-
-/// Bounds of an offset, in microseconds: the log's time less the router's.
+/// Maximum difference between this machine's time of day and a position for which the first proof suffices.
+const PLAUSIBLE_OFFSET_US: i64 = 1_000_000;
+/// Number of consecutive proofs that agree with each other and contradict the known offset before they
+/// replace it: the log's clock was stepped back, or the known offset came from a corrupt answer.
+const MIN_AGREEING_PROOFS: u32 = 3;
+/// Time over which these proofs must agree if they are earlier than the known offset.
+const MIN_AGREEMENT_TIME: Micros = Micros::millis(3_000);
+
+/// Lower and upper bound of an offset, in microseconds: the log time minus the router's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OffsetBounds {
-    /// When they were exact: they drift apart from there.
-    at: Micros,
-    least: i64,
-    most: i64,
+    /// When the bounds were exact; from then on they widen by the maximum drift.
+    exact_at: Micros,
+    lower: i64,
+    upper: i64,
 }
 
 impl OffsetBounds {
-    /// For a router whose clock is the log's.
-    pub const NONE: OffsetBounds = OffsetBounds { at: Micros(u64::MAX), least: 0, most: 0 };
+    /// The bounds for a router whose clock is that of the log.
+    pub const ZERO: OffsetBounds = OffsetBounds { exact_at: Micros(u64::MAX), lower: 0, upper: 0 };
 
-    /// What this machine's time of day says, for as long as nothing is proved.
+    /// The bounds that this machine's time of day makes plausible, used while there is no proof.
     pub fn plausible(now: Micros) -> OffsetBounds {
-        OffsetBounds { at: now, least: -PLAUSIBLE, most: PLAUSIBLE }
+        OffsetBounds { exact_at: now, lower: -PLAUSIBLE_OFFSET_US, upper: PLAUSIBLE_OFFSET_US }
     }
 
-    /// The log stood at this position at some time from `since` on, by an answer that has been received: up
-    /// to a hold later than the clock shows.
+    /// The bounds that follow from a log that was at `position` at some time between `since` and the receipt
+    /// of the answer, which may be up to `MAX_STALL` later than `now`.
     pub fn between(since: Micros, now: Micros, position: Micros) -> OffsetBounds {
-        let less = |time: Micros| position.0 as i64 - time.0 as i64;
+        let offset_from = |time: Micros| position.0 as i64 - time.0 as i64;
         OffsetBounds {
-            at: now,
-            least: less(now + MAX_STALL) - POSITION_ROUNDING_US,
-            most: less(since) + POSITION_ROUNDING_US,
+            exact_at: now,
+            lower: offset_from(now + MAX_STALL) - POSITION_ROUNDING_US,
+            upper: offset_from(since) + POSITION_ROUNDING_US,
         }
     }
 
-    /// The log's time less the router's in microseconds, at least and at most.
+    /// Lower and upper bound of the log time minus the router's time, in microseconds.
     pub fn bounds(self) -> (i64, i64) {
-        (self.least, self.most)
+        (self.lower, self.upper)
     }
 
-    /// How far the log's time may lie below the latest that it is taken for.
+    /// How far the log time may be behind its upper bound, apart from stalls.
     pub fn width(self, now: Micros) -> Micros {
-        let bounds = self.at(now);
-        Micros((bounds.most - bounds.least).max(0) as u64) - MAX_STALL
+        let bounds = self.drifted_to(now);
+        Micros((bounds.upper - bounds.lower).max(0) as u64) - MAX_STALL
     }
 
-    /// The bounds at another time.
-    fn at(self, now: Micros) -> OffsetBounds {
-        let drift = (now - self.at).scale(DRIFT).0 as i64;
-        OffsetBounds { at: self.at.max(now), least: self.least - drift, most: self.most + drift }
+    /// The bounds at a later time, widened by the drift until then.
+    fn drifted_to(self, now: Micros) -> OffsetBounds {
+        let drift = (now - self.exact_at).scale(MAX_DRIFT_RATE).0 as i64;
+        OffsetBounds {
+            exact_at: self.exact_at.max(now),
+            lower: self.lower - drift,
+            upper: self.upper + drift,
+        }
     }
 
-    /// The bounds that both allow, if they can both be right.
+    /// The range that both bounds allow, if they overlap.
     pub fn intersection(self, other: OffsetBounds) -> Option<OffsetBounds> {
-        let at = self.at.max(other.at);
-        let (one, two) = (self.at(at), other.at(at));
-        let (least, most) = (one.least.max(two.least), one.most.min(two.most));
-        (least <= most).then_some(OffsetBounds { at, least, most })
+        let exact_at = self.exact_at.max(other.exact_at);
+        let (one, two) = (self.drifted_to(exact_at), other.drifted_to(exact_at));
+        let (lower, upper) = (one.lower.max(two.lower), one.upper.min(two.upper));
+        (lower <= upper).then_some(OffsetBounds { exact_at, lower, upper })
     }
 
-    /// Bounds within which both lie.
+    /// The smallest range that contains both bounds.
     pub fn hull(self, other: OffsetBounds) -> OffsetBounds {
-        let at = self.at.max(other.at);
-        let (one, two) = (self.at(at), other.at(at));
-        OffsetBounds { at, least: one.least.min(two.least), most: one.most.max(two.most) }
+        let exact_at = self.exact_at.max(other.exact_at);
+        let (one, two) = (self.drifted_to(exact_at), other.drifted_to(exact_at));
+        OffsetBounds { exact_at, lower: one.lower.min(two.lower), upper: one.upper.max(two.upper) }
     }
 
-    /// The same where the router's clock may be off by an error either way.
+    /// These bounds for a router's clock that may be wrong by up to `error` in either direction.
     fn widened(self, error: Micros) -> OffsetBounds {
         let error = error.0 as i64;
-        OffsetBounds { least: self.least - error, most: self.most + error, ..self }
+        OffsetBounds { lower: self.lower - error, upper: self.upper + error, ..self }
     }
 
-    /// The same with room for a log that has come to this position by now at the least.
-    fn reaching(self, now: Micros, position: Micros) -> OffsetBounds {
-        let bounds = self.at(now);
-        let reached = position.0 as i64 - bounds.at.0 as i64;
-        OffsetBounds { most: bounds.most.max(reached), ..bounds }
+    /// These bounds, extended to allow a log that has reached at least this position by now.
+    fn extended_to(self, now: Micros, position: Micros) -> OffsetBounds {
+        let bounds = self.drifted_to(now);
+        let reached = position.0 as i64 - bounds.exact_at.0 as i64;
+        OffsetBounds { upper: bounds.upper.max(reached), ..bounds }
     }
 
-    /// The log's time at the latest.
+    /// The upper bound of the log time.
     pub fn latest(self, now: Micros) -> Micros {
-        let most = self.at(now).most;
-        Micros(now.0.saturating_add_signed(most))
+        let upper = self.drifted_to(now).upper;
+        Micros(now.0.saturating_add_signed(upper))
     }
 
-    /// Whether the log may stand at this position by now.
+    /// Whether the log may have reached this position by now.
     pub fn allows(self, now: Micros, position: Micros) -> bool {
         position <= self.latest(now + MAX_STALL) + Micros(POSITION_ROUNDING_US as u64)
     }
 
-    /// A time of the log on the router's clock, the latest that it may be.
+    /// The latest time on the router's clock that a log time may correspond to.
     pub fn local_latest(self, now: Micros, time: Micros) -> Micros {
-        let least = self.at(now).least;
-        Micros(time.0.saturating_add_signed(-least))
+        let lower = self.drifted_to(now).lower;
+        Micros(time.0.saturating_add_signed(-lower))
     }
 
-    /// The same, the earliest that it may be.
+    /// The earliest time on the router's clock that a log time may correspond to.
     pub fn local_earliest(self, now: Micros, time: Micros) -> Micros {
-        let most = self.at(now).most;
-        Micros(time.0.saturating_add_signed(-most))
+        let upper = self.drifted_to(now).upper;
+        Micros(time.0.saturating_add_signed(-upper))
     }
 }
 
-/// What a proof has changed.
+/// How a proof has changed the known offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It fits what was known.
+    /// Not replaced: the proof agrees with it, or does not suffice to replace it.
     None,
-    /// Nothing was known before.
+    /// Known for the first time.
     Learned,
-    /// What was known no longer holds.
+    /// Replaced, because proofs contradicted it.
     Stepped,
 }
 
-/// Proofs that agree with each other and contradict what is known.
+/// Proofs that agree with each other and contradict the known or the expected offset.
 #[derive(Clone, Copy, Debug)]
 struct Contradiction {
     offset: OffsetBounds,
@@ -140,21 +145,21 @@
     since: Micros,
 }
 
-/// What is proved of a log's time.
+/// The offset of a log's clock, as far as it has been proved.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogClock {
     known: Option<OffsetBounds>,
-    /// The latest proofs that contradict it.
+    /// The latest proofs that contradict the known offset.
     contradiction: Option<Contradiction>,
 }
 
 impl LogClock {
-    /// The offset that all proofs fit.
+    /// The offset that all accepted proofs agree on, if there is one.
     pub fn known(&self) -> Option<OffsetBounds> {
         self.known
     }
 
-    /// Takes in a proof; `expected` is what is plausible as long as nothing is known.
+    /// Adds a proof. While no offset is known, a proof that agrees with `expected` suffices.
     pub fn add_proof(&mut self, proof: OffsetBounds, expected: OffsetBounds) -> Change {
         let Some(known) = self.known else {
             return match expected.intersection(proof) {
@@ -165,31 +170,33 @@
         if let Some(both) = known.intersection(proof) {
             return self.adopt(both, Change::None);
         }
-        // The log was stepped, or this answer is corrupt. For as long as that is open the later time counts,
-        // which makes no replica look fresher.
-        let back = proof.most < known.at(proof.at).least;
-        self.contradict(proof, if back { CONVINCING_TIME } else { Micros(0) }, Change::Stepped)
+        // The log's clock was stepped, or this answer is corrupt. Until that is decided the later log time
+        // counts, so that no replica appears fresher than it is.
+        let went_back = proof.upper < known.drifted_to(proof.exact_at).lower;
+        self.contradict(proof, if went_back { MIN_AGREEMENT_TIME } else { Micros(0) }, Change::Stepped)
     }
 
-    /// By a primary's answer to a request of `sent` its log has come to this position, which proves nothing
-    /// else.
+    /// Records that a primary's log has reached this position, according to its answer to a request that was
+    /// sent at `sent`. This raises the upper bound only; it is no proof.
     pub fn advance_to(&mut self, sent: Micros, now: Micros, position: Micros) {
         let Some(known) = self.known else { return };
         if known.allows(now, position) {
-            self.known = Some(known.reaching(now, position));
+            self.known = Some(known.extended_to(now, position));
         } else if self.latest_if_contradicted(now).is_none_or(|latest| latest < position) {
             let offset = OffsetBounds::between(sent, now, position);
             self.contradiction = Some(Contradiction { offset, proofs: 0, since: now });
         }
     }
 
-    /// The log's time at the latest by proofs that contradict what is known, if there are any.
+    /// The upper bound of the log time according to answers that contradict the known offset, if there are
+    /// any.
     pub fn latest_if_contradicted(&self, now: Micros) -> Option<Micros> {
         Some(self.contradiction?.offset.latest(now))
     }
 
-    /// What is left of it where the router's clock may be off by an error either way.
-    pub fn after_error(self, error: Micros) -> LogClock {
+    /// This state for a router's clock that may be wrong by up to `error` in either direction: wider bounds,
+    /// and no contradiction.
+    pub fn with_clock_error(self, error: Micros) -> LogClock {
         LogClock { known: self.known.map(|known| known.widened(error)), contradiction: None }
     }
 
@@ -198,14 +205,15 @@
         change
     }
 
-    fn contradict(&mut self, proof: OffsetBounds, time: Micros, change: Change) -> Change {
+    fn contradict(&mut self, proof: OffsetBounds, min_duration: Micros, change: Change) -> Change {
         let agrees = |contradiction: Contradiction| {
             let offset = contradiction.offset.intersection(proof)?;
             Some(Contradiction { offset, proofs: contradiction.proofs + 1, ..contradiction })
         };
-        let first = Contradiction { offset: proof, proofs: 1, since: proof.at };
+        let first = Contradiction { offset: proof, proofs: 1, since: proof.exact_at };
         let contradiction = self.contradiction.and_then(agrees).unwrap_or(first);
-        if contradiction.proofs >= CONVINCING_PROOFS && proof.at - contradiction.since >= time {
+        if contradiction.proofs >= MIN_AGREEING_PROOFS && proof.exact_at - contradiction.since >= min_duration
+        {
             return self.adopt(contradiction.offset, change);
         }
         self.contradiction = Some(contradiction);
@@ -214,14 +222,14 @@
 }
 
 impl From<OffsetBounds> for OffsetRecord {
-    fn from(OffsetBounds { at, least, most }: OffsetBounds) -> OffsetRecord {
-        OffsetRecord { at, least, most }
+    fn from(OffsetBounds { exact_at, lower, upper }: OffsetBounds) -> OffsetRecord {
+        OffsetRecord { exact_at, lower, upper }
     }
 }
 
 impl From<OffsetRecord> for OffsetBounds {
-    fn from(OffsetRecord { at, least, most }: OffsetRecord) -> OffsetBounds {
-        OffsetBounds { at, least, most }
+    fn from(OffsetRecord { exact_at, lower, upper }: OffsetRecord) -> OffsetBounds {
+        OffsetBounds { exact_at, lower, upper }
     }
 }
 
--- a/src/balance/log_time.rs
+++ b/src/balance/log_time.rs
@@ -53,7 +53,7 @@
     /// The offset of a group's log: as its own primaries prove, or as those of the others do.
     pub fn offset(&self, group: Option<&Group>) -> Option<OffsetBounds> {
         if self.same_clock {
-            return Some(OffsetBounds::NONE);
+            return Some(OffsetBounds::ZERO);
         }
         let own = group.and_then(|group| group.log_clock.known());
         own.map_or(self.usual, |own| Some(self.within_common(own)))
--- a/src/balance/snapshot.rs
+++ b/src/balance/snapshot.rs
@@ -70,9 +70,9 @@
         self.members = snapshot.members.into_iter().map(|(id, record)| (id, record.into())).collect();
         self.groups = snapshot.groups.into_iter().map(|(id, record)| (id, record.into())).collect();
         for group in self.groups.values_mut() {
-            group.log_clock = group.log_clock.after_error(error);
+            group.log_clock = group.log_clock.with_clock_error(error);
         }
-        let common = LogClock::from(snapshot.common_clock).after_error(error);
+        let common = LogClock::from(snapshot.common_clock).with_clock_error(error);
         self.log_time.restore(common, self.groups.values());
         let sessions = snapshot.sessions.into_iter().chain(snapshot.roaming);
         self.sessions.restore(sessions.map(|(key, session)| (key, session.group, session.commit)));
--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -143,9 +143,12 @@
 /// Bounds of the log's time less the router's, in microseconds.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct OffsetRecord {
-    pub at: Micros,
-    pub least: i64,
-    pub most: i64,
+    #[serde(rename = "at")]
+    pub exact_at: Micros,
+    #[serde(rename = "least")]
+    pub lower: i64,
+    #[serde(rename = "most")]
+    pub upper: i64,
 }
 
 /// Proofs that do not fit what is known of a log's time.
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -1,5 +1,5 @@
-//! What the router reports to operators: changes of log times and primaries with their evidence, the basis of the choice
-//! of a replica, and why a request was given up.
+//! What the router reports to operators: changes of log times and primaries with their evidence, the basis of the
+//! choice of a replica, and why a request was given up.
 
 use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId, Role};
 
@@ -24,7 +24,7 @@
     Reported,
     /// The commit of a write that was executed between the request and its answer.
     NewCommit,
-    /// The commit of a write that may have been executed earlier: the request may be a duplicate that was dropped.
+    /// The commit of a write that may have been executed earlier: this may be a duplicate that was dropped.
     Commit,
 }
 
