--- a/src/balance/log_time.rs
+++ b/src/balance/log_time.rs
@@ -1,33 +1,34 @@
-//! The offset between the clock of the groups' logs and this router's clock.
+//! The offset between the clock of all groups' logs and this router's clock.
 
 use super::group::Group;
 use super::log_clock::{Change, LogClock, OffsetBounds, MAX_STALL};
 use crate::api::Micros;
 use crate::notice::LogTimeEvidence;
 
-/// What is known of the time of all groups' logs.
+/// The known offsets of the logs of all groups.
 pub struct LogTime {
-    /// Positions are times of this router's clock; else the offset is learned from what primaries answer.
+    /// Positions are times of this router's clock; otherwise the offset is learned from primaries' answers.
     same_clock: bool,
-    /// The time of all logs: databases read one clock. A group whose own answers do not fit it goes by those.
+    /// The clock of all logs, as databases share one. A group whose own proofs contradict it uses those
+    /// alone.
     common: LogClock,
-    /// Bounds of the offset over all groups, for those of which nothing is proved.
-    usual: Option<OffsetBounds>,
-    /// Those bounds over the groups that the refresh under way has seen.
-    refreshed: Option<OffsetBounds>,
+    /// Bounds of the offset over all groups, for groups without a proof of their own.
+    default_bounds: Option<OffsetBounds>,
+    /// The same bounds over the groups that the refresh in progress has visited.
+    refreshed_bounds: Option<OffsetBounds>,
 }
 
 impl LogTime {
-    /// Nothing is known yet; `same_clock` where positions are times of the router's clock.
+    /// No offset is known yet; `same_clock` means that positions are times of the router's clock.
     pub fn new(same_clock: bool) -> LogTime {
-        LogTime { same_clock, common: LogClock::default(), usual: None, refreshed: None }
+        LogTime { same_clock, common: LogClock::default(), default_bounds: None, refreshed_bounds: None }
     }
 
-    /// Takes over what another router knew of all logs and of each group's.
+    /// Restores the offsets that another router knew: of the common clock, and of each group's log.
     pub fn restore<'a>(&mut self, common: LogClock, groups: impl Iterator<Item = &'a Group>) {
         self.common = common;
-        let known = groups.filter_map(|group| Some(self.within_common(group.log_clock.known()?)));
-        self.usual = known.reduce(OffsetBounds::hull);
+        let known = groups.filter_map(|group| Some(self.narrowed_by_common(group.log_clock.known()?)));
+        self.default_bounds = known.reduce(OffsetBounds::hull);
     }
 
     /// Whether positions are times of the router's clock.
@@ -35,13 +36,13 @@
         self.same_clock
     }
 
-    /// What is proved of the time of all logs.
+    /// The clock that the logs of all groups have in common.
     pub fn common(&self) -> LogClock {
         self.common
     }
 
-    /// For how long the router may be held up between reading its clock and what it does then: a router whose
-    /// clock is the log's acts in no time.
+    /// Longest time for which the process may be stalled between reading its clock and acting; zero for a
+    /// router whose clock is that of the log.
     pub fn max_stall(&self) -> Micros {
         if self.same_clock {
             Micros(0)
@@ -50,17 +51,17 @@
         }
     }
 
-    /// The offset of a group's log: as its own primaries prove, or as those of the others do.
+    /// The offset of a group's log: proved by its own primaries, or else by those of other groups.
     pub fn offset(&self, group: Option<&Group>) -> Option<OffsetBounds> {
         if self.same_clock {
             return Some(OffsetBounds::ZERO);
         }
         let own = group.and_then(|group| group.log_clock.known());
-        own.map_or(self.usual, |own| Some(self.within_common(own)))
+        own.map_or(self.default_bounds, |own| Some(self.narrowed_by_common(own)))
     }
 
-    /// The time of a group's log by now at the latest: what a replica shows counts against it. None as long
-    /// as nothing is proved of any log.
+    /// The upper bound of a group's present log time, against which a replica's lag is measured. `None` while
+    /// there is no proof for any group.
     pub fn latest(&self, now: Micros, group: Option<&Group>) -> Option<Micros> {
         let latest = self.offset(group)?.latest(now);
         if self.same_clock {
@@ -71,13 +72,13 @@
         Some(contradiction.map_or(latest, |contradiction| contradiction.max(latest)))
     }
 
-    /// Whether the time of all logs is known this closely.
+    /// Whether the bounds of the common log time are at most `width` apart.
     pub fn is_known_within(&self, now: Micros, width: Micros) -> bool {
         self.common.known().is_some_and(|known| known.width(now) <= width)
     }
 
-    /// Takes in an answer of a group's primary, and what it proves of the log's time, if anything: the log
-    /// has come to its position at the least. What that changed for the group.
+    /// Records an answer of a group's primary, whose log has reached at least the position in it, and the
+    /// proof that follows from the answer, if any. Returns the change for the group.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -88,32 +89,33 @@
         let change = proof.map_or(Change::None, |proof| {
             group.evidence = Some(*answer);
             self.common.add_proof(proof, OffsetBounds::plausible(now));
-            group.log_clock.add_proof(proof, self.usual.unwrap_or(OffsetBounds::plausible(now)))
+            group.log_clock.add_proof(proof, self.default_bounds.unwrap_or(OffsetBounds::plausible(now)))
         });
         self.common.advance_to(answer.sent, now, answer.position);
         group.log_clock.advance_to(answer.sent, now, answer.position);
         change
     }
 
-    /// A group's offset has changed: the usual bounds have room for it from now on.
+    /// Extends the default bounds to include a group's changed offset.
     pub fn include(&mut self, offset: OffsetBounds) {
-        self.usual = Some(self.usual.map_or(offset, |usual| usual.hull(offset)));
+        self.default_bounds =
+            Some(self.default_bounds.map_or(offset, |default_bounds| default_bounds.hull(offset)));
     }
 
-    /// A refresh has come to this group.
+    /// Adds a group to the bounds of the refresh in progress.
     pub fn refresh(&mut self, group: &Group) {
         let Some(known) = group.log_clock.known() else { return };
-        let offset = self.within_common(known);
-        self.refreshed = Some(self.refreshed.map_or(offset, |other| other.hull(offset)));
+        let offset = self.narrowed_by_common(known);
+        self.refreshed_bounds = Some(self.refreshed_bounds.map_or(offset, |other| other.hull(offset)));
     }
 
-    /// A refresh has come to all groups: its bounds are the usual ones from now on.
+    /// Replaces the default bounds with those of the refresh, which has visited all groups.
     pub fn finish_refresh(&mut self) {
-        self.usual = self.refreshed.take().or(self.usual);
+        self.default_bounds = self.refreshed_bounds.take().or(self.default_bounds);
     }
 
-    /// What is proved of a group's log, closer where the proofs of all groups fit.
-    fn within_common(&self, own: OffsetBounds) -> OffsetBounds {
+    /// A group's own bounds, narrowed by the common bounds if the two overlap.
+    fn narrowed_by_common(&self, own: OffsetBounds) -> OffsetBounds {
         let common = self.common.known().and_then(|common| common.intersection(own));
         common.unwrap_or(own)
     }
--- a/src/balance/log_time_evidence.rs
+++ b/src/balance/log_time_evidence.rs
@@ -1,4 +1,4 @@
-//! Answers of members that call themselves primaries, as evidence of the log's time.
+//! Answers of members that claim to be primaries, as evidence of the log time.
 
 use super::log_clock::{Change, OffsetBounds, MAX_STALL};
 use super::member::Member;
@@ -7,25 +7,25 @@
 use crate::api::*;
 use crate::notice::{LogTimeEvidence, Notice, PositionKind};
 
-/// How closely a log's time should be known, as a part of the least bound on the age of data: until then
-/// primaries are checked for it.
-const CLOSE: f64 = 0.1;
-/// How long ago a primary's log was known to stand at its position, at least and at most, for a report to be
-/// evidence: it must be newer than that, and what it proves is as wide as the time between.
+/// Required accuracy of the log time, as a fraction of the smallest staleness bound: until it is reached,
+/// primaries' health is checked to improve it.
+const LOG_TIME_ACCURACY_FRACTION: f64 = 0.1;
+/// Limits of the age of a primary's last known position for a health check to be useful. The position in the
+/// answer must have advanced since, and the bounds that follow are as wide as the time between the two.
 const MIN_EVIDENCE_AGE: Micros = Micros::millis(25);
 const MAX_EVIDENCE_AGE: Micros = Micros::millis(250);
-/// Least time between two such checks.
-const LOG_TIME_CHECK_PAUSE: Micros = Micros::millis(100);
+/// Minimum time between two health checks of primaries for the log time.
+const LOG_TIME_CHECK_INTERVAL: Micros = Micros::millis(100);
 
 impl Router {
-    /// What the position in an answer is.
+    /// The meaning of the position in an answer.
     pub(super) fn position_kind(&self, outcome: &Outcome, attempt: &Attempt) -> PositionKind {
         let class = &self.settings.classes[attempt.class.0];
         if outcome.status != AttemptStatus::Ok || class.consistency != Consistency::Write {
             return PositionKind::Current;
         }
-        // A duplicate may be dropped and answered with the commit of the first run, whoever retries: this
-        // router, or the client, which may come by another one.
+        // A duplicate may be dropped and answered with the commit of the first execution. Both this router
+        // and the client may retry, and the client may do so through another gateway.
         let may_be_dropped = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
         let first = outcome.attempt == AttemptNo(0) && !attempt.repeat && self.settings.clients_mark_retries;
         if first || !may_be_dropped {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Takes in what a primary reports of itself: it proves nothing alone, but may show that its log
-    /// advances.
+    /// Records a primary's health report. A report is no proof by itself, but may show that the primary's log
+    /// has advanced.
     pub(super) fn observe_primary_report(&mut self, now: Micros, member: MemberId, report: HealthReport) {
         if let (Some(Role::Primary), Some(position)) = (report.role, report.position) {
             let (kind, status) = (PositionKind::Reported, AttemptStatus::Ok);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes in an answer of a member that calls itself the primary.
+    /// Records an answer of a member that claims to be the primary.
     pub(super) fn observe_primary(&mut self, now: Micros, answer: LogTimeEvidence) {
         if self.log_time.is_same_clock() {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What is known of a group's log time is new, or no longer holds.
+    /// Applies a group's log time that was learned or replaced to the group and its members.
     fn log_time_changed(&mut self, now: Micros, id: GroupId, change: Change, evidence: LogTimeEvidence) {
         let Some(offset) = self.offset(id) else { return };
         self.log_time.include(offset);
@@ -67,8 +67,8 @@
         self.notify(Notice::LogTime { group: id, stepped, evidence, bounds });
         let Some(group) = self.groups.get_mut(&id) else { return };
         if change == Change::Stepped {
-            // Commits and positions of before are on another scale: all that was committed so far has to be
-            // seen.
+            // Earlier commits and positions are times of the clock before the step and cannot be compared:
+            // reads of sessions must see all commits so far.
             group.forgotten_commit = offset.latest(now + MAX_STALL);
         }
         for id in &group.members {
@@ -78,14 +78,15 @@
         }
     }
 
-    /// Checks a primary whose position was learned a short while ago, while no log's time is known closely
+    /// Checks the health of a primary whose position was learned recently, while the log time is not accurate
     /// enough.
     pub(super) fn check_primary_for_log_time(&mut self, now: Micros, actions: &mut Actions) {
         let Some(bound) = self.settings.min_staleness_bound() else { return };
-        let resting = now - self.log_time_checked_at < LOG_TIME_CHECK_PAUSE || self.health_check_tokens < 1.0;
-        let needless =
-            self.log_time.is_same_clock() || self.log_time.is_known_within(now, bound.scale(CLOSE));
-        if needless || resting || !self.settings.health_checks {
+        let throttled =
+            now - self.log_time_checked_at < LOG_TIME_CHECK_INTERVAL || self.health_check_tokens < 1.0;
+        let unneeded = self.log_time.is_same_clock()
+            || self.log_time.is_known_within(now, bound.scale(LOG_TIME_ACCURACY_FRACTION));
+        if unneeded || throttled || !self.settings.health_checks {
             return;
         }
         let primaries = self.groups.values().filter_map(|group| group.primary);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// How long ago a primary's log was known to stand at its position, if a check of it may prove something.
+    /// The age of a primary's last known position, if a health check now may yield a proof.
     fn evidence_age(&self, now: Micros, id: MemberId) -> Option<Micros> {
         let member = self.members.get(&id)?;
         let age = now - member.log.primary_since()?;
@@ -106,7 +107,7 @@
     }
 }
 
-/// Brings what is known of a member into line with a log time that has changed.
+/// Updates a member's position, lag and listed start for a log time that has changed.
 fn adopt_offset(now: Micros, member: &mut Member, offset: OffsetBounds, change: Change) {
     let impossible = |position| !offset.allows(now, position);
     if change == Change::Stepped || member.log.position().is_some_and(impossible) {
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -1,4 +1,4 @@
-//! How far members have applied the log, and what a read must see.
+//! Which log positions members have applied, and which position a read needs.
 
 use super::log_clock::OffsetBounds;
 use super::member::Member;
@@ -8,7 +8,7 @@
 use crate::notice::{PositionSource, ReadBasis};
 
 impl Router {
-    /// Takes in a member's role and position, claimed at this time.
+    /// Records the role that a member claimed at `at`, and its log position.
     pub(super) fn observe_member(
         &mut self,
         now: Micros,
@@ -19,8 +19,8 @@
         source: PositionSource,
     ) {
         let Some(group) = self.members.get(&id).map(Member::group) else { return };
-        // A position that cannot be is corrupt, and so may the rest of the answer be.
-        if position.is_some_and(|position| !self.is_possible(now, group, position)) {
+        // An impossible position is corrupt, and the rest of the answer may be corrupt too.
+        if position.is_some_and(|position| !self.is_position_possible(now, group, position)) {
             return;
         }
         let latest = self.log_now(now, group);
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Whether a group's log may stand at a position by now.
-    fn is_possible(&self, now: Micros, group: GroupId, position: Micros) -> bool {
+    /// Whether a group's log may have reached a position by now.
+    fn is_position_possible(&self, now: Micros, group: GroupId, position: Micros) -> bool {
         let offset = self.offset(group).filter(|_| !self.log_time.is_same_clock());
         offset.is_none_or(|offset| offset.allows(now, position))
     }
 
-    /// Takes in a member's health report. Its position says when the rest of it was true.
+    /// Records a member's health report, whose position tells when the report was made.
     pub(super) fn observe_report(&mut self, now: Micros, id: MemberId, report: HealthReport) {
         let Some(group) = self.members.get(&id).map(Member::group) else { return };
         let local = |position| self.offset(group).map(|offset| offset.local_earliest(now, position));
@@ -47,7 +47,7 @@
         self.observe_member(now, id, report.role, at, report.position, PositionSource::Report);
     }
 
-    /// What the choice of the member that a request was sent to rested on.
+    /// The basis of the choice of the member to which a request was sent last.
     pub fn read_basis(&self, now: Micros, id: RequestId) -> Option<ReadBasis> {
         let open = self.open.get(&id)?;
         let member = self.members.get(&open.in_flight.last()?.1)?;
@@ -62,7 +62,7 @@
         })
     }
 
-    /// For how long this router may be held up between reading its clock and what it does then.
+    /// Longest time for which this process may be stalled between reading its clock and acting.
     pub(super) fn max_stall(&self) -> Micros {
         self.log_time.max_stall()
     }
@@ -72,19 +72,20 @@
         self.log_time.offset(self.groups.get(&group))
     }
 
-    /// The time of a group's log by now at the latest. None as long as nothing is proved of any log.
+    /// The upper bound of a group's present log time. `None` while there is no proof for any group.
     pub(super) fn log_now(&self, now: Micros, group: GroupId) -> Option<Micros> {
         self.log_time.latest(now, self.groups.get(&group))
     }
 
-    /// The position that a request sent now must see; none where the log's time is not known yet.
+    /// The position that a request sent now needs; `None` if that depends on a log time that is not known
+    /// yet.
     pub(super) fn needed(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
         let group = open.request.group;
         match self.settings.classes[open.request.class.0].consistency {
             Consistency::Write | Consistency::Eventual => Some(Micros(0)),
             Consistency::BoundedStaleness(bound) => Some(self.log_now(now, group)? - bound),
             Consistency::Strong => {
-                // The request may have arrived up to a hold after the clock was read.
+                // The request may have arrived up to `max_stall` after the clock was read.
                 Some(self.log_now(now, group)? + self.max_stall() - (now - open.arrived_at))
             }
             Consistency::Session => Some(self.session_token(&open.request)),
