--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -1,5 +1,5 @@
-//! A database member as this router knows it: what the endpoint list says, and what its answers and failures
-//! have shown.
+//! The state of a database member in this router: its entry in the endpoint list, and what its answers and
+//! failures have shown.
 
 use rand_pcg::Pcg64Mcg;
 
@@ -20,21 +20,22 @@
 use role_claim::RoleClaim;
 use slow_start::SlowStart;
 
-/// Least weight of a failing member in a draw: the trickle that shows its return.
+/// Minimum weight of a failing member in a draw: the few requests that it still gets show its recovery.
 const MIN_WEIGHT: f64 = 0.01;
-/// Least latency ratio that raises a weight.
+/// Lower limit of the latency ratio in a weight: a lower ratio doesn't raise the weight further.
 const MIN_LATENCY_RATIO: f64 = 0.2;
-/// Weight of a new sample in a member's own figures, which must follow a fault within a second.
+/// Weight of a new sample in a member's running means, which must reflect a fault within a second.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// How strongly the rate of failures lowers a weight.
+/// Exponent by which the failure rate lowers a weight.
 const FAILURE_EXPONENT: i32 = 4;
 
 /// A database member.
 pub struct Member {
     endpoint: Endpoint,
-    /// Taken out of service by operators, whatever the list says.
+    /// Taken out of service by operators, regardless of the list.
     administratively_down: bool,
-    /// It may still be sent to once it is removed from the list: it has not drained since its start.
+    /// It may still be sent requests after its removal from the list: it has not drained since it was last
+    /// listed as ready.
     serves_if_removed: bool,
     pub log: LogPosition,
     pub role: RoleClaim,
@@ -42,16 +43,16 @@
     pub outlier: OutlierDetection,
     pub slow_start: SlowStart,
     pub health_check: HealthCheck,
-    /// Running mean of latency over its class's mean.
+    /// Running mean of the latency of a request divided by the mean latency of its class.
     latency_ratio: f64,
-    /// Running share of failures.
+    /// Running mean of the fraction of requests that fail.
     failure_rate: f64,
-    /// Weight in a draw, before zone and load.
+    /// Weight in a draw, before zone and load are taken into account.
     weight: f64,
 }
 
 impl Member {
-    /// A member that nothing is known of but its endpoint, with this concurrency limit.
+    /// A member of which only the endpoint is known, with this role and concurrency limit.
     pub fn new(endpoint: Endpoint, role: Role, limit: f64) -> Member {
         Member {
             endpoint,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The member as the list names it.
+    /// The member's entry in the endpoint list.
     pub fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
@@ -79,7 +80,7 @@
         self.endpoint.group
     }
 
-    /// Whether it may be sent requests, by the list and by the operators.
+    /// Whether it may be sent requests according to the endpoint list and the operators.
     pub fn is_in_service(&self) -> bool {
         let listed = match self.endpoint.state {
             EndpointState::Ready => true,
@@ -94,13 +95,13 @@
         self.is_in_service() && !self.outlier.is_ejected()
     }
 
-    /// Whether it is kept whatever is known of it.
+    /// Whether it must not be removed: it has attempts in flight or is listed as ready.
     pub fn is_retained(&self) -> bool {
         self.load.is_in_use() || self.endpoint.state == EndpointState::Ready
     }
 
-    /// The list names it again, or changed. Where `removed_may_serve`, the list may miss live members; one
-    /// that has drained stays out of service.
+    /// Updates its entry from the endpoint list. With `removed_may_serve` the list may miss live members, so
+    /// that a removed one is still sent requests; one that has drained stays out of service.
     pub fn relist(&mut self, endpoint: Endpoint, administratively_down: bool, removed_may_serve: bool) {
         let ready = endpoint.state == EndpointState::Ready;
         let drains = endpoint.state == EndpointState::Draining;
@@ -109,31 +110,33 @@
         self.endpoint = endpoint;
     }
 
-    /// A full list does not name it.
+    /// Marks it as removed, because a full list does not contain it.
     pub fn mark_removed(&mut self) {
         self.endpoint.state = EndpointState::Removed;
     }
 
-    /// The list has moved it to another group: what it said in the former one is void.
+    /// Forgets the log position and role that it reported in its former group, after the list moved it to
+    /// another.
     pub fn leave_group(&mut self, role: Role) {
         self.log.forget_group();
         self.role = RoleClaim::unclaimed(role);
     }
 
-    /// The list names a later start: what was known of its health is void.
+    /// Forgets its failures, because the list names a later start, and begins its slow start.
     pub fn restart_as_listed(&mut self, at: Micros, rng: &mut Pcg64Mcg) {
         self.failure_rate = 0.0;
         self.outlier.forget_failures();
         self.slow_start.restart_as_listed(at, rng);
     }
 
-    /// Operators take it out of service.
+    /// Takes it out of service on behalf of the operators.
     pub fn take_out_of_service(&mut self) {
         self.administratively_down = true;
     }
 
-    /// Operators put it back. It may have been restarted meanwhile: it is warming up, with its old position
-    /// and no claim to be the primary, and nothing else that was known of it counts any more.
+    /// Puts it back into service on behalf of the operators. It may have been restarted meanwhile: it begins a
+    /// slow start, keeps its position, and is a replica until it claims otherwise. Its other statistics are
+    /// reset.
     pub fn put_back(&mut self, now: Micros, limit: f64, rng: &mut Pcg64Mcg) {
         let mut slow_start = SlowStart::default();
         slow_start.restart(now, rng);
@@ -148,59 +151,66 @@
         };
     }
 
-    /// Running mean of latency over its class's mean.
+    /// Running mean of the latency of a request divided by the mean latency of its class.
     pub fn latency_ratio(&self) -> f64 {
         self.latency_ratio
     }
 
-    /// Running share of failures.
+    /// Running mean of the fraction of requests that fail.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Weight in a draw, before zone and load.
+    /// Weight in a draw, before zone and load are taken into account.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// A request was served with this latency over its class's mean.
+    /// Records a served request; `ratio` is its latency divided by the mean latency of its class.
     pub fn record_latency(&mut self, ratio: f64) {
         self.latency_ratio += (ratio - self.latency_ratio) * SAMPLE_WEIGHT;
     }
 
-    /// A request was served.
+    /// Records a served request in the failure rate.
     pub fn record_success(&mut self) {
         self.failure_rate -= self.failure_rate * SAMPLE_WEIGHT;
     }
 
-    /// A request failed.
+    /// Records a failed request in the failure rate.
     pub fn record_failure(&mut self) {
         self.failure_rate += (1.0 - self.failure_rate) * SAMPLE_WEIGHT;
     }
 
-    /// Lets failures and the lag fade by this factor.
+    /// Multiplies the failure rate and the lag by this factor.
     pub fn decay_failures_and_lag(&mut self, factor: f64) {
         self.failure_rate *= factor;
         self.log.decay_lag(factor);
     }
 
-    /// Computes the weight anew, for a member that surely has this part of its capacity.
-    pub fn refresh_weight(&mut self, warmth: f64) {
+    /// Recomputes the weight, for a member that has at least this fraction of its capacity.
+    pub fn refresh_weight(&mut self, capacity_fraction: f64) {
         let reliability = (1.0 - self.failure_rate).powi(FAILURE_EXPONENT);
         let size = if self.endpoint.weight > 0.0 { self.endpoint.weight } else { 1.0 };
-        let weight = size * warmth * reliability / self.latency_ratio.max(MIN_LATENCY_RATIO);
+        let weight = size * capacity_fraction * reliability / self.latency_ratio.max(MIN_LATENCY_RATIO);
         self.weight = weight.max(MIN_WEIGHT);
     }
 
-    /// Whether it has capacity for a request of this cost, within a part of its concurrency limit.
-    pub fn has_capacity(&self, now: Micros, settings: &Settings, cost: f64, part: f64) -> bool {
-        !self.load.is_paused(now) && self.has_capacity_in_pause(now, settings, cost, part)
+    /// Whether it has capacity for a request of this cost within `limit_fraction` of its concurrency limit.
+    pub fn has_capacity(&self, now: Micros, settings: &Settings, cost: f64, limit_fraction: f64) -> bool {
+        !self.load.is_paused(now) && self.has_capacity_in_pause(now, settings, cost, limit_fraction)
     }
 
-    /// The same for a request that can be sent nowhere else, pause or not: few are such, and a pause is for
-    /// the many that may be sent elsewhere or be retried.
-    pub fn has_capacity_in_pause(&self, now: Micros, settings: &Settings, cost: f64, part: f64) -> bool {
-        let warmth = self.slow_start.capacity_fraction(now, settings);
-        !self.slow_start.is_exhausted(warmth) && self.load.fits(cost, warmth, part)
+    /// The same regardless of a pause, for a request that can be sent nowhere else. Such requests are few; a
+    /// pause is for the many that may be sent elsewhere or be retried.
+    pub fn has_capacity_in_pause(
+        &self,
+        now: Micros,
+        settings: &Settings,
+        cost: f64,
+        limit_fraction: f64,
+    ) -> bool {
+        let capacity_fraction = self.slow_start.capacity_fraction(now, settings);
+        !self.slow_start.is_exhausted(capacity_fraction)
+            && self.load.fits(cost, capacity_fraction, limit_fraction)
     }
 }
--- a/src/balance/member/health_check.rs
+++ b/src/balance/member/health_check.rs
@@ -1,4 +1,4 @@
-//! When a member's health was checked.
+//! The time and state of a member's latest health check.
 
 use crate::api::Micros;
 
@@ -10,27 +10,27 @@
 }
 
 impl HealthCheck {
-    /// When the latest one was started.
+    /// When the latest health check was started.
     pub fn last_started_at(&self) -> Micros {
         self.last_started_at
     }
 
-    /// Whether it has not ended yet.
+    /// Whether a health check is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// A health check is started.
+    /// Records the start of a health check.
     pub fn start(&mut self, now: Micros) {
         (self.in_flight, self.last_started_at) = (true, now);
     }
 
-    /// It has ended.
+    /// Records the end of the health check in flight.
     pub fn finish(&mut self) {
         self.in_flight = false;
     }
 
-    /// One in flight is still awaited of a member that may have been restarted.
+    /// The state for a member that may have been restarted: a health check in flight is still awaited.
     pub fn after_restart(&self) -> HealthCheck {
         HealthCheck { in_flight: self.in_flight, ..HealthCheck::default() }
     }
