--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -5,7 +5,7 @@
 //! primary's position was current at some time between two points on the router's clock, see
 //! [`super::progress`]. Each proof bounds the offset between the two clocks, and all bounds hold together.
 
-use super::snapshot_format::{DoubtRecord, LogClockRecord, OffsetRecord};
+use super::snapshot_format::{ContradictionRecord, LogClockRecord, OffsetRecord};
 use crate::api::Micros;
 
 /// Maximum drift between two clocks, as a fraction of the elapsed time: twice the fastest slew rate of a
@@ -233,27 +233,27 @@
     }
 }
 
-impl From<Contradiction> for DoubtRecord {
-    fn from(Contradiction { offset, proofs, since }: Contradiction) -> DoubtRecord {
-        DoubtRecord { offset: offset.into(), proofs, since }
+impl From<Contradiction> for ContradictionRecord {
+    fn from(Contradiction { offset, proofs, since }: Contradiction) -> ContradictionRecord {
+        ContradictionRecord { offset: offset.into(), proofs, since }
     }
 }
 
-impl From<DoubtRecord> for Contradiction {
-    fn from(DoubtRecord { offset, proofs, since }: DoubtRecord) -> Contradiction {
+impl From<ContradictionRecord> for Contradiction {
+    fn from(ContradictionRecord { offset, proofs, since }: ContradictionRecord) -> Contradiction {
         Contradiction { offset: offset.into(), proofs, since }
     }
 }
 
 impl From<LogClock> for LogClockRecord {
     fn from(LogClock { known, contradiction }: LogClock) -> LogClockRecord {
-        LogClockRecord { known: known.map(Into::into), doubt: contradiction.map(Into::into) }
+        LogClockRecord { known: known.map(Into::into), contradiction: contradiction.map(Into::into) }
     }
 }
 
 impl From<LogClockRecord> for LogClock {
-    fn from(LogClockRecord { known, doubt }: LogClockRecord) -> LogClock {
-        LogClock { known: known.map(Into::into), contradiction: doubt.map(Into::into) }
+    fn from(LogClockRecord { known, contradiction }: LogClockRecord) -> LogClock {
+        LogClock { known: known.map(Into::into), contradiction: contradiction.map(Into::into) }
     }
 }
 
--- a/src/balance/member.rs
+++ b/src/balance/member.rs
@@ -134,8 +134,8 @@
         self.administratively_down = true;
     }
 
-    /// Puts it back into service on behalf of the operators. It may have been restarted meanwhile: it begins a
-    /// slow start, keeps its position, and is a replica until it claims otherwise. Its other statistics are
+    /// Puts it back into service on behalf of the operators. It may have been restarted meanwhile: it begins
+    /// a slow start, keeps its position, and is a replica until it claims otherwise. Its other statistics are
     /// reset.
     pub fn put_back(&mut self, now: Micros, limit: f64, rng: &mut Pcg64Mcg) {
         let mut slow_start = SlowStart::default();
--- a/src/balance/member/log_position.rs
+++ b/src/balance/member/log_position.rs
@@ -1,17 +1,17 @@
-//! How far a member has applied the log, and how that is known.
+//! The log position that a member has applied, and its source.
 
 use crate::api::Micros;
 use crate::balance::log_clock::OffsetBounds;
 use crate::balance::progress::PrimaryProgress;
 use crate::notice::{LogTimeEvidence, PositionSource};
 
-/// A member's last known log position. It stays valid for ever: positions never go back.
+/// A member's last known log position. It stays valid, because positions never go back.
 #[derive(Default)]
 pub struct LogPosition {
     pub(super) position: Option<Micros>,
     pub(super) updated_at: Micros,
     pub(super) source: PositionSource,
-    /// How far the member is thought to lag behind: from its last position, and from reads that it rejected.
+    /// Estimated lag of the member, from its last position and from the reads that it served or rejected.
     pub(super) lag: Micros,
     pub(super) progress: PrimaryProgress,
 }
@@ -27,27 +27,29 @@
         self.updated_at
     }
 
-    /// Where the position is known from.
+    /// The source of the last known position.
     pub fn source(&self) -> PositionSource {
         self.source
     }
 
-    /// How far the member is thought to lag behind.
+    /// Estimated lag of the member.
     pub fn lag(&self) -> Micros {
         self.lag
     }
 
-    /// Whether the member has applied the log up to `needed`.
+    /// Whether the member is known to have applied the log up to `needed`.
     pub fn has_reached(&self, needed: Micros) -> bool {
         self.position.unwrap_or_default() >= needed
     }
 
-    /// Since when the log has stood at the last position that the member gave as the primary.
+    /// The time from which on the log is known to have been at the last position that the member reported as
+    /// the primary.
     pub fn primary_since(&self) -> Option<Micros> {
         self.progress.since()
     }
 
-    /// Takes in a position unless it is older; `latest` is the log's time at the latest, where known.
+    /// Records a position unless it is older than the last; `latest` is the upper bound of the log time, if
+    /// known.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -65,46 +67,47 @@
         self.lag = latest.map_or(self.lag, |latest| latest - position.unwrap_or_default());
     }
 
-    /// Takes in an answer of the member as the primary. What it proves of the log's time, if anything.
+    /// Records an answer of the member as the primary. Returns the proof of the log time that follows, if
+    /// any.
     pub fn observe_as_primary(&mut self, answer: &LogTimeEvidence) -> Option<OffsetBounds> {
         self.progress.observe(answer)
     }
 
-    /// A replica that checks reads has served one that needed this position.
+    /// Records that a replica which checks reads has served one that needed this position.
     pub fn served_read(&mut self, needed: Micros, latest: Micros) {
         self.position = self.position.max(Some(needed));
         self.lag = self.lag.min(latest - needed);
     }
 
-    /// A replica that checks reads has rejected one that needed this position.
+    /// Records that a replica which checks reads has rejected one that needed this position.
     pub fn rejected_read(&mut self, needed: Micros, latest: Micros) {
         self.lag = self.lag.max(latest - needed);
     }
 
-    /// Lets the lag fade by this factor.
+    /// Multiplies the lag by this factor.
     pub fn decay_lag(&mut self, factor: f64) {
         self.lag = self.lag.scale(factor);
     }
 
-    /// The log's time has been learned anew: what was known of the lag holds no more.
+    /// Recomputes the lag from the position, after the log time was learned or replaced.
     pub fn recompute_lag(&mut self, latest: Micros) {
         if let Some(position) = self.position {
             self.lag = latest - position;
         }
     }
 
-    /// Forgets the position alone.
+    /// Forgets the position, and nothing else.
     pub fn forget_position(&mut self) {
         self.position = None;
     }
 
-    /// Forgets all that was learned from the member in the group that it has left.
+    /// Forgets everything that was learned from the member in the group that it has left.
     pub fn forget_group(&mut self) {
         (self.position, self.source, self.lag) = (None, PositionSource::Unknown, Micros(0));
         self.progress = PrimaryProgress::default();
     }
 
-    /// What is kept of a member that may have been restarted: its position is still valid.
+    /// The state for a member that may have been restarted: its position is still valid.
     pub fn after_restart(&self) -> LogPosition {
         let &LogPosition { position, updated_at, lag, .. } = self;
         LogPosition { position, updated_at, lag, ..LogPosition::default() }
--- a/src/balance/member/outlier.rs
+++ b/src/balance/member/outlier.rs
@@ -1,29 +1,30 @@
-//! Outlier detection: which members are ejected because their connections break.
+//! Outlier detection: ejects members whose connections fail.
 
 use crate::api::Micros;
 
-/// Connection failures in a row that eject a member.
+/// Number of consecutive connection failures that eject a member.
 const EJECT_AFTER_FAILURES: u32 = 2;
-/// Time after which an ejected member is tried by a request, and a return counts as a restart.
+/// Time after which a request is sent to an ejected member, and after which a response counts as a sign of a
+/// restart.
 const EJECTION_TIME: Micros = Micros::millis(1000);
-/// Doublings of the ejection time, at most: members that come back do so within tens of seconds.
+/// Maximum number of doublings of the ejection time: members that recover do so within tens of seconds.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
-/// A connection of the member has broken and it has not responded since.
+/// A connection failure since which the member has not responded.
 #[derive(Clone, Copy)]
 pub struct BrokenConnection {
     pub(super) since: Micros,
-    /// One was reset, as by a process that died.
+    /// Whether a connection was reset, as happens when a process dies.
     pub(super) was_reset: bool,
 }
 
-/// A member's failures to respond.
+/// The state of a member's outlier detection.
 #[derive(Default)]
 pub struct OutlierDetection {
-    /// Connections refused or reset in a row since a request was last answered.
+    /// Consecutive connection failures since the member last answered a request.
     pub(super) consecutive_connect_failures: u32,
     pub(super) broken_connection: Option<BrokenConnection>,
-    /// It has not responded since an attempt was sent that went without an answer.
+    /// Whether the member has not responded since an attempt was sent that remained unanswered.
     pub(super) unresponsive: bool,
     pub(super) last_response_at: Micros,
     pub(super) ejected_at: Option<Micros>,
@@ -45,13 +46,14 @@
         self.consecutive_connect_failures > 0
     }
 
-    /// Whether the member has failed for so long that it is forgotten once it is not listed as ready.
+    /// Whether the member has failed so often that it is removed once it is not listed as ready.
     pub fn is_lost(&self) -> bool {
         self.consecutive_connect_failures > EJECT_AFTER_FAILURES + MAX_EJECTION_DOUBLINGS
     }
 
-    /// A connection broke or could not be made. One says little: a full table, a slow link and a lost answer
-    /// break connections to sound members too; a dead process breaks the next one as well.
+    /// Records that a connection broke or could not be made. A single failure is weak evidence: a full
+    /// connection table, a slow link or a lost answer breaks connections to healthy members too, while a dead
+    /// process breaks the next connection as well.
     pub fn connection_failed(&mut self, now: Micros, was_reset: bool) {
         self.consecutive_connect_failures += 1;
         let before = self.broken_connection.unwrap_or(BrokenConnection { since: now, was_reset: false });
@@ -62,13 +64,14 @@
         }
     }
 
-    /// A health check went without an answer: it counts as the second failure at least.
+    /// Records a health check without an answer: it counts at least as the second failure.
     pub fn health_check_failed(&mut self, now: Micros) {
         self.consecutive_connect_failures = self.consecutive_connect_failures.max(1);
         self.connection_failed(now, false);
     }
 
-    /// The member has responded. Whether it has most likely been restarted meanwhile: it was gone for long.
+    /// Records a response. Returns whether the member has probably been restarted: a connection was reset,
+    /// and it did not respond for longer than the ejection time.
     pub fn responded(&mut self, now: Micros) -> bool {
         self.ejected_at = None;
         (self.unresponsive, self.last_response_at) = (false, now);
@@ -76,18 +79,20 @@
         broken.is_some_and(|broken| broken.was_reset && now - broken.since > EJECTION_TIME)
     }
 
-    /// The member has answered a request.
+    /// Records that the member has answered a request.
     pub fn answered_request(&mut self) {
         self.consecutive_connect_failures = 0;
     }
 
-    /// An attempt went without an answer, and nothing else came since it was sent.
+    /// Records an attempt that remained unanswered for `waited`. The member is unresponsive if it has not
+    /// responded to anything else since the attempt was sent.
     pub fn went_unanswered(&mut self, now: Micros, waited: Micros) {
         self.unresponsive |= now - self.last_response_at >= waited;
     }
 
-    /// Lets an ejected member get a request now and then: ever more seldom, and from many gateways not at
-    /// once. `limit_share` is this gateway's part of the usual limits.
+    /// Readmits an ejected member after a pause, so that a request is sent to it. The pause grows with
+    /// further failures, and with the number of gateways so that they do not all try at once. `limit_share`
+    /// is this gateway's share of the usual limits.
     pub fn readmit_when_due(&mut self, now: Micros, limit_share: f64) {
         let failures = self.consecutive_connect_failures;
         let doublings = failures.saturating_sub(EJECT_AFTER_FAILURES).min(MAX_EJECTION_DOUBLINGS);
@@ -95,7 +100,7 @@
         self.ejected_at = self.ejected_at.filter(|since| now - *since <= pause);
     }
 
-    /// The list names a later start: the failures were those of the process before.
+    /// Forgets failures, because the list names a later start: they were those of the previous process.
     pub fn forget_failures(&mut self) {
         (self.ejected_at, self.consecutive_connect_failures, self.unresponsive) = (None, 0, false);
     }
--- a/src/balance/member/role_claim.rs
+++ b/src/balance/member/role_claim.rs
@@ -1,19 +1,19 @@
-//! Which role a member claims.
+//! The role that a member claims to have.
 
 use crate::api::{Micros, Role};
 use crate::balance::log_clock::POSITION_ROUNDING_US;
 
-/// The latest claim of a member about its role.
+/// A member's latest claim of a role.
 #[derive(Default)]
 pub struct RoleClaim {
     pub(super) role: Role,
     pub(super) claimed_at: Micros,
-    /// The position that came with the claim, if one did.
+    /// The log position that was reported with the claim, if there was one.
     pub(super) position: Option<Micros>,
 }
 
 impl RoleClaim {
-    /// A role that the member has not claimed itself.
+    /// A role that the member has not claimed itself, such as that of the endpoint list.
     pub fn unclaimed(role: Role) -> RoleClaim {
         RoleClaim { role, ..RoleClaim::default() }
     }
@@ -28,7 +28,7 @@
         self.claimed_at
     }
 
-    /// Takes in a claim if it is later than the last one. Whether it was.
+    /// Records a claim if it is later than the last one, and returns whether it is.
     pub fn observe(&mut self, role: Role, at: Micros, position: Option<Micros>) -> bool {
         let later = self.is_later(role, at, position);
         if later {
@@ -38,8 +38,8 @@
     }
 
     /// Whether a claim made at this time and position is later than the last one. Positions never go back,
-    /// and answers may be received in another order than they were given. Positions are rounded either way,
-    /// and a member that hands its role over claims both roles at one position, the replica's last.
+    /// but answers may be received in another order than they were sent. Positions are rounded up or down,
+    /// and a member that hands over its role claims both roles at one position, first primary, then replica.
     fn is_later(&self, role: Role, at: Micros, position: Option<Micros>) -> bool {
         let rounding = Micros(POSITION_ROUNDING_US as u64);
         match (position, self.position) {
@@ -51,12 +51,13 @@
         }
     }
 
-    /// The log's time was stepped, or the position cannot be: claims are ordered by their times again.
+    /// Forgets the position, after the log's clock was stepped or because the position is impossible: the
+    /// next claim is ordered by its time.
     pub fn forget_position(&mut self) {
         self.position = None;
     }
 
-    /// A member that may have been restarted is a replica until it claims otherwise.
+    /// The state for a member that may have been restarted: it is a replica until it claims otherwise.
     pub fn after_restart(&self) -> RoleClaim {
         RoleClaim { role: Role::Replica, claimed_at: self.claimed_at, position: None }
     }
--- a/src/balance/member/serialized.rs
+++ b/src/balance/member/serialized.rs
@@ -1,4 +1,4 @@
-//! Conversions between a member and its serialised form in a hot restart.
+//! Conversions between a member and its serialised form in a snapshot.
 
 use super::health_check::HealthCheck;
 use super::load::Load;
@@ -14,80 +14,80 @@
     fn from(member: &Member) -> MemberRecord {
         let Member { endpoint, log, role, load, outlier, slow_start, health_check, .. } = member;
         MemberRecord {
-            entry: (*endpoint).into(),
-            born: slow_start.started_at,
-            born_by_list: slow_start.is_listed_start,
+            endpoint: (*endpoint).into(),
+            started_at: slow_start.started_at,
+            is_listed_start: slow_start.is_listed_start,
             position: log.position,
-            position_at: log.updated_at,
-            position_from: log.source.into(),
+            position_updated_at: log.updated_at,
+            position_source: log.source.into(),
             lag: log.lag,
             role: role.role.into(),
-            role_at: role.claimed_at,
+            role_claimed_at: role.claimed_at,
             role_position: role.position,
-            ghost: load.failure_penalty,
+            failure_penalty: load.failure_penalty,
             limit: load.limit,
             paused_until: load.paused_until,
-            stretch: member.latency_ratio,
-            fail: member.failure_rate,
+            latency_ratio: member.latency_ratio,
+            failure_rate: member.failure_rate,
             weight: member.weight,
             administratively_down: member.administratively_down,
-            unbound: member.serves_if_removed,
-            breaks: outlier.consecutive_connect_failures,
-            broken: outlier.broken_connection.map(|broken| (broken.since, broken.was_reset)),
-            silent: outlier.unresponsive,
-            heard_at: outlier.last_response_at,
-            ejected: outlier.ejected_at,
-            probed_at: health_check.last_started_at,
-            used_at: load.last_used_at,
-            credit: slow_start.tokens,
+            serves_if_removed: member.serves_if_removed,
+            consecutive_connect_failures: outlier.consecutive_connect_failures,
+            broken_connection: outlier.broken_connection.map(|broken| (broken.since, broken.was_reset)),
+            unresponsive: outlier.unresponsive,
+            last_response_at: outlier.last_response_at,
+            ejected_at: outlier.ejected_at,
+            health_check_started_at: health_check.last_started_at,
+            last_used_at: load.last_used_at,
+            slow_start_tokens: slow_start.tokens,
         }
     }
 }
 
-/// What is in flight stays with the process before, and a primary's progress is followed anew.
+/// Attempts and health checks in flight stay with the previous process, and a primary's progress starts anew.
 impl From<MemberRecord> for Member {
     fn from(record: MemberRecord) -> Member {
         Member {
-            endpoint: record.entry.into(),
+            endpoint: record.endpoint.into(),
             administratively_down: record.administratively_down,
-            serves_if_removed: record.unbound,
+            serves_if_removed: record.serves_if_removed,
             log: LogPosition {
                 position: record.position,
-                updated_at: record.position_at,
-                source: record.position_from.into(),
+                updated_at: record.position_updated_at,
+                source: record.position_source.into(),
                 lag: record.lag,
                 progress: PrimaryProgress::default(),
             },
             role: RoleClaim {
                 role: record.role.into(),
-                claimed_at: record.role_at,
+                claimed_at: record.role_claimed_at,
                 position: record.role_position,
             },
             load: Load {
                 attempts_in_flight: 0,
                 cost_in_flight: 0.0,
-                failure_penalty: record.ghost,
+                failure_penalty: record.failure_penalty,
                 limit: record.limit,
                 paused_until: record.paused_until,
-                last_used_at: record.used_at,
+                last_used_at: record.last_used_at,
             },
             outlier: OutlierDetection {
-                consecutive_connect_failures: record.breaks,
+                consecutive_connect_failures: record.consecutive_connect_failures,
                 broken_connection: record
-                    .broken
+                    .broken_connection
                     .map(|(since, was_reset)| BrokenConnection { since, was_reset }),
-                unresponsive: record.silent,
-                last_response_at: record.heard_at,
-                ejected_at: record.ejected,
+                unresponsive: record.unresponsive,
+                last_response_at: record.last_response_at,
+                ejected_at: record.ejected_at,
             },
             slow_start: SlowStart {
-                started_at: record.born,
-                is_listed_start: record.born_by_list,
-                tokens: record.credit,
+                started_at: record.started_at,
+                is_listed_start: record.is_listed_start,
+                tokens: record.slow_start_tokens,
             },
-            health_check: HealthCheck { last_started_at: record.probed_at, in_flight: false },
-            latency_ratio: record.stretch,
-            failure_rate: record.fail,
+            health_check: HealthCheck { last_started_at: record.health_check_started_at, in_flight: false },
+            latency_ratio: record.latency_ratio,
+            failure_rate: record.failure_rate,
             weight: record.weight,
         }
     }
--- a/src/balance/snapshot_conversion.rs
+++ b/src/balance/snapshot_conversion.rs
@@ -1,4 +1,4 @@
-//! Conversions between the router's state in memory and its serialised form.
+//! Conversions between the router's state in memory and its serialised form in a snapshot.
 
 use super::group::Group;
 use super::snapshot_format::*;
@@ -8,14 +8,14 @@
 impl From<Endpoint> for EndpointRecord {
     fn from(endpoint: Endpoint) -> EndpointRecord {
         let Endpoint { member, group, zone, state, weight, started, primary } = endpoint;
-        EndpointRecord { member, group, zone, listed: state.into(), weight, started, primary }
+        EndpointRecord { member, group, zone, state: state.into(), weight, started, primary }
     }
 }
 
 impl From<EndpointRecord> for Endpoint {
     fn from(record: EndpointRecord) -> Endpoint {
-        let EndpointRecord { member, group, zone, listed, weight, started, primary } = record;
-        Endpoint { member, group, zone, state: listed.into(), weight, started, primary }
+        let EndpointRecord { member, group, zone, state, weight, started, primary } = record;
+        Endpoint { member, group, zone, state: state.into(), weight, started, primary }
     }
 }
 
@@ -40,16 +40,17 @@
     };
 }
 
-convert!(EndpointState, EndpointStateRecord: Ready = Ready, Draining = Draining, Removed = Gone);
+convert!(EndpointState, EndpointStateRecord: Ready = Ready, Draining = Draining, Removed = Removed);
 convert!(Role, RoleRecord: Primary = Primary, Replica = Replica);
 convert!(AttemptStatus, StatusRecord:
-    Ok = Ok, Error = Error, Rejected = Full, Timeout = Timeout, ConnectFailed = ConnectFailed, Reset = Reset,
-    Malformed = Spoilt, Cancelled = Cancelled, Withdrawn = Withdrawn, NotSent = Moot, Unsuitable = Miss);
+    Ok = Ok, Error = Error, Rejected = Rejected, Timeout = Timeout, ConnectFailed = ConnectFailed,
+    Reset = Reset, Malformed = Malformed, Cancelled = Cancelled, Withdrawn = Withdrawn, NotSent = NotSent,
+    Unsuitable = Unsuitable);
 
 impl From<PositionSource> for PositionSourceRecord {
     fn from(source: PositionSource) -> PositionSourceRecord {
         match source {
-            PositionSource::Unknown => PositionSourceRecord::Nobody,
+            PositionSource::Unknown => PositionSourceRecord::Unknown,
             PositionSource::Answer(status) => PositionSourceRecord::Answer(status.into()),
             PositionSource::Report => PositionSourceRecord::Report,
         }
@@ -59,7 +60,7 @@
 impl From<PositionSourceRecord> for PositionSource {
     fn from(record: PositionSourceRecord) -> PositionSource {
         match record {
-            PositionSourceRecord::Nobody => PositionSource::Unknown,
+            PositionSourceRecord::Unknown => PositionSource::Unknown,
             PositionSourceRecord::Answer(status) => PositionSource::Answer(status.into()),
             PositionSourceRecord::Report => PositionSource::Report,
         }
@@ -70,10 +71,10 @@
     fn from(group: &Group) -> GroupRecord {
         GroupRecord {
             members: group.members.clone(),
-            served: group.served_cost,
-            live: group.live_members,
+            served_cost: group.served_cost,
+            live_members: group.live_members,
             log_time: group.log_clock.into(),
-            floor: group.forgotten_commit,
+            forgotten_commit: group.forgotten_commit,
         }
     }
 }
@@ -82,10 +83,10 @@
     fn from(record: GroupRecord) -> Group {
         Group {
             members: record.members,
-            served_cost: record.served,
-            live_members: record.live,
+            served_cost: record.served_cost,
+            live_members: record.live_members,
             log_clock: record.log_time.into(),
-            forgotten_commit: record.floor,
+            forgotten_commit: record.forgotten_commit,
             ..Group::default()
         }
     }
--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -1,5 +1,5 @@
-//! The serialised form of a router's state in a hot restart. The names are read and written by other versions
-//! of the gateway: they stay as they are, whatever the types in memory are called.
+//! The serialised form of a router's state in a hot restart. Other versions of the gateway read and write it:
+//! the serialised names must not change. Where a name here differs, an attribute gives the serialised one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,23 @@
 
 use crate::api::*;
 
-/// All that a router knows of members, groups and sessions.
+/// A router's state: its members, groups and sessions.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     pub(super) members: BTreeMap<MemberId, MemberRecord>,
     pub(super) groups: BTreeMap<GroupId, GroupRecord>,
-    /// Each session once.
+    /// One group of each session.
     pub(super) sessions: BTreeMap<SessionKey, SessionRecord>,
-    /// Further groups of sessions that wrote to more than one; a process of an earlier version knows none.
-    #[serde(default)]
-    pub(super) roaming: Vec<(SessionKey, SessionRecord)>,
+    /// Further groups of the sessions that wrote to more than one; earlier versions do not have this field.
+    #[serde(default, rename = "roaming")]
+    pub(super) further_sessions: Vec<(SessionKey, SessionRecord)>,
     #[serde(rename = "barred")]
     pub(super) administratively_down: BTreeSet<MemberId>,
     #[serde(default)]
     pub(super) common_clock: LogClockRecord,
-    pub(super) span: f64,
-    /// Mean latency of each class, by its place in the settings.
+    #[serde(rename = "span")]
+    pub(super) served_span: f64,
+    /// Mean latency of each class in microseconds, in the order of the settings.
     #[serde(rename = "means")]
     pub mean_latencies: Vec<f64>,
 }
@@ -30,57 +31,75 @@
 /// A member.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct MemberRecord {
-    pub entry: EndpointRecord,
-    pub born: Micros,
-    #[serde(default)]
-    pub born_by_list: bool,
+    #[serde(rename = "entry")]
+    pub endpoint: EndpointRecord,
+    #[serde(rename = "born")]
+    pub started_at: Micros,
+    #[serde(default, rename = "born_by_list")]
+    pub is_listed_start: bool,
     pub position: Option<Micros>,
-    pub position_at: Micros,
-    #[serde(default)]
-    pub position_from: PositionSourceRecord,
+    #[serde(rename = "position_at")]
+    pub position_updated_at: Micros,
+    #[serde(default, rename = "position_from")]
+    pub position_source: PositionSourceRecord,
     pub lag: Micros,
     pub role: RoleRecord,
-    pub role_at: Micros,
+    #[serde(rename = "role_at")]
+    pub role_claimed_at: Micros,
     #[serde(default)]
     pub role_position: Option<Micros>,
-    pub ghost: f64,
+    #[serde(rename = "ghost")]
+    pub failure_penalty: f64,
     pub limit: f64,
     pub paused_until: Micros,
-    pub stretch: f64,
-    pub fail: f64,
+    #[serde(rename = "stretch")]
+    pub latency_ratio: f64,
+    #[serde(rename = "fail")]
+    pub failure_rate: f64,
     pub weight: f64,
     #[serde(rename = "barred")]
     pub administratively_down: bool,
-    pub unbound: bool,
-    pub breaks: u32,
-    /// Since when, and whether a connection was cut.
-    pub broken: Option<(Micros, bool)>,
-    pub silent: bool,
-    pub heard_at: Micros,
-    pub ejected: Option<Micros>,
-    pub probed_at: Micros,
-    pub used_at: Micros,
-    pub credit: f64,
+    #[serde(rename = "unbound")]
+    pub serves_if_removed: bool,
+    #[serde(rename = "breaks")]
+    pub consecutive_connect_failures: u32,
+    /// Time of the first failure, and whether a connection was reset.
+    #[serde(rename = "broken")]
+    pub broken_connection: Option<(Micros, bool)>,
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
+    #[serde(rename = "heard_at")]
+    pub last_response_at: Micros,
+    #[serde(rename = "ejected")]
+    pub ejected_at: Option<Micros>,
+    #[serde(rename = "probed_at")]
+    pub health_check_started_at: Micros,
+    #[serde(rename = "used_at")]
+    pub last_used_at: Micros,
+    #[serde(rename = "credit")]
+    pub slow_start_tokens: f64,
 }
 
-/// A member as the endpoint list named it.
+/// A member's entry in the endpoint list.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct EndpointRecord {
     pub member: MemberId,
     pub group: GroupId,
     pub zone: ZoneId,
-    pub listed: EndpointStateRecord,
+    #[serde(rename = "listed")]
+    pub state: EndpointStateRecord,
     pub weight: f64,
     pub started: Micros,
     pub primary: bool,
 }
 
-/// What the endpoint list said of a member's state.
+/// A member's state in the endpoint list.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub enum EndpointStateRecord {
     Ready,
     Draining,
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// A member's role.
@@ -90,40 +109,48 @@
     Replica,
 }
 
-/// Where a member's position comes from.
+/// The source of a member's last known position.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub enum PositionSourceRecord {
     #[default]
-    Nobody,
+    #[serde(rename = "Nobody")]
+    Unknown,
     Answer(StatusRecord),
     Report,
 }
 
-/// How the attempt ended whose answer had a position.
+/// The status of the attempt whose answer contained the position.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub enum StatusRecord {
     Ok,
     Error,
-    Full,
+    #[serde(rename = "Full")]
+    Rejected,
     Timeout,
     ConnectFailed,
     Reset,
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    Malformed,
     Cancelled,
     Withdrawn,
-    Moot,
-    Miss,
+    #[serde(rename = "Moot")]
+    NotSent,
+    #[serde(rename = "Miss")]
+    Unsuitable,
 }
 
-/// A group. Earlier versions wrote a `log_clock`, which rested on single answers and is not read.
+/// A group. Earlier versions wrote a key `log_clock`, which was derived from single answers; it is not read.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct GroupRecord {
     pub members: Vec<MemberId>,
-    pub served: f64,
-    pub live: f64,
+    #[serde(rename = "served")]
+    pub served_cost: f64,
+    #[serde(rename = "live")]
+    pub live_members: f64,
     #[serde(default)]
     pub log_time: LogClockRecord,
-    pub floor: Micros,
+    #[serde(rename = "floor")]
+    pub forgotten_commit: Micros,
 }
 
 /// A session's latest commit in a group.
@@ -133,14 +160,15 @@
     pub commit: Micros,
 }
 
-/// What is proved of a log's time.
+/// The offset of a log's clock, as far as it has been proved.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub struct LogClockRecord {
     pub known: Option<OffsetRecord>,
-    pub doubt: Option<DoubtRecord>,
+    #[serde(rename = "doubt")]
+    pub contradiction: Option<ContradictionRecord>,
 }
 
-/// Bounds of the log's time less the router's, in microseconds.
+/// Lower and upper bound of the log time minus the router's time, in microseconds.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct OffsetRecord {
     #[serde(rename = "at")]
@@ -151,9 +179,9 @@
     pub upper: i64,
 }
 
-/// Proofs that do not fit what is known of a log's time.
+/// Proofs that agree with each other and contradict the known or the expected offset.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub struct DoubtRecord {
+pub struct ContradictionRecord {
     pub offset: OffsetRecord,
     pub proofs: u32,
     pub since: Micros,
