--- a/src/api.rs
+++ b/src/api.rs
@@ -210,7 +210,7 @@
     pub max_retry_after: Micros,
     /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Cost of a health check for each request, as a fraction of the value of serving the request.
+    /// Cost of a health check, as a fraction of the service, for each request.
     pub health_check_price: f64,
     /// Cost of an attempt that crosses zones, in the same unit.
     pub cross_zone_price: f64,
