--- a/src/balance/capacity.rs
+++ b/src/balance/capacity.rs
@@ -49,7 +49,7 @@
     /// Multiple of the primary's limit that writes may use: it falls with the fraction of replicas whose lag
     /// exceeds the bound.
     pub(super) fn write_limit_factor(&self, window: CandidateWindow) -> f64 {
-        let bound = self.settings.least_staleness_bound().unwrap_or(DEFAULT_LAG_BOUND);
+        let bound = self.settings.min_staleness_bound().unwrap_or(DEFAULT_LAG_BOUND);
         let (mut replicas, mut lagging) = (0, 0);
         for (_, member) in self.candidates(window) {
             if member.role.role() == Role::Replica {
--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -3,7 +3,7 @@
 
 use super::group::Group;
 use super::health_checks::HealthCheckCandidate;
-use super::log_clock::{HOLD, ROUNDING};
+use super::log_clock::{MAX_STALL, POSITION_ROUNDING_US};
 use super::member::Member;
 use super::{Actions, Router};
 use crate::api::*;
@@ -68,14 +68,14 @@
     /// each gateway sends a member its even share of the cost that the group serves for this gateway, scaled
     /// by the member's warmth, so that the sum over all gateways stays within the overload multiple.
     fn apply(&self, member: &mut Member) {
-        let warmth = member.slow_start.warmth(self.now, self.settings);
+        let warmth = member.slow_start.capacity_fraction(self.now, self.settings);
         let failure_rate = member.failure_rate();
         let decay = || (-self.elapsed * (1.0 - failure_rate) / self.usual_latency).exp();
         member.load.decay_failure_penalty(decay);
         let multiple = self.settings.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
         let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST_FRACTION;
         member.slow_start.refill(self.served_rate * warmth * multiple, self.elapsed, burst);
-        member.forget_by(self.decay);
+        member.decay_failures_and_lag(self.decay);
         member.refresh_weight(warmth);
     }
 }
@@ -225,7 +225,7 @@
             refresh.apply(member);
             let in_service = member.is_in_service();
             // Members that are gone for good are removed; otherwise replaced members pile up over years.
-            if !member.is_held() && (!in_service || member.outlier.is_lost()) {
+            if !member.is_retained() && (!in_service || member.outlier.is_lost()) {
                 members.swap_remove(id);
                 lost_in_service += f64::from(u8::from(in_service));
                 return false;
@@ -258,7 +258,11 @@
         if let Some(latest_log_time) = latest_log_time {
             // A commit beyond this position was recorded for a write whose answer was lost while the log's
             // time was unknown.
-            self.sessions.lower(id, latest_log_time + HOLD + Micros(ROUNDING as u64), MAX_ITEMS_PER_STEP);
+            self.sessions.clamp_commits(
+                id,
+                latest_log_time + MAX_STALL + Micros(POSITION_ROUNDING_US as u64),
+                MAX_ITEMS_PER_STEP,
+            );
         }
     }
 }
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -77,7 +77,7 @@
             (AttemptStatus::Ok, Some(commit)) => commit,
             // The lost answer may have reported a commit: later reads of the session must see the log as of
             // this moment.
-            _ => self.log_now(now + self.hold(), attempt.group).unwrap_or(Micros(u64::MAX)),
+            _ => self.log_now(now + self.max_stall(), attempt.group).unwrap_or(Micros(u64::MAX)),
         };
         self.committed(attempt.group, key, commit);
         self.sessions.end(attempt.group, key);
