--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -38,7 +38,7 @@
     }
 
     /// The host of this name; a name not met before gets the next number.
-    pub fn number(&mut self, name: &str) -> MemberId {
+    pub fn assign_id(&mut self, name: &str) -> MemberId {
         let next = MemberId(self.numbers.len() as u64 + 1);
         *self.numbers.entry(name.to_string()).or_insert(next)
     }
@@ -68,7 +68,7 @@
     }
 
     fn endpoint(&mut self, target: Target, clock: &Clock) -> Endpoint {
-        let member = self.number(&target.uid);
+        let member = self.assign_id(&target.uid);
         self.hosts.insert(member, (target.endpoint, target.uid));
         Endpoint {
             member,
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -174,7 +174,7 @@
 
     /// A host is administratively down on this worker from now on, or up again. Its idle connections are closed.
     pub(super) fn set_down(&mut self, name: &str, down: bool) {
-        let member = self.directory.number(name);
+        let member = self.directory.assign_id(name);
         self.balancer.set_administratively_down(self.now, member, down);
         self.process_outputs();
     }
