--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface: operators' HTTP requests and the metrics, both without sockets.
+//! The admin interface: operators' HTTP requests, and the metrics. The event loop owns the sockets.
 
 pub mod connection;
 pub mod metrics;
--- a/src/admin/connection.rs
+++ b/src/admin/connection.rs
@@ -1,20 +1,21 @@
-//! An operator's connection, driven by bytes: one request, one response, then the connection ends.
+//! An operator's HTTP connection as a state machine driven by bytes: one request, one response, then the connection is
+//! closed.
 
 use super::request::{self, AdminRequest, HttpStatus};
 use crate::pg::codec::SendBuffer;
 
-/// An operator's connection.
+/// The state of an operator's connection.
 #[derive(Debug, Default)]
 pub struct AdminConnection {
     received: Vec<u8>,
-    /// Bytes for the operator.
+    /// Bytes to be sent to the operator.
     pub out: SendBuffer,
     has_responded: bool,
 }
 
 impl AdminConnection {
-    /// Takes bytes in. Once the request is complete it is returned, or the status to reject it with; what comes after the
-    /// response is ignored.
+    /// Adds received bytes. Returns the request once it is complete, or the status with which to reject it. Bytes that
+    /// are received after the response are ignored.
     pub fn receive(&mut self, bytes: &[u8]) -> Option<Result<AdminRequest, HttpStatus>> {
         if self.has_responded {
             return None;
@@ -35,7 +36,7 @@
         self.out.bytes.extend_from_slice(body.as_bytes());
     }
 
-    /// Whether it has its response, though that may still have to be written.
+    /// Whether the request has been responded to; the response may still have to be written.
     pub fn has_responded(&self) -> bool {
         self.has_responded
     }
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that operators fetch, as one value that prints itself in statsd's form.
+//! The metrics that operators fetch, in the statsd text format.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,17 +6,17 @@
 /// Counters of a class's requests since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Answered with a host's rows.
+    /// Requests answered with a host's rows.
     pub ok: u64,
-    /// Rejected to shed load.
+    /// Requests rejected to shed load.
     pub shed: u64,
-    /// Answered with an error.
+    /// Requests answered with an error.
     pub errors: u64,
     /// Attempts whose statement was written completely to a host: the metric `tries`.
     pub attempts: u64,
 }
 
-/// All metrics. Counters only grow; a class that the settings drop keeps its own.
+/// All metrics. Counters only grow; a class that is removed from the settings keeps its counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     classes: BTreeMap<String, ClassCounters>,
@@ -24,7 +24,7 @@
     pub active: usize,
     /// Hosts in the endpoint list.
     pub pool_size: usize,
-    /// Listed hosts that get no requests at present: down by hand, or ejected by the router.
+    /// Listed hosts that currently get no requests: administratively down, or ejected by the router.
     pub pool_ejected: usize,
     /// Configurations accepted at SIGHUP.
     pub config_applied: u64,
@@ -33,12 +33,12 @@
 }
 
 impl Metrics {
-    /// A class's counters; they appear, as zeros, once they have been asked for.
+    /// The counters of a class, which are added as zeros on first use.
     pub fn class_mut(&mut self, name: &str) -> &mut ClassCounters {
         self.classes.entry(name.to_string()).or_default()
     }
 
-    /// Adds another worker's metrics. Configurations are counted by one worker alone.
+    /// Adds another worker's metrics. Only one worker counts configurations.
     pub fn add(&mut self, other: &Metrics) {
         for (name, counters) in &other.classes {
             let sum = self.class_mut(name);
@@ -64,8 +64,8 @@
         }
         let gauges =
             [("active", self.active), ("pool_size", self.pool_size), ("pool_ejected", self.pool_ejected)];
-        for (name, level) in gauges {
-            writeln!(f, "gw.{name}:{level}|g")?;
+        for (name, value) in gauges {
+            writeln!(f, "gw.{name}:{value}|g")?;
         }
         for (name, count) in
             [("config_applied", self.config_applied), ("config_rejected", self.config_rejected)]
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -1,50 +1,50 @@
-//! Requests to the admin interface: how they are read from HTTP, and the statuses that answer them.
+//! Requests to the admin interface: their parsing from HTTP, and the statuses of responses.
 
 use crate::http::{self, BodyError, BodyLength};
 
-/// Most bytes of a request's head.
+/// Longest head of a request, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// Most bytes of a request's body.
+/// Longest body of a request, in bytes.
 const MAX_BODY: usize = 1024;
-/// Most headers of a request.
+/// Largest number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether the process accepts clients.
+    /// Get whether the process accepts clients.
     Readiness,
-    /// The metrics.
+    /// Get the metrics.
     Stats,
-    /// Take the host of this name out of service.
+    /// Set the host with this name administratively down.
     SetDown(String),
-    /// Put the host of this name back into service.
+    /// Put the host with this name back into service.
     SetUp(String),
-    /// What this gateway knows of its fleet.
+    /// Get the status of the fleet as this gateway knows it.
     Fleet,
 }
 
 /// The status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpStatus {
-    /// Done.
+    /// The request was carried out.
     Ok,
-    /// The request cannot be read.
+    /// The request is malformed.
     BadRequest,
-    /// No such path, or no such host.
+    /// The path or the host does not exist.
     NotFound,
-    /// The path wants another method.
+    /// The path does not support the request's method.
     MethodNotAllowed,
-    /// No complete request came in time.
+    /// No complete request was received in time.
     RequestTimeout,
     /// The head or the body is too long.
     ContentTooLarge,
-    /// Not at present.
+    /// The request cannot be served at present.
     ServiceUnavailable,
 }
 
 impl HttpStatus {
-    /// Code and reason, as they stand in a response's first line.
+    /// Status code and reason phrase, as in the status line of a response.
     pub fn as_str(self) -> &'static str {
         match self {
             HttpStatus::Ok => "200 OK",
@@ -67,10 +67,10 @@
     }
 }
 
-/// Reads a request; `None` while it is not complete.
+/// Parses a request; `None` while it is incomplete.
 ///
 /// # Errors
-/// The status to reject it with.
+/// Returns the status with which to reject the request.
 pub fn parse(bytes: &[u8]) -> Result<Option<AdminRequest>, HttpStatus> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -86,7 +86,7 @@
     route(request.method, path, body).map(Some)
 }
 
-/// The body behind a head with these headers; `None` while it is not complete.
+/// The body that follows a head with these headers; `None` while it is incomplete.
 fn parse_body(headers: &[httparse::Header], rest: &[u8]) -> Result<Option<Vec<u8>>, HttpStatus> {
     let body = match http::body_length(headers, MAX_BODY)? {
         BodyLength::Known(length) => rest.get(..length).map(<[u8]>::to_vec),
@@ -100,7 +100,7 @@
 }
 
 fn route(method: Option<&str>, path: &str, body: Vec<u8>) -> Result<AdminRequest, HttpStatus> {
-    let (allowed_method, request): (_, fn(String) -> AdminRequest) = match path {
+    let (allowed_method, to_request): (_, fn(String) -> AdminRequest) = match path {
         "/ops/readiness" => ("GET", |_| AdminRequest::Readiness),
         "/ops/stats" => ("GET", |_| AdminRequest::Stats),
         "/ops/fleet" => ("GET", |_| AdminRequest::Fleet),
@@ -112,5 +112,5 @@
         return Err(HttpStatus::MethodNotAllowed);
     }
     let body = String::from_utf8(body).map_err(|_| HttpStatus::BadRequest)?;
-    Ok(request(body.trim().to_string()))
+    Ok(to_request(body.trim().to_string()))
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,42 +1,42 @@
-//! HTTP/1.1 as far as it is used beside the main protocol: bodies of messages, by length or in chunks.
+//! The parts of HTTP/1.1 that the admin interface and discovery share: message bodies with a length or in chunks.
 
 use httparse::{Header, Status};
 
-/// Bytes behind the data of a chunk: an empty line.
+/// Length of the line break that follows the data of a chunk, in bytes.
 const CHUNK_END: usize = 2;
 
-/// Why a body cannot be read.
+/// Why the body of a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// Its length or its chunks are malformed.
+    /// The length or the chunked coding is malformed.
     #[error("malformed body")]
     Malformed,
-    /// Longer than is accepted.
+    /// The body is longer than is accepted.
     #[error("body too long")]
     TooLong,
 }
 
-/// A header's value, if it is text.
+/// The value of a header without surrounding white space, if the header is present and its value is UTF-8.
 pub fn header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok().map(str::trim)
 }
 
-/// What the headers say of the body's length.
+/// The body's length according to the headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// It has so many bytes.
+    /// The length in bytes, from `Content-Length`.
     Known(usize),
-    /// It comes in chunks, the last of them empty.
+    /// The body is sent in chunks and ends with an empty one.
     Chunked,
-    /// Nothing: there is no body, or it ends with the connection.
+    /// The headers do not say: there is no body, or it ends with the connection.
     Unspecified,
 }
 
-/// Reads from the headers the length of a body that may have `max` bytes.
+/// Reads the length of a body of at most `max` bytes from the headers.
 ///
 /// # Errors
-/// It is longer, or its length is no number.
+/// The body is longer than `max`, or its length is not a number.
 pub fn body_length(headers: &[Header], max: usize) -> Result<BodyLength, BodyError> {
     if header(headers, "transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
         return Ok(BodyLength::Chunked);
@@ -49,10 +49,10 @@
     Ok(BodyLength::Known(length))
 }
 
-/// The body that chunks make up; `None` while the last has not come.
+/// Decodes a body in chunks; `None` until the last chunk is received.
 ///
 /// # Errors
-/// It is longer than `max` bytes, or a chunk's size is no number.
+/// The body is longer than `max` bytes, or a chunk's size is not a number.
 pub fn decode_chunked(mut rest: &[u8], max: usize) -> Result<Option<Vec<u8>>, BodyError> {
     let mut body = Vec::new();
     loop {
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,7 +1,8 @@
 //! The gateway's clock: whole microseconds on the monotonic clock, read once in each iteration of the event loop.
 //!
-//! The machine's time of day may be wrong, or be stepped, at any moment. It only maps log positions, which are Unix times
-//! of the databases, to whole microseconds: how those differ from this clock the router learns from primaries' responses.
+//! The machine's wall clock may be wrong, or be stepped, at any moment. It only maps log positions, which are Unix
+//! times of the databases, to whole microseconds. The router learns from primaries' responses how far log positions
+//! differ from this clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,82 +10,86 @@
 
 use crate::Micros;
 
-/// What the clock shows at the program's start: members may have started as long before it.
+/// The clock's value when the process starts. A member that started up to this long before the process still has a
+/// start time on the clock.
 const BASE: Micros = Micros::millis(24 * 3_600_000);
 
-/// A monotonic clock, and the Unix time from which positions count.
+/// A monotonic clock, and the Unix time that corresponds to log position zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    /// What it showed then.
+    /// The clock's value at `start`.
     base: Micros,
-    /// A Unix time in microseconds less this is a position: about the time of the clock, where the time of day was right
-    /// at the start.
+    /// Subtracted from a Unix time in microseconds to get a log position. The position is close to the value of the
+    /// clock if the wall clock was right at the start.
     reference: i64,
 }
 
-/// What a clock and the machine's time of day show at one moment.
+/// The clock and the machine's wall clock, read at the same moment. The field names are part of the handover message.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Reading {
-    /// The clock.
+    /// Value of the gateway's clock.
     pub clock: Micros,
-    /// Unix time in microseconds.
+    /// Wall clock: Unix time in microseconds.
     pub unix: i64,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock at its base value, with the current wall clock as reference.
     pub fn start() -> Self {
         Clock { start: Instant::now(), base: BASE, reference: unix_now() - BASE.0 as i64 }
     }
 
-    /// Continues the clock of another process on this machine. That process read it after `asked`, and the time of day
-    /// shows how long ago, unless that was stepped meanwhile: then it was as long ago as it may have been, and no span
-    /// that this process has to keep is longer than it was meant to be. A process of an earlier version gives no reading.
+    /// Continues the clock of another process on this machine, which took `reading` at some time after `requested_at`.
+    /// The wall clock gives the age of the reading. If the wall clock was stepped in the meantime, the reading is taken
+    /// to be as old as it can be, so that no time span that this process has to keep is longer than intended. A process
+    /// of an earlier version sends no reading.
     ///
-    /// Also gives by how much it may differ from the other one, either way.
-    pub fn resume(reference: i64, reading: Option<Reading>, asked: Instant) -> (Self, Micros) {
+    /// Also returns the largest difference, in either direction, between this clock and that of the other process.
+    pub fn resume(reference: i64, reading: Option<Reading>, requested_at: Instant) -> (Self, Micros) {
         let (start, now) = (Instant::now(), unix_now());
-        let error = Micros(start.saturating_duration_since(asked).as_micros() as u64);
+        let error = Micros(start.saturating_duration_since(requested_at).as_micros() as u64);
         let reading = reading.unwrap_or(Reading {
             clock: Micros(now.saturating_sub(reference).max(BASE.0 as i64) as u64),
             unix: now,
         });
-        let base = reading.clock + elapsed_between(reading.unix, now, start.saturating_duration_since(asked));
+        let base =
+            reading.clock + elapsed_between(reading.unix, now, start.saturating_duration_since(requested_at));
         (Clock { start, base, reference }, error)
     }
 
-    /// What it shows, beside the time of day.
+    /// Reads this clock and the wall clock together.
     pub fn reading(&self) -> Reading {
         Reading { clock: self.read(), unix: unix_now() }
     }
 
-    /// The Unix time from which positions count, in microseconds.
+    /// The Unix time of log position zero, in microseconds.
     pub fn reference(&self) -> i64 {
         self.reference
     }
 
-    /// The present time.
+    /// The current time.
     pub fn read(&self) -> Micros {
         self.base + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// A position as Unix time in milliseconds.
+    /// Converts a log position to Unix time in milliseconds.
     pub fn unix_ms(&self, position: Micros) -> f64 {
         (position.0 as i64).saturating_add(self.reference) as f64 / 1000.0
     }
 
-    /// The position of a Unix time in milliseconds; zero for what lies before its reach.
+    /// Converts a Unix time in milliseconds to a log position; zero for a time before the reference.
     pub fn at_unix_ms(&self, ms: f64) -> Micros {
         Micros(((ms * 1000.0) as i64).saturating_sub(self.reference).max(0) as u64)
     }
 }
 
-/// Time from one reading of the time of day to another that was taken within `longest` of it.
-fn elapsed_between(before: i64, after: i64, longest: Duration) -> Micros {
-    let longest = Micros(longest.as_micros() as u64);
+/// Time between two readings of the wall clock that were taken at most `max` apart; `max` if their difference is
+/// negative or longer, because the wall clock was stepped.
+fn elapsed_between(before: i64, after: i64, max: Duration) -> Micros {
+    let max = Micros(max.as_micros() as u64);
     let elapsed = u64::try_from(after.saturating_sub(before)).map(Micros).ok();
-    elapsed.filter(|elapsed| *elapsed <= longest).unwrap_or(longest)
+    elapsed.filter(|elapsed| *elapsed <= max).unwrap_or(max)
 }
 
 fn unix_now() -> i64 {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the endpoint list in its own form, the directory of hosts that it gives, and the watch that keeps it up to
-//! date. The watch is driven by bytes; the event loop owns its socket.
+//! Discovery: the endpoint list in the JSON format of the discovery service, the directory of hosts built from it, and
+//! the watch that keeps it up to date. The watch is driven by bytes; the event loop owns its socket.
 
 mod answer;
 mod directory;
--- a/src/net/discovery/answer.rs
+++ b/src/net/discovery/answer.rs
@@ -1,26 +1,27 @@
-//! Discovery's answers: HTTP responses whose body is an endpoint list.
+//! Responses of the discovery service: HTTP responses whose body is an endpoint list.
 
 use std::fmt;
 
 use super::listing::Listing;
 use crate::http::{self, BodyError, BodyLength};
 
-/// Most bytes of an answer's head and of its body.
+/// Longest head of a response, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
+/// Longest body of a response, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
 
-/// Why an answer of discovery cannot be used.
+/// Why a response of the discovery service cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadAnswer {
-    /// Not HTTP, or cut off.
+    /// The head is malformed, too long or incomplete.
     Head,
-    /// Another status than 200.
+    /// The status is not 200.
     Status(u16),
-    /// Longer than is taken.
+    /// The response is longer than is accepted.
     TooLong,
-    /// A body that is no endpoint list.
+    /// The body is incomplete or is not an endpoint list.
     Body,
-    /// A late answer that says nothing which is not known.
+    /// A late response whose version is not newer than the known one.
     NotNewer,
 }
 
@@ -32,22 +33,23 @@
             BadAnswer::Head => write!(f, "malformed or incomplete response head"),
             BadAnswer::Status(status) => write!(f, "response status {status}"),
             BadAnswer::TooLong => write!(f, "response too long"),
-            BadAnswer::Body => write!(f, "response body is no endpoint list"),
-            BadAnswer::NotNewer => write!(f, "response is not newer than what is known"),
+            BadAnswer::Body => write!(f, "response body is not an endpoint list"),
+            BadAnswer::NotNewer => write!(f, "response is not newer than the known version"),
         }
     }
 }
 
 impl BadAnswer {
-    fn from_body(bad: BodyError, malformed: BadAnswer) -> BadAnswer {
-        match bad {
+    fn from_body(error: BodyError, malformed: BadAnswer) -> BadAnswer {
+        match error {
             BodyError::Malformed => malformed,
             BodyError::TooLong => BadAnswer::TooLong,
         }
     }
 }
 
-/// The endpoint list in an answer, once it is complete; an end without a byte is none.
+/// Parses the endpoint list in a response; `None` while the response is incomplete, and if the connection ended without
+/// any byte.
 pub(super) fn read_answer(bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
     if has_ended && bytes.is_empty() {
         return Ok(None);
@@ -70,18 +72,17 @@
     }
 }
 
-/// The body of an answer, once it is complete.
+/// The body of a response; `None` while it is incomplete.
 fn complete_body(
     headers: &[httparse::Header],
     bytes: &[u8],
     has_ended: bool,
 ) -> Result<Option<Vec<u8>>, BadAnswer> {
     let length =
-        http::body_length(headers, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Head))?;
+        http::body_length(headers, MAX_BODY).map_err(|error| BadAnswer::from_body(error, BadAnswer::Head))?;
     let body = match length {
-        BodyLength::Chunked => {
-            http::decode_chunked(bytes, MAX_BODY).map_err(|bad| BadAnswer::from_body(bad, BadAnswer::Body))?
-        }
+        BodyLength::Chunked => http::decode_chunked(bytes, MAX_BODY)
+            .map_err(|error| BadAnswer::from_body(error, BadAnswer::Body))?,
         BodyLength::Known(length) => bytes.get(..length).map(<[u8]>::to_vec),
         BodyLength::Unspecified => has_ended.then(|| bytes.to_vec()),
     };
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -1,4 +1,4 @@
-//! Names, numbers and addresses of the hosts that endpoint lists have named.
+//! The names, member ids and addresses of all hosts that any endpoint list has named.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use crate::settings::Zones;
 use crate::{Endpoint, EndpointState, GroupId, MemberId, Micros};
 
-/// What the list calls the role of a primary.
+/// Value of an entry's `part` for a primary.
 const PRIMARY: &str = "master";
 
-/// Names, numbers and addresses of the hosts. Its fields are named as in the message to the next process.
+/// The names, member ids and addresses of hosts. The field names are part of the handover message to the next process.
 #[derive(Clone, Default, Deserialize, Serialize)]
 pub struct Directory {
     numbers: BTreeMap<String, MemberId>,
@@ -22,49 +22,50 @@
 }
 
 impl Directory {
-    /// A directory that shares the settings' zone names.
+    /// An empty directory that starts with the zone ids of the settings.
     pub fn new(zones: Zones) -> Self {
         Directory { zones, ..Directory::default() }
     }
 
-    /// The names of the zones.
+    /// The zone ids by zone name.
     pub fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// Takes on the numbers of more zones.
+    /// Replaces the zone ids after new zones were added.
     pub fn set_zones(&mut self, zones: Zones) {
         self.zones = zones;
     }
 
-    /// The host of this name; a name not met before gets the next number.
+    /// The member id of the host with this name; a new name gets the next free id.
     pub fn assign_id(&mut self, name: &str) -> MemberId {
         let next = MemberId(self.numbers.len() as u64 + 1);
         *self.numbers.entry(name.to_string()).or_insert(next)
     }
 
-    /// Where a host listens.
+    /// The address at which a host listens, if a list has named the host.
     pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
         self.hosts.get(&member).map(|(address, _)| *address)
     }
 
-    /// The host of this name, if a list has ever named it.
+    /// The member id of the host with this name, if it has one.
     pub fn member(&self, name: &str) -> Option<MemberId> {
         self.numbers.get(name).copied()
     }
 
-    /// The host's name in the list.
+    /// The host's name in the endpoint list; `?` if no list has named it.
     pub fn name(&self, member: MemberId) -> &str {
         self.hosts.get(&member).map_or("?", |(_, name)| name)
     }
 
-    /// Takes an endpoint list in. Returns its endpoints, and the number of entries that cannot be read and are passed over.
+    /// Updates the directory from an endpoint list. Returns the endpoints, and the number of invalid entries, which are
+    /// skipped.
     pub fn update(&mut self, listing: Listing, clock: &Clock) -> (Vec<Endpoint>, usize) {
         let count = listing.len();
         let targets = listing.into_targets().flatten();
         let endpoints: Vec<Endpoint> = targets.map(|target| self.endpoint(target, clock)).collect();
-        let unreadable = count - endpoints.len();
-        (endpoints, unreadable)
+        let invalid = count - endpoints.len();
+        (endpoints, invalid)
     }
 
     fn endpoint(&mut self, target: Target, clock: &Clock) -> Endpoint {
--- a/src/net/discovery/listing.rs
+++ b/src/net/discovery/listing.rs
@@ -1,39 +1,39 @@
-//! The endpoint list as discovery writes it.
+//! The JSON format of the discovery service's endpoint list.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// An endpoint list, or a change to one.
+/// A full endpoint list, or the changed entries of one.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Listing {
-    /// Its version.
+    /// Version of the endpoint list.
     pub rev: u64,
-    /// It names all hosts; who is missing is gone.
+    /// The list is complete: hosts that it does not name have been removed.
     #[serde(default)]
     pub all: bool,
     targets: Vec<Value>,
 }
 
 impl Listing {
-    /// Number of its entries.
+    /// Number of entries, valid or not.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether it names no host.
+    /// Whether the list has no entries.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Groups of its hosts, one for each entry that names one.
+    /// The group of each entry that has a valid one.
     pub fn groups(&self) -> impl Iterator<Item = u32> + '_ {
         let group = |target: &Value| target.get("pod_group")?.as_u64()?.try_into().ok();
         self.targets.iter().filter_map(group)
     }
 
-    /// Its entries, one by one; none for each that cannot be read.
+    /// The entries in order; `None` for an invalid entry.
     pub(super) fn into_targets(self) -> impl Iterator<Item = Option<Target>> {
         self.targets.into_iter().map(|target| serde_json::from_value(target).ok())
     }
@@ -55,7 +55,7 @@
     pub(super) part: String,
 }
 
-/// Whether an entry's host takes requests.
+/// Lifecycle state of an entry's host.
 #[derive(Clone, Copy, Deserialize)]
 pub(super) enum TargetState {
     Ready,
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,74 +1,77 @@
-//! The watch on discovery: which version of the endpoint list is known, the calls that are out, and the time until the
-//! next.
+//! The watch on discovery: the known version of the endpoint list, the calls in flight, and the time until the next
+//! call.
 
 use super::answer::{read_answer, BadAnswer};
 use super::listing::Listing;
 use crate::Micros;
 
-/// How long a call asks discovery to wait for changes.
+/// Time for which a call asks discovery to wait for changes (long polling).
 pub const WATCH_WAIT: Micros = Micros::millis(2_000);
-/// A call that has no complete answer for so long after its wait has fallen silent: the next goes out beside it.
+/// A call without a complete answer this long after its wait counts as silent: it stays open, and the next call starts.
 pub const SILENCE_TIMEOUT: Micros = Micros::millis(700);
-/// Calls in a row that fall silent before the full list is asked for: some 45 s.
+/// Number of silent calls since the last list after which the full list is requested: about 45 s.
 pub const MAX_SILENT_CALLS: u64 = 16;
-/// A call for the full list without a complete answer for so long is given up.
+/// A call for the full list is abandoned if it has no complete answer after this time.
 pub const CALL_TIMEOUT: Micros = Micros::millis(1_500);
-/// Least backoff before the next call after one failed: within the 200 ms in which a watch continues.
+/// Shortest backoff before the next call after a failure. It keeps within the 200 ms in which a watch has to continue.
 pub const MIN_BACKOFF: Micros = Micros::millis(100);
-/// A change counts as known after so long from when discovery had it and could be reached, received or not.
+/// Time after which a change counts as known, received or not, from when discovery had it and was reachable.
 pub const KNOWN_WITHIN: Micros = Micros::millis(6_000);
-/// Time in which the answer of a discovery that can be reached is here and taken in.
+/// Time in which the answer of a reachable discovery service is received and applied.
 pub const ANSWER_TIME: Micros = Micros::millis(200);
-/// Longest time from the start of a call that was lost or fell silent to the start of the next. The worst case of a
-/// change: it comes right after such a call began (one gap), the next call fails as well (one more), and the third is
+/// Longest time from the start of a lost or silent call to the start of the next call. In the worst case a change
+/// happens right after such a call began (one gap), the next call fails as well (a second gap), and the third call is
 /// answered.
 pub const CALL_GAP: Micros = Micros::millis(2_900);
-/// The same after a call that was rejected, from its end: until then discovery could not be reached. Longer, since a fleet
-/// that calls an overloaded discovery too often keeps it so; the call behind it waits for no changes, and is given up as
-/// soon as an answer that took as long as a rejection does is due.
+/// Longest time from the end of a rejected call, up to which discovery counts as unreachable, to the start of the next
+/// call. It is longer than [`CALL_GAP`], since a fleet that calls an overloaded discovery service too often keeps it
+/// overloaded. The call that follows does not wait for changes, and is abandoned as soon as an answer that takes as
+/// long as a rejection does is due.
 pub const REJECTED_GAP: Micros = Micros::millis(3_600);
-/// How long the call after one that was rejected may take.
+/// Longest duration of the call after a rejected one.
 pub const REJECTED_TIMEOUT: Micros = Micros::millis(2_100);
 const _: () = assert!(2 * CALL_GAP.0 + ANSWER_TIME.0 <= KNOWN_WITHIN.0);
 const _: () = assert!(CALL_TIMEOUT.0 + MIN_BACKOFF.0 <= CALL_GAP.0);
 const _: () = assert!(WATCH_WAIT.0 + SILENCE_TIMEOUT.0 + MIN_BACKOFF.0 <= CALL_GAP.0);
 const _: () = assert!(REJECTED_GAP.0 + REJECTED_TIMEOUT.0 + MIN_BACKOFF.0 + ANSWER_TIME.0 <= KNOWN_WITHIN.0);
-/// Longest backoff after a first failure, for each gateway: a hundred repeat 100 times a second together, then 50 times.
-/// From some 150 gateways on the longest backoff binds and they repeat more often.
+/// Longest backoff after a first failure, per gateway of the fleet: 100 gateways together retry 100 times a second,
+/// then 50 times. From about 150 gateways on, the limit of the backoff applies and they retry more often.
 const BACKOFF_PER_GATEWAY: Micros = Micros::millis(20);
-/// Doublings of the backoff.
+/// Largest number of times that the backoff range doubles.
 const MAX_DOUBLINGS: u64 = 2;
-/// Lost calls in a row after which the full list is asked for.
+/// Number of lost calls since the last list after which the full list is requested.
 const MAX_LOST_CALLS: u64 = 2;
 
-/// Backoff before the next call after so many failures in a row of one among so many gateways; `draw` is an even draw
-/// between 0 and 1. Few repeat at once. Many would keep discovery overloaded for as long as they did: they draw from the
-/// upper half of a range that grows with their number and doubles, up to the longest backoff.
-pub fn backoff(failures: u64, gateways: u32, draw: f64, longest: Micros) -> Micros {
+/// Backoff before the next call after `failures` consecutive failures, in a fleet of `gateways`; `draw` is a uniform
+/// random number between 0 and 1. A few gateways retry after [`MIN_BACKOFF`]. Many that did so would keep discovery
+/// overloaded for as long as they retried: each draws from the upper half of a range that grows with the number of
+/// gateways and doubles with each failure, up to the longest backoff `max`.
+pub fn backoff(failures: u64, gateways: u32, draw: f64, max: Micros) -> Micros {
     let range = BACKOFF_PER_GATEWAY.scale(f64::from(gateways));
     if range <= MIN_BACKOFF {
         return MIN_BACKOFF;
     }
     let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
-    let most = range.scale((1u64 << doublings) as f64).min(longest - MIN_BACKOFF);
-    MIN_BACKOFF + most.scale(0.5 + draw / 2.0)
+    let doubled_range = range.scale((1u64 << doublings) as f64).min(max - MIN_BACKOFF);
+    MIN_BACKOFF + doubled_range.scale(0.5 + draw / 2.0)
 }
 
-/// How a call that brought no list ended.
+/// Why a call returned no endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// It was never made or was rejected: no change was sent.
+    /// The call was never made or was rejected: no change was sent.
     Rejected,
-    /// It broke off, was given up or its answer cannot be read: a change may have been sent.
+    /// The connection was lost, the call was abandoned or its answer is invalid: a change may have been sent.
     Lost,
-    /// It has fallen silent; it stays out, and may be answered yet.
+    /// The call is silent; it stays open and may still be answered.
     Silent,
 }
 
-/// The watch: which version is known, the bytes of the answers so far, and what has failed since the last list. Two
-/// calls are out at most: the latest, and before it one that has fallen silent. The first answer counts.
-/// The silent call is not given up since it is the first to be answered when a discovery that was down comes back: a drain
-/// is then known within a short grace.
+/// The watch: the known version, the bytes of the answers so far, and the failures since the last list. At most two
+/// calls are in flight: the latest, and an earlier one that is silent. The first answer counts.
+///
+/// The silent call is not abandoned, since it is the first to be answered when a discovery service that was down comes
+/// back: a drain is then known within a short grace period.
 #[derive(Debug)]
 pub struct Watch {
     version: Option<u64>,
@@ -77,12 +80,12 @@
     failures: u64,
     lost: u64,
     silent: u64,
-    /// How the last call failed, and what it took of the time in which a change has to be received.
+    /// How the last call failed, and how much it used of the time in which a change has to be received.
     last_failure: Option<(CallFailure, Micros)>,
 }
 
 impl Watch {
-    /// A watch that goes on from this version.
+    /// A watch that continues from a version; `None` requests the full list.
     pub fn from_version(version: Option<u64>) -> Self {
         Watch {
             version,
@@ -95,17 +98,17 @@
         }
     }
 
-    /// The version that is known.
+    /// The version of the last endpoint list; `None` until one is received, and when the full list is to be requested.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Number of calls that have failed in a row.
+    /// Number of consecutive failed calls.
     pub fn failures(&self) -> u64 {
         self.failures
     }
 
-    /// The text of the next call.
+    /// The HTTP request of the next call.
     pub fn next_request(&mut self, host: &str) -> String {
         self.answer.clear();
         let wait_ms = if self.was_rejected() { 0 } else { WATCH_WAIT.0 / 1000 };
@@ -115,10 +118,10 @@
     }
 
     fn was_rejected(&self) -> bool {
-        self.last_failure.is_some_and(|(how, _)| how == CallFailure::Rejected)
+        self.last_failure.is_some_and(|(failure, _)| failure == CallFailure::Rejected)
     }
 
-    /// How long the latest call may take until it has failed.
+    /// Time after which the latest call has failed.
     pub fn timeout(&self) -> Micros {
         match self.version {
             _ if self.was_rejected() => REJECTED_TIMEOUT,
@@ -127,8 +130,9 @@
         }
     }
 
-    /// The latest call has timed out. It stays out as the silent one, which replaces an earlier one, or is given up. Calls
-    /// that do not wait are given up: an overloaded discovery would have them twice.
+    /// Handles a timeout of the latest call. The call either stays open as the silent one, in place of an earlier
+    /// silent call, or is abandoned. Calls that do not wait for changes are abandoned: an overloaded discovery service
+    /// would otherwise have to serve them twice.
     pub fn on_timeout(&mut self) -> CallFailure {
         if self.was_rejected() || self.version.is_none() {
             return CallFailure::Lost;
@@ -137,45 +141,48 @@
         CallFailure::Silent
     }
 
-    /// Records that a call of one among so many gateways failed after it took `spent`, and returns the time until the
-    /// next; `draw` is an even draw between 0 and 1. After two that were lost, or [`MAX_SILENT_CALLS`] that fell silent,
-    /// the version is forgotten and the full list asked for; to ask an overloaded discovery for it would only make it
-    /// worse. An answer that was lost may have announced a drain already, whose grace then runs, also while further calls
-    /// are rejected.
+    /// Records that a call failed after `duration`, in a fleet of `gateways`, and returns the time until the next call;
+    /// `draw` is a uniform random number between 0 and 1.
+    ///
+    /// After two lost calls, or [`MAX_SILENT_CALLS`] silent ones, the version is dropped and the full list is
+    /// requested. Rejected calls do not lead to that, since requesting the full list from an overloaded discovery
+    /// service would make the overload worse. A lost answer may already have announced a drain, whose grace period then
+    /// runs, also while further calls are rejected.
     pub fn on_call_failed(
         &mut self,
-        how: CallFailure,
+        failure: CallFailure,
         gateways: u32,
         drain_grace: Micros,
-        spent: Micros,
+        duration: Micros,
         draw: f64,
     ) -> Micros {
         self.failures += 1;
-        self.lost += u64::from(how == CallFailure::Lost);
-        self.silent += u64::from(how == CallFailure::Silent);
+        self.lost += u64::from(failure == CallFailure::Lost);
+        self.silent += u64::from(failure == CallFailure::Silent);
         let is_version_kept = self.lost < MAX_LOST_CALLS && self.silent < MAX_SILENT_CALLS;
         self.version = self.version.filter(|_| is_version_kept);
-        let longest = self.longest_backoff(how, drain_grace, spent);
-        let backoff = backoff(self.failures, gateways, draw, longest);
-        let taken = if how == CallFailure::Rejected { backoff } else { spent + backoff };
-        self.last_failure = Some((how, taken));
+        let max_backoff = self.max_backoff(failure, drain_grace, duration);
+        let backoff = backoff(self.failures, gateways, draw, max_backoff);
+        let time_used = if failure == CallFailure::Rejected { backoff } else { duration + backoff };
+        self.last_failure = Some((failure, time_used));
         backoff
     }
 
-    fn longest_backoff(&self, how: CallFailure, drain_grace: Micros, spent: Micros) -> Micros {
-        let taken_before = self.last_failure.map_or(Micros(0), |(_, taken)| taken);
-        let longest = match how {
+    fn max_backoff(&self, failure: CallFailure, drain_grace: Micros, duration: Micros) -> Micros {
+        let used_before = self.last_failure.map_or(Micros(0), |(_, time_used)| time_used);
+        let max_backoff = match failure {
             CallFailure::Lost | CallFailure::Silent => {
-                CALL_GAP.min(KNOWN_WITHIN - ANSWER_TIME - taken_before) - spent
+                CALL_GAP.min(KNOWN_WITHIN - ANSWER_TIME - used_before) - duration
             }
             CallFailure::Rejected => REJECTED_GAP,
         };
         let may_miss_drain = self.lost + self.silent > 0;
-        let longest = if may_miss_drain { longest.min(drain_grace.scale(0.5)) } else { longest };
-        longest.max(MIN_BACKOFF)
+        let max_backoff = if may_miss_drain { max_backoff.min(drain_grace.scale(0.5)) } else { max_backoff };
+        max_backoff.max(MIN_BACKOFF)
     }
 
-    /// Takes in bytes of the latest call; an endpoint list once the answer is complete. `has_ended`: no more will come.
+    /// Adds received bytes of the latest call; returns the endpoint list once the answer is complete. `has_ended` says
+    /// that no more bytes will come.
     pub fn receive(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
         self.answer.extend_from_slice(bytes);
         let listing = read_answer(&self.answer, has_ended)?;
@@ -185,11 +192,11 @@
         Ok(listing)
     }
 
-    /// Takes in bytes of the call that fell silent. What it says counts only if it is newer than what is known: the call
-    /// after it asked for that as well, and the older one is of no use any more.
+    /// Adds received bytes of the silent call. Its list counts only if it is newer than the known version. Otherwise
+    /// the later call has already returned that version, and the silent one is of no more use.
     pub fn receive_late(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
         self.late_answer.extend_from_slice(bytes);
-        // What cannot be used is dropped: nobody reads on.
+        // An invalid answer is dropped: no more of it is read.
         let answer = read_answer(&self.late_answer, has_ended).inspect_err(|_| self.late_answer = Vec::new());
         let Some(listing) = answer? else { return Ok(None) };
         if self.version.is_some_and(|version| listing.rev <= version) {
--- a/src/shortage.rs
+++ b/src/shortage.rs
@@ -1,15 +1,15 @@
-//! Shortages of this machine: system calls that fail for a while because descriptors, ports, buffers, memory or a
-//! route are lacking. They are transient, and they say nothing of the other end of a connection.
+//! Resource shortages of this machine: system calls that fail for a while because descriptors, ports, buffers, memory
+//! or a route are lacking. Such errors are transient, and do not indicate a fault of the other end of a connection.
 
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Time between two attempts.
+/// Time between two attempts of [`retry`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a start retries: a process has 30 s to be ready.
+/// How long operations are retried during a start, since a process has to be ready within 30 s.
 pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether an error says that this machine lacks something at the moment.
+/// Whether an error means that this machine is temporarily out of a resource.
 pub fn is_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -26,13 +26,13 @@
     )
 }
 
-/// Whether a call that reads or writes without blocking is to be made again later: nothing was done, and nothing is wrong
-/// with the other end.
+/// Whether a non-blocking read or write should be repeated later: nothing was transferred, and the error does not
+/// indicate a fault of the other end.
 pub fn should_try_later(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock || is_shortage(error)
 }
 
-/// Whether reading or storing a file may succeed soon.
+/// Whether reading or writing a file may succeed when it is retried soon.
 pub fn is_transient_file_error(error: &io::Error) -> bool {
     is_shortage(error)
         || matches!(
@@ -41,10 +41,10 @@
         )
 }
 
-/// Retries an operation as long as its error is transient, up to a deadline.
+/// Retries an operation while its error is transient, until a deadline.
 ///
 /// # Errors
-/// The last one.
+/// The error of the last attempt.
 pub fn retry<T>(
     deadline: Instant,
     is_transient: impl Fn(&io::Error) -> bool,
