--- a/src/pg/client.rs
+++ b/src/pg/client.rs
@@ -1,5 +1,5 @@
-//! A client's connection, where the gateway speaks as a server: a state machine driven by bytes, from startup through one
-//! simple query at a time.
+//! The server side of the protocol on a client's connection: a state machine driven by bytes that handles the startup
+//! and then one simple query at a time.
 
 use super::codec::{self, CancelKey, FramingError, Message, SendBuffer, StartupPacket, MAX_MESSAGE};
 use super::message_type::{backend, frontend};
@@ -8,13 +8,13 @@
 
 /// The major version of the protocol.
 const PROTOCOL_MAJOR: u16 = 3;
-/// Answers an SSLRequest or a GSSENCRequest: without encryption.
+/// The answer to an SSLRequest or a GSSENCRequest: encryption is not supported.
 const ENCRYPTION_REJECTED: u8 = b'N';
-/// The body of NegotiateProtocolVersion: minor version 0, and no option that is not known.
+/// The body of NegotiateProtocolVersion: minor version 0, and no unrecognized options.
 const NEGOTIATED_VERSION: [u8; 8] = [0; 8];
 /// The body of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The ParameterStatus messages of the startup.
+/// Names and values of the ParameterStatus messages of the startup.
 const PARAMETERS: [(&str, &str); 4] = [
     ("server_version", "15.0 (dunemount)"),
     ("server_encoding", "UTF8"),
@@ -22,7 +22,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// SQLSTATE codes of the errors that are made here.
+/// SQLSTATE codes of the errors that originate here.
 mod sqlstate {
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
@@ -33,50 +33,50 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The startup packet is awaited.
+    /// Waiting for the startup packet.
     Startup,
-    /// The next query is awaited.
+    /// Waiting for the next query.
     Idle,
-    /// A query has no answer yet; what is pipelined behind it waits.
+    /// A query has not been answered yet; messages that are pipelined behind it wait.
     Busy,
     /// After an error in an extended query: all messages are skipped up to its Sync.
     SkippingToSync,
-    /// Nothing more is read.
+    /// No more bytes are read.
     Closed,
 }
 
-/// What a client asks for.
+/// A request of a client to the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientRequest {
-    /// An answer to this query, which arrived at this time: when its last byte was received.
+    /// Answer this query. The time is its arrival, when its last byte was received.
     Query(String, Micros),
-    /// The query of the connection with this key cancelled; this connection then closes without an answer.
+    /// Cancel the query of the connection with this key; this connection is then closed without an answer.
     Cancel(CancelKey),
-    /// The connection closed, once what is to be written has been.
+    /// Close the connection once all pending bytes are written.
     Close,
 }
 
-/// What another process needs to go on with a client that is owed nothing.
+/// The state with which another process continues a client's connection that has no query in progress.
 #[derive(Debug)]
 pub struct ProtocolHandover {
-    /// The key with which its query may be cancelled.
+    /// The key with which the client may cancel its query.
     pub key: CancelKey,
-    /// It has been greeted.
+    /// Whether the startup is complete.
     pub greeted: bool,
-    /// Bytes that were received and not parsed yet.
+    /// Received bytes that are not parsed yet.
     pub bytes: Vec<u8>,
-    /// When the complete messages among them arrived, on the clock that both processes run on.
+    /// The arrivals of the complete messages among them, on the clock that both processes share.
     pub arrivals: Vec<Arrival>,
 }
 
-/// A client's connection.
+/// The protocol state of a client's connection.
 #[derive(Debug)]
 pub struct ClientProtocol {
     input: TimedReceiveBuffer,
-    /// Bytes for the client.
+    /// Bytes to be sent to the client.
     pub out: SendBuffer,
     state: State,
-    /// Longest message that is accepted.
+    /// Longest message that is accepted, in bytes.
     max_message: usize,
     cancel_key: CancelKey,
 }
@@ -88,18 +88,18 @@
 }
 
 impl ClientProtocol {
-    /// A connection whose messages may be so long, and whose query may be cancelled with this key.
+    /// A new connection with messages of at most `max_message` bytes, and a key with which its query may be cancelled.
     pub fn new(max_message: usize, cancel_key: CancelKey) -> Self {
         let (input, out) = (TimedReceiveBuffer::default(), SendBuffer::default());
         ClientProtocol { input, out, state: State::Startup, max_message, cancel_key }
     }
 
-    /// The key with which its query may be cancelled, if the client knows it.
+    /// The key with which the client may cancel its query; `None` until the startup has sent it.
     pub fn cancel_key(&self) -> Option<CancelKey> {
         (self.state != State::Startup).then_some(self.cancel_key)
     }
 
-    /// A client of another process. Messages whose arrival that did not tell count as having arrived now.
+    /// Continues the connection of another process. Messages without a recorded arrival count as having arrived now.
     pub fn resume(max_message: usize, from: ProtocolHandover, now: Micros) -> Self {
         let mut client = ClientProtocol::new(max_message, from.key);
         if from.greeted {
@@ -109,10 +109,11 @@
         client
     }
 
-    /// What [`ClientProtocol::resume`] needs, unless the client is owed something or is about to end.
+    /// The state for [`ClientProtocol::resume`]; `None` if a query or bytes for the client are pending, an extended
+    /// query is being skipped, or the connection is closing.
     pub fn to_handover(&self) -> Option<ProtocolHandover> {
-        let owed_nothing = matches!(self.state, State::Startup | State::Idle) && self.out.is_empty();
-        owed_nothing.then(|| ProtocolHandover {
+        let is_settled = matches!(self.state, State::Startup | State::Idle) && self.out.is_empty();
+        is_settled.then(|| ProtocolHandover {
             key: self.cancel_key,
             greeted: self.state == State::Idle,
             bytes: self.input.unparsed().to_vec(),
@@ -120,38 +121,38 @@
         })
     }
 
-    /// Takes bytes in that are read now. What the system held before is not known here: bytes that were not read
-    /// since more than is held had come count from when they are.
+    /// Adds bytes that are read at `now`. When bytes reached the kernel's socket buffer is not known here: bytes that
+    /// were left unread because the input limit was reached count from when they are read.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
         if self.state != State::Closed {
             self.input.push(bytes, now);
         }
     }
 
-    /// Whether more bytes are to be read: pipelined queries, and answers that the client does not read, are held up to
-    /// the longest message.
+    /// Whether more bytes should be read: pipelined queries, and answers that the client does not read, are each
+    /// buffered up to the length of the longest message.
     pub fn wants_read(&self) -> bool {
         self.state != State::Closed
             && self.input.len() <= self.max_message
             && self.out.len() <= self.max_message
     }
 
-    /// Whether a query has no answer yet.
+    /// Whether a query is in progress.
     pub fn is_busy(&self) -> bool {
         self.state == State::Busy
     }
 
-    /// Whether a message has begun and the rest of it is awaited.
+    /// Whether part of a message was received and the rest of it is missing.
     pub fn has_partial_message(&self) -> bool {
         !matches!(self.state, State::Busy | State::Closed) && !self.input.is_empty()
     }
 
-    /// Whether it may be closed without loss: nothing owed, nothing partially read, nothing partially written.
+    /// Whether the connection may be closed without loss: no query in progress, no unparsed input, no pending output.
     pub fn is_idle(&self) -> bool {
         self.state != State::Busy && self.input.is_empty() && self.out.is_empty()
     }
 
-    /// The next thing that the client asks for; `None` until more bytes come, or while an answer is owed.
+    /// The client's next request; `None` until more bytes are received, and while a query is in progress.
     pub fn next_request(&mut self) -> Option<ClientRequest> {
         loop {
             let step = match self.state {
@@ -183,7 +184,7 @@
                 self.state = State::Closed;
                 return Ok(Step::Request(ClientRequest::Cancel(key)));
             }
-            StartupPacket::Session(PROTOCOL_MAJOR, minor) => self.greet(minor),
+            StartupPacket::Session(PROTOCOL_MAJOR, minor) => self.accept_session(minor),
             StartupPacket::Session(..) => {
                 let error =
                     self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "unsupported protocol version");
@@ -193,8 +194,8 @@
         Ok(Step::Continue)
     }
 
-    /// Accepts a client that asked for this minor version.
-    fn greet(&mut self, minor: u16) {
+    /// Accepts a client that requested this minor version.
+    fn accept_session(&mut self, minor: u16) {
         let out = &mut self.out.bytes;
         if minor > 0 {
             codec::write_message(out, backend::NEGOTIATE_PROTOCOL_VERSION, &NEGOTIATED_VERSION);
@@ -267,15 +268,15 @@
         );
     }
 
-    /// Answers the query with a host's messages, as they came.
+    /// Answers the query with a host's messages, unchanged.
     pub fn send_rows(&mut self, rows: &[u8]) {
         self.out.bytes.extend_from_slice(rows);
         self.ready_for_query();
     }
 
-    /// Rejects the query: a retry is harmless, after the given time if there is one.
+    /// Rejects the query. The client may safely retry it, after `retry_after` if that is given.
     pub fn reject(&mut self, retry_after: Option<Micros>) {
-        let retry_after_ms = retry_after.map(|wait| wait.0.div_ceil(1000).to_string());
+        let retry_after_ms = retry_after.map(|delay| delay.0.div_ceil(1000).to_string());
         let (out, message) = (&mut self.out.bytes, "refused, try again");
         codec::write_error_response(
             out,
@@ -298,7 +299,7 @@
         self.state = State::Idle;
     }
 
-    /// Closes the connection with an error, once that has been written.
+    /// Sends an error and closes the connection once it is written.
     pub fn close_with_error(&mut self, code: &str, message: &str) -> ClientRequest {
         codec::write_error_response(&mut self.out.bytes, "FATAL", code, message, None);
         self.state = State::Closed;
@@ -318,12 +319,12 @@
     )
 }
 
-/// What comes of handling a message.
+/// The result of handling input.
 enum Step {
-    /// The next message may be handled.
+    /// Continue with the next message.
     Continue,
-    /// No message is complete.
+    /// Wait for more bytes: no message is complete.
     AwaitBytes,
-    /// The client asks for something.
+    /// The client has a request.
     Request(ClientRequest),
 }
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -1,67 +1,69 @@
-//! Messages of protocol version 3: cutting them out of bytes, writing them, and reading the fields that matter here.
+//! Messages of protocol version 3: splitting a byte stream into messages, writing them, and reading the fields that the
+//! gateway uses.
 
 use std::io::{self, Write};
 
 use super::message_type::{backend, frontend};
 use crate::shortage::should_try_later;
 
-/// Longest message that is accepted everywhere: a value of 64 KiB in hexadecimal, with room for the
-/// statement round it. Where there is memory for more, longer ones are accepted too.
+/// Longest message that is always accepted, in bytes: a value of 64 KiB in hexadecimal, with room for the statement
+/// around it. Longer messages are accepted where there is memory for them.
 pub const MAX_MESSAGE: usize = 144 * 1024;
-/// Most written bytes that a send buffer keeps in front of others.
+/// Most bytes that a send buffer keeps after they are written, in front of the bytes still to be written.
 const MAX_WRITTEN: usize = 32 * 1024;
-/// Longest startup packet, as PostgreSQL itself has it.
+/// Longest startup packet, in bytes: the limit of PostgreSQL itself.
 const MAX_STARTUP: usize = 10_000;
 
-/// Capacity that an empty buffer keeps.
+/// Capacity that an empty buffer keeps, in bytes.
 const IDLE_CAPACITY: usize = 4096;
-/// Bytes of a message's length.
+/// Size of a message's length field, in bytes.
 const LENGTH: usize = 4;
 
-/// Version 3.0, as a startup packet gives it.
+/// Version 3.0 as encoded in a startup packet: the major version in the upper 16 bits.
 const PROTOCOL_VERSION: u32 = 3 << 16;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// Length of a CancelRequest.
+/// Length of a CancelRequest, its length field included.
 const CANCEL_REQUEST_LENGTH: u32 = 16;
 
-/// Why bytes are no message.
+/// Why received bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// Longer than is accepted, by its own length.
+    /// The length field is above the limit for the message.
     #[error("message too long")]
     TooLong,
-    /// A length that cannot be.
+    /// The length field is invalid, or does not fit the type of the packet.
     #[error("invalid message length")]
     InvalidLength,
 }
 
-/// BackendKeyData: what names a connection to those that may cancel its query.
+/// BackendKeyData: identifies a connection, and authorises a client to cancel its query. The field names are part of
+/// the handover message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CancelKey {
-    /// The number that PostgreSQL gives a server process.
+    /// The process id, which in PostgreSQL is that of the server process.
     pub process: u32,
-    /// Known to this connection's client alone.
+    /// Secret that only the client of this connection knows.
     pub secret: u32,
 }
 
 /// The first packet of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
-    /// A session in this major and minor version.
+    /// StartupMessage: a session in this major and minor protocol version.
     Session(u16, u16),
-    /// SSLRequest or GSSENCRequest: the client asks for encryption first.
+    /// SSLRequest or GSSENCRequest: the client requests encryption before the session.
     EncryptionRequest,
-    /// CancelRequest: the query of the connection that got this key is to be cancelled.
+    /// CancelRequest: cancels the query of the connection that was given this key.
     CancelRequest(CancelKey),
 }
 
 impl StartupPacket {
-    /// Reads a packet's body.
+    /// Parses a packet's body.
     ///
     /// # Errors
-    /// It is too short, or of the wrong length.
+    /// The body is too short, or its length does not fit its type.
     pub fn parse(body: &[u8]) -> Result<StartupPacket, FramingError> {
         let Some(code) = body.first_chunk::<4>().map(|code| u32::from_be_bytes(*code)) else {
             return Err(FramingError::InvalidLength);
@@ -79,7 +81,7 @@
     }
 }
 
-/// A message: its type byte and what follows the length.
+/// A message: its type byte, and the body that follows the length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The type byte.
@@ -88,7 +90,7 @@
     pub body: Vec<u8>,
 }
 
-/// The length that stands at an offset, itself included, once it is there.
+/// Reads the length field at an offset; the length includes the field itself. `None` until the field is complete.
 fn length_at(bytes: &[u8], offset: usize) -> Result<Option<usize>, FramingError> {
     let Some(length) = bytes.get(offset..).and_then(|rest| rest.first_chunk::<4>()) else { return Ok(None) };
     let length = usize::try_from(i32::from_be_bytes(*length)).map_err(|_| FramingError::InvalidLength)?;
@@ -98,7 +100,7 @@
     }
 }
 
-/// Bytes that were received and not parsed yet.
+/// Received bytes that are not parsed yet.
 #[derive(Debug, Default)]
 pub struct ReceiveBuffer {
     bytes: Vec<u8>,
@@ -106,7 +108,7 @@
 }
 
 impl ReceiveBuffer {
-    /// Adds bytes that were received.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.parsed > 0 {
             self.bytes.drain(..self.parsed);
@@ -115,7 +117,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The bytes that are not parsed yet.
+    /// The received bytes that are not parsed yet.
     pub fn unparsed(&self) -> &[u8] {
         &self.bytes[self.parsed..]
     }
@@ -133,21 +135,21 @@
     /// The startup packet, once it is complete.
     ///
     /// # Errors
-    /// Its length or its content cannot be.
+    /// The packet is too long, or its length or its content is invalid.
     pub fn next_startup_packet(&mut self) -> Result<Option<StartupPacket>, FramingError> {
         let Some(body) = self.take_body(0, MAX_STARTUP)? else { return Ok(None) };
         StartupPacket::parse(&body).map(Some)
     }
 
-    /// The complete message that begins at an offset, with so many bytes of type before its length; `None`
-    /// while it is not complete, and for one whose length cannot be.
+    /// The complete message that begins at an offset, with `type_length` bytes before its length field; `None` while
+    /// the message is incomplete, and if its length is invalid.
     pub fn complete_message_at(&self, offset: usize, type_length: usize) -> Option<&[u8]> {
         let bytes = self.unparsed().get(offset..)?;
         let length = length_at(bytes, type_length).ok()??;
         bytes.get(..type_length + length)
     }
 
-    /// Takes out up to `max` bytes as they came.
+    /// Takes up to `max` bytes out of the buffer, without parsing them.
     pub fn take_up_to(&mut self, max: usize) -> &[u8] {
         let count = max.min(self.len());
         self.parsed += count;
@@ -157,16 +159,16 @@
     /// The next message, once it is complete.
     ///
     /// # Errors
-    /// It is longer than [`MAX_MESSAGE`], or its length cannot be.
+    /// The message is longer than [`MAX_MESSAGE`], or its length is invalid.
     pub fn next_message(&mut self) -> Result<Option<Message>, FramingError> {
         self.next_message_within(|_| MAX_MESSAGE)
     }
 
-    /// The next message, once it is complete, where each type has a longest length; a type for which that is zero is
-    /// rejected as soon as its byte is there.
+    /// The next message, once it is complete. `max_length` gives the longest length for each type; a type for which
+    /// that is zero is rejected as soon as its type byte is received.
     ///
     /// # Errors
-    /// It is longer, or its length cannot be.
+    /// The message is longer, or its length is invalid.
     pub fn next_message_within(
         &mut self,
         max_length: impl Fn(u8) -> usize,
@@ -179,8 +181,8 @@
         Ok(self.take_body(1, max_length)?.map(|body| Message { tag, body }))
     }
 
-    /// Takes out the body of the message in front, with so many bytes of type before its length. The length is checked
-    /// before the rest is there: what is too long is never waited for.
+    /// Takes the body of the first message, with `type_length` bytes before its length field, out of the buffer. The
+    /// length is checked before the rest is received, so that a message that is too long is rejected at once.
     fn take_body(&mut self, type_length: usize, max_length: usize) -> Result<Option<Vec<u8>>, FramingError> {
         let unparsed = &self.bytes[self.parsed..];
         let Some(length) = length_at(unparsed, type_length)? else { return Ok(None) };
@@ -192,7 +194,7 @@
         };
         self.parsed += type_length + length;
         if self.parsed == self.bytes.len() {
-            // Large values are rare: an idle connection keeps no memory for them.
+            // Large values are rare, so an idle connection does not keep memory for them.
             self.parsed = 0;
             self.bytes.clear();
             self.bytes.shrink_to(IDLE_CAPACITY);
@@ -201,10 +203,10 @@
     }
 }
 
-/// Bytes that are to be sent.
+/// Bytes to be sent.
 #[derive(Debug, Default)]
 pub struct SendBuffer {
-    /// What was put in, the part already written included.
+    /// All buffered bytes, including those already written.
     pub bytes: Vec<u8>,
     written: usize,
 }
@@ -220,17 +222,17 @@
         self.written == self.bytes.len()
     }
 
-    /// Writes what can be written now; true once nothing is left.
+    /// Writes as many bytes as possible without blocking. True once everything is written.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection failed.
     pub fn flush(&mut self, to: &mut impl Write) -> io::Result<bool> {
         while self.written < self.bytes.len() {
             match to.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.written += count,
                 Err(e) if should_try_later(&e) => {
-                    // More is added for as long as a value is streamed: what is written is dropped.
+                    // While a value is streamed, more bytes are added: drop those already written.
                     if self.written > MAX_WRITTEN {
                         self.bytes.drain(..self.written);
                         self.written = 0;
@@ -316,36 +318,37 @@
     }
 }
 
-/// Writes a ReadyForQuery, outside of a transaction.
+/// Writes a ReadyForQuery with the status of an idle connection, outside a transaction.
 pub fn write_ready_for_query(out: &mut Vec<u8>) {
     write_message(out, backend::READY_FOR_QUERY, b"I");
 }
 
-/// A field of an ErrorResponse or NoticeResponse.
+/// The value of a field of an ErrorResponse or NoticeResponse.
 pub fn error_field(body: &[u8], field: u8) -> Option<&str> {
     let found = body.split(|byte| *byte == 0).find(|part| part.first() == Some(&field))?;
     std::str::from_utf8(&found[1..]).ok()
 }
 
-/// The SQLSTATE of an ErrorResponse that is well formed: fields that end, the last one empty, and a code among them.
+/// The SQLSTATE of a well-formed ErrorResponse: every field is terminated, the last one is empty, and a code is
+/// present.
 pub fn sqlstate(body: &[u8]) -> Option<&str> {
     let code = error_field(body, b'C').filter(|_| body.ends_with(&[0, 0]))?;
     (code.len() == 5 && code.bytes().all(|byte| byte.is_ascii_alphanumeric())).then_some(code)
 }
 
-/// Name and value of a ParameterStatus, if it is well formed.
+/// Name and value of a ParameterStatus, if the message is well formed.
 pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let text = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
     text.split_once('\0').filter(|(_, value)| !value.contains('\0'))
 }
 
-/// Whether the body of a RowDescription describes one column and nothing else.
+/// Whether the body of a RowDescription describes exactly one column.
 pub fn describes_single_column(body: &[u8]) -> bool {
     let name_ends = body.iter().skip(2).position(|byte| *byte == 0).map(|at| at + 3);
     body.starts_with(&[0, 1]) && name_ends.is_some_and(|end| body.len() == end + 18)
 }
 
-/// The value of a DataRow of one column, if the lengths fit.
+/// The value of a DataRow with one column, if the length matches the body.
 pub fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     let value = body.strip_prefix(&[0, 1])?;
     let length = u32::from_be_bytes(*value.first_chunk()?);
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -1,5 +1,5 @@
-//! A connection to a database host, where the gateway speaks as a client: a state machine driven by bytes, from startup
-//! through one simple query at a time.
+//! The client side of the protocol on a connection to a database host: a state machine driven by bytes that handles the
+//! startup and then one simple query at a time.
 
 use super::codec::{self, Message, ReceiveBuffer, SendBuffer};
 use super::load_report::is_plain_number;
@@ -7,21 +7,22 @@
 use crate::attempt::{AttemptProgress, ResponseStatus};
 use crate::Role;
 
-/// The user and the database that the startup packet names.
+/// The user in the startup packet.
 const USER: &str = "app";
+/// The database in the startup packet.
 const DATABASE: &str = "shop";
-/// Longest value that is buffered until it is complete; a longer one is streamed.
+/// Longest value that is buffered until it is complete, in bytes; a longer value is streamed.
 const MAX_BUFFERED_VALUE: usize = 64 * 1024;
-/// Longest row that is accepted at all, its lengths included.
+/// Longest row that is accepted, in bytes, its length fields included.
 pub const MAX_ROW: usize = 8 * 1024 * 1024 + 16;
-/// What comes before the value in a row: type, length, number of columns, the value's length.
+/// Size of the head of a row before the value: type, length, number of columns, and the value's length.
 const ROW_HEAD: usize = 11;
-/// Longest value that may be a load report.
+/// Longest value that may be a load report, in bytes.
 const MAX_LOAD_REPORT: usize = 1024;
-/// The body of ReadyForQuery outside of a transaction.
+/// The body of a ReadyForQuery outside a transaction.
 const IDLE_TRANSACTION_STATUS: &[u8] = b"I";
 
-/// SQLSTATE codes that tell what became of a query.
+/// SQLSTATE codes that determine the status of a response.
 mod sqlstate {
     pub const READ_ONLY_TRANSACTION: &str = "25006";
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
@@ -29,37 +30,37 @@
     pub const CANNOT_CONNECT_NOW: &str = "57P03";
 }
 
-/// Whether an error with this SQLSTATE says that the host had no capacity for the query, and has not run it.
+/// Whether an error with this SQLSTATE means that the host had no capacity for the query and has not run it.
 pub fn is_rejection(code: &str) -> bool {
     matches!(code, sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The first ReadyForQuery is awaited.
+    /// Waiting for the first ReadyForQuery.
     Startup,
-    /// It takes a query.
+    /// Ready for a query.
     Idle,
-    /// A query is out, and this much of its response has come.
+    /// A query was sent, and this much of its response was received.
     Busy(ResponseProgress),
-    /// Nothing more is read.
+    /// No more bytes are read.
     Closed,
 }
 
-/// How far a response has come. Its messages come in this order, each once.
+/// How much of a response was received. Its messages come in this order, each once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseProgress {
     Nothing,
     RowDescription,
-    /// A long row is streamed, and so many bytes of it are still to come.
+    /// A long row is being streamed, and this many bytes of it are still missing.
     StreamingRow(usize),
     DataRow,
-    /// CommandComplete or ErrorResponse: only ParameterStatus messages and ReadyForQuery are still to come.
+    /// CommandComplete or ErrorResponse was received: only ParameterStatus messages and ReadyForQuery may follow.
     Completed,
 }
 
-/// Longest message of a type in this state, by its own length; zero for a type that does not belong there. What is out
-/// of place is so known at its first byte, and no length is awaited in vain.
+/// Longest length of a message of a type in this state, as given by its length field; zero for a type that is not
+/// allowed there. An unexpected message is therefore rejected at its first byte, and its length is never waited for.
 fn max_message_length(state: State, tag: u8) -> usize {
     match (tag, state) {
         (backend::NOTICE_RESPONSE | backend::ERROR_RESPONSE, _) => 8 * 1024,
@@ -79,56 +80,56 @@
 /// A host's complete response to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostResponse {
-    /// What became of the query.
+    /// The outcome of the query.
     pub status: ResponseStatus,
-    /// The messages that a client gets to see.
+    /// The messages to be forwarded to the client.
     pub rows: Vec<u8>,
-    /// The value of its row, if it is short enough for a load report.
+    /// The value of the row, if it is short enough for a load report.
     pub value: Option<Vec<u8>>,
-    /// The host's role.
+    /// The host's role, if the response states it.
     pub role: Option<Role>,
-    /// Its position, or a write's commit, as Unix time in milliseconds.
+    /// The host's log position, or the commit of a write, as Unix time in milliseconds.
     pub position: Option<f64>,
 }
 
 impl HostResponse {
-    /// A response with a status and nothing else.
+    /// A response with a status and no content.
     pub fn empty(status: ResponseStatus) -> HostResponse {
         HostResponse { status, rows: Vec::new(), value: None, role: None, position: None }
     }
 }
 
-/// What a host's bytes amount to.
+/// An event on a connection to a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostEvent {
-    /// The startup is over: it takes a query.
+    /// The startup is complete, and the host accepts a query.
     Ready,
-    /// It rejected the connection during the startup, with this SQLSTATE.
+    /// The host rejected the connection during the startup, with this SQLSTATE.
     StartupRejected(String),
-    /// A long response has begun: [`HostProtocol::take_streamed`] returns what comes of it.
+    /// A long response has begun: [`HostProtocol::take_streamed`] returns its bytes as they are received.
     StreamingStarted,
-    /// It has responded to the query; of a response that was streamed this is the rest.
+    /// The response to the query is complete; of a streamed response this is the rest.
     Response(HostResponse),
-    /// It violates the protocol: what came is no response, and the connection is of no use.
+    /// The host violated the protocol: the bytes are not a response, and the connection is unusable.
     ProtocolViolation,
 }
 
-/// What a host sent does not belong there.
+/// A message of the host is malformed or not allowed in the present state.
 struct ProtocolViolation;
 
-/// A connection to a host.
+/// The protocol state of a connection to a host.
 #[derive(Debug)]
 pub struct HostProtocol {
     input: ReceiveBuffer,
-    /// Bytes for the host.
+    /// Bytes to be sent to the host.
     pub out: SendBuffer,
     state: State,
     response: HostResponse,
-    /// A query is on the connection.
+    /// A query was sent and its response is not complete.
     has_query: bool,
     /// The response is streamed.
     is_streamed: bool,
-    /// What the host says of itself beside this response cannot be read.
+    /// A role or position that the host reported with this response is invalid.
     has_invalid_status: bool,
 }
 
@@ -149,12 +150,12 @@
 }
 
 impl HostProtocol {
-    /// Whether it takes a query: the last response is complete and nothing is left of it.
+    /// Whether a query can be sent: the last response is complete, and no bytes are left in either direction.
     pub fn is_idle(&self) -> bool {
         self.state == State::Idle && self.input.is_empty() && self.out.is_empty()
     }
 
-    /// Puts a query on the connection. False, and nothing is put, unless it is idle.
+    /// Sends a query. Returns false, and sends nothing, unless the connection is idle.
     #[must_use]
     pub fn send_query(&mut self, text: &str) -> bool {
         let idle = self.is_idle();
@@ -169,17 +170,17 @@
         idle
     }
 
-    /// Whether its response is being streamed.
+    /// Whether a response is being streamed.
     pub fn is_streaming(&self) -> bool {
         self.is_streamed && matches!(self.state, State::Busy(_))
     }
 
-    /// Takes bytes in.
+    /// Adds received bytes.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.push(bytes);
     }
 
-    /// Whether a response has begun and the rest of it is awaited.
+    /// Whether part of a response was received and the rest of it is missing.
     pub fn has_partial_response(&self) -> bool {
         match self.state {
             State::Busy(ResponseProgress::Nothing) => !self.input.is_empty(),
@@ -188,7 +189,7 @@
         }
     }
 
-    /// The next thing that the bytes so far amount to; `None` until more come.
+    /// The next event in the bytes received so far; `None` until more are received.
     pub fn next_event(&mut self) -> Option<HostEvent> {
         while self.state != State::Closed {
             let state = self.state;
@@ -196,7 +197,7 @@
                 State::Busy(ResponseProgress::RowDescription) if self.starts_streaming() => {
                     return Some(HostEvent::StreamingStarted)
                 }
-                // Whether a row is too long shows once its head is complete.
+                // Whether a row is too long is known only once its head is complete.
                 State::Busy(ResponseProgress::RowDescription) if self.has_partial_row_head() => return None,
                 State::Busy(ResponseProgress::StreamingRow(left)) => {
                     if !self.continue_streaming(left) {
@@ -223,24 +224,24 @@
         self.input.unparsed().first() == Some(&backend::DATA_ROW) && self.input.len() < ROW_HEAD
     }
 
-    /// Whether the head of a long row is there: one column, and lengths that fit. Any other row of its
-    /// length violates the protocol.
+    /// Starts streaming if the head of a long row was received, with one column and lengths that match. Any other row
+    /// of that length violates the protocol.
     fn starts_streaming(&mut self) -> bool {
         let Some((head, _)) = self.input.unparsed().split_first_chunk::<ROW_HEAD>() else { return false };
         let [tag, a, b, c, d, columns @ .., e, f, g, h] = *head;
         let row = u32::from_be_bytes([a, b, c, d]) as usize;
         let value = u32::from_be_bytes([e, f, g, h]) as usize;
         let has_one_column = columns == [0, 1] && row == value.saturating_add(ROW_HEAD - 1);
-        let streams =
+        let is_streamed =
             tag == backend::DATA_ROW && has_one_column && row <= MAX_ROW && value > MAX_BUFFERED_VALUE;
-        if streams {
+        if is_streamed {
             self.state = State::Busy(ResponseProgress::StreamingRow(row + 1));
             self.is_streamed = true;
         }
-        streams
+        is_streamed
     }
 
-    /// Moves what has come of a streamed row to the response. False while some of it is still to come.
+    /// Moves the received bytes of a streamed row to the response. False while some bytes of the row are missing.
     fn continue_streaming(&mut self, left: usize) -> bool {
         let bytes = self.input.take_up_to(left);
         self.response.rows.extend_from_slice(bytes);
@@ -252,8 +253,8 @@
         left == 0
     }
 
-    /// What has come of a response that is streamed, up to the end of its row: CommandComplete is kept back
-    /// until all has been checked.
+    /// Takes the bytes of a streamed response that were received so far, up to the end of its row. CommandComplete is
+    /// held back until the whole response is checked.
     pub fn take_streamed(&mut self) -> Vec<u8> {
         match self.state {
             State::Busy(ResponseProgress::StreamingRow(_) | ResponseProgress::DataRow)
@@ -309,7 +310,7 @@
         Ok(None)
     }
 
-    /// An error in place of a response, or of the rest of one.
+    /// Handles an error in place of a response or of the rest of one.
     fn handle_error(&mut self, body: &[u8]) -> Result<Option<HostEvent>, ProtocolViolation> {
         self.response.status = match codec::sqlstate(body).ok_or(ProtocolViolation)? {
             sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => ResponseStatus::Unsuitable,
@@ -326,14 +327,13 @@
         Ok(None)
     }
 
-    /// Adds a message to what the client gets to see.
+    /// Adds a message to those that are forwarded to the client.
     fn forward(&mut self, message: &Message, progress: ResponseProgress) {
         codec::write_message(&mut self.response.rows, message.tag, &message.body);
         self.state = State::Busy(progress);
     }
 
-    /// Takes the response out. Where the host says something of itself that cannot be read, nothing that it says of itself
-    /// counts.
+    /// Takes the response out. If any role or position that the host reported is invalid, the response has neither.
     fn take_response(&mut self) -> HostResponse {
         let empty = HostResponse::empty(ResponseStatus::Failed);
         let response = std::mem::replace(&mut self.response, empty);
@@ -343,7 +343,7 @@
         }
     }
 
-    /// How far the query has come, if the connection ends now.
+    /// How far the query has got if the connection ends now.
     pub fn attempt_progress(&self) -> AttemptProgress {
         match (self.has_query, self.out.is_empty()) {
             (false, _) => AttemptProgress::NotConnected,
@@ -352,8 +352,8 @@
         }
     }
 
-    /// The connection has ended: the response, if CommandComplete or ErrorResponse had come. Without that nothing of
-    /// it may reach a client.
+    /// Handles the end of the connection. Returns the response if its CommandComplete or ErrorResponse was received;
+    /// without that, nothing of the response may be sent to a client.
     pub fn handle_end(&mut self) -> Option<HostResponse> {
         let is_completed = self.state == State::Busy(ResponseProgress::Completed);
         self.state = State::Closed;
@@ -365,7 +365,7 @@
         event
     }
 
-    /// Notes what the host says of itself.
+    /// Records the role or the position that the host reports.
     fn handle_parameter_status(&mut self, body: &[u8]) {
         match codec::parse_parameter_status(body) {
             Some(("part", "master")) => self.response.role = Some(Role::Primary),
--- a/src/pg/load_report.rs
+++ b/src/pg/load_report.rs
@@ -1,11 +1,11 @@
-//! A database host's load report: the value of the row that answers a health check.
+//! The load report of a database host: the value of the row with which it answers a health check.
 
 use crate::Role;
 
-/// Most digits before and behind the point of a number that a host sends.
+/// Largest number of digits before, and after, the decimal point of a number that a host sends.
 const MAX_DIGITS: usize = 15;
 
-/// Whether the text is a plain number: digits, with a point among them at most.
+/// Whether the text is a plain decimal number: digits, with at most one decimal point between them.
 pub(super) fn is_plain_number(text: &str) -> bool {
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let is_digits =
@@ -13,9 +13,9 @@
     is_digits(whole) && is_digits(fraction)
 }
 
-/// Role and position in a load report such as `x0=1767225600.123,x1=1`. There alone a position is in
-/// seconds; it is returned as Unix time in milliseconds, like any other. A report with anything in it
-/// that cannot be read says nothing: the rest of it may be corrupt as well.
+/// The role and the log position in a load report such as `x0=1767225600.123,x1=1`. Only load reports give a position
+/// in seconds; it is returned as Unix time in milliseconds, like positions from other sources. A report with any
+/// invalid field is ignored as a whole, since the rest of it may be corrupt as well.
 pub fn parse(text: &[u8]) -> (Option<Role>, Option<f64>) {
     let (mut role, mut position) = (None, None);
     for pair in std::str::from_utf8(text).unwrap_or("?").split(',') {
--- a/src/pg/message_type.rs
+++ b/src/pg/message_type.rs
@@ -1,6 +1,6 @@
-//! The type bytes of protocol 3's messages that occur here, by their names in PostgreSQL's documentation.
+//! The type bytes of the protocol 3 messages that the gateway handles, by their names in PostgreSQL's documentation.
 
-/// Messages from a server.
+/// Messages sent by a server.
 pub mod backend {
     /// AuthenticationOk and other authentication requests.
     pub const AUTHENTICATION: u8 = b'R';
@@ -26,7 +26,7 @@
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
 
-/// Messages from a client.
+/// Messages sent by a client.
 pub mod frontend {
     /// Bind, of an extended query.
     pub const BIND: u8 = b'B';
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -1,5 +1,5 @@
-//! Version 3 of PostgreSQL's protocol, simple queries only: as a server towards clients, as a client towards database
-//! hosts. Nothing in here touches a socket; connections are state machines driven by bytes.
+//! Version 3 of the PostgreSQL protocol, simple queries only: the server side towards clients, and the client side
+//! towards database hosts. Connections are state machines driven by bytes; nothing here uses a socket.
 
 pub mod client;
 pub mod codec;
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,4 +1,4 @@
-//! A client's statement: its comment, which says how it is to be routed, and the key that it quotes.
+//! A client's statement: the comment at its end, which holds the routing fields, and the key in its quoted literal.
 
 use std::ops::Range;
 
@@ -7,71 +7,71 @@
 /// Why a statement cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
-    /// It ends in no comment.
+    /// The statement does not end in a comment.
     #[error("the statement ends in no comment")]
     NoComment,
-    /// This field is missing.
+    /// The comment lacks this field.
     #[error("the comment lacks {0}")]
     MissingField(&'static str),
-    /// This field's value cannot be used.
+    /// The value of this field is invalid.
     #[error("the comment's {0} has no usable value")]
     InvalidField(&'static str),
-    /// It quotes no key.
+    /// The statement has no quoted key.
     #[error("the statement quotes no key")]
     NoKey,
-    /// It is neither a read nor a write, or holds what no text does.
+    /// The statement is neither a read nor a write, or contains control characters.
     #[error("the statement is neither SELECT nor INSERT")]
     NoStatement,
 }
 
-/// Longest time that a client may wait, in milliseconds.
+/// Longest time for which a client may wait, in milliseconds.
 const MAX_WAIT_MS: f64 = 600_000.0;
-/// Most characters of an id or an idempotency key.
+/// Longest id or idempotency key, in characters.
 const MAX_NAME: usize = 64;
 
-/// Whether the text may be a request's id or its idempotency key.
+/// Whether the text is a valid request id or idempotency key.
 fn is_name(text: &str) -> bool {
     (1..=MAX_NAME).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
-/// The session that a key names: FNV-1a, since the process that follows this one may be built otherwise
-/// and must come to the same.
+/// Hashes a key to its session with FNV-1a. The hash is fixed, since after a hot restart the next process may be
+/// another build and has to compute the same session.
 fn session_of(key: &str) -> SessionKey {
     let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     SessionKey(key.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
-/// What a statement says of itself.
+/// A parsed statement with its routing fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// The request's id: new with every request.
+    /// The request's id, unique for each request: `id` in the comment.
     pub id: String,
-    /// It is a write.
+    /// Whether the statement is a write.
     pub is_write: bool,
-    /// It carries an idempotency key.
+    /// Whether the comment has an idempotency key: `k`.
     pub has_idempotency_key: bool,
-    /// The class's name.
+    /// The name of the class: `c` in the comment.
     pub class: String,
     /// The group: `cluster` in the comment.
     pub group: u64,
-    /// How long the client waits, from when it sent: `d` in the comment.
+    /// How long the client waits, counted from when it sent the statement: `d` in the comment.
     pub wait: Micros,
-    /// The session that the quoted key names.
+    /// The session of the quoted key.
     pub session: SessionKey,
-    /// The client's mark of a retry.
+    /// Whether the client marks the request as a retry: `r` in the comment.
     pub is_retry: bool,
-    /// The session's last commit as Unix time in milliseconds, where clients carry it: `after` in the comment.
+    /// The session's last commit as Unix time in milliseconds, if the client sends it: `after` in the comment.
     pub last_commit_ms: Option<f64>,
     text: String,
     wait_range: Range<usize>,
 }
 
 impl Statement {
-    /// Reads a statement.
+    /// Parses a statement.
     ///
     /// # Errors
-    /// It cannot be routed.
+    /// The statement cannot be routed.
     pub fn parse(text: String) -> Result<Statement, StatementError> {
         let is_write = parse_kind(&text)?;
         let comment = comment_range(&text)?;
@@ -99,7 +99,7 @@
         })
     }
 
-    /// The statement as it came but for `d`, which says how long the gateway waits.
+    /// The statement as received, with `d` replaced by the time for which the gateway waits.
     pub fn with_wait(&self, wait: Micros) -> String {
         let ms = (wait.0 / 1000).max(1);
         format!("{}{ms}{}", &self.text[..self.wait_range.start], &self.text[self.wait_range.end..])
@@ -109,7 +109,7 @@
 const COMMENT_START: &str = "/*";
 const COMMENT_END: &str = "*/";
 
-/// Whether a statement is a write.
+/// Returns whether the statement is a write.
 fn parse_kind(text: &str) -> Result<bool, StatementError> {
     let is_write = match text.get(..7).map(str::to_ascii_uppercase).as_deref() {
         Some("SELECT ") => false,
@@ -122,7 +122,7 @@
     Ok(is_write)
 }
 
-/// Where the text of the comment at the end stands.
+/// The range of the text within the comment at the end of the statement.
 fn comment_range(text: &str) -> Result<Range<usize>, StatementError> {
     let start = text.rfind(COMMENT_START).ok_or(StatementError::NoComment)? + COMMENT_START.len();
     let end = text.rfind(COMMENT_END).filter(|end| *end >= start).ok_or(StatementError::NoComment)?;
@@ -132,13 +132,13 @@
     }
 }
 
-/// The first quoted text.
+/// The first literal in single quotes.
 fn quoted_key(text: &str) -> Option<&str> {
     let mut parts = text.split('\'');
     parts.nth(1).filter(|_| parts.next().is_some())
 }
 
-/// The fields of a comment.
+/// The known fields of a comment, as far as they are parsed.
 #[derive(Default)]
 struct Fields {
     id: Option<String>,
@@ -152,7 +152,7 @@
 }
 
 impl Fields {
-    /// Sets a field whose value stands at an offset of the statement. Fields that are not known are ignored.
+    /// Sets a field. `offset` is where its value starts in the statement. Unknown fields are ignored.
     fn set(&mut self, name: &str, value: &str, offset: usize) -> Result<(), StatementError> {
         match name {
             "id" if self.id.is_some() || !is_name(value) => return Err(StatementError::InvalidField("id")),
--- a/src/pg/timed_buffer.rs
+++ b/src/pg/timed_buffer.rs
@@ -1,4 +1,4 @@
-//! A receive buffer that knows when each message arrived.
+//! A receive buffer that records when each message arrived.
 
 use std::collections::VecDeque;
 
@@ -7,49 +7,49 @@
 use super::codec::{FramingError, Message, ReceiveBuffer, StartupPacket};
 use crate::Micros;
 
-/// Bytes of a message's length.
+/// Size of a message's length field, in bytes.
 const LENGTH: usize = 4;
-/// Entries that a buffer without messages keeps memory for.
+/// Number of arrivals for which a buffer without messages keeps memory.
 const IDLE_CAPACITY: usize = 16;
 
-/// When messages were complete, and how many in a row were at that time.
+/// The time at which consecutive messages became complete, and the number of those messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival(pub Micros, pub usize);
 
-/// Bytes that were received and not parsed yet, and the arrival of each message among them: when its last byte was
-/// received. Messages that were complete at one time share an entry, and one of which the rest is awaited has none:
-/// whatever pieces they come in, there are no more entries than complete messages, of five bytes at least.
+/// Received bytes that are not parsed yet, with the arrival of each message among them: the time at which its last byte
+/// was received. Messages that became complete at the same time share an entry, and an incomplete message has none. So
+/// there are never more entries than complete messages, of at least five bytes each, however the bytes are split.
 #[derive(Debug, Default)]
 pub struct TimedReceiveBuffer {
     buffer: ReceiveBuffer,
     arrivals: VecDeque<Arrival>,
-    /// Bytes of the complete messages, which stand in front.
+    /// Number of bytes of the complete messages at the front of the buffer.
     complete_bytes: usize,
-    /// The startup packet has come: messages behind it have type bytes.
+    /// The startup packet was received: the messages after it have type bytes.
     is_started: bool,
 }
 
 impl TimedReceiveBuffer {
-    /// What another buffer held, and the arrivals that it told: as many as it knew. The rest counts as having
-    /// arrived now, and nothing as having arrived later.
+    /// Restores the contents of a buffer of another process, with the arrivals that it recorded. Messages without a
+    /// recorded arrival count as having arrived now, and so do messages with an arrival after now.
     pub fn resume(is_started: bool, bytes: &[u8], arrivals: &[Arrival], now: Micros) -> Self {
         let mut resumed = TimedReceiveBuffer { is_started, ..TimedReceiveBuffer::default() };
         resumed.buffer.push(bytes);
         for Arrival(at, count) in arrivals {
-            resumed.note_arrivals((*at).min(now), *count);
+            resumed.record_arrivals((*at).min(now), *count);
         }
-        resumed.note_arrivals(now, usize::MAX);
+        resumed.record_arrivals(now, usize::MAX);
         resumed
     }
 
-    /// Adds bytes that were received.
+    /// Adds bytes that were received at `now`.
     pub fn push(&mut self, bytes: &[u8], now: Micros) {
         self.buffer.push(bytes);
-        self.note_arrivals(now, usize::MAX);
+        self.record_arrivals(now, usize::MAX);
     }
 
-    /// Notes the arrival of messages that are complete and were not, so many at the most.
-    fn note_arrivals(&mut self, at: Micros, max: usize) {
+    /// Records the arrival of up to `max` messages that have become complete.
+    fn record_arrivals(&mut self, at: Micros, max: usize) {
         let mut count = 0;
         while count < max {
             let type_length = usize::from(self.is_started);
@@ -67,10 +67,10 @@
         }
     }
 
-    /// The arrival of the message in front, which has been taken out with so many bytes.
+    /// Removes and returns the arrival of the first message, after its `length` bytes were taken from the buffer.
     fn take_arrival(&mut self, length: usize) -> Micros {
         self.complete_bytes -= length;
-        // What is taken out was complete and has its entry; without one it would count as long over.
+        // The message was complete, so it has an entry; without one it would count as having arrived long ago.
         let Some(first) = self.arrivals.front_mut() else { return Micros(0) };
         let at = first.0;
         first.1 -= 1;
@@ -83,12 +83,12 @@
         at
     }
 
-    /// The arrivals of the complete messages, in their order.
+    /// The arrivals of the complete messages, in the order of the messages.
     pub fn arrivals(&self) -> &VecDeque<Arrival> {
         &self.arrivals
     }
 
-    /// The bytes that are not parsed yet.
+    /// The received bytes that are not parsed yet.
     pub fn unparsed(&self) -> &[u8] {
         self.buffer.unparsed()
     }
@@ -106,7 +106,7 @@
     /// The startup packet, once it is complete.
     ///
     /// # Errors
-    /// Its length or its content cannot be.
+    /// The packet is too long, or its length or its content is invalid.
     pub fn next_startup_packet(&mut self) -> Result<Option<StartupPacket>, FramingError> {
         let before = self.buffer.len();
         let startup = self.buffer.next_startup_packet()?;
@@ -116,10 +116,10 @@
         Ok(startup)
     }
 
-    /// The next message of no more than `max_length` bytes and its arrival, once it is complete.
+    /// The next message, of at most `max_length` bytes, and its arrival, once it is complete.
     ///
     /// # Errors
-    /// It is longer, or its length cannot be.
+    /// The message is longer, or its length is invalid.
     pub fn next_message(&mut self, max_length: usize) -> Result<Option<(Message, Micros)>, FramingError> {
         let before = self.buffer.len();
         let message = self.buffer.next_message_within(|_| max_length)?;
