--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connection states against random steps: whatever the cut of the bytes, a client gets one answer
-//! a query in order, and a host's answer counts only once it is whole.
+//! The protocol state machines of connections, driven by random input: however the bytes are split, a client gets one
+//! answer per query, in order, and a host's response counts only once it is complete.
 
 use dunemount::attempt::{AttemptProgress, ResponseStatus};
 use dunemount::pg::client::{ClientProtocol, ClientRequest, ProtocolHandover};
@@ -11,25 +11,26 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The description of a row of one column.
+/// The body of a RowDescription with one column.
 const DOC: &[u8] = b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01";
 
 fn fixed(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Default::default() }
 }
 
+/// The type bytes of encoded messages, in order.
 fn tags(bytes: &[u8]) -> String {
-    let mut inbox = ReceiveBuffer::default();
-    inbox.push(bytes);
+    let mut buffer = ReceiveBuffer::default();
+    buffer.push(bytes);
     let mut tags = String::new();
-    while let Some(frame) = inbox.next_message().expect("well framed") {
-        tags.push(char::from(frame.tag));
+    while let Some(message) = buffer.next_message().expect("well framed") {
+        tags.push(char::from(message.tag));
     }
-    assert!(inbox.is_empty(), "half a message was written");
+    assert!(buffer.is_empty(), "an incomplete message was written");
     tags
 }
 
-/// What a client may send, with the tags of what it must get for it.
+/// A command that a client may send.
 #[derive(Clone, Debug)]
 enum Command {
     Query(u8),
@@ -52,10 +53,10 @@
 proptest! {
     #![proptest_config(fixed(300))]
 
-    /// Guards the order of answers under pipelining, and that a query is asked for only when the one
-    /// before has been answered.
+    /// Guards against answers that are missing, duplicated or out of order under pipelining, and against a query that
+    /// is returned before the previous one is answered.
     #[test]
-    fn a_client_gets_one_answer_a_query_in_order(
+    fn each_query_gets_one_answer_in_order(
         commands in prop::collection::vec(command(), 0..12),
         chunk in 1..60usize,
     ) {
@@ -95,14 +96,14 @@
         for tag in [b'T', b'D', b'C'] {
             codec::write_message(&mut rows, tag, &[0, 0]);
         }
-        let (mut client, mut asked) = (ClientProtocol::default(), Vec::new());
+        let (mut client, mut returned) = (ClientProtocol::default(), Vec::new());
         for part in bytes.chunks(chunk) {
             client.receive(part, Micros(0));
-            while let Some(demand) = client.next_request() {
-                let ClientRequest::Query(text, _) = demand else { panic!("closed for {commands:?}") };
-                prop_assert!(client.is_busy() && client.next_request().is_none(), "asked while one is owed");
-                let kind = queries.get(asked.len()).map_or(9, |(_, kind)| *kind);
-                asked.push((text, kind));
+            while let Some(request) = client.next_request() {
+                let ClientRequest::Query(text, _) = request else { panic!("closed for {commands:?}") };
+                prop_assert!(client.is_busy() && client.next_request().is_none(), "a query came early");
+                let kind = queries.get(returned.len()).map_or(9, |(_, kind)| *kind);
+                returned.push((text, kind));
                 match kind {
                     0 => client.send_rows(&rows),
                     1 => client.reject(Some(Micros(1_500))),
@@ -110,14 +111,14 @@
                 }
             }
         }
-        prop_assert_eq!(asked, queries);
+        prop_assert_eq!(returned, queries);
         prop_assert_eq!(tags(&client.out.bytes), expected);
         prop_assert!(client.wants_read());
     }
 
-    /// Guards against a panic, an endless wait or an endless buffer on bytes that are no protocol.
+    /// Guards against a panic, an endless wait or an unbounded buffer on bytes that do not follow the protocol.
     #[test]
-    fn junk_is_turned_away(junk in prop::collection::vec(any::<u8>(), 0..200), started in any::<bool>()) {
+    fn random_bytes_are_rejected(junk in prop::collection::vec(any::<u8>(), 0..200), started in any::<bool>()) {
         let (mut client, mut host) = (ClientProtocol::default(), HostProtocol::default());
         if started {
             let mut bytes = Vec::new();
@@ -133,21 +134,21 @@
         prop_assert!(!host.is_idle() || host.out.is_empty());
     }
 
-    /// Guards the host's side: an answer counts from its last word on and never before, and no request
-    /// goes on a connection whose reply is unfinished.
+    /// Guards against a host's response that counts before CommandComplete or ErrorResponse is received, and against a
+    /// query that is sent on a connection whose previous response is incomplete.
     #[test]
-    fn a_hosts_answer_is_whole_or_none(
+    fn a_response_counts_only_once_it_is_complete(
         kind in 0..4usize,
         value in prop::collection::vec(any::<u8>(), 0..50),
         cut in 0..400usize,
         chunk in 1..40usize,
     ) {
-        let mut host = welcomed();
+        let mut host = connected_host();
         prop_assert!(host.send_query("q"));
-        let (mut bytes, mut told_at) = (Vec::new(), usize::MAX);
-        let said = [ResponseStatus::Served, ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][kind];
+        let (mut bytes, mut completed_at) = (Vec::new(), usize::MAX);
+        let status = [ResponseStatus::Served, ResponseStatus::Unsuitable, ResponseStatus::Rejected, ResponseStatus::Failed][kind];
         codec::write_message(&mut bytes, b'N', b"SNOTICE\0\0");
-        if said == ResponseStatus::Served {
+        if status == ResponseStatus::Served {
             codec::write_message(&mut bytes, b'T', DOC);
             let mut row = vec![0, 1];
             row.extend_from_slice(&(value.len() as u32).to_be_bytes());
@@ -157,39 +158,39 @@
         } else {
             codec::write_error_response(&mut bytes, "ERROR", ["", "25006", "53300", "XX000"][kind], "no", None);
         }
-        told_at = told_at.min(bytes.len());
+        completed_at = completed_at.min(bytes.len());
         codec::write_parameter_status(&mut bytes, "part", "replica");
         codec::write_parameter_status(&mut bytes, "caught_up_to", "1767225600123");
         codec::write_ready_for_query(&mut bytes);
         prop_assert_eq!(host.attempt_progress(), AttemptProgress::PartiallyWritten);
         host.out.flush(&mut Vec::new()).expect("written");
-        let whole = cut >= bytes.len();
+        let is_complete = cut >= bytes.len();
         bytes.truncate(cut);
-        let mut turns = Vec::new();
+        let mut events = Vec::new();
         for part in bytes.chunks(chunk) {
             host.receive(part);
-            while let Some(turn) = host.next_event() {
-                turns.push(turn);
+            while let Some(event) = host.next_event() {
+                events.push(event);
             }
         }
-        prop_assert_eq!(host.is_idle(), whole);
-        let reach = if whole { AttemptProgress::NotConnected } else { AttemptProgress::FullyWritten };
-        prop_assert_eq!(host.attempt_progress(), reach, "of the request now on the connection");
-        if whole {
-            let Some(HostEvent::Response(answer)) = turns.pop() else { panic!("no answer") };
-            prop_assert_eq!((answer.status, answer.role), (said, Some(Role::Replica)));
-            prop_assert_eq!(answer.position, Some(1_767_225_600_123.0));
-            prop_assert_eq!(answer.value, (said == ResponseStatus::Served).then_some(value));
-            prop_assert_eq!(tags(&answer.rows), if said == ResponseStatus::Served { "TDC" } else { "" });
-            prop_assert!(host.handle_end().is_none(), "told twice");
+        prop_assert_eq!(host.is_idle(), is_complete);
+        let progress = if is_complete { AttemptProgress::NotConnected } else { AttemptProgress::FullyWritten };
+        prop_assert_eq!(host.attempt_progress(), progress, "of the query in progress");
+        if is_complete {
+            let Some(HostEvent::Response(response)) = events.pop() else { panic!("no response") };
+            prop_assert_eq!((response.status, response.role), (status, Some(Role::Replica)));
+            prop_assert_eq!(response.position, Some(1_767_225_600_123.0));
+            prop_assert_eq!(response.value, (status == ResponseStatus::Served).then_some(value));
+            prop_assert_eq!(tags(&response.rows), if status == ResponseStatus::Served { "TDC" } else { "" });
+            prop_assert!(host.handle_end().is_none(), "the response was returned twice");
         } else {
-            prop_assert!(!host.send_query("next"), "asked into an unfinished reply");
-            prop_assert_eq!(host.handle_end().map(|answer| answer.status), (cut >= told_at).then_some(said));
+            prop_assert!(!host.send_query("next"), "a query was sent while a response is incomplete");
+            prop_assert_eq!(host.handle_end().map(|response| response.status), (cut >= completed_at).then_some(status));
         }
-        prop_assert!(turns.is_empty());
+        prop_assert!(events.is_empty());
     }
 
-    /// Guards that id, key and statement go on unchanged, and only the time left is told anew.
+    /// Guards against changes to a forwarded statement, of which only the remaining time may be replaced.
     #[test]
     fn only_the_wait_is_rewritten(key in "[a-z0-9]{1,16}", wait in 1..90_000u64, left in 0..90_000u64) {
         let text = |d: u64| format!("SELECT doc FROM items WHERE id = '{key}' /* id=ab,c=look,d={d},k=5,cluster=2 */");
@@ -204,58 +205,61 @@
         cases: 60, rng_seed: RngSeed::Fixed(13), failure_persistence: None, ..Default::default()
     })]
 
-    /// Guards long values: however they are cut, what flows and what is left at the end are the host's
-    /// bytes, in order and each once, nothing piles up meanwhile, and an answer that ends early is none.
+    /// Guards streaming of long values: however the bytes are split, the streamed bytes and the rest at the end are the
+    /// host's bytes, in order and each once. No more than the last read is buffered, and a response that ends early
+    /// does not count.
     #[test]
-    fn a_long_answer_flows_as_it_comes(
+    fn a_long_value_is_streamed_as_it_is_received(
         length in prop::sample::select(vec![1000usize, 64 * 1024, 64 * 1024 + 1, 300_000, 1 << 20]),
         cuts in prop::collection::vec(1usize..20_000, 1..20),
         lost in prop::option::of(0.0..1.0f64),
     ) {
-        let mut host = welcomed();
+        let mut host = connected_host();
         prop_assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
         let (mut bytes, value) = (Vec::new(), vec![7; length]);
         codec::write_message(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
         codec::write_message(&mut bytes, b'D', &[&[0, 1][..], &(length as u32).to_be_bytes(), &value].concat());
         codec::write_message(&mut bytes, b'C', b"SELECT 1\0");
-        let shown = bytes.len();
+        let forwarded = bytes.len();
         codec::write_parameter_status(&mut bytes, "part", "replica");
         codec::write_ready_for_query(&mut bytes);
-        let until = lost.map_or(bytes.len(), |part| (part * shown as f64) as usize);
-        let (mut rest, mut seen, mut flowed, mut ended) = (&bytes[..until], Vec::new(), false, None);
+        let until = lost.map_or(bytes.len(), |fraction| (fraction * forwarded as f64) as usize);
+        let (mut rest, mut received, mut is_streamed, mut response) = (&bytes[..until], Vec::new(), false, None);
         for cut in cuts.iter().cycle() {
             let (part, later) = rest.split_at((*cut).min(rest.len()));
             host.receive(part);
-            while let Some(turn) = host.next_event() {
-                match turn {
-                    HostEvent::StreamingStarted => flowed = true,
-                    HostEvent::Response(answer) => ended = Some(answer),
+            while let Some(event) = host.next_event() {
+                match event {
+                    HostEvent::StreamingStarted => is_streamed = true,
+                    HostEvent::Response(complete) => response = Some(complete),
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
-            let flow = host.take_streamed();
-            prop_assert!(flow.len() <= cut + 40 && flow.is_empty() | flowed, "{} held", flow.len());
-            seen.extend(flow);
+            let streamed = host.take_streamed();
+            prop_assert!(
+                streamed.len() <= cut + 40 && streamed.is_empty() | is_streamed, "{} buffered", streamed.len()
+            );
+            received.extend(streamed);
             rest = later;
             if rest.is_empty() {
                 break;
             }
         }
-        match (lost, ended.or_else(|| host.handle_end())) {
-            (None, Some(answer)) => {
-                prop_assert_eq!((flowed, answer.status), (length > 64 * 1024, ResponseStatus::Served));
-                seen.extend(answer.rows);
-                prop_assert!(seen == bytes[..shown]);
+        match (lost, response.or_else(|| host.handle_end())) {
+            (None, Some(response)) => {
+                prop_assert_eq!((is_streamed, response.status), (length > 64 * 1024, ResponseStatus::Served));
+                received.extend(response.rows);
+                prop_assert!(received == bytes[..forwarded]);
             }
-            (Some(_), None) => prop_assert!(bytes.starts_with(&seen) && seen.len() <= until),
-            (lost, ended) => prop_assert!(false, "{lost:?} {:?}", ended.is_some()),
+            (Some(_), None) => prop_assert!(bytes.starts_with(&received) && received.len() <= until),
+            (lost, response) => prop_assert!(false, "{lost:?} {:?}", response.is_some()),
         }
     }
 }
 
-/// Messages of a connection, the startup packets first, and where each ends.
-fn spoken(encrypted: bool, commands: &[(u8, usize)]) -> (Vec<u8>, Vec<usize>) {
+/// The bytes of a client's messages, startup packets first, and the offset at which each message ends.
+fn client_messages(encrypted: bool, commands: &[(u8, usize)]) -> (Vec<u8>, Vec<usize>) {
     let (mut bytes, mut ends) = (Vec::new(), Vec::new());
     if encrypted {
         bytes.extend([0, 0, 0, 8, 4, 210, 22, 47]);
@@ -275,161 +279,161 @@
         cases: 500, rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..Default::default()
     })]
 
-    /// Guards the arrival of each message, against a model that stamps each byte, and the bound on what is kept for
-    /// it: whatever the pieces and whenever messages are taken out, no more entries than whole messages are held,
-    /// nor than times at which any came.
+    /// Guards the arrival of each message, by comparison with a model that records the time of each byte, and the
+    /// number of entries: however the bytes are split and whenever messages are taken, there are no more entries than
+    /// complete messages, nor than times at which any message became complete.
     #[test]
-    fn a_message_arrives_with_its_last_byte_and_what_is_kept_is_bounded(
+    fn the_arrival_is_that_of_the_last_byte_and_entries_are_bounded(
         encrypted in any::<bool>(),
         commands in prop::collection::vec((prop::sample::select(b"QSPX?".to_vec()), 0..40usize), 0..30),
         pieces in prop::collection::vec((1..50usize, 0..3u64, 0..4usize), 1..20),
         single in any::<bool>(),
     ) {
-        let (bytes, ends) = spoken(encrypted, &commands);
-        let (mut inbox, mut stamps, mut now) = (TimedReceiveBuffer::default(), Vec::new(), Micros(50));
+        let (bytes, ends) = client_messages(encrypted, &commands);
+        let (mut buffer, mut times, mut now) = (TimedReceiveBuffer::default(), Vec::new(), Micros(50));
         let (mut taken, mut pieces) = (0, pieces.iter().cycle());
         let startups = 1 + usize::from(encrypted);
-        while stamps.len() < bytes.len() || taken < ends.len() {
+        while times.len() < bytes.len() || taken < ends.len() {
             let (length, pause, takes) = *pieces.next().expect("without end");
             now = now + Micros(pause);
-            let length = if single { 1 } else { length.min(bytes.len() - stamps.len()) };
-            if stamps.len() < bytes.len() {
-                inbox.push(&bytes[stamps.len()..stamps.len() + length], now);
-                stamps.resize(stamps.len() + length, now);
+            let length = if single { 1 } else { length.min(bytes.len() - times.len()) };
+            if times.len() < bytes.len() {
+                buffer.push(&bytes[times.len()..times.len() + length], now);
+                times.resize(times.len() + length, now);
             }
-            // All in the end, as many as the case says before.
-            let takes = if stamps.len() < bytes.len() { takes } else { ends.len() };
+            // Takes as many as generated while bytes remain, then all.
+            let takes = if times.len() < bytes.len() { takes } else { ends.len() };
             for _ in 0..takes {
-                let arrived = inbox.arrivals().front().map(|first| first.0);
+                let arrived = buffer.arrivals().front().map(|first| first.0);
                 if taken < startups {
-                    match inbox.next_startup_packet().expect("a startup") {
-                        Some(_) => prop_assert_eq!(arrived, Some(stamps[ends[taken] - 1])),
+                    match buffer.next_startup_packet().expect("a startup") {
+                        Some(_) => prop_assert_eq!(arrived, Some(times[ends[taken] - 1])),
                         None => break,
                     }
                 } else {
-                    match inbox.next_message(1000).expect("framed") {
-                        Some((_, arrived)) => prop_assert_eq!(arrived, stamps[ends[taken] - 1]),
+                    match buffer.next_message(1000).expect("framed") {
+                        Some((_, arrived)) => prop_assert_eq!(arrived, times[ends[taken] - 1]),
                         None => break,
                     }
                 }
                 taken += 1;
             }
-            let whole = ends.iter().skip(taken).filter(|end| **end <= stamps.len()).count();
-            let kept = inbox.arrivals();
-            prop_assert_eq!(kept.iter().map(|arrival| arrival.1).sum::<usize>(), whole);
-            prop_assert!(kept.iter().all(|arrival| arrival.1 > 0), "an entry for nothing");
-            prop_assert!(kept.iter().zip(kept.iter().skip(1)).all(|(one, next)| one.0 < next.0));
-            prop_assert!(kept.len() <= whole && 5 * kept.len() <= inbox.len());
+            let complete = ends.iter().skip(taken).filter(|end| **end <= times.len()).count();
+            let arrivals = buffer.arrivals();
+            prop_assert_eq!(arrivals.iter().map(|arrival| arrival.1).sum::<usize>(), complete);
+            prop_assert!(arrivals.iter().all(|arrival| arrival.1 > 0), "an entry without a message");
+            prop_assert!(arrivals.iter().zip(arrivals.iter().skip(1)).all(|(one, next)| one.0 < next.0));
+            prop_assert!(arrivals.len() <= complete && 5 * arrivals.len() <= buffer.len());
         }
-        prop_assert!(inbox.is_empty() && inbox.arrivals().is_empty());
+        prop_assert!(buffer.is_empty() && buffer.arrivals().is_empty());
     }
 
-    /// Guards the same through a client's states and through processes: each query bears the arrival of its last
-    /// byte, however long the one before it is owed its answer and however often the client goes over with what it
-    /// has unread.
+    /// Guards the arrival of queries through the states of a client's connection and through handovers: each query has
+    /// the arrival of its last byte, however long the previous query takes and however often the connection is handed
+    /// over with unparsed bytes.
     #[test]
-    fn a_query_bears_its_arrival_through_waits_and_hand_overs(
+    fn a_query_keeps_its_arrival_through_waits_and_handovers(
         encrypted in any::<bool>(),
         lengths in prop::collection::vec(1..30usize, 1..20),
         pieces in prop::collection::vec((1..60usize, 0..3u64, any::<bool>(), any::<bool>()), 1..20),
     ) {
         let commands: Vec<(u8, usize)> = lengths.iter().map(|length| (b'Q', *length)).collect();
-        let (mut bytes, ends) = spoken(encrypted, &commands);
+        let (mut bytes, ends) = client_messages(encrypted, &commands);
         let queries = &ends[ends.len() - commands.len()..];
         for end in queries {
             bytes[end - 1] = 0;
         }
-        let (mut client, mut stamps, mut now) = (ClientProtocol::default(), Vec::new(), Micros(50));
-        let (mut asked, mut pieces) = (0, pieces.iter().cycle());
-        while asked < queries.len() || client.is_busy() {
-            let (length, pause, answers, goes_over) = *pieces.next().expect("without end");
+        let (mut client, mut times, mut now) = (ClientProtocol::default(), Vec::new(), Micros(50));
+        let (mut returned, mut pieces) = (0, pieces.iter().cycle());
+        while returned < queries.len() || client.is_busy() {
+            let (length, pause, answers, is_handed_over) = *pieces.next().expect("without end");
             now = now + Micros(pause);
-            let length = length.min(bytes.len() - stamps.len());
-            client.receive(&bytes[stamps.len()..stamps.len() + length], now);
-            stamps.resize(stamps.len() + length, now);
+            let length = length.min(bytes.len() - times.len());
+            client.receive(&bytes[times.len()..times.len() + length], now);
+            times.resize(times.len() + length, now);
             if client.is_busy() && (answers || length == 0) {
                 client.reject(None);
             }
             client.out.flush(&mut Vec::new()).expect("written");
-            if goes_over {
-                if let Some(left) = client.to_handover() {
-                    client = ClientProtocol::resume(codec::MAX_MESSAGE, left, now);
+            if is_handed_over {
+                if let Some(handover) = client.to_handover() {
+                    client = ClientProtocol::resume(codec::MAX_MESSAGE, handover, now);
                 }
             }
-            while let Some(demand) = client.next_request() {
-                let ClientRequest::Query(text, arrived) = demand else { panic!("closed") };
-                // Its body alone: a query of one byte is empty and is answered on the spot.
-                while lengths[asked] == 1 {
-                    asked += 1;
+            while let Some(request) = client.next_request() {
+                let ClientRequest::Query(text, arrived) = request else { panic!("closed") };
+                // A query whose body is one byte is empty and is answered without being returned.
+                while lengths[returned] == 1 {
+                    returned += 1;
                 }
-                prop_assert_eq!(text.len() + 1, lengths[asked]);
-                prop_assert_eq!(arrived, stamps[queries[asked] - 1]);
-                asked += 1;
+                prop_assert_eq!(text.len() + 1, lengths[returned]);
+                prop_assert_eq!(arrived, times[queries[returned] - 1]);
+                returned += 1;
                 if answers {
                     client.reject(None);
                 }
             }
-            while asked < lengths.len() && lengths[asked] == 1 && stamps.len() >= queries[asked] {
-                asked += 1;
+            while returned < lengths.len() && lengths[returned] == 1 && times.len() >= queries[returned] {
+                returned += 1;
             }
         }
     }
 }
 
-/// Guards a client of another process: what that one told no arrival of counts as having arrived now, and nothing as
-/// having arrived later, whatever its clock showed.
+/// Guards a connection that is handed over: messages without a recorded arrival count as having arrived now, and none
+/// as having arrived later, whatever the clock of the other process showed.
 #[test]
-fn what_was_told_no_arrival_of_counts_as_having_arrived_now() {
+fn messages_without_a_recorded_arrival_count_as_arrived_now() {
     let mut bytes = Vec::new();
     for text in ["one", "two", "three"] {
         codec::write_query(&mut bytes, text);
     }
     let now = Micros(1000);
-    for (told, arrived) in [
+    for (recorded, arrived) in [
         (vec![], [1000, 1000, 1000]),
         (vec![Arrival(Micros(400), 1), Arrival(Micros(600), 1)], [400, 600, 1000]),
         (vec![Arrival(Micros(400), 2), Arrival(Micros(2000), 1)], [400, 400, 1000]),
         (vec![Arrival(Micros(400), 0), Arrival(Micros(600), 9)], [600, 600, 600]),
     ] {
-        let left = ProtocolHandover {
+        let handover = ProtocolHandover {
             key: Default::default(),
             greeted: true,
             bytes: bytes.clone(),
-            arrivals: told.clone(),
+            arrivals: recorded.clone(),
         };
-        let mut client = ClientProtocol::resume(codec::MAX_MESSAGE, left, now);
+        let mut client = ClientProtocol::resume(codec::MAX_MESSAGE, handover, now);
         for (text, arrived) in ["one", "two", "three"].into_iter().zip(arrived) {
             assert_eq!(
                 client.next_request(),
                 Some(ClientRequest::Query(text.into(), Micros(arrived))),
-                "{told:?}"
+                "{recorded:?}"
             );
             client.reject(None);
         }
     }
 }
 
-/// Guards memory against a client that sends a byte at a time behind a query that is out: nothing is kept for the
-/// pieces of a message, and one entry for each that is whole.
+/// Guards memory against a client that sends one byte at a time while a query is in progress: an incomplete message has
+/// no entry, and a complete message has one.
 #[test]
-fn pieces_of_a_byte_each_leave_nothing_but_whole_messages() {
-    let mut inbox = TimedReceiveBuffer::resume(true, &[], &[], Micros(0));
+fn single_byte_reads_add_one_entry_per_complete_message() {
+    let mut buffer = TimedReceiveBuffer::resume(true, &[], &[], Micros(0));
     let mut bytes = Vec::new();
     codec::write_query(&mut bytes, &"x".repeat(100_000));
     for round in 1..=2 {
         for (at, byte) in bytes.iter().enumerate() {
-            assert_eq!(inbox.arrivals().len(), round - 1, "{at}");
-            inbox.push(&[*byte], Micros((round * bytes.len() + at) as u64));
+            assert_eq!(buffer.arrivals().len(), round - 1, "{at}");
+            buffer.push(&[*byte], Micros((round * bytes.len() + at) as u64));
         }
-        assert_eq!(inbox.arrivals().len(), round);
+        assert_eq!(buffer.arrivals().len(), round);
     }
 }
 
-/// Guards against rows that only claim to be long: what does not fit, or is longer than any, does not flow.
+/// Guards against streaming a row whose lengths do not match, or which is above the longest accepted row.
 #[test]
-fn a_long_row_that_does_not_fit_is_nonsense() {
+fn a_long_row_with_invalid_lengths_is_a_protocol_violation() {
     for (row, value) in [(100_010u32, 100_001u32), (0x7fff_ffff, 0x7fff_fff9), (u32::MAX, u32::MAX - 6)] {
-        let mut host = welcomed();
+        let mut host = connected_host();
         assert!(host.send_query("q"));
         let mut bytes = Vec::new();
         codec::write_message(&mut bytes, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
@@ -441,7 +445,8 @@
     }
 }
 
-fn welcomed() -> HostProtocol {
+/// A connection to a host whose startup is complete.
+fn connected_host() -> HostProtocol {
     let (mut host, mut bytes) = (HostProtocol::default(), Vec::new());
     codec::write_message(&mut bytes, b'R', &[0; 4]);
     codec::write_parameter_status(&mut bytes, "server_version", "15");
@@ -453,9 +458,10 @@
     host
 }
 
-/// Guards against waiting for bytes that a length only claims, and against reading it as negative.
+/// Guards against waiting for the bytes of a message whose length is invalid or too long, and against a length that is
+/// read as negative.
 #[test]
-fn lengths_that_cannot_be_close_the_connection() {
+fn invalid_lengths_close_the_connection() {
     for length in [u32::MAX, 0, 3, codec::MAX_MESSAGE as u32 + 1] {
         let (mut client, mut bytes) = (ClientProtocol::default(), Vec::new());
         codec::write_startup_packet(&mut bytes, "app", "shop");
@@ -469,21 +475,21 @@
     }
 }
 
-/// Guards the advice on when to come back: whole milliseconds in field D, never rounded to nothing.
+/// Guards the retry delay in a rejection: whole milliseconds in field D, rounded up.
 #[test]
-fn a_refusal_tells_when_to_come_back() {
+fn a_rejection_carries_the_retry_delay() {
     let mut client = ClientProtocol::default();
     client.reject(Some(Micros(1_500)));
-    let mut inbox = ReceiveBuffer::default();
-    inbox.push(&client.out.bytes);
-    let refusal = inbox.next_message().expect("framed").expect("whole");
-    assert_eq!(codec::error_field(&refusal.body, b'C'), Some("53300"));
-    assert_eq!(codec::error_field(&refusal.body, b'D'), Some("2"));
+    let mut buffer = ReceiveBuffer::default();
+    buffer.push(&client.out.bytes);
+    let rejection = buffer.next_message().expect("framed").expect("whole");
+    assert_eq!(codec::error_field(&rejection.body, b'C'), Some("53300"));
+    assert_eq!(codec::error_field(&rejection.body, b'D'), Some("2"));
 }
 
-/// Guards the greeting: a host that has no room says so before any request is out.
+/// Guards the startup with a host that has no capacity: it rejects the connection before any query is sent.
 #[test]
-fn a_host_may_turn_the_connection_away() {
+fn a_host_may_reject_the_connection() {
     let (mut host, mut bytes) = (HostProtocol::default(), Vec::new());
     codec::write_error_response(&mut bytes, "FATAL", "53300", "too many connections", None);
     host.receive(&bytes);
@@ -491,20 +497,20 @@
     assert!(!host.send_query("q") && host.handle_end().is_none());
 }
 
-/// Guards against taking an answer that nobody asked for as that of the next request.
+/// Guards against taking an unsolicited response as that of the next query.
 #[test]
-fn an_answer_without_a_question_is_nonsense() {
-    let (mut host, mut bytes) = (welcomed(), Vec::new());
+fn a_response_without_a_query_is_a_protocol_violation() {
+    let (mut host, mut bytes) = (connected_host(), Vec::new());
     codec::write_message(&mut bytes, b'C', b"SELECT 1\0");
     host.receive(&bytes);
     assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation));
     assert!(!host.is_idle());
 }
 
-/// Guards against a second run: nonsense in place of an answer does not prove that nothing ran.
+/// Guards against running a query twice: an invalid response does not prove that the query was not run.
 #[test]
-fn nonsense_for_an_answer_may_have_run() {
-    let (mut host, mut bytes) = (welcomed(), Vec::new());
+fn a_query_with_an_invalid_response_may_have_run() {
+    let (mut host, mut bytes) = (connected_host(), Vec::new());
     assert!(host.send_query("q"));
     host.out.flush(&mut Vec::new()).expect("written");
     codec::write_message(&mut bytes, b'?', &[]);
@@ -513,9 +519,9 @@
     assert_eq!(host.attempt_progress(), AttemptProgress::FullyWritten);
 }
 
-/// Guards against statements that cannot be routed: each is told what is wrong with it.
+/// Guards the errors for statements that cannot be routed: each names its fault.
 #[test]
-fn malformed_statements_are_told_apart() {
+fn malformed_statements_get_specific_errors() {
     let parse = |comment: &str| Statement::parse(format!("SELECT doc FROM items WHERE id = 'k' {comment}"));
     assert_eq!(parse("").unwrap_err(), StatementError::NoComment);
     assert_eq!(parse("*/ /*").unwrap_err(), StatementError::NoComment);
@@ -542,54 +548,55 @@
     assert_eq!(StatementError::MissingField("c").to_string(), "the comment lacks c");
 }
 
-/// Guards the reading of load reports: their positions are in seconds, where answers have milliseconds,
-/// and taken for those they would lie before all time. They say nothing of a field that they lack.
+/// Guards the parsing of load reports: their positions are in seconds, those of responses in milliseconds. Taken for
+/// milliseconds, a position would lie far in the past. A missing field gives no value.
 #[test]
-fn load_reports_tell_role_and_position() {
+fn load_reports_give_role_and_position() {
     use dunemount::pg::load_report::parse as report;
     assert_eq!(report(b"x0=1767225600.125,x1=1"), (Some(Role::Primary), Some(1_767_225_600_125.0)));
     assert_eq!(report(b"x1=0"), (Some(Role::Replica), None));
     assert_eq!(report(&[0xff]), (None, None));
 }
 
-/// Guards the rows of one request from reaching another: each answer starts blank.
+/// Guards against rows of one request in the response to the next.
 #[test]
-fn answers_do_not_run_into_each_other() {
-    let mut host = welcomed();
+fn a_response_has_no_rows_of_the_previous_one() {
+    let mut host = connected_host();
     for round in 0..2u8 {
         assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
-        host.receive(&answer(&[
+        host.receive(&encode(&[
             (b'T', DOC),
             (b'D', &[0, 1, 0, 0, 0, 1, round]),
             (b'C', b"SELECT 1\0"),
             READY,
         ]));
         let Some(HostEvent::Response(HostResponse { rows, value, position, .. })) = host.next_event() else {
-            panic!("none")
+            panic!("no response")
         };
         assert_eq!((tags(&rows).as_str(), value, position), ("TDC", Some(vec![round]), None));
     }
 }
 
-type Part<'a> = (u8, &'a [u8]);
-const READY: Part = (b'Z', b"I");
+type RawMessage<'a> = (u8, &'a [u8]);
+const READY: RawMessage = (b'Z', b"I");
 
-fn answer(parts: &[Part]) -> Vec<u8> {
+fn encode(messages: &[RawMessage]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    for (tag, body) in parts {
+    for (tag, body) in messages {
         codec::write_message(&mut bytes, *tag, body);
     }
     bytes
 }
 
-/// Guards clients against spoilt answers: parts that are missing, doubled or out of order, rows and
-/// lengths that do not fit, errors without a code. All is nonsense at its first wrong message, and
-/// nothing of it is an answer, also when the connection ends right behind it.
+/// Guards clients against malformed responses: messages that are missing, duplicated or out of order, rows and lengths
+/// that do not match, and errors without a code. Each is a protocol violation at its first invalid message, and no
+/// response is returned, even if the connection ends right after it.
 #[test]
-fn a_spoilt_answer_is_no_answer() {
-    let (t, d, c): (Part, Part, Part) = ((b'T', DOC), (b'D', &[0, 1, 0, 0, 0, 1, 9]), (b'C', b"SELECT 1\0"));
-    let spoilt: &[&[Part]] = &[
+fn a_malformed_response_is_a_protocol_violation() {
+    let (t, d, c): (RawMessage, RawMessage, RawMessage) =
+        ((b'T', DOC), (b'D', &[0, 1, 0, 0, 0, 1, 9]), (b'C', b"SELECT 1\0"));
+    let malformed: &[&[RawMessage]] = &[
         &[d, c, READY],
         &[t, c, READY],
         &[t, t, d, c, READY],
@@ -606,58 +613,59 @@
         &[(b'E', b"CXX000"), READY],
         &[t, (b'!', b"")],
     ];
-    for parts in spoilt {
-        let mut host = welcomed();
+    for messages in malformed {
+        let mut host = connected_host();
         assert!(host.send_query("q"));
         host.out.flush(&mut Vec::new()).expect("written");
-        host.receive(&answer(parts));
-        assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation), "{parts:?}");
+        host.receive(&encode(messages));
+        assert_eq!(host.next_event(), Some(HostEvent::ProtocolViolation), "{messages:?}");
         assert_eq!(
             (host.attempt_progress(), host.handle_end()),
             (AttemptProgress::FullyWritten, None),
-            "{parts:?}"
+            "{messages:?}"
         );
     }
-    // A value that claims 3 GB, and noise, are told at once: nothing more is waited for.
+    // A row with a length of 3 GB, and unexpected types, are rejected at once: no more bytes are waited for.
     for bytes in [b"T\0\0\0\x1d".to_vec(), b"D\xc0\0\0\0".to_vec(), b"C\0\0\x7f\xff".to_vec(), vec![7]] {
-        let mut host = welcomed();
+        let mut host = connected_host();
         assert!(host.send_query("q"));
         host.receive(&bytes);
-        let whole_is_awaited = bytes[0] == b'T';
-        assert_eq!(host.next_event().is_none(), whole_is_awaited, "{bytes:?}");
-        assert_eq!(host.has_partial_response(), whole_is_awaited);
+        let is_rest_awaited = bytes[0] == b'T';
+        assert_eq!(host.next_event().is_none(), is_rest_awaited, "{bytes:?}");
+        assert_eq!(host.has_partial_response(), is_rest_awaited);
     }
 }
 
-/// Guards what is believed of a host: where its word on itself is spoilt none of it counts, or a
-/// replica that lags would look current, while the value beside it is good.
+/// Guards against using the rest of an invalid report of a host's role and position, by which a lagging replica could
+/// pass as current. The value in the same response is still valid.
 #[test]
-fn a_spoilt_report_says_nothing() {
+fn an_invalid_report_is_ignored_as_a_whole() {
     use dunemount::pg::load_report::parse as report;
     for text in
         ["x0=inf,x1=0", "x0=NaN,x1=0", "x0=-5,x1=0", "x0=1e99,x1=0", "x0=5,x1=7", "x0=5,x1", "x0=5;x1=0"]
     {
         assert_eq!(report(text.as_bytes()), (None, None), "{text}");
     }
-    for note in [&b"caught_up_to\0inf\0"[..], b"caught_up_to\x0099", b"part\0mast\0", b"\xff\0\0"] {
-        let mut host = welcomed();
+    for parameter_status in [&b"caught_up_to\0inf\0"[..], b"caught_up_to\x0099", b"part\0mast\0", b"\xff\0\0"]
+    {
+        let mut host = connected_host();
         assert!(host.send_query("q"));
-        host.receive(&answer(&[
+        host.receive(&encode(&[
             (b'T', DOC),
             (b'D', &[0, 1, 0, 0, 0, 0]),
             (b'C', b"SELECT 1\0"),
             (b'S', b"part\0replica\0"),
             (b'S', b"caught_up_to\x001767225600123\0"),
-            (b'S', note),
+            (b'S', parameter_status),
             READY,
         ]));
-        let Some(HostEvent::Response(answer)) = host.next_event() else {
-            panic!("no answer beside {note:?}")
+        let Some(HostEvent::Response(response)) = host.next_event() else {
+            panic!("no response with {parameter_status:?}")
         };
         assert_eq!(
-            (answer.status, answer.role, answer.position),
+            (response.status, response.role, response.position),
             (ResponseStatus::Served, None, None),
-            "{note:?}"
+            "{parameter_status:?}"
         );
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,5 @@
-//! Formats that other programs, and other versions of this one, read: what is written is compared with whole bytes.
-//! The files under `tests/fixtures` stay as they are; a change of a format gets a file of its own beside them.
+//! Formats that other programs, or other versions of this one, read: the output is compared byte by byte with fixtures.
+//! The files under `tests/fixtures` never change; a changed format gets a new file.
 
 mod harness;
 
@@ -36,18 +36,19 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Compares what the program writes with a file, byte by byte.
+/// Compares the program's output with a fixture, byte by byte.
 fn assert_bytes(name: &str, written: &[u8]) {
     let stored = fixture(name);
-    let (shown, wanted) = (String::from_utf8_lossy(written), String::from_utf8_lossy(&stored));
-    assert!(stored == written, "{name}: written {shown:?}, stored {wanted:?}");
+    let (actual, expected) = (String::from_utf8_lossy(written), String::from_utf8_lossy(&stored));
+    assert!(stored == written, "{name}: written {actual:?}, stored {expected:?}");
 }
 
-fn temporary(test: &str) -> PathBuf {
+/// The path of a handover socket for a test.
+fn socket_path(test: &str) -> PathBuf {
     std::env::temp_dir().join(format!("dunemount-formats-{test}-{}.line", std::process::id()))
 }
 
-/// What a message is in its file, as the program reads it.
+/// The message in a fixture, as the program parses it.
 fn message(name: &str) -> Message {
     serde_json::from_slice(&fixture(name)).expect("a message")
 }
@@ -56,8 +57,8 @@
     assert_bytes(name, &serde_json::to_vec(written).expect("JSON"));
 }
 
-/// A state in which every field differs from its default, but for the decision module's own.
-fn state() -> GatewaySnapshot {
+/// A snapshot in which every field outside of the balancer's snapshot differs from its default.
+fn snapshot() -> GatewaySnapshot {
     let mut zones = Zones::default();
     zones.id("a".to_string());
     let mut directory = Directory::new(zones);
@@ -84,13 +85,13 @@
     }
 }
 
-/// Guards the state that one process hands to the next, which may be of another version.
+/// Guards the format of the snapshot that one process hands over to the next, which may be of another version.
 #[test]
-fn the_handover_state_keeps_its_form() {
-    assert_message("handover-estate-v1.json", &Message::Snapshot(Box::new(state())));
+fn the_handover_snapshot_keeps_its_format() {
+    assert_message("handover-estate-v1.json", &Message::Snapshot(Box::new(snapshot())));
     let Message::Snapshot(read) = message("handover-estate-v1.json") else { panic!("another message") };
     assert_eq!(read.position_reference, 1_764_000_000_000_000);
-    let reading = read.clock_reading.expect("told");
+    let reading = read.clock_reading.expect("a reading");
     assert_eq!((reading.clock, reading.unix), (Micros(86_400_000_123), 1_764_086_400_000_124));
     assert_eq!(read.config, "{\"name\": \"n\"}\n");
     assert_eq!(read.discovery, SocketAddr::from(([10, 0, 0, 9], 7000)));
@@ -106,17 +107,17 @@
     assert_message("handover-estate-v1.json", &Message::Snapshot(read));
 }
 
-/// Guards a start behind a process of an earlier version, which tells neither its clock nor that it knows cancels.
+/// Guards a hot restart from an earlier version, whose snapshot has neither a clock reading nor `accepts_cancel`.
 #[test]
-fn an_earlier_handover_state_is_read() {
+fn the_handover_snapshot_of_an_earlier_version_is_read() {
     let Message::Snapshot(read) = message("handover-estate-v0.json") else { panic!("another message") };
     assert!(read.clock_reading.is_none() && !read.accepts_cancel);
     assert_eq!((read.open_clients, read.list_revision), (17, Some(41)));
 }
 
-/// Guards the other messages of the handover, each as it stands in its file.
+/// Guards the format of the other handover messages: each is written, and read back, as in its fixture.
 #[test]
-fn handover_messages_keep_their_form() {
+fn handover_messages_keep_their_format() {
     assert_message("handover-ready-v1.json", &Message::Ready);
     assert!(matches!(message("handover-ready-v1.json"), Message::Ready));
 
@@ -130,12 +131,12 @@
         arrivals: arrivals.clone(),
     };
     assert_message("handover-client-v1.json", &sent);
-    let Message::Client { greeted, has_queried, bytes: read, key, arrivals: told } =
+    let Message::Client { greeted, has_queried, bytes: read, key, arrivals: read_arrivals } =
         message("handover-client-v1.json")
     else {
         panic!("another message")
     };
-    assert!(greeted && !has_queried && read == bytes && key == KEY && told == arrivals);
+    assert!(greeted && !has_queried && read == bytes && key == KEY && read_arrivals == arrivals);
 
     assert_message("handover-cancel-v1.json", &Message::Cancel(KEY));
     assert!(matches!(message("handover-cancel-v1.json"), Message::Cancel(KEY)));
@@ -158,9 +159,9 @@
     }
 }
 
-/// Guards clients that a process of an earlier version passes on, without a key and without arrivals.
+/// Guards clients that a process of an earlier version hands over, without a cancel key and without arrivals.
 #[test]
-fn an_earlier_handover_client_is_read() {
+fn the_handover_client_of_an_earlier_version_is_read() {
     let Message::Client { greeted, has_queried, bytes, key, arrivals } = message("handover-client-v0.json")
     else {
         panic!("another message")
@@ -170,7 +171,7 @@
     );
 }
 
-/// The next packet on a handover socket.
+/// Receives the next packet on a handover socket.
 fn packet(socket: &OwnedFd) -> Vec<u8> {
     let mut bytes = vec![0; 1 << 16];
     let (count, _) = rustix::net::recv(socket, &mut bytes, RecvFlags::empty()).expect("a packet");
@@ -178,40 +179,41 @@
     bytes
 }
 
-/// Guards how messages are cut into packets: 32 KiB each at the most, behind a byte that tells whether more follow.
+/// Guards how messages are split into packets: at most 32 KiB each, after a byte that says whether more packets follow.
 #[test]
-fn handover_packets_keep_their_form() {
-    let path = temporary("packets");
+fn handover_packets_keep_their_format() {
+    let path = socket_path("packets");
     let listener = handover_socket::listen(&path).expect("a free path");
     let socket = rustix::net::socket(AddressFamily::UNIX, SocketType::SEQPACKET, None).expect("a socket");
     rustix::net::connect(&socket, &SocketAddrUnix::new(&path).expect("a path")).expect("accepted");
-    let mut line = HandoverSocket::accept(&listener).expect("a caller");
-    line.send(&Message::RemainingClients { clients: 203 }, None).expect("sent");
+    let mut handover = HandoverSocket::accept(&listener).expect("a connection");
+    handover.send(&Message::RemainingClients { clients: 203 }, None).expect("sent");
     assert_bytes("handover-packet-v1.bin", &packet(&socket));
 
     let text = serde_json::to_vec(&long_message()).expect("JSON");
-    line.send(&long_message(), None).expect("sent");
+    handover.send(&long_message(), None).expect("sent");
     let (first, second) = (packet(&socket), packet(&socket));
     assert!(first[0] == b'+' && first[1..] == text[..32 * 1024]);
     assert!(second[0] == b'.' && second[1..] == text[32 * 1024..]);
     std::fs::remove_file(path).expect("removed");
 
-    for part in [&first, &second] {
-        rustix::net::send(socket.as_fd(), part, rustix::net::SendFlags::empty()).expect("sent");
+    for packet in [&first, &second] {
+        rustix::net::send(socket.as_fd(), packet, rustix::net::SendFlags::empty()).expect("sent");
     }
-    let (read, with) = line.receive().expect("a message").expect("whole");
-    assert!(with.is_none() && serde_json::to_vec(&read).expect("JSON") == text);
+    let (read, descriptor) = handover.receive().expect("a message").expect("complete");
+    assert!(descriptor.is_none() && serde_json::to_vec(&read).expect("JSON") == text);
 }
 
+/// A message that needs two packets.
 fn long_message() -> Message {
     let bytes = vec![7; 20_000];
     Message::Client { greeted: true, has_queried: true, bytes, key: KEY, arrivals: Vec::new() }
 }
 
-/// Guards the file of the hosts that operators have put down: it is read at the start and written anew with each order.
+/// Guards the file of the hosts that are administratively down: it is read at the start and rewritten with each change.
 #[test]
-fn hosts_put_down_by_hand_keep_their_file() {
-    let path = temporary("down");
+fn the_file_of_hosts_that_are_down_keeps_its_format() {
+    let path = socket_path("down");
     let file = path.with_extension("down");
     std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
     let harness = Harness::beside(200, Some(path.clone()), None);
@@ -226,7 +228,7 @@
     std::fs::remove_file(file).expect("removed");
 }
 
-/// A startup packet of this protocol version.
+/// A startup packet with this protocol version.
 fn startup(version: u32) -> Vec<u8> {
     let mut packet = Vec::new();
     codec::write_startup_packet(&mut packet, "app", "shop");
@@ -236,92 +238,93 @@
 
 const VERSION_3: u32 = 3 << 16;
 
-/// What a client is sent for these bytes before anything is asked of the gateway, and what it then wants.
-fn said_to(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
+/// The output of a new client connection that receives these bytes, and its first request.
+fn respond_to(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
     let mut client = ClientProtocol::new(MAX_MESSAGE, KEY);
     client.receive(bytes, Micros(5));
-    let demand = client.next_request();
-    (client.out.bytes, demand)
+    let request = client.next_request();
+    (client.out.bytes, request)
 }
 
-/// What a greeted client is sent for these bytes, and what it then wants.
-fn said_after_greeting(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
-    let (greeting, _) = said_to(&startup(VERSION_3));
-    let (said, demand) = said_to(&[&startup(VERSION_3), bytes].concat());
-    (said.strip_prefix(greeting.as_slice()).expect("the greeting first").to_vec(), demand)
+/// The output of a client connection that receives these bytes after its startup, and its first request.
+fn respond_after_startup(bytes: &[u8]) -> (Vec<u8>, Option<ClientRequest>) {
+    let (greeting, _) = respond_to(&startup(VERSION_3));
+    let (output, request) = respond_to(&[&startup(VERSION_3), bytes].concat());
+    (output.strip_prefix(greeting.as_slice()).expect("the greeting first").to_vec(), request)
 }
 
-fn framed(tag: u8, body: &[u8]) -> Vec<u8> {
+/// An encoded message.
+fn encode(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
     codec::write_message(&mut bytes, tag, body);
     bytes
 }
 
-/// Guards the greeting, and what is said instead of one.
+/// Guards the responses to a startup packet: the messages of a completed startup, and those that reject it.
 #[test]
-fn clients_are_greeted_with_these_bytes() {
-    let (greeting, demand) = said_to(&startup(VERSION_3));
-    assert_eq!(demand, None);
+fn startup_responses_keep_their_bytes() {
+    let (greeting, request) = respond_to(&startup(VERSION_3));
+    assert_eq!(request, None);
     assert_bytes("client-greeting-v1.bin", &greeting);
-    assert_bytes("client-greeting-minor-v1.bin", &said_to(&startup(VERSION_3 + 2)).0);
+    assert_bytes("client-greeting-minor-v1.bin", &respond_to(&startup(VERSION_3 + 2)).0);
     let encryption = [8u32.to_be_bytes(), 80_877_103u32.to_be_bytes()].concat();
-    assert_bytes("client-encryption-v1.bin", &said_to(&encryption).0);
+    assert_bytes("client-encryption-v1.bin", &respond_to(&encryption).0);
     for (name, bytes) in [
         ("client-version-v1.bin", startup(2 << 16)),
         ("client-startup-too-long-v1.bin", 10_001u32.to_be_bytes().to_vec()),
         ("client-startup-bad-length-v1.bin", 3u32.to_be_bytes().to_vec()),
     ] {
-        let (said, demand) = said_to(&bytes);
-        assert_eq!(demand, Some(ClientRequest::Close));
-        assert_bytes(name, &said);
+        let (output, request) = respond_to(&bytes);
+        assert_eq!(request, Some(ClientRequest::Close));
+        assert_bytes(name, &output);
     }
     let mut bytes = Vec::new();
     codec::write_cancel_request(&mut bytes, KEY);
     assert_bytes("cancel-request-v1.bin", &bytes);
-    assert_eq!(said_to(&bytes), (Vec::new(), Some(ClientRequest::Cancel(KEY))));
+    assert_eq!(respond_to(&bytes), (Vec::new(), Some(ClientRequest::Cancel(KEY))));
 }
 
-/// Guards what a client gets for messages that are no routable query.
+/// Guards the responses to messages that are not a routable query.
 #[test]
-fn messages_are_rejected_with_these_bytes() {
-    for (name, bytes, wanted) in [
+fn responses_to_other_messages_keep_their_bytes() {
+    for (name, bytes, expected) in [
         (
             "client-too-long-v1.bin",
             [b"Q".as_slice(), &i32::MAX.to_be_bytes()].concat(),
             Some(ClientRequest::Close),
         ),
         ("client-bad-length-v1.bin", b"Q\0\0\0\x03".to_vec(), Some(ClientRequest::Close)),
-        ("client-unknown-message-v1.bin", framed(b'?', b""), Some(ClientRequest::Close)),
-        ("client-bad-query-v1.bin", framed(b'Q', b"SELECT 1"), Some(ClientRequest::Close)),
-        ("client-not-utf8-v1.bin", framed(b'Q', b"\xff\0"), None),
-        ("client-empty-query-v1.bin", framed(b'Q', b" ;\0"), None),
-        ("client-function-call-v1.bin", framed(b'F', b""), None),
-        ("client-extended-v1.bin", [framed(b'P', b"x"), framed(b'B', b""), framed(b'S', b"")].concat(), None),
-        ("client-sync-v1.bin", framed(b'S', b""), None),
-        ("client-terminate-v1.bin", framed(b'X', b""), Some(ClientRequest::Close)),
+        ("client-unknown-message-v1.bin", encode(b'?', b""), Some(ClientRequest::Close)),
+        ("client-bad-query-v1.bin", encode(b'Q', b"SELECT 1"), Some(ClientRequest::Close)),
+        ("client-not-utf8-v1.bin", encode(b'Q', b"\xff\0"), None),
+        ("client-empty-query-v1.bin", encode(b'Q', b" ;\0"), None),
+        ("client-function-call-v1.bin", encode(b'F', b""), None),
+        ("client-extended-v1.bin", [encode(b'P', b"x"), encode(b'B', b""), encode(b'S', b"")].concat(), None),
+        ("client-sync-v1.bin", encode(b'S', b""), None),
+        ("client-terminate-v1.bin", encode(b'X', b""), Some(ClientRequest::Close)),
     ] {
-        let (said, demand) = said_after_greeting(&bytes);
-        assert_eq!(demand, wanted, "{name}");
-        assert_bytes(name, &said);
+        let (output, request) = respond_after_startup(&bytes);
+        assert_eq!(request, expected, "{name}");
+        assert_bytes(name, &output);
     }
 }
 
-/// Guards a refusal, with and without the wait that it tells in milliseconds, rounded up.
+/// Guards a rejection, with and without the retry delay in milliseconds, which is rounded up.
 #[test]
-fn refusals_keep_their_bytes() {
-    for (name, wait) in
+fn rejections_keep_their_bytes() {
+    for (name, retry_after) in
         [("client-refused-v1.bin", None), ("client-refused-wait-v1.bin", Some(Micros(120_001)))]
     {
         let mut client = ClientProtocol::new(MAX_MESSAGE, KEY);
-        client.receive(&[startup(VERSION_3), framed(b'Q', b"SELECT 1\0")].concat(), Micros(5));
+        client.receive(&[startup(VERSION_3), encode(b'Q', b"SELECT 1\0")].concat(), Micros(5));
         assert_eq!(client.next_request(), Some(ClientRequest::Query("SELECT 1".to_string(), Micros(5))));
         client.out.bytes.clear();
-        client.reject(wait);
+        client.reject(retry_after);
         assert_bytes(name, &client.out.bytes);
     }
 }
 
-/// The bytes of the next answer, up to ReadyForQuery or the connection's end.
+/// The bytes of the next answer, up to ReadyForQuery or the end of the connection.
 fn answer_bytes(socket: &mut TcpStream) -> Vec<u8> {
     let (mut bytes, mut next) = (Vec::new(), [0]);
     while !bytes.ends_with(b"Z\0\0\0\x05I") && socket.read(&mut next).is_ok_and(|count| count > 0) {
@@ -330,12 +333,13 @@
     bytes
 }
 
+/// Sends a statement and returns the bytes of its answer.
 fn ask(client: &mut Talk, text: &str) -> Vec<u8> {
     client.ask(text);
     answer_bytes(&mut client.socket)
 }
 
-/// Guards every answer that a client gets of a running gateway: rows as the host sent them, and each error.
+/// Guards every answer of a running gateway to clients: rows as the host sent them, and each error.
 #[test]
 fn answers_keep_their_bytes() {
     let harness = Harness::start(200);
@@ -366,14 +370,14 @@
     harness.end();
 }
 
-/// Guards what a client gets whose request is cancelled, and one that quotes the id of a request in flight.
+/// Guards the answer to a cancelled request, and to a request with the id of another request in flight.
 #[test]
 fn answers_to_requests_in_flight_keep_their_bytes() {
     let harness = Harness::start(200);
     let (mut client, key) = with_key(&harness);
     let held = read("held");
     client.ask(&held);
-    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    while !harness.heard.recv().expect("a query").contains("'held'") {}
     assert_bytes("answer-id-in-use-v1.bin", &ask(&mut harness.client(), &held));
     cancel(harness.address, key);
     assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
@@ -381,9 +385,9 @@
     harness.end();
 }
 
-/// Guards the last word to a client that is greeted and then sends no whole command.
+/// Guards the error for a client that sends an incomplete message and nothing more after the startup.
 #[test]
-fn a_client_without_a_command_gets_these_bytes() {
+fn an_incomplete_message_gets_these_bytes() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.socket.write_all(b"Q\0\0").expect("written");
@@ -391,7 +395,7 @@
     harness.end();
 }
 
-/// Guards the head that each status of the admin interface is answered with.
+/// Guards the head of a response with each status of the admin interface.
 #[test]
 fn admin_statuses_keep_their_bytes() {
     for (name, status) in [
@@ -403,25 +407,26 @@
         ("admin-413-v1.txt", HttpStatus::ContentTooLarge),
         ("admin-503-v1.txt", HttpStatus::ServiceUnavailable),
     ] {
-        let mut call = AdminConnection::default();
-        call.respond(status, "body\n");
-        assert_bytes(name, &call.out.bytes);
+        let mut connection = AdminConnection::default();
+        connection.respond(status, "body\n");
+        assert_bytes(name, &connection.out.bytes);
     }
 }
 
-fn post(admin: SocketAddr, word: &str, host: &str) -> String {
-    let (length, path) = (host.len(), format!("/ops/database-hosts/{word}"));
+/// Sends a request that sets a host `down` or `up`, and returns the response.
+fn post(admin: SocketAddr, state: &str, host: &str) -> String {
+    let (length, path) = (host.len(), format!("/ops/database-hosts/{state}"));
     call(admin, &format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{host}"))
 }
 
-/// Guards every answer of a running gateway's admin interface.
+/// Guards every response of a running gateway's admin interface.
 #[test]
 fn admin_answers_keep_their_bytes() {
     let mut harness = Harness::start(200);
     let admin = harness.admin;
-    let mut half = TcpStream::connect(admin).expect("accepted");
-    half.write_all(b"GET /ops/readiness HT").expect("written");
-    for (name, said) in [
+    let mut incomplete = TcpStream::connect(admin).expect("accepted");
+    incomplete.write_all(b"GET /ops/readiness HT").expect("written");
+    for (name, response) in [
         ("admin-ready-v1.txt", get(admin, "/ops/readiness")),
         ("admin-no-fleet-v1.txt", get(admin, "/ops/fleet")),
         ("admin-unknown-path-v1.txt", get(admin, "/ops")),
@@ -436,32 +441,33 @@
         ("admin-up-v1.txt", post(admin, "up", "s-1")),
         ("admin-stats-v1.txt", get(admin, "/ops/stats")),
     ] {
-        assert_bytes(name, said.as_bytes());
+        assert_bytes(name, response.as_bytes());
     }
-    let mut said = Vec::new();
-    half.read_to_end(&mut said).expect("an answer, then the end");
-    assert_bytes("admin-too-late-v1.txt", &said);
+    let mut response = Vec::new();
+    incomplete.read_to_end(&mut response).expect("a response, then the end");
+    assert_bytes("admin-too-late-v1.txt", &response);
 
     let mut client = harness.client();
     client.ask(&read("held"));
-    while !harness.heard.recv().expect("heard").contains("'held'") {}
-    harness.stop.write_all(&[1]).expect("told");
-    let ending =
-        std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|said| !said.contains("200 OK"));
-    assert_bytes("admin-ending-v1.txt", ending.expect("it ends").as_bytes());
+    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    harness.stop.write_all(&[1]).expect("written");
+    let shutting_down =
+        std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|response| !response.contains("200 OK"));
+    assert_bytes("admin-ending-v1.txt", shutting_down.expect("another status").as_bytes());
     harness.mood.released.store(true, Ordering::SeqCst);
-    harness.gateway.join().expect("it ends by itself");
+    harness.gateway.join().expect("the gateway ends");
 }
 
-/// Guards the text of the figures, with classes in the order of their names.
+/// Guards the text of the metrics, with classes in the order of their names.
 #[test]
-fn figures_keep_their_text() {
-    let mut figures = Metrics::default();
+fn metrics_keep_their_text() {
+    let mut metrics = Metrics::default();
     for (class, first) in [("store", 10), ("look", 20)] {
-        let tally = figures.class_mut(class);
-        (tally.ok, tally.shed, tally.errors, tally.attempts) = (first, first + 1, first + 2, first + 3);
+        let counters = metrics.class_mut(class);
+        (counters.ok, counters.shed, counters.errors, counters.attempts) =
+            (first, first + 1, first + 2, first + 3);
     }
-    (figures.active, figures.pool_size, figures.pool_ejected) = (31, 32, 33);
-    (figures.config_applied, figures.config_rejected) = (41, 42);
-    assert_bytes("figures-v1.txt", figures.to_string().as_bytes());
+    (metrics.active, metrics.pool_size, metrics.pool_ejected) = (31, 32, 33);
+    (metrics.config_applied, metrics.config_rejected) = (41, 42);
+    assert_bytes("figures-v1.txt", metrics.to_string().as_bytes());
 }
--- a/tests/state_formats.rs
+++ b/tests/state_formats.rs
@@ -1,5 +1,5 @@
-//! What a process hands its successor of the decision module's state, as JSON: today's form byte for byte, and earlier
-//! forms that are still read.
+//! The JSON format of the balancer's snapshot that a process hands over to its successor: the current format byte for
+//! byte, and earlier formats that are still read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,27 +8,28 @@
 use dunemount::*;
 use serde_json::Value;
 
-/// Written by the scenario below.
+/// The snapshot of [`scenario`].
 const SNAPSHOT: &str = include_str!("fixtures/balancer-snapshot-v1.json");
-/// The same without the fields that may be missing.
+/// The same snapshot without the optional fields.
 const WITHOUT_OPTIONAL_FIELDS: &str = include_str!("fixtures/balancer-snapshot-without-optional-fields.json");
-/// The same as a version wrote it that kept the log's time of a family as `log_clock`, from single answers.
+/// The same snapshot from a version that kept the log time of a group as `log_clock`, derived from single responses.
 const WITH_LOG_CLOCK: &str = include_str!("fixtures/balancer-snapshot-with-log-clock.json");
 
 const START: Micros = Micros::millis(100_000);
-/// When one member was started anew.
+/// When one member was restarted.
 const RESTART: Micros = Micros::millis(101_000);
-/// When the last writes of the scenario begin, one after the other, and when it ends.
+/// When the first of the last writes of the scenario begins; they run one after the other.
 const LAST_WRITES: Micros = Micros::millis(101_500);
+/// When the scenario ends.
 const END: Micros = Micros::millis(101_506);
-/// Time that a member takes to answer.
+/// Response time of a member.
 const LATENCY: Micros = Micros::millis(2);
 const DEADLINE: Micros = Micros::millis(800);
-/// How far replicas are behind their primary.
+/// Lag of the replicas behind their primary.
 const LAG: Micros = Micros::millis(10);
 
-/// Fewer than fill two members.
-const READS_AT_ONCE: usize = 6;
+/// Number of concurrent reads: fewer than the capacity of two members.
+const CONCURRENT_READS: usize = 6;
 
 const BOUNDED: usize = 0;
 const SESSION: usize = 1;
@@ -47,11 +48,11 @@
 const SECOND_REPLICA: u64 = 12;
 const REMOVED: u64 = 13;
 
-/// Wrote in the first group.
+/// A session that wrote in the first group.
 const WRITER: SessionKey = SessionKey(7);
-/// Wrote in both groups.
-const ROAMER: SessionKey = SessionKey(8);
-/// Never writes.
+/// A session that wrote in both groups.
+const TWO_GROUP_WRITER: SessionKey = SessionKey(8);
+/// A session that never writes.
 const READER: SessionKey = SessionKey(9);
 
 const LOST: AttemptOutcome = AttemptOutcome::NoResponse(FailedAttempt {
@@ -142,7 +143,7 @@
     RoutingRequest { class, group, session, committed: None, repeat: false, time_left: DEADLINE }
 }
 
-/// A member's answer: the primaries stand at the present, the others a little before.
+/// A member's response: the position of a primary is the current time, that of a replica is [`LAG`] before it.
 fn answer(member: MemberId, now: Micros) -> AttemptOutcome {
     let (role, position) = match member.0 {
         PRIMARY | SECOND_PRIMARY => (Role::Primary, now),
@@ -151,41 +152,41 @@
     AttemptOutcome::Response { status: ResponseStatus::Served, role: Some(role), position: Some(position) }
 }
 
-/// Where a request goes at once, if it goes anywhere; the attempt stays out.
-fn pick(balancer: &mut Balancer, now: Micros, ask: RoutingRequest) -> Option<(RequestId, u64)> {
-    match balancer.pick(now, ask) {
+/// The member to which a request is sent immediately, if any; its attempt stays in flight.
+fn pick(balancer: &mut Balancer, now: Micros, request: RoutingRequest) -> Option<(RequestId, u64)> {
+    match balancer.pick(now, request) {
         (request_id, RoutingDecision::Send { member, .. }) => Some((request_id, member.0)),
         _ => None,
     }
 }
 
-/// Where a request goes at once; it is answered a latency later.
-fn serve(balancer: &mut Balancer, now: Micros, ask: RoutingRequest) -> Option<u64> {
-    let (request_id, member) = pick(balancer, now, ask)?;
+/// The member to which a request is sent immediately, if any; the response comes after [`LATENCY`].
+fn serve(balancer: &mut Balancer, now: Micros, request: RoutingRequest) -> Option<u64> {
+    let (request_id, member) = pick(balancer, now, request)?;
     let answered = now + LATENCY;
     balancer.handle_outcome(answered, request_id, answer(MemberId(member), answered));
     Some(member)
 }
 
-/// Lets what is due act and answers the health checks of all members but these.
-fn run_due(balancer: &mut Balancer, now: Micros, unheard: &[u64]) {
+/// Processes all outputs that are due, and answers the health checks of all members except the unresponsive ones.
+fn run_due(balancer: &mut Balancer, now: Micros, unresponsive: &[u64]) {
     while let Some(output) = balancer.poll_output(now) {
         match output {
-            Output::HealthCheck(member) if unheard.contains(&member.0) => {}
+            Output::HealthCheck(member) if unresponsive.contains(&member.0) => {}
             Output::HealthCheck(member) => balancer.health_checked(now, member, answer(member, now)),
             _ => {}
         }
     }
 }
 
-/// Runs reads and writes from one time to another. How often each member was sent one.
-fn run(balancer: &mut Balancer, from: Micros, until: Micros, unheard: &[u64]) -> BTreeMap<u64, u32> {
+/// Runs reads and writes from one time to another. Returns the number of requests that were sent to each member.
+fn run(balancer: &mut Balancer, from: Micros, until: Micros, unresponsive: &[u64]) -> BTreeMap<u64, u32> {
     let (mut now, mut sent) = (from, BTreeMap::new());
     while now < until {
         for group in [FIRST, SECOND] {
             for class in [BOUNDED, SESSION, FRESH, WRITE, BOUNDED] {
-                run_due(balancer, now, unheard);
-                // Other sessions write meanwhile, each in one group.
+                run_due(balancer, now, unresponsive);
+                // Writes come from other sessions, one for each group.
                 let session = if class == WRITE { SessionKey(100 + group.0) } else { READER };
                 if let Some(member) = serve(balancer, now, request(class, group, session)) {
                     *sent.entry(member).or_insert(0) += 1;
@@ -197,34 +198,35 @@
     sent
 }
 
-/// The state of a process that has seen all that its successor must know.
+/// A balancer whose state has every part that its successor needs.
 fn scenario() -> Balancer {
     let mut balancer = balancer(7);
     let all = [1, 2, 3, 4, 5, 6, 11, 12, 13];
     balancer.update_endpoints(START, true, all.map(endpoint).to_vec());
     run(&mut balancer, START, RESTART, &[]);
-    balancer.update_endpoints(RESTART, false, vec![listed_at_the_end(WARMING_UP)]);
+    balancer.update_endpoints(RESTART, false, vec![endpoint_at_end(WARMING_UP)]);
     run(&mut balancer, RESTART, LAST_WRITES, &[]);
     let mut now = LAST_WRITES;
-    for (group, session) in [(FIRST, WRITER), (FIRST, ROAMER), (SECOND, ROAMER)] {
+    for (group, session) in [(FIRST, WRITER), (FIRST, TWO_GROUP_WRITER), (SECOND, TWO_GROUP_WRITER)] {
         serve(&mut balancer, now, request(WRITE, group, session)).expect("a write is sent");
         now = now + LATENCY;
     }
     balancer.set_administratively_down(END, MemberId(DOWN), true);
-    let left: Vec<Endpoint> = all.into_iter().filter(|id| *id != REMOVED).map(listed_at_the_end).collect();
-    balancer.update_endpoints(END, true, left);
+    let remaining: Vec<Endpoint> = all.into_iter().filter(|id| *id != REMOVED).map(endpoint_at_end).collect();
+    balancer.update_endpoints(END, true, remaining);
     balancer.health_checked(END, MemberId(EJECTED), LOST);
-    reset_at(&mut balancer, END, BROKEN);
+    reset_read_at(&mut balancer, END, BROKEN);
     balancer
 }
 
-fn listed_at_the_end(member: u64) -> Endpoint {
+/// The endpoint of a member in the last endpoint list of the scenario.
+fn endpoint_at_end(member: u64) -> Endpoint {
     let started = if member == WARMING_UP { RESTART } else { Micros(0) };
     Endpoint { started, ..endpoint(member) }
 }
 
-/// The connection of a read that is out at a member breaks.
-fn reset_at(balancer: &mut Balancer, now: Micros, member: u64) {
+/// Sends a read to a member and loses its connection.
+fn reset_read_at(balancer: &mut Balancer, now: Micros, member: u64) {
     for _ in 0..100 {
         let Some((request_id, to)) = pick(balancer, now, request(SESSION, group_of(member), READER)) else {
             break;
@@ -245,23 +247,23 @@
     successor
 }
 
-fn text(balancer: &Balancer) -> String {
+fn snapshot_json(balancer: &Balancer) -> String {
     serde_json::to_string(&balancer.snapshot()).expect("written")
 }
 
-/// The one session of two groups may be handed over either way round.
-fn other_way_round(snapshot: &str) -> String {
+/// The snapshot with the commits of the session that wrote in two groups swapped; their order is not defined.
+fn with_commits_swapped(snapshot: &str) -> String {
     let (first, second) = (r#"{"group":1,"commit":101504000}"#, r#"{"group":2,"commit":101506000}"#);
     let parts: Vec<&str> = snapshot.split(first).collect();
     assert_eq!((parts.len(), parts[1].matches(second).count()), (2, 1), "one session of two groups");
     format!("{}{second}{}", parts[0], parts[1].replace(second, first))
 }
 
-/// Members that reads of a class in a group are sent to at this moment, several at once and none answered.
-fn readers(balancer: &mut Balancer, now: Micros, class: usize, group: GroupId) -> BTreeSet<u64> {
+/// The members to which concurrent reads of a class in a group are sent at this time, before any is answered.
+fn read_members(balancer: &mut Balancer, now: Micros, class: usize, group: GroupId) -> BTreeSet<u64> {
     let mut requests = Vec::new();
     let mut members = BTreeSet::new();
-    for _ in 0..READS_AT_ONCE {
+    for _ in 0..CONCURRENT_READS {
         let (request_id, decision) = balancer.pick(now, request(class, group, READER));
         requests.push(request_id);
         if let RoutingDecision::Send { member, .. } = decision {
@@ -274,7 +276,7 @@
     members
 }
 
-/// What is read back from any of the forms: who may be sent to, who leads, and what sessions wrote.
+/// Checks the parts of the state that every format has: the routable members, the primaries, and the sessions' commits.
 fn assert_members_and_sessions(snapshot: &str, now: Micros) {
     let balancer = &mut successor(snapshot);
     assert_eq!(
@@ -291,33 +293,34 @@
     assert_eq!(balancer.session_commit(FIRST, READER), None);
     for (group, primary) in [(FIRST, PRIMARY), (SECOND, SECOND_PRIMARY)] {
         for class in [WRITE, FRESH] {
-            let members = readers(&mut successor(snapshot), now, class, group);
+            let members = read_members(&mut successor(snapshot), now, class, group);
             assert_eq!(members, BTreeSet::from([primary]), "{group:?}");
         }
     }
-    // A session reads where its own commits are: no replica has told of them yet.
+    // A session reads where its own commits are visible: no replica has reported their positions yet.
     assert_eq!(serve(balancer, now, request(SESSION, FIRST, WRITER)), Some(PRIMARY));
-    let replicas = readers(&mut successor(snapshot), now, SESSION, FIRST);
+    let replicas = read_members(&mut successor(snapshot), now, SESSION, FIRST);
     assert!(replicas.is_subset(&BTreeSet::from([REPLICA, BROKEN, WARMING_UP])), "{replicas:?}");
     assert!(replicas.contains(&REPLICA) && replicas.contains(&BROKEN), "{replicas:?}");
-    let replicas = readers(&mut successor(snapshot), now, SESSION, SECOND);
+    let replicas = read_members(&mut successor(snapshot), now, SESSION, SECOND);
     assert_eq!(replicas, BTreeSet::from([SECOND_REPLICA, REMOVED]));
 }
 
-/// A member whose connection has broken before is ejected by the next one, and one that was ejected is tried again.
+/// Checks that a member which lost a connection before is ejected by the next loss, and that an ejected one is tried
+/// again.
 fn assert_health(balancer: &mut Balancer, now: Micros) {
-    reset_at(balancer, now, BROKEN);
+    reset_read_at(balancer, now, BROKEN);
     assert_eq!(balancer.endpoint_counts(), EndpointCounts { listed: 8, ejected: 3 });
     let later = now + Micros::millis(1_500);
     run(balancer, now, later, &[EJECTED, BROKEN]);
     assert_eq!(
         balancer.endpoint_counts(),
         EndpointCounts { listed: 8, ejected: 1 },
-        "only who is administratively down is still avoided"
+        "only the member that is administratively down is still avoided"
     );
 }
 
-/// A member that is warming up gets the less, as long as it is.
+/// Checks that a member in slow start gets fewer requests until its slow start ends.
 fn assert_slow_start(balancer: &mut Balancer, now: Micros) {
     let sent = run(balancer, now, now + Micros::millis(2_000), &[EJECTED, BROKEN]);
     let (warm, warming_up) = (sent[&REPLICA], sent.get(&WARMING_UP).copied().unwrap_or(0));
@@ -329,24 +332,24 @@
     assert!(sent[&WARMING_UP] * 2 > sent[&REPLICA], "{sent:?}");
 }
 
-/// Guards a hot restart between versions: the state is written as it always was, byte for byte.
+/// Guards a hot restart between versions: the snapshot is written as before, byte for byte.
 #[test]
-fn the_state_is_written_byte_for_byte() {
-    let written = text(&scenario());
-    assert!(written == SNAPSHOT || written == other_way_round(SNAPSHOT), "{written}");
+fn the_snapshot_is_written_byte_for_byte() {
+    let written = snapshot_json(&scenario());
+    assert!(written == SNAPSHOT || written == with_commits_swapped(SNAPSHOT), "{written}");
 }
 
-/// Guards a hot restart after a hot restart: what was read is written again as it was, but for the last digit of a
-/// number, which reading may change.
+/// Guards a hot restart after another: a restored snapshot is written again unchanged, except for the last digit of a
+/// number, which parsing may change.
 #[test]
-fn the_state_that_was_read_is_written_again_as_it_was() {
+fn a_restored_snapshot_is_written_unchanged() {
     let value = |text: &str| serde_json::from_str::<Value>(text).expect("JSON");
-    let written = text(&successor(SNAPSHOT));
-    let same = |wanted: &str| is_same(&value(&written), &value(wanted));
-    assert!(same(SNAPSHOT) || same(&other_way_round(SNAPSHOT)), "{written}");
+    let written = snapshot_json(&successor(SNAPSHOT));
+    let same = |expected: &str| is_same(&value(&written), &value(expected));
+    assert!(same(SNAPSHOT) || same(&with_commits_swapped(SNAPSHOT)), "{written}");
 }
 
-/// Whether two values are the same, but for the last digits of fractions.
+/// Whether two values are equal, except for the last digits of fractions.
 fn is_same(one: &Value, other: &Value) -> bool {
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
@@ -363,50 +366,53 @@
     }
 }
 
-/// Guards the meaning of each part of the state at the process that takes it over.
+/// Guards the meaning of each part of the snapshot for the process that restores it.
 #[test]
-fn the_state_keeps_its_meaning() {
+fn the_snapshot_keeps_its_meaning() {
     let now = END + LATENCY;
-    for snapshot in [SNAPSHOT.to_string(), other_way_round(SNAPSHOT)] {
+    for snapshot in [SNAPSHOT.to_string(), with_commits_swapped(SNAPSHOT)] {
         let mut balancer = successor(&snapshot);
         assert_members_and_sessions(&snapshot, now);
-        assert_eq!(balancer.session_commit(FIRST, ROAMER), Some(Micros::millis(101_504)));
-        assert_eq!(balancer.session_commit(SECOND, ROAMER), Some(Micros::millis(101_506)));
-        assert_eq!(serve(&mut balancer, now, request(SESSION, FIRST, ROAMER)), Some(PRIMARY));
-        assert_eq!(serve(&mut balancer, now, request(SESSION, SECOND, ROAMER)), Some(SECOND_PRIMARY));
-        // The time of both logs is known, and so are the replicas' positions: their data are young enough.
-        let replicas = readers(&mut successor(&snapshot), now, BOUNDED, FIRST);
+        assert_eq!(balancer.session_commit(FIRST, TWO_GROUP_WRITER), Some(Micros::millis(101_504)));
+        assert_eq!(balancer.session_commit(SECOND, TWO_GROUP_WRITER), Some(Micros::millis(101_506)));
+        assert_eq!(serve(&mut balancer, now, request(SESSION, FIRST, TWO_GROUP_WRITER)), Some(PRIMARY));
+        assert_eq!(
+            serve(&mut balancer, now, request(SESSION, SECOND, TWO_GROUP_WRITER)),
+            Some(SECOND_PRIMARY)
+        );
+        // The log time of both groups and the replicas' positions are known: their data are fresh enough.
+        let replicas = read_members(&mut successor(&snapshot), now, BOUNDED, FIRST);
         assert!(replicas.contains(&REPLICA) && replicas.contains(&BROKEN), "{replicas:?}");
         assert!(!replicas.contains(&EJECTED) && !replicas.contains(&DOWN), "{replicas:?}");
-        let replicas = readers(&mut successor(&snapshot), now, BOUNDED, SECOND);
+        let replicas = read_members(&mut successor(&snapshot), now, BOUNDED, SECOND);
         assert_eq!(replicas, BTreeSet::from([SECOND_REPLICA, REMOVED]));
         let late = now + Micros::millis(600);
-        let members = readers(&mut successor(&snapshot), late, BOUNDED, SECOND);
+        let members = read_members(&mut successor(&snapshot), late, BOUNDED, SECOND);
         assert_eq!(
             members,
             BTreeSet::from([SECOND_PRIMARY]),
-            "no replica is known to be young enough by then"
+            "no replica is known to be fresh enough by then"
         );
         assert_health(&mut successor(&snapshot), now);
         assert_slow_start(&mut successor(&snapshot), now);
     }
 }
 
-/// Guards a hot restart from an earlier version: fields that it did not write may be missing. Nothing is known of the
-/// log's time then, and no replica passes for young enough until the primaries have proved it.
+/// Guards a hot restart from an earlier version, whose snapshot lacks the optional fields. The log time is unknown
+/// then, and no replica counts as fresh enough until responses of the primaries have established it.
 #[test]
-fn a_state_without_optional_fields_is_read() {
+fn a_snapshot_without_optional_fields_is_read() {
     for snapshot in [WITHOUT_OPTIONAL_FIELDS, WITH_LOG_CLOCK] {
         let now = END + LATENCY;
         assert_members_and_sessions(snapshot, now);
         for (group, primary) in [(FIRST, PRIMARY), (SECOND, SECOND_PRIMARY)] {
-            let members = readers(&mut successor(snapshot), now, BOUNDED, group);
+            let members = read_members(&mut successor(snapshot), now, BOUNDED, group);
             assert_eq!(members, BTreeSet::from([primary]), "{group:?}");
         }
         let mut balancer = successor(snapshot);
         run(&mut balancer, now, now + Micros::millis(200), &[EJECTED, BROKEN]);
         let now = now + Micros::millis(200);
-        let replicas = readers(&mut balancer, now, BOUNDED, SECOND);
+        let replicas = read_members(&mut balancer, now, BOUNDED, SECOND);
         assert_eq!(replicas, BTreeSet::from([SECOND_REPLICA, REMOVED]));
         assert_health(&mut successor(snapshot), END + LATENCY);
         assert_slow_start(&mut successor(snapshot), END + LATENCY);
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -1,5 +1,5 @@
-//! Every byte that a gateway sends to database hosts and to discovery, against files that were written by the version
-//! before the code's names were changed. The files never change.
+//! Compares every byte that a gateway sends to database hosts and to discovery with fixture files. They were written by
+//! the version before the names in the code were changed, and never change.
 
 mod harness;
 
@@ -15,7 +15,7 @@
 use harness::{listing, local, Harness};
 use serde_json::{json, Value};
 
-/// A database host that hands the test each message as it came, and an empty one at a connection's end.
+/// Starts a database host that sends each message to the test as received, and an empty one when a connection ends.
 fn recording_host(received: Sender<Vec<u8>>) -> SocketAddr {
     let listener = local();
     let address = listener.local_addr().expect("bound");
@@ -40,10 +40,10 @@
     loop {
         socket.write_all(&reply).ok()?;
         let query = read_message(&mut socket, 1)?;
-        let is_to_stay_open = query.windows(8).any(|part| part == b"'silent'");
+        let is_left_unanswered = query.windows(8).any(|part| part == b"'silent'");
         received.send(query).ok()?;
         reply.clear();
-        if !is_to_stay_open {
+        if !is_left_unanswered {
             codec::write_message(&mut reply, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
             codec::write_message(&mut reply, b'D', b"\0\x01\0\0\0\x01\x2a");
             codec::write_message(&mut reply, b'C', b"SELECT 1\0");
@@ -53,7 +53,7 @@
     }
 }
 
-/// A message as it came, with so many bytes of type before its length.
+/// Reads a message as received, with `type_bytes` bytes before its length.
 fn read_message(socket: &mut TcpStream, type_bytes: usize) -> Option<Vec<u8>> {
     let mut bytes = vec![0; type_bytes + 4];
     socket.read_exact(&mut bytes).ok()?;
@@ -63,18 +63,18 @@
     Some(bytes)
 }
 
-/// The head of the next request that discovery gets, and the connection it came on.
+/// The head of the next request to discovery, and its connection.
 fn read_request(discovery: &TcpListener) -> (Vec<u8>, TcpStream) {
     let (mut socket, _) = discovery.accept().expect("a call");
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
-        socket.read_exact(&mut byte).expect("a whole head");
+        socket.read_exact(&mut byte).expect("a complete head");
         head.push(byte[0]);
     }
     (head, socket)
 }
 
-/// A gateway that knows one recording host, and what that host receives.
+/// Starts a gateway with one recording host, and returns what that host receives.
 fn start_gateway() -> (Harness, Receiver<Vec<u8>>) {
     let (sender, received) = channel();
     let host = recording_host(sender);
@@ -88,16 +88,16 @@
 const SILENT: &str =
     "SELECT doc FROM items WHERE id = 'silent' /* id=9b1f03aa5c7e2d43,c=look,d=30000,cluster=1 */";
 
-/// The text of a Query message, once its type and its length are what they are to be.
+/// The text of a Query message, after checking its type and its length.
 fn query_text(message: &[u8]) -> &str {
-    let mut inbox = ReceiveBuffer::default();
-    inbox.push(message);
-    let frame = inbox.next_message().expect("well framed").expect("a whole message");
-    assert!(frame.tag == b'Q' && inbox.is_empty() && frame.body.ends_with(&[0]));
+    let mut buffer = ReceiveBuffer::default();
+    buffer.push(message);
+    let query = buffer.next_message().expect("a valid length").expect("a complete message");
+    assert!(query.tag == b'Q' && buffer.is_empty() && query.body.ends_with(&[0]));
     std::str::from_utf8(&message[5..message.len() - 1]).expect("text")
 }
 
-/// The message with the time that is left, which is below the 30 s that the client gave, masked digit by digit.
+/// The message with the digits of the remaining time masked, which is below the 30 s that the client gave.
 fn mask_time_left(mut message: Vec<u8>) -> Vec<u8> {
     let text = query_text(&message);
     let at = 5 + text.rfind(",d=").expect("a time") + 3;
@@ -113,15 +113,16 @@
 #[test]
 fn a_connection_begins_with_the_startup_packet() {
     let fixture = include_bytes!("fixtures/host-startup-v1.bin");
-    let mut inbox = ReceiveBuffer::default();
-    inbox.push(fixture);
-    assert_eq!(inbox.next_startup_packet(), Ok(Some(StartupPacket::Session(3, 0))));
-    assert!(inbox.is_empty());
+    let mut buffer = ReceiveBuffer::default();
+    buffer.push(fixture);
+    assert_eq!(buffer.next_startup_packet(), Ok(Some(StartupPacket::Session(3, 0))));
+    assert!(buffer.is_empty());
     assert_eq!(&fixture[8..], b"user\0app\0database\0shop\0\0");
     assert_eq!(HostProtocol::default().out.bytes, fixture);
 }
 
-/// Guards forwarded statements: all keys of the comment pass unchanged but `d`, the time that the gateway will wait.
+/// Guards forwarded statements: all fields of the comment are unchanged except `d`, the time that the gateway will
+/// wait.
 #[test]
 fn a_statement_is_forwarded_with_the_time_left() {
     let cases: [(&str, &[u8], Micros, &str); 4] = [
@@ -133,7 +134,7 @@
     for (statement, fixture, time_left, d) in cases {
         assert_eq!(query_text(fixture), statement.replace("d=30000", &format!("d={d}")));
         let mut host = HostProtocol::default();
-        host.out.flush(&mut std::io::sink()).expect("a sink takes all");
+        host.out.flush(&mut std::io::sink()).expect("a sink accepts all bytes");
         let mut greeting = Vec::new();
         codec::write_message(&mut greeting, b'R', &[0; 4]);
         codec::write_ready_for_query(&mut greeting);
@@ -145,8 +146,8 @@
     }
 }
 
-/// Guards all that a host gets from a running gateway: the startup, a write, a read on the same connection, a cancelled
-/// read and then only the end of the connection, and health checks.
+/// Guards all bytes that a host receives from a running gateway: the startup, a write, a read on the same connection, a
+/// cancelled read followed only by the end of the connection, and health checks.
 #[test]
 fn a_running_gateway_sends_these_bytes_to_hosts() {
     let (mut harness, received) = start_gateway();
@@ -160,7 +161,7 @@
     assert_eq!(client.answer().len(), 4);
     assert_eq!(mask_time_left(next()), include_bytes!("fixtures/host-read-masked-v1.bin"));
 
-    // A host is told that an attempt is given up by the end of its connection alone.
+    // When an attempt is abandoned, its connection ends and nothing else is sent to the host.
     client.ask(SILENT);
     assert_eq!(query_text(&mask_time_left(next())), SILENT.replace("30000", "#####"));
     drop(client);
@@ -175,20 +176,20 @@
     harness.end();
 }
 
-/// Guards a CancelRequest, as the protocol has it.
+/// Guards the bytes of a CancelRequest of the protocol.
 #[test]
 fn a_cancel_request_carries_code_process_and_secret() {
     let fixture = include_bytes!("fixtures/cancel-request-to-host-v1.bin");
     let key = CancelKey { process: 0x0102_0304, secret: 0xa1b2_c3d4 };
-    let mut inbox = ReceiveBuffer::default();
-    inbox.push(fixture);
-    assert_eq!(inbox.next_startup_packet(), Ok(Some(StartupPacket::CancelRequest(key))));
+    let mut buffer = ReceiveBuffer::default();
+    buffer.push(fixture);
+    assert_eq!(buffer.next_startup_packet(), Ok(Some(StartupPacket::CancelRequest(key))));
     let mut out = Vec::new();
     codec::write_cancel_request(&mut out, key);
     assert_eq!(out, fixture);
 }
 
-/// Method, path and headers of a request to discovery.
+/// The path and the headers of a request to discovery, after checking its method and version.
 fn parse_request(bytes: &[u8]) -> (String, Vec<(String, String)>) {
     let mut headers = [httparse::EMPTY_HEADER; 8];
     let mut request = httparse::Request::new(&mut headers);
@@ -202,13 +203,13 @@
 
 const DISCOVERY: &str = "192.0.2.7:8500";
 
-/// Guards the calls to discovery: the poll for the whole list, the watch from a version, and the one after a call that
-/// was rejected, which does not wait.
+/// Guards the calls to discovery: the poll for the full list, the watch from a version, and the watch after a rejected
+/// call, which does not wait.
 #[test]
 fn calls_to_discovery_are_these_requests() {
-    let grace = Micros::millis(1000);
+    let drain_grace = Micros::millis(1000);
     let mut rejected = Watch::from_version(Some(41));
-    rejected.on_call_failed(dunemount::net::discovery::CallFailure::Rejected, 1, grace, Micros(0), 0.5);
+    rejected.on_call_failed(dunemount::net::discovery::CallFailure::Rejected, 1, drain_grace, Micros(0), 0.5);
     let cases: [(Watch, &[u8], &str); 3] = [
         (Watch::from_version(None), include_bytes!("fixtures/discovery-poll-v1.http"), "/catalog/members"),
         (
@@ -231,8 +232,8 @@
     }
 }
 
-/// Guards the calls that a running gateway makes: a watch from the version that it was started with, the same from the
-/// version that an answer brought, and a poll after its configuration was read anew.
+/// Guards the calls of a running gateway: a watch from the version of its configuration, a watch from the version of
+/// the last answer, and a poll after its configuration was reloaded.
 #[test]
 fn a_running_gateway_sends_these_requests_to_discovery() {
     let (mut harness, _received) = start_gateway();
