--- a/crates/loadtest/src/capacity/measure/lists.rs
+++ b/crates/loadtest/src/capacity/measure/lists.rs
@@ -6,7 +6,7 @@
 use dunemount::attempt::{AttemptOutcome, ResponseStatus};
 use dunemount::balancer::{Balancer, RoutingDecision, RoutingRequest};
 use dunemount::net::clock::Clock;
-use dunemount::net::discovery::{Directory, Listing, Watch};
+use dunemount::net::discovery::{Directory, EndpointList, Watch};
 use dunemount::settings::SiteSettings;
 use dunemount::{ClassId, GroupId, Micros, Role, SessionKey};
 use dunemount_fleet::frame;
@@ -41,7 +41,7 @@
     let mut watch = Watch::from_version(None);
     let from = Instant::now();
     // As the event loop reads: so many bytes at a time.
-    let mut listing: Option<Listing> = None;
+    let mut listing: Option<EndpointList> = None;
     for part in bytes.chunks(16 * 1024) {
         listing = watch.receive(part, false).map_err(|bad| format!("list: {bad:?}"))?;
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::net::discovery::Listing;
+use crate::net::discovery::EndpointList;
 use crate::settings::{SettingsDocument, SettingsError, SiteSettings, Zones};
 use crate::text_file::{AtLine, ReadError};
 
@@ -115,7 +115,7 @@
     /// What the gateway may use.
     pub limits: Limits,
     /// The hosts as last known.
-    pub known: Listing,
+    pub known: EndpointList,
     settings: SettingsDocument,
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,7 +8,7 @@
 
 pub use answer::BadAnswer;
 pub use directory::Directory;
-pub use listing::Listing;
+pub use listing::EndpointList;
 pub use watch::{
     backoff, CallFailure, Watch, ANSWER_TIME, CALL_GAP, CALL_TIMEOUT, KNOWN_WITHIN, MAX_SILENT_CALLS,
     MIN_BACKOFF, REJECTED_GAP, REJECTED_TIMEOUT, SILENCE_TIMEOUT, WATCH_WAIT,
--- a/src/net/discovery/answer.rs
+++ b/src/net/discovery/answer.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::listing::Listing;
+use super::listing::EndpointList;
 use crate::http::{self, BodyError, BodyLength};
 
 /// Longest head of a response, in bytes.
@@ -50,7 +50,7 @@
 
 /// Parses the endpoint list in a response; `None` while the response is incomplete, and if the connection ended without
 /// any byte.
-pub(super) fn read_answer(bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
+pub(super) fn read_answer(bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
     if has_ended && bytes.is_empty() {
         return Ok(None);
     }
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::listing::{Listing, Target, TargetState};
+use super::listing::{EndpointList, Target, TargetState};
 use crate::net::clock::Clock;
 use crate::settings::Zones;
 use crate::{Endpoint, EndpointState, GroupId, MemberId, Micros};
@@ -60,7 +60,7 @@
 
     /// Updates the directory from an endpoint list. Returns the endpoints, and the number of invalid entries, which are
     /// skipped.
-    pub fn update(&mut self, listing: Listing, clock: &Clock) -> (Vec<Endpoint>, usize) {
+    pub fn update(&mut self, listing: EndpointList, clock: &Clock) -> (Vec<Endpoint>, usize) {
         let count = listing.len();
         let targets = listing.into_targets().flatten();
         let endpoints: Vec<Endpoint> = targets.map(|target| self.endpoint(target, clock)).collect();
--- a/src/net/discovery/listing.rs
+++ b/src/net/discovery/listing.rs
@@ -7,7 +7,7 @@
 
 /// A full endpoint list, or the changed entries of one.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listing {
+pub struct EndpointList {
     /// Version of the endpoint list.
     pub rev: u64,
     /// The list is complete: hosts that it does not name have been removed.
@@ -16,7 +16,7 @@
     targets: Vec<Value>,
 }
 
-impl Listing {
+impl EndpointList {
     /// Number of entries, valid or not.
     pub fn len(&self) -> usize {
         self.targets.len()
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -2,7 +2,7 @@
 //! call.
 
 use super::answer::{read_answer, BadAnswer};
-use super::listing::Listing;
+use super::listing::EndpointList;
 use crate::Micros;
 
 /// Time for which a call asks discovery to wait for changes (long polling).
@@ -183,7 +183,7 @@
 
     /// Adds received bytes of the latest call; returns the endpoint list once the answer is complete. `has_ended` says
     /// that no more bytes will come.
-    pub fn receive(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
+    pub fn receive(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
         self.answer.extend_from_slice(bytes);
         let listing = read_answer(&self.answer, has_ended)?;
         if let Some(listing) = &listing {
@@ -194,7 +194,7 @@
 
     /// Adds received bytes of the silent call. Its list counts only if it is newer than the known version. Otherwise
     /// the later call has already returned that version, and the silent one is of no more use.
-    pub fn receive_late(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<Listing>, BadAnswer> {
+    pub fn receive_late(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
         self.late_answer.extend_from_slice(bytes);
         // An invalid answer is dropped: no more of it is read.
         let answer = read_answer(&self.late_answer, has_ended).inspect_err(|_| self.late_answer = Vec::new());
--- a/src/net/event_loop/config.rs
+++ b/src/net/event_loop/config.rs
@@ -12,7 +12,7 @@
 use crate::fleet::rollout::version_channel::VersionReceiver;
 use crate::fleet::status::SharedStatus;
 use crate::hot_restart::handover_socket::HandoverState;
-use crate::net::discovery::Listing;
+use crate::net::discovery::EndpointList;
 use crate::settings::{SiteSettings, Zones};
 
 /// What a gateway is given at its start.
@@ -30,7 +30,7 @@
     /// Most memory, in MiB.
     pub memory_mib: usize,
     /// The endpoint list as last known.
-    pub endpoints: Listing,
+    pub endpoints: EndpointList,
     /// The settings.
     pub site: SiteSettings,
     /// The zones that the settings name.
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -14,7 +14,7 @@
 use super::Gateway;
 use crate::balance::random::uniform;
 use crate::net::dial;
-use crate::net::discovery::{BadAnswer, CallFailure, Listing, Watch};
+use crate::net::discovery::{BadAnswer, CallFailure, EndpointList, Watch};
 use crate::pg::codec::SendBuffer;
 use crate::shortage::is_shortage;
 use crate::{EndpointState, Micros, Settings};
@@ -232,7 +232,7 @@
     }
 
     /// Takes an endpoint list in, on all workers.
-    pub(super) fn distribute_endpoints(&mut self, listing: Listing, is_initial: bool) {
+    pub(super) fn distribute_endpoints(&mut self, listing: EndpointList, is_initial: bool) {
         let message = || WorkerMessage::Endpoints { listing: Box::new(listing.clone()), is_initial };
         self.workers.send_to_others(self.this_worker, message);
         self.update_endpoints(listing, is_initial);
@@ -240,7 +240,7 @@
 
     /// Takes an endpoint list in. Names and addresses are the same on all workers; each takes the members of its own
     /// groups, and removes those that have moved to a group of another.
-    pub(super) fn update_endpoints(&mut self, listing: Listing, is_initial: bool) {
+    pub(super) fn update_endpoints(&mut self, listing: EndpointList, is_initial: bool) {
         let (version, is_full) = (listing.rev, listing.all);
         let (mut endpoints, unreadable) = self.directory.update(listing, &self.clock);
         if unreadable > 0 {
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -15,7 +15,7 @@
 use super::connections::ConnectionId;
 use crate::admin::metrics::Metrics;
 use crate::balancer;
-use crate::net::discovery::Listing;
+use crate::net::discovery::EndpointList;
 use crate::pg::client::ProtocolHandover;
 use crate::pg::codec::CancelKey;
 use crate::pg::statement::Statement;
@@ -109,7 +109,7 @@
     /// To a front worker: the streamed response cannot be finished; its client learns so by the end of the connection.
     AbortResponse(ConnectionId),
     /// To all: an endpoint list, or the one known at the start.
-    Endpoints { listing: Box<Listing>, is_initial: bool },
+    Endpoints { listing: Box<EndpointList>, is_initial: bool },
     /// To all: new settings.
     Settings(Box<SiteSettings>, Zones),
     /// To all: operators take a host down, or put it back; the call that waits for it, if one does.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-use dunemount::net::discovery::{self, BadAnswer, CallFailure, Directory, Listing, Watch};
+use dunemount::net::discovery::{self, BadAnswer, CallFailure, Directory, EndpointList, Watch};
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
@@ -335,7 +335,7 @@
     assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"), Some(BadAnswer::Body));
     assert_eq!(receive("HTTP/1.1 200"), Some(BadAnswer::Head));
     assert_eq!(receive(""), None, "an end without a word is no bad answer");
-    let _: Listing = serde_json::from_value(listing(&[])).expect("an empty list");
+    let _: EndpointList = serde_json::from_value(listing(&[])).expect("an empty list");
 }
 
 /// Guards the operators: a configuration that cannot be used is named in one line, and the exit tells.
