--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -21,7 +21,7 @@
 use dunemount::fleet::rollout::gateway;
 use dunemount::fleet::transport::{DatagramSocket, NodeTransport};
 use dunemount::net::clock::Clock;
-use dunemount::net::discovery::{BadAnswer, CallFailure, Directory, Watch};
+use dunemount::net::discovery::{AnswerError, CallFailure, Directory, Watch};
 use dunemount::settings::Zones;
 use dunemount::settings_file::FleetSettings;
 use dunemount::{Micros, Settings};
@@ -762,7 +762,7 @@
                     listing.next = now;
                     return;
                 }
-                Err(BadAnswer::Status(_)) => CallFailure::Rejected,
+                Err(AnswerError::Status(_)) => CallFailure::Rejected,
                 Ok(None) | Err(_) => CallFailure::Lost,
             };
             self.counts.idle.add(heard);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -6,7 +6,7 @@
 mod listing;
 mod watch;
 
-pub use answer::BadAnswer;
+pub use answer::AnswerError;
 pub use directory::Directory;
 pub use listing::EndpointList;
 pub use watch::{
--- a/src/net/discovery/answer.rs
+++ b/src/net/discovery/answer.rs
@@ -12,7 +12,7 @@
 
 /// Why a response of the discovery service cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadAnswer {
+pub enum AnswerError {
     /// The head is malformed, too long or incomplete.
     Head,
     /// The status is not 200.
@@ -25,32 +25,32 @@
     NotNewer,
 }
 
-impl std::error::Error for BadAnswer {}
+impl std::error::Error for AnswerError {}
 
-impl fmt::Display for BadAnswer {
+impl fmt::Display for AnswerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadAnswer::Head => write!(f, "malformed or incomplete response head"),
-            BadAnswer::Status(status) => write!(f, "response status {status}"),
-            BadAnswer::TooLong => write!(f, "response too long"),
-            BadAnswer::Body => write!(f, "response body is not an endpoint list"),
-            BadAnswer::NotNewer => write!(f, "response is not newer than the known version"),
+            AnswerError::Head => write!(f, "malformed or incomplete response head"),
+            AnswerError::Status(status) => write!(f, "response status {status}"),
+            AnswerError::TooLong => write!(f, "response too long"),
+            AnswerError::Body => write!(f, "response body is not an endpoint list"),
+            AnswerError::NotNewer => write!(f, "response is not newer than the known version"),
         }
     }
 }
 
-impl BadAnswer {
-    fn from_body(error: BodyError, malformed: BadAnswer) -> BadAnswer {
+impl AnswerError {
+    fn from_body(error: BodyError, malformed: AnswerError) -> AnswerError {
         match error {
             BodyError::Malformed => malformed,
-            BodyError::TooLong => BadAnswer::TooLong,
+            BodyError::TooLong => AnswerError::TooLong,
         }
     }
 }
 
 /// Parses the endpoint list in a response; `None` while the response is incomplete, and if the connection ended without
 /// any byte.
-pub(super) fn read_answer(bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
+pub(super) fn read_answer(bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, AnswerError> {
     if has_ended && bytes.is_empty() {
         return Ok(None);
     }
@@ -59,16 +59,16 @@
     let head = match response.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
         Ok(httparse::Status::Partial) if has_ended || bytes.len() > MAX_HEAD => {
-            return Err(BadAnswer::Head);
+            return Err(AnswerError::Head);
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(BadAnswer::Head),
+        Err(_) => return Err(AnswerError::Head),
     };
     let status = response.code.unwrap_or_default();
     let Some(body) = complete_body(response.headers, &bytes[head..], has_ended)? else { return Ok(None) };
     match status {
-        200 => serde_json::from_slice(&body).map(Some).map_err(|_| BadAnswer::Body),
-        _ => Err(BadAnswer::Status(status)),
+        200 => serde_json::from_slice(&body).map(Some).map_err(|_| AnswerError::Body),
+        _ => Err(AnswerError::Status(status)),
     }
 }
 
@@ -77,19 +77,19 @@
     headers: &[httparse::Header],
     bytes: &[u8],
     has_ended: bool,
-) -> Result<Option<Vec<u8>>, BadAnswer> {
-    let length =
-        http::body_length(headers, MAX_BODY).map_err(|error| BadAnswer::from_body(error, BadAnswer::Head))?;
+) -> Result<Option<Vec<u8>>, AnswerError> {
+    let length = http::body_length(headers, MAX_BODY)
+        .map_err(|error| AnswerError::from_body(error, AnswerError::Head))?;
     let body = match length {
         BodyLength::Chunked => http::decode_chunked(bytes, MAX_BODY)
-            .map_err(|error| BadAnswer::from_body(error, BadAnswer::Body))?,
+            .map_err(|error| AnswerError::from_body(error, AnswerError::Body))?,
         BodyLength::Known(length) => bytes.get(..length).map(<[u8]>::to_vec),
         BodyLength::Unspecified => has_ended.then(|| bytes.to_vec()),
     };
     match body {
         Some(body) => Ok(Some(body)),
-        None if has_ended => Err(BadAnswer::Body),
-        None if bytes.len() > 2 * MAX_BODY => Err(BadAnswer::TooLong),
+        None if has_ended => Err(AnswerError::Body),
+        None if bytes.len() > 2 * MAX_BODY => Err(AnswerError::TooLong),
         None => Ok(None),
     }
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery: the known version of the endpoint list, the calls in flight, and the time until the next
 //! call.
 
-use super::answer::{read_answer, BadAnswer};
+use super::answer::{read_answer, AnswerError};
 use super::listing::EndpointList;
 use crate::Micros;
 
@@ -183,7 +183,7 @@
 
     /// Adds received bytes of the latest call; returns the endpoint list once the answer is complete. `has_ended` says
     /// that no more bytes will come.
-    pub fn receive(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
+    pub fn receive(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, AnswerError> {
         self.answer.extend_from_slice(bytes);
         let listing = read_answer(&self.answer, has_ended)?;
         if let Some(listing) = &listing {
@@ -194,14 +194,18 @@
 
     /// Adds received bytes of the silent call. Its list counts only if it is newer than the known version. Otherwise
     /// the later call has already returned that version, and the silent one is of no more use.
-    pub fn receive_late(&mut self, bytes: &[u8], has_ended: bool) -> Result<Option<EndpointList>, BadAnswer> {
+    pub fn receive_late(
+        &mut self,
+        bytes: &[u8],
+        has_ended: bool,
+    ) -> Result<Option<EndpointList>, AnswerError> {
         self.late_answer.extend_from_slice(bytes);
         // An invalid answer is dropped: no more of it is read.
         let answer = read_answer(&self.late_answer, has_ended).inspect_err(|_| self.late_answer = Vec::new());
         let Some(listing) = answer? else { return Ok(None) };
         if self.version.is_some_and(|version| listing.rev <= version) {
             self.late_answer = Vec::new();
-            return Err(BadAnswer::NotNewer);
+            return Err(AnswerError::NotNewer);
         }
         *self = Watch::from_version(Some(listing.rev));
         Ok(Some(listing))
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -14,7 +14,7 @@
 use super::Gateway;
 use crate::balance::random::uniform;
 use crate::net::dial;
-use crate::net::discovery::{BadAnswer, CallFailure, EndpointList, Watch};
+use crate::net::discovery::{AnswerError, CallFailure, EndpointList, Watch};
 use crate::pg::codec::SendBuffer;
 use crate::shortage::is_shortage;
 use crate::{EndpointState, Micros, Settings};
@@ -31,7 +31,7 @@
     Rejected(u16),
     ConnectionEnded,
     ConnectionBroke,
-    BadAnswer(BadAnswer),
+    BadAnswer(AnswerError),
     /// It was given up without an answer.
     NoAnswer,
     /// It has fallen silent, and stays out.
@@ -166,7 +166,7 @@
                 self.end_calls();
                 self.call_discovery();
             }
-            Err(BadAnswer::Status(status)) if !is_late => {
+            Err(AnswerError::Status(status)) if !is_late => {
                 self.end_call(id);
                 self.schedule_next_call(CallError::Rejected(status));
             }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-use dunemount::net::discovery::{self, BadAnswer, CallFailure, Directory, EndpointList, Watch};
+use dunemount::net::discovery::{self, AnswerError, CallFailure, Directory, EndpointList, Watch};
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
@@ -330,10 +330,10 @@
         assert!(watch.next_request("h").starts_with("GET /catalog/members?index=4&wait=2000 "));
     }
     let receive = |text: &str| Watch::from_version(None).receive(text.as_bytes(), true).err();
-    assert_eq!(receive("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), Some(BadAnswer::Status(503)));
-    assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), Some(BadAnswer::TooLong));
-    assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"), Some(BadAnswer::Body));
-    assert_eq!(receive("HTTP/1.1 200"), Some(BadAnswer::Head));
+    assert_eq!(receive("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), Some(AnswerError::Status(503)));
+    assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), Some(AnswerError::TooLong));
+    assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"), Some(AnswerError::Body));
+    assert_eq!(receive("HTTP/1.1 200"), Some(AnswerError::Head));
     assert_eq!(receive(""), None, "an end without a word is no bad answer");
     let _: EndpointList = serde_json::from_value(listing(&[])).expect("an empty list");
 }
@@ -642,7 +642,7 @@
             assert!(matches!(watch.receive(&text(7).as_bytes()[..30], false), Ok(None)));
             match watch.receive_late(&late.as_bytes()[cut..], false) {
                 Ok(Some(listing)) => assert!(newer && listing.rev == 5),
-                Err(bad) => assert!(!newer && bad == BadAnswer::NotNewer),
+                Err(bad) => assert!(!newer && bad == AnswerError::NotNewer),
                 Ok(None) => panic!("the answer is whole"),
             }
             if newer {
