--- a/src/config.rs
+++ b/src/config.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::net::discovery::Listing;
+use crate::net::discovery::EndpointList;
 use crate::settings::{SettingsDocument, SettingsError, SiteSettings, Zones};
 use crate::text_file::{LineError, ReadError};
 
@@ -116,7 +116,7 @@
     /// Limits on the gateway's resources.
     pub limits: Limits,
     /// The endpoint list to start with, until discovery sends a newer one.
-    pub known: Listing,
+    pub known: EndpointList,
     settings: SettingsDocument,
 }
 
