--- a/src/balance/attempts.rs
+++ b/src/balance/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: whether another may follow, and what is recorded when one is sent or fails.
+//! Attempts: whether another one is allowed, and what is recorded when one is sent or fails.
 
-use super::housekeeping::HEALTH_CHECK_PAUSE;
+use super::housekeeping::MIN_HEALTH_CHECK_INTERVAL;
 use super::member::Member;
 use super::open_request::{Attempt, OpenRequest};
-use super::queue::DROP_RATE_GAIN;
+use super::queue::DROP_RATE_SAMPLE_WEIGHT;
 use super::{Actions, Router};
 use crate::api::*;
 use crate::notice::GiveUp;
@@ -12,7 +12,8 @@
 const MAX_READ_ERRORS: u32 = 2;
 
 impl Router {
-    /// Whether a further attempt cannot take effect twice and keeps the limits on attempts.
+    /// Whether a further attempt is within the limits on attempts and cannot make the request take effect
+    /// twice. An idempotent request may be executed twice.
     pub(super) fn may_send(&self, now: Micros, open: &OpenRequest) -> bool {
         let not_executed = open.proved_not_executed();
         let may_hedge = open.in_flight.is_empty() || self.settings.hedging;
@@ -30,16 +31,18 @@
 
     /// Sends a request to a member.
     pub(super) fn send(&mut self, now: Micros, id: RequestId, to: MemberId, actions: &mut Actions) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let class = open.request.class;
         let (cost, needed) = (self.latencies.cost(class), self.needed(now, open).unwrap_or_default());
-        let (Some(open), Some(member)) = (self.open.get_mut(&id), self.members.get_mut(&to)) else { return };
+        let (Some(open), Some(member)) = (self.open_requests.get_mut(&id), self.members.get_mut(&to)) else {
+            return;
+        };
         let Request { session, group, repeat, .. } = open.request;
         if let Some(entry) = open.queue_entry.take() {
-            self.request_index.leave(entry);
+            self.request_index.dequeue(entry);
         }
         if let Some(group) = self.groups.get_mut(&group).filter(|_| open.attempts == 0) {
-            group.queue_drop_rate -= group.queue_drop_rate * DROP_RATE_GAIN;
+            group.queue_drop_rate -= group.queue_drop_rate * DROP_RATE_SAMPLE_WEIGHT;
         }
         let attempt = open.begin_attempt(now, to);
         let idle_time = idle_time(now, member, self.settings.connection_idle_timeout);
@@ -65,19 +68,20 @@
             streaming: false,
         };
         self.attempts.insert((id, attempt), sent);
-        // The member is told by when it is too late: it drops what it has not begun by then.
-        let timeout = Some(open.give_up_at + self.period() - now);
+        // The member gets a timeout: it drops a request that it has not begun by then.
+        let timeout = Some(open.give_up_at + self.sweep_period() - now);
         actions.push(Action::Send { request: id, member: to, timeout });
     }
 
-    /// What becomes of a request whose attempt failed.
+    /// Records a failed attempt. If no other attempt of the request is in flight, queues the request again
+    /// or, if no further attempt is allowed or the deadline is a tick away or less, gives it up.
     pub(super) fn after_failure(&mut self, now: Micros, outcome: &Outcome, actions: &mut Actions) {
-        let Some(open) = self.open.get_mut(&outcome.request) else { return };
+        let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
         open.record_failure(outcome);
         if !open.in_flight.is_empty() {
             return;
         }
-        let open = &self.open[&outcome.request];
+        let open = &self.open_requests[&outcome.request];
         if !self.may_send(now, open) || now + self.settings.tick >= open.deadline {
             self.give_up(now, outcome.request, GiveUp::NoRetry, actions);
         } else {
@@ -86,10 +90,10 @@
     }
 }
 
-/// For how long a member's connections have been idle, if that is long enough to matter and they are still
+/// How long a member's connections have been idle, if longer than [`MIN_HEALTH_CHECK_INTERVAL`] and still
 /// open.
 fn idle_time(now: Micros, member: &Member, idle_timeout: Micros) -> Option<Micros> {
     let since = now - member.load.last_used_at();
-    let idle = !member.load.is_in_use() && since > HEALTH_CHECK_PAUSE && since < idle_timeout;
+    let idle = !member.load.is_in_use() && since > MIN_HEALTH_CHECK_INTERVAL && since < idle_timeout;
     idle.then_some(since)
 }
