--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -21,17 +21,17 @@
     NoKey,
     /// The statement is neither a read nor a write, or contains control characters.
     #[error("the statement is neither SELECT nor INSERT")]
-    NoStatement,
+    UnsupportedStatement,
 }
 
 /// Longest time for which a client may wait, in milliseconds.
 const MAX_WAIT_MS: f64 = 600_000.0;
 /// Longest id or idempotency key, in characters.
-const MAX_NAME: usize = 64;
+const MAX_ID_LENGTH: usize = 64;
 
 /// Whether the text is a valid request id or idempotency key.
-fn is_name(text: &str) -> bool {
-    (1..=MAX_NAME).contains(&text.len())
+fn is_valid_id(text: &str) -> bool {
+    (1..=MAX_ID_LENGTH).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
@@ -73,7 +73,7 @@
     /// # Errors
     /// The statement cannot be routed.
     pub fn parse(text: String) -> Result<Statement, StatementError> {
-        let is_write = parse_kind(&text)?;
+        let is_write = parse_is_write(&text)?;
         let comment = comment_range(&text)?;
         let before_comment = &text[..comment.start - COMMENT_START.len()];
         let mut fields = Fields::default();
@@ -110,14 +110,14 @@
 const COMMENT_END: &str = "*/";
 
 /// Returns whether the statement is a write.
-fn parse_kind(text: &str) -> Result<bool, StatementError> {
+fn parse_is_write(text: &str) -> Result<bool, StatementError> {
     let is_write = match text.get(..7).map(str::to_ascii_uppercase).as_deref() {
         Some("SELECT ") => false,
         Some("INSERT ") => true,
-        _ => return Err(StatementError::NoStatement),
+        _ => return Err(StatementError::UnsupportedStatement),
     };
     if text.contains(|c: char| c.is_control() && !c.is_ascii_whitespace()) {
-        return Err(StatementError::NoStatement);
+        return Err(StatementError::UnsupportedStatement);
     }
     Ok(is_write)
 }
@@ -155,9 +155,11 @@
     /// Sets a field. `offset` is where its value starts in the statement. Unknown fields are ignored.
     fn set(&mut self, name: &str, value: &str, offset: usize) -> Result<(), StatementError> {
         match name {
-            "id" if self.id.is_some() || !is_name(value) => return Err(StatementError::InvalidField("id")),
+            "id" if self.id.is_some() || !is_valid_id(value) => {
+                return Err(StatementError::InvalidField("id"))
+            }
             "id" => self.id = Some(value.to_string()),
-            "k" if !is_name(value) => return Err(StatementError::InvalidField("k")),
+            "k" if !is_valid_id(value) => return Err(StatementError::InvalidField("k")),
             "k" => self.has_idempotency_key = true,
             "c" => self.class = Some(value.to_string()),
             "cluster" => {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -542,7 +542,7 @@
     for text in
         ["GRANT 'k' /* id=1,c=a,d=5,cluster=1 */", "SELECT '\u{1}' /* id=1,c=a,d=5,cluster=1 */", "\u{e9}"]
     {
-        assert_eq!(Statement::parse(text.into()).unwrap_err(), StatementError::NoStatement);
+        assert_eq!(Statement::parse(text.into()).unwrap_err(), StatementError::UnsupportedStatement);
     }
     assert!(parse("/* id=1, c=a , d= 5 ,cluster=1 */;").is_ok());
     assert_eq!(StatementError::MissingField("c").to_string(), "the comment lacks c");
