--- a/src/http.rs
+++ b/src/http.rs
@@ -3,7 +3,7 @@
 use httparse::{Header, Status};
 
 /// Length of the line break that follows the data of a chunk, in bytes.
-const CHUNK_END: usize = 2;
+const CHUNK_END_LENGTH: usize = 2;
 
 /// Why the body of a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -66,7 +66,7 @@
         }
         let end = start + size as usize;
         let Some(chunk) = rest.get(start..end) else { return Ok(None) };
-        let Some(after) = rest.get(end + CHUNK_END..) else { return Ok(None) };
+        let Some(after) = rest.get(end + CHUNK_END_LENGTH..) else { return Ok(None) };
         if size == 0 {
             return Ok(Some(body));
         }
--- a/src/pg/client.rs
+++ b/src/pg/client.rs
@@ -121,8 +121,8 @@
         })
     }
 
-    /// Adds bytes that are read at `now`. When bytes reached the kernel's socket buffer is not known here: bytes that
-    /// were left unread because the input limit was reached count from when they are read.
+    /// Adds bytes that are read at `now`. The time at which bytes reached the kernel's socket buffer is unknown: bytes
+    /// that were left unread because the input limit was reached count from when they are read.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
         if self.state != State::Closed {
             self.input.push(bytes, now);
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -12,12 +12,12 @@
 /// Most bytes that a send buffer keeps after they are written, in front of the bytes still to be written.
 const MAX_WRITTEN: usize = 32 * 1024;
 /// Longest startup packet, in bytes: the limit of PostgreSQL itself.
-const MAX_STARTUP: usize = 10_000;
+const MAX_STARTUP_PACKET: usize = 10_000;
 
 /// Capacity that an empty buffer keeps, in bytes.
 const IDLE_CAPACITY: usize = 4096;
 /// Size of a message's length field, in bytes.
-const LENGTH: usize = 4;
+const LENGTH_SIZE: usize = 4;
 
 /// Version 3.0 as encoded in a startup packet: the major version in the upper 16 bits.
 const PROTOCOL_VERSION: u32 = 3 << 16;
@@ -137,7 +137,7 @@
     /// # Errors
     /// The packet is too long, or its length or its content is invalid.
     pub fn next_startup_packet(&mut self) -> Result<Option<StartupPacket>, FramingError> {
-        let Some(body) = self.take_body(0, MAX_STARTUP)? else { return Ok(None) };
+        let Some(body) = self.take_body(0, MAX_STARTUP_PACKET)? else { return Ok(None) };
         StartupPacket::parse(&body).map(Some)
     }
 
@@ -189,7 +189,8 @@
         if length > max_length {
             return Err(FramingError::TooLong);
         }
-        let Some(body) = unparsed.get(type_length + LENGTH..type_length + length).map(<[u8]>::to_vec) else {
+        let Some(body) = unparsed.get(type_length + LENGTH_SIZE..type_length + length).map(<[u8]>::to_vec)
+        else {
             return Ok(None);
         };
         self.parsed += type_length + length;
@@ -259,7 +260,7 @@
 /// Writes a message.
 pub fn write_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
-    out.extend_from_slice(&((body.len() + LENGTH) as u32).to_be_bytes());
+    out.extend_from_slice(&((body.len() + LENGTH_SIZE) as u32).to_be_bytes());
     out.extend_from_slice(body);
 }
 
@@ -270,7 +271,7 @@
         body.extend_from_slice(word.as_bytes());
         body.push(0);
     }
-    out.extend_from_slice(&((body.len() + LENGTH) as u32).to_be_bytes());
+    out.extend_from_slice(&((body.len() + LENGTH_SIZE) as u32).to_be_bytes());
     out.extend_from_slice(&body);
 }
 
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -16,7 +16,7 @@
 /// Longest row that is accepted, in bytes, its length fields included.
 pub const MAX_ROW: usize = 8 * 1024 * 1024 + 16;
 /// Size of the head of a row before the value: type, length, number of columns, and the value's length.
-const ROW_HEAD: usize = 11;
+const ROW_HEAD_LENGTH: usize = 11;
 /// Longest value that may be a load report, in bytes.
 const MAX_LOAD_REPORT: usize = 1024;
 /// The body of a ReadyForQuery outside a transaction.
@@ -71,7 +71,9 @@
         ) => 1024,
         (backend::READY_FOR_QUERY, State::Startup | State::Busy(ResponseProgress::Completed)) => 5,
         (backend::ROW_DESCRIPTION, State::Busy(ResponseProgress::Nothing)) => 1024,
-        (backend::DATA_ROW, State::Busy(ResponseProgress::RowDescription)) => MAX_BUFFERED_VALUE + ROW_HEAD,
+        (backend::DATA_ROW, State::Busy(ResponseProgress::RowDescription)) => {
+            MAX_BUFFERED_VALUE + ROW_HEAD_LENGTH
+        }
         (backend::COMMAND_COMPLETE, State::Busy(ResponseProgress::DataRow)) => 256,
         _ => 0,
     }
@@ -221,17 +223,19 @@
     }
 
     fn has_partial_row_head(&self) -> bool {
-        self.input.unparsed().first() == Some(&backend::DATA_ROW) && self.input.len() < ROW_HEAD
+        self.input.unparsed().first() == Some(&backend::DATA_ROW) && self.input.len() < ROW_HEAD_LENGTH
     }
 
     /// Starts streaming if the head of a long row was received, with one column and lengths that match. Any other row
     /// of that length violates the protocol.
     fn starts_streaming(&mut self) -> bool {
-        let Some((head, _)) = self.input.unparsed().split_first_chunk::<ROW_HEAD>() else { return false };
+        let Some((head, _)) = self.input.unparsed().split_first_chunk::<ROW_HEAD_LENGTH>() else {
+            return false;
+        };
         let [tag, a, b, c, d, columns @ .., e, f, g, h] = *head;
         let row = u32::from_be_bytes([a, b, c, d]) as usize;
         let value = u32::from_be_bytes([e, f, g, h]) as usize;
-        let has_one_column = columns == [0, 1] && row == value.saturating_add(ROW_HEAD - 1);
+        let has_one_column = columns == [0, 1] && row == value.saturating_add(ROW_HEAD_LENGTH - 1);
         let is_streamed =
             tag == backend::DATA_ROW && has_one_column && row <= MAX_ROW && value > MAX_BUFFERED_VALUE;
         if is_streamed {
--- a/src/pg/timed_buffer.rs
+++ b/src/pg/timed_buffer.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 /// Size of a message's length field, in bytes.
-const LENGTH: usize = 4;
+const LENGTH_SIZE: usize = 4;
 /// Number of arrivals for which a buffer without messages keeps memory.
 const IDLE_CAPACITY: usize = 16;
 
@@ -56,7 +56,7 @@
             let message = self.buffer.complete_message_at(self.complete_bytes, type_length);
             let Some(message) = message else { break };
             self.is_started = self.is_started
-                || StartupPacket::parse(&message[LENGTH..]) != Ok(StartupPacket::EncryptionRequest);
+                || StartupPacket::parse(&message[LENGTH_SIZE..]) != Ok(StartupPacket::EncryptionRequest);
             self.complete_bytes += message.len();
             count += 1;
         }
