--- a/crates/loadtest/src/scale/control.rs
+++ b/crates/loadtest/src/scale/control.rs
@@ -1,5 +1,5 @@
-//! Control machines as processes of the program, the versions that are put at them as the operators' tool does, and
-//! when these were in force.
+//! Control servers of a run: the addresses of their processes, proposals of versions, which are sent as the operators'
+//! command sends them, and the times at which gateways had these versions in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -17,33 +17,33 @@
 
 use super::simulated::Report;
 
-/// How long a control server may take to answer the tool.
-const ANSWER: Duration = Duration::from_secs(20);
+/// Timeout for connecting to a control server and for each read of its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A control server.
+/// The name, zone and address of a control server.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// As the settings name it.
-    pub machine: ControlServerInfo,
-    /// Where it listens.
+pub struct ControlServerAddress {
+    /// Its name and zone in the settings.
+    pub server: ControlServerInfo,
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-impl Place {
-    /// As it stands in `[control] machines`.
-    pub fn text(&self) -> String {
-        format!("{}/{}@{}", self.machine.zone, self.machine.name, self.address)
+impl ControlServerAddress {
+    /// The entry in `[control] machines`.
+    pub fn to_setting(&self) -> String {
+        format!("{}/{}@{}", self.server.zone, self.server.name, self.address)
     }
 }
 
 /// Sends one request to a control server and waits for the answer.
 fn call(fleet: &str, at: SocketAddr, message: &Message) -> Result<Message, String> {
-    let said = |e: io::Error| format!("{at}: {e}");
-    let mut socket = TcpStream::connect_timeout(&at, ANSWER).map_err(said)?;
-    socket.set_read_timeout(Some(ANSWER)).map_err(said)?;
+    let with_address = |e: io::Error| format!("{at}: {e}");
+    let mut socket = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT).map_err(with_address)?;
+    socket.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(with_address)?;
     let hello = Message::Hello(Hello::new(fleet, Identity::Command));
     for message in [&hello, message] {
-        socket.write_all(&encode_frame(message)).map_err(said)?;
+        socket.write_all(&encode_frame(message)).map_err(with_address)?;
     }
     let mut frames = FrameReader::default();
     let mut bytes = [0; 16 * 1024];
@@ -51,38 +51,38 @@
         if let Some(message) = frames.next_message().map_err(|bad| format!("{at}: {bad:?}"))? {
             return Ok(message);
         }
-        match socket.read(&mut bytes).map_err(said)? {
-            0 => return Err(format!("{at}: closed without an answer")),
+        match socket.read(&mut bytes).map_err(with_address)? {
+            0 => return Err(format!("{at}: connection closed without an answer")),
             count => frames.push(&bytes[..count]),
         }
     }
 }
 
-/// What a control server knows.
+/// Queries the status of a control server.
 ///
 /// # Errors
-/// It does not answer.
+/// It does not answer, or not with a status.
 pub fn status(fleet: &str, at: SocketAddr) -> Result<ControlServerStatus, String> {
     match call(fleet, at, &Message::QueryStatus)? {
         Message::Status(status) => Ok(status),
-        other => Err(format!("{at}: answers {other:?}")),
+        other => Err(format!("{at}: unexpected answer {other:?}")),
     }
 }
 
-fn propose(fleet: &str, at: SocketAddr, document: Vec<u8>) -> Result<u64, String> {
-    match call(fleet, at, &Message::Propose(document.into()))? {
+fn propose(fleet: &str, at: SocketAddr, build_document: Vec<u8>) -> Result<u64, String> {
+    match call(fleet, at, &Message::Propose(build_document.into()))? {
         Message::Accepted(version) => Ok(version.number),
         Message::NotAccepted { reason, .. } => Err(reason),
-        other => Err(format!("{at}: answers {other:?}")),
+        other => Err(format!("{at}: unexpected answer {other:?}")),
     }
 }
 
-/// What a version says: the shared part of a configuration with one value that is another each time, filled up with
-/// blanks to a length.
+/// Builds the document of a version: the shared part of a configuration, with one value that depends on `number`,
+/// padded with blanks to at least `length` bytes.
 ///
 /// # Errors
-/// The configuration is none.
-pub fn document(configuration: &str, number: u64, length: usize) -> Result<Vec<u8>, String> {
+/// The configuration is not valid.
+pub fn build_document(configuration: &str, number: u64, length: usize) -> Result<Vec<u8>, String> {
     let mut file: Value = serde_json::from_str(configuration).map_err(|e| e.to_string())?;
     file["settings"]["Permissions"]["MaxRetryAfterMs"] = (1_000.0 + number as f64).into();
     let mut bytes = version::shared_part(&file.to_string())
@@ -91,47 +91,52 @@
     Ok(bytes)
 }
 
-/// Versions that are to be proposed, one after the other.
+/// A series of versions to propose, one after the other.
 pub struct Proposals {
-    /// The fleet.
+    /// Name of the fleet.
     pub fleet: &'static str,
-    /// The control servers; each takes one after the other.
-    pub machines: Vec<SocketAddr>,
-    /// What versions are of.
+    /// The control servers, which receive the proposals in turn.
+    pub servers: Vec<SocketAddr>,
+    /// Text of the configuration that the versions are derived from.
     pub configuration: String,
-    /// Length of a document.
+    /// Length to which each document is padded, in bytes.
     pub length: usize,
-    /// Number of the first one among all that this run proposes.
-    pub first: u64,
-    /// How many.
+    /// Sequence number of the first proposal among all proposals of the run.
+    pub first_sequence: u64,
+    /// Number of proposals.
     pub count: usize,
     /// Time from the start of one proposal to the start of the next.
     pub pause: Duration,
-    /// No more are to be proposed.
-    pub over: Arc<AtomicBool>,
+    /// Set to cancel the proposals that have not been sent yet.
+    pub cancelled: Arc<AtomicBool>,
 }
 
 impl Proposals {
-    /// Proposes them from a thread of its own, which reports when each has been accepted, or why not.
+    /// Starts a thread that sends the proposals and reports the result of each.
     ///
     /// # Errors
-    /// The system gives no thread.
-    pub fn begin(self, reports: Sender<Report>) -> io::Result<()> {
+    /// The thread cannot be started.
+    pub fn start(self, reports: Sender<Report>) -> io::Result<()> {
         let thread = std::thread::Builder::new().name("proposals".into());
         thread.spawn(move || {
             let start = Instant::now();
-            for (place, at) in self.machines.iter().cycle().take(self.count).enumerate() {
-                let due = start + self.pause * place as u32;
+            for (index, at) in self.servers.iter().cycle().take(self.count).enumerate() {
+                let due = start + self.pause * index as u32;
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                if self.over.load(Ordering::Relaxed) {
+                if self.cancelled.load(Ordering::Relaxed) {
                     return;
                 }
-                let own = self.first + place as u64;
-                let document = document(&self.configuration, own, self.length);
+                let sequence = self.first_sequence + index as u64;
+                let document = build_document(&self.configuration, sequence, self.length);
                 let began = Instant::now();
                 let number = document.and_then(|document| propose(self.fleet, *at, document));
                 if reports
-                    .send(Report::VersionProposed(Proposal { own, began, took: began.elapsed(), number }))
+                    .send(Report::VersionProposed(Proposal {
+                        sequence,
+                        began,
+                        answer_time: began.elapsed(),
+                        number,
+                    }))
                     .is_err()
                 {
                     return;
@@ -142,99 +147,102 @@
     }
 }
 
-/// A version that was proposed.
+/// A proposed version and its answer.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Its number among all that this run proposes.
-    pub own: u64,
-    /// When its proposal began.
+    /// Sequence number among all proposals of the run.
+    pub sequence: u64,
+    /// When the proposal was started.
     pub began: Instant,
-    /// How long until the answer.
-    pub took: Duration,
-    /// Its number, or why it has none.
+    /// Time until the answer.
+    pub answer_time: Duration,
+    /// The number of the accepted version, or the reason why it was not accepted.
     pub number: Result<u64, String>,
 }
 
-/// When a version was in force.
+/// The times at which a version was answered and in force.
 #[derive(Clone, Debug)]
-pub struct InForce {
-    /// Its number; none if it was not accepted.
+pub struct VersionTimes {
+    /// The version's number; `None` if it was not accepted.
     pub number: Option<u64>,
-    /// From the start of its proposal to the answer.
-    pub put: Duration,
-    /// From the start of its proposal until a gateway had it or a newer one, for each that has, in order.
+    /// Time from the start of its proposal to the answer.
+    pub answer_time: Duration,
+    /// For each gateway that has it or a newer one in force, the time from the start of the proposal, in ascending
+    /// order.
     pub acted: Vec<(usize, Duration)>,
 }
 
-/// What gateways have in force, and since when.
+/// Tracks which versions gateways have in force, and since when.
 #[derive(Debug, Default)]
 pub struct VersionTracker {
-    /// The newest number of each.
-    pub newest: BTreeMap<usize, u64>,
-    /// Each number of each gateway since the event began.
-    taken: BTreeMap<usize, Vec<(u64, Instant)>>,
+    /// The version that each gateway reported last, by gateway.
+    pub latest: BTreeMap<usize, u64>,
+    /// The versions that each gateway has reported since the event began, with the time of the report.
+    in_force_since: BTreeMap<usize, Vec<(u64, Instant)>>,
     proposals: Vec<Proposal>,
-    /// The first proposal of the event.
-    first: u64,
+    /// Sequence number of the event's first proposal.
+    first_sequence: u64,
     /// How often a gateway went back to an older version.
-    pub fallen: u64,
+    pub regressions: u64,
 }
 
 impl VersionTracker {
-    /// An event begins, with this proposal.
-    pub fn begin(&mut self, first: u64) {
-        self.first = first;
-        self.taken.clear();
+    /// Starts the records of an event whose first proposal has this sequence number.
+    pub fn start_event(&mut self, first_sequence: u64) {
+        self.first_sequence = first_sequence;
+        self.in_force_since.clear();
         self.proposals.clear();
     }
 
-    /// A gateway has a version in force.
-    pub fn in_force(&mut self, gateway: usize, number: u64, at: Instant) {
-        let before = self.newest.insert(gateway, number);
-        self.fallen += u64::from(before.is_some_and(|before| before > number));
-        self.taken.entry(gateway).or_default().push((number, at));
+    /// Records that a gateway has a version in force.
+    pub fn record_in_force(&mut self, gateway: usize, number: u64, at: Instant) {
+        let before = self.latest.insert(gateway, number);
+        self.regressions += u64::from(before.is_some_and(|before| before > number));
+        self.in_force_since.entry(gateway).or_default().push((number, at));
     }
 
-    /// A version was accepted, or not.
-    pub fn proposed(&mut self, proposal: Proposal) {
-        // One of an event that is over counts no more.
-        if proposal.own >= self.first {
+    /// Records the answer to a proposal.
+    pub fn record_proposal(&mut self, proposal: Proposal) {
+        // A late answer to a proposal of an earlier event is ignored.
+        if proposal.sequence >= self.first_sequence {
             self.proposals.push(proposal);
         }
     }
 
-    /// The newest number that was accepted, once all of so many proposals have been answered.
-    fn answered(&self, proposals: usize) -> Option<u64> {
+    /// The highest accepted version number, once this many proposals have been answered; 0 if none was accepted.
+    fn newest_accepted(&self, proposals: usize) -> Option<u64> {
         let newest = self.proposals.iter().filter_map(|proposal| proposal.number.as_ref().ok()).max();
         (self.proposals.len() >= proposals).then(|| newest.copied().unwrap_or(0))
     }
 
-    /// Whether so many proposals have been answered, and these gateways have the newest in force.
-    pub fn is_done(&self, proposals: usize, waited: &BTreeSet<usize>) -> bool {
-        self.answered(proposals).is_some_and(|number| {
-            waited.iter().all(|gateway| self.newest.get(gateway).is_some_and(|newest| *newest >= number))
+    /// Whether this many proposals have been answered and all awaited gateways have the newest accepted version in
+    /// force.
+    pub fn is_done(&self, proposals: usize, awaited: &BTreeSet<usize>) -> bool {
+        self.newest_accepted(proposals).is_some_and(|number| {
+            awaited.iter().all(|gateway| self.latest.get(gateway).is_some_and(|latest| *latest >= number))
         })
     }
 
-    /// Why versions were not accepted.
+    /// The reasons for versions that were not accepted.
     pub fn rejections(&self) -> impl Iterator<Item = &str> {
         self.proposals.iter().filter_map(|proposal| proposal.number.as_ref().err()).map(String::as_str)
     }
 
-    /// Each version's times at these gateways.
-    pub fn versions(&self, waited: &BTreeSet<usize>) -> Vec<InForce> {
+    /// The times of each proposed version at the awaited gateways.
+    pub fn versions(&self, awaited: &BTreeSet<usize>) -> Vec<VersionTimes> {
         let versions = self.proposals.iter().map(|proposal| {
             let number = proposal.number.as_ref().ok().copied();
-            let first = |gateway: &usize| {
-                let taken = self.taken.get(gateway)?.iter().find(|(taken, _)| Some(*taken) >= number)?;
-                Some((*gateway, taken.1.saturating_duration_since(proposal.began)))
+            let first_in_force = |gateway: &usize| {
+                let first =
+                    self.in_force_since.get(gateway)?.iter().find(|(version, _)| Some(*version) >= number)?;
+                Some((*gateway, first.1.saturating_duration_since(proposal.began)))
             };
             let mut acted: Vec<(usize, Duration)> = match number {
-                Some(_) => waited.iter().filter_map(first).collect(),
+                Some(_) => awaited.iter().filter_map(first_in_force).collect(),
                 None => Vec::new(),
             };
             acted.sort_by_key(|(_, time)| *time);
-            InForce { number, put: proposal.took, acted }
+            VersionTimes { number, answer_time: proposal.answer_time, acted }
         });
         versions.collect()
     }
@@ -242,68 +250,69 @@
 
 /// Which control server each gateway follows, and since when.
 #[derive(Debug, Default)]
-pub struct Followed {
+pub struct FollowedServers {
+    /// By gateway: the index of the control server, `None` if it follows none, and the time of the last change.
     followed: BTreeMap<usize, (Option<usize>, Instant)>,
-    /// Connections that came up, by machine.
+    /// Control servers that gateways began to follow since the event began, with the time.
     arrivals: Vec<(usize, Instant)>,
 }
 
-impl Followed {
-    /// A gateway follows this one now, or none.
+impl FollowedServers {
+    /// Records that a gateway follows another control server from now on, or none.
     pub fn record(&mut self, gateway: usize, server: Option<usize>, at: Instant) {
         self.followed.insert(gateway, (server, at));
         self.arrivals.extend(server.map(|server| (server, at)));
     }
 
-    /// Forgets who came when: an event begins.
-    pub fn begin(&mut self) {
+    /// Forgets the arrivals before an event.
+    pub fn start_event(&mut self) {
         self.arrivals.clear();
     }
 
-    /// Since when a gateway follows one of these; nothing if it does not.
+    /// Since when a gateway has followed its present control server, if that one is `wanted`.
     pub fn since(&self, gateway: usize, wanted: impl Fn(usize) -> bool) -> Option<Instant> {
-        let (machine, at) = self.followed.get(&gateway)?;
-        machine.filter(|machine| wanted(*machine)).map(|_| *at)
+        let (server, at) = self.followed.get(&gateway)?;
+        server.filter(|server| wanted(*server)).map(|_| *at)
     }
 
-    /// How many gateways follow a control server.
-    pub fn followers(&self, machine: usize) -> usize {
-        self.followed.values().filter(|(heard, _)| *heard == Some(machine)).count()
+    /// Number of gateways that follow a control server.
+    pub fn followers(&self, server: usize) -> usize {
+        self.followed.values().filter(|(followed, _)| *followed == Some(server)).count()
     }
 
-    /// Most gateways that began to follow a control server within one second.
-    pub fn most_in_a_second(&self, machine: usize) -> usize {
+    /// Highest number of gateways that began to follow a control server within one second.
+    pub fn max_arrivals_per_second(&self, server: usize) -> usize {
         let mut times: Vec<Instant> =
-            self.arrivals.iter().filter(|(at, _)| *at == machine).map(|(_, at)| *at).collect();
+            self.arrivals.iter().filter(|(followed, _)| *followed == server).map(|(_, at)| *at).collect();
         times.sort();
         let second = Duration::from_secs(1);
-        let behind =
-            |place: usize| times[place..].iter().take_while(|at| **at < times[place] + second).count();
-        (0..times.len()).map(behind).max().unwrap_or(0)
+        let arrivals_within_second =
+            |start: usize| times[start..].iter().take_while(|at| **at < times[start] + second).count();
+        (0..times.len()).map(arrivals_within_second).max().unwrap_or(0)
     }
 }
 
-/// What all gateways of a run are told of the control servers.
+/// The control servers of a run, in the order of their indexes.
 #[derive(Clone, Debug, Default)]
-pub struct Machines(pub Arc<Vec<Place>>);
+pub struct ControlServers(pub Arc<Vec<ControlServerAddress>>);
 
-impl Machines {
-    /// As gateways have them.
-    pub fn machines(&self) -> Vec<ControlServerInfo> {
-        self.0.iter().map(|place| place.machine.clone()).collect()
+impl ControlServers {
+    /// Their names and zones.
+    pub fn infos(&self) -> Vec<ControlServerInfo> {
+        self.0.iter().map(|server| server.server.clone()).collect()
     }
 
-    /// Where they listen.
+    /// Their addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.0.iter().map(|place| place.address).collect()
+        self.0.iter().map(|server| server.address).collect()
     }
 
-    /// `[control]` as processes of the program read it; nothing without machines.
+    /// The section `[control]` of a process's settings; empty in a run without control servers.
     pub fn settings(&self, zone: &str, file: &std::path::Path) -> String {
         if self.0.is_empty() {
             return String::new();
         }
-        let machines: Vec<String> = self.0.iter().map(Place::text).collect();
-        format!("[control]\nmachines = {}\nzone = {zone}\nfile = {}\n", machines.join(", "), file.display())
+        let servers: Vec<String> = self.0.iter().map(ControlServerAddress::to_setting).collect();
+        format!("[control]\nmachines = {}\nzone = {zone}\nfile = {}\n", servers.join(", "), file.display())
     }
 }
--- a/crates/loadtest/src/scale/convergence.rs
+++ b/crates/loadtest/src/scale/convergence.rs
@@ -1,82 +1,82 @@
-//! Convergence after an event: what a gateway is to know, what it knows, and what it still lacks.
+//! Convergence after an event: the target state, what each gateway knows, and what it still lacks.
 
 use std::sync::Arc;
 
-/// What a gateway is to know of another.
+/// The knowledge that a target expects of a gateway about another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// Nothing.
+    /// Any knowledge meets the target.
     Anything,
-    /// That it is gone.
+    /// The other gateway is known to be gone.
     Absent,
-    /// That it is there with a start of this number or later.
+    /// The other gateway is known as live, with this start number (Unix time in milliseconds) or a later one.
     StartedSince(u64),
 }
 
-/// What all gateways are to know after an event.
+/// The state that all gateways are to reach after an event.
 #[derive(Clone, Debug)]
 pub struct ConvergenceTarget {
-    /// Its number in the run.
+    /// Number of the target within the run, from 1 on.
     pub id: usize,
-    /// Of the others, for each region of the gateway that is to know it.
+    /// By the region of the gateway that is to know it: the expectation about each gateway, by index.
     pub others: Vec<Vec<Expected>>,
-    /// The list's version, at least.
+    /// The lowest version of the endpoint list that meets the target.
     pub version: u64,
-    /// Whether the configuration is to be read anew.
+    /// Whether the configuration has to be reloaded after the target was set.
     pub configuration: bool,
 }
 
-/// What one gateway knows, as far as targets ask for it.
+/// Tracks how far one gateway has converged on the current target.
 #[derive(Debug)]
 pub struct ConvergenceTracker {
-    me: usize,
+    own_index: usize,
     region: usize,
-    /// The start of each other one that it knows; zero for one that is gone.
+    /// The start number of each gateway that this one knows; zero for one that is gone or not known yet.
     starts: Vec<u64>,
     version: u64,
-    configured: bool,
-    /// The number of the target that was set last, reached or not.
-    last: usize,
-    /// It stays once it is reached, so that an expected absence is known as such until the next.
+    configuration_reloaded: bool,
+    /// The id of the target that was set last, reached or not.
+    last_target: usize,
+    /// Kept after it is reached: until the next target, the loss of a gateway that it expects absent is no mistake.
     target: Option<Arc<ConvergenceTarget>>,
     reported: bool,
-    /// Others about which it does not know yet what the target expects.
+    /// Number of gateways about which the target is not met yet.
     missing: usize,
-    /// Others that it has taken for gone, over its whole life.
+    /// How often it has declared another gateway gone, in total.
     pub losses: u64,
-    /// Of these, the ones that nothing had ended.
-    pub mistaken: u64,
+    /// Of these, the losses of gateways that no event had ended.
+    pub mistaken_losses: u64,
 }
 
 impl ConvergenceTracker {
-    /// A gateway that knows nothing of so many others.
-    pub fn new(me: usize, region: usize, gateways: usize) -> ConvergenceTracker {
+    /// A tracker for the gateway with index `own_index`, which knows none of the `gateways` yet.
+    pub fn new(own_index: usize, region: usize, gateways: usize) -> ConvergenceTracker {
         let starts = vec![0; gateways];
         ConvergenceTracker {
-            me,
+            own_index,
             region,
             starts,
             version: 0,
-            configured: false,
-            last: 0,
+            configuration_reloaded: false,
+            last_target: 0,
             target: None,
             reported: false,
             missing: 0,
             losses: 0,
-            mistaken: 0,
+            mistaken_losses: 0,
         }
     }
 
-    /// Another one is there.
+    /// Records that another gateway has joined with this start number.
     pub fn member_joined(&mut self, other: usize, start: u64) {
         self.set_start(other, start);
     }
 
-    /// Another one is gone, if this start of it is the one that is known; without a number any is.
+    /// Records that another gateway is gone. With a start number, only if that is the start that is known.
     pub fn member_left(&mut self, other: usize, start: Option<u64>) {
         if start.is_none_or(|start| self.starts.get(other) == Some(&start)) {
             self.losses += 1;
-            self.mistaken += u64::from(self.expected(other) != Some(Expected::Absent));
+            self.mistaken_losses += u64::from(self.expected(other) != Some(Expected::Absent));
             self.set_start(other, 0);
         }
     }
@@ -95,19 +95,20 @@
 
     fn is_missing(&self, other: usize) -> bool {
         let expected = self.expected(other);
-        let Some((expected, start)) = expected.zip(self.starts.get(other)).filter(|_| other != self.me)
+        let Some((expected, start)) =
+            expected.zip(self.starts.get(other)).filter(|_| other != self.own_index)
         else {
             return false;
         };
         match expected {
             Expected::Anything => false,
             Expected::Absent => *start != 0,
-            Expected::StartedSince(least) => *start == 0 || *start < least,
+            Expected::StartedSince(earliest) => *start == 0 || *start < earliest,
         }
     }
 
-    /// Takes over the members that its admin interface reports, if nothing is missing then: that report is older than the log,
-    /// which may leave out lines.
+    /// Adopts the members reported by the gateway's admin interface if they meet the target. Otherwise the state from
+    /// the log is kept: the report is older than the log, but the log may leave out lines.
     pub fn adopt_status(&mut self, starts: Vec<u64>) {
         let logged = std::mem::replace(&mut self.starts, starts);
         let missing = (0..self.starts.len()).filter(|other| self.is_missing(*other)).count();
@@ -118,32 +119,32 @@
         }
     }
 
-    /// A list was taken in.
+    /// Records that the gateway has applied this version of the endpoint list.
     pub fn list_received(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// The configuration was read.
+    /// Records that the gateway has reloaded its configuration.
     pub fn configuration_read(&mut self) {
-        self.configured = true;
+        self.configuration_reloaded = true;
     }
 
-    /// Converges on this from now on; the same target again changes nothing.
+    /// Sets the target to converge on; setting the same one again changes nothing.
     pub fn set_target(&mut self, target: Arc<ConvergenceTarget>) {
-        if std::mem::replace(&mut self.last, target.id) == target.id {
+        if std::mem::replace(&mut self.last_target, target.id) == target.id {
             return;
         }
         self.target = Some(target);
         self.reported = false;
-        self.configured = false;
+        self.configuration_reloaded = false;
         self.missing = (0..self.starts.len()).filter(|other| self.is_missing(*other)).count();
     }
 
-    /// The target's number, once it has been reached; returned once.
+    /// Returns the target's id once after it has been reached.
     pub fn take_reached(&mut self) -> Option<usize> {
         let target = self.target.as_ref().filter(|_| !self.reported)?;
-        let configured = self.configured || !target.configuration;
-        let reached = self.missing == 0 && self.version >= target.version && configured;
+        let configuration_reloaded = self.configuration_reloaded || !target.configuration;
+        let reached = self.missing == 0 && self.version >= target.version && configuration_reloaded;
         self.reported = reached;
         reached.then_some(target.id)
     }
--- a/crates/loadtest/src/scale/mod.rs
+++ b/crates/loadtest/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! `loadtest scale`: simulated gateways and real ones around one stand-in for discovery, what happens to them, what it costs
-//! each and how long it takes until the last has acted, held against budgets. `docs/operators/scale-run.md` tells how.
+//! `loadtest scale`: runs simulated gateways and gateway processes against one simulated discovery service, plays the
+//! events of a plan, measures what each gateway consumes and how long it takes until the last one has acted, and checks
+//! the figures against budgets. `docs/operators/scale-run.md` is the manual.
 
 pub mod control;
 pub mod convergence;
@@ -19,21 +20,23 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Plays a file and writes what it gave into a folder: `gateways.csv`, `control.csv`, `events.csv`, `versions.csv`, `budgets.csv`
-/// and `events.svg`.
+/// Executes the plan in `file` and writes the results into the folder `out`: `gateways.csv`, `control.csv`,
+/// `events.csv`, `versions.csv`, `budgets.csv` and `events.svg`.
 ///
 /// # Errors
-/// The file cannot be used, the machine would not do, or the run broke off: everything that it started has ended then.
+/// The plan is invalid, the machine lacks resources for it, or the run was aborted; everything that it started has
+/// ended by then.
 pub fn scale(file: &Path, out: &Path) -> Result<(), String> {
     let plan = plan::Plan::load(file)?;
-    limits::admit(&plan, limits::Means::to_be_had()).map_err(|what| format!("refused to begin: {what}"))?;
+    limits::check_resources(&plan, limits::Resources::available())
+        .map_err(|error| format!("refused to start: {error}"))?;
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, stop.clone())
             .map_err(|e| format!("cannot watch for signals: {e}"))?;
     }
     let on_terminal = stderr().is_terminal();
-    let (outcome, played) = run::play(&plan, &stop, &mut |line| {
+    let (outcome, result) = run::execute(&plan, &stop, &mut |line| {
         if on_terminal {
             let _ = write!(stderr(), "\r\x1b[K{line}");
         }
@@ -42,9 +45,9 @@
         let _ = writeln!(stderr());
     }
     if outcome.phases.is_empty() {
-        return played;
+        return result;
     }
     report::write(&plan, &outcome, out)?;
     print!("{}", report::text(&plan, &outcome));
-    played.map_err(|what| format!("{what}; what stands above and in the tables is partial"))
+    result.map_err(|error| format!("{error}; the results above and in the tables are partial"))
 }
--- a/crates/loadtest/src/scale/plan.rs
+++ b/crates/loadtest/src/scale/plan.rs
@@ -1,4 +1,4 @@
-//! What a scale run is to do: the INI file, read whole; what is not known is an error and never passed over.
+//! The plan of a scale run, read from an INI file. An unknown section or key is an error.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -9,232 +9,241 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Most gateways, simulated and real: a member of the fleet knows no more than 1,024.
-pub const MOST_GATEWAYS: usize = 1_000;
-/// Most processes that a run starts.
-pub const MOST_PROCESSES: usize = 200;
-/// Most memory of a run, its own and that of what it starts, in MiB.
-pub const MOST_MEMORY: u64 = 12 * 1024;
-/// Most hosts in the list.
-const MOST_HOSTS: u64 = 10_000;
-/// Most versions that one event puts: each gateway's times of them are kept until it is over.
-const MOST_VERSIONS: f64 = 600.0;
+/// Limit of gateways, simulated and real together: a member of the fleet knows at most 1,024 others.
+pub const MAX_GATEWAYS: usize = 1_000;
+/// Limit of processes that a run starts.
+pub const MAX_PROCESSES: usize = 200;
+/// Limit of the memory of a run and of the processes that it starts, in MiB.
+pub const MAX_MEMORY_MIB: u64 = 12 * 1024;
+/// Limit of hosts in the endpoint list.
+const MAX_HOSTS: u64 = 10_000;
+/// Limit of versions that one event proposes: the times of each gateway are kept in memory until the event is over.
+const MAX_VERSIONS: f64 = 600.0;
 
-/// A run as its file has it.
+/// A scale run, as its file describes it.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// For all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Gateways without client sockets, in the run's own process.
+    /// Gateways without client sockets, simulated in the loadtest process (`hollow` in the file).
     pub simulated: usize,
-    /// Gateways as processes of the program.
+    /// Gateways that run as processes of the program.
     pub real: usize,
-    /// Control machines as processes of the program, one a zone from the first on; they vote in the gateways' place.
-    pub control: usize,
-    /// Length of a version's document, filled up with blanks.
+    /// Control servers that run as processes of the program, one per zone from the first zone on. Where there are any,
+    /// they are the acceptors instead of the gateways.
+    pub control_servers: usize,
+    /// Length of a version's document in bytes, padded with blanks.
     pub document_bytes: usize,
-    /// How long what may take between a simulated gateway and the control servers; processes have the program's own.
+    /// Timeouts between a simulated gateway and the control servers; processes have the program's own.
     pub timeouts: Timeouts,
-    /// The program.
+    /// Path of the program that gateway and control server processes run.
     pub program: PathBuf,
-    /// Threads that the simulated gateways share; voters have one each beside them.
+    /// Threads that the simulated gateways share; each simulated acceptor has another one of its own.
     pub threads: usize,
-    /// The whole run ends after this.
-    pub longest: Duration,
-    /// How long all may take to find each other.
-    pub join: Duration,
-    /// Time without events over which the quiet rates are taken.
-    pub quiet: Duration,
-    /// How long an event may take until all have acted.
-    pub settle: Duration,
-    /// Most memory, in MiB, at most [`MOST_MEMORY`].
-    pub memory: u64,
-    /// Voters: the first of the control servers, or of the gateways where there are none.
+    /// Time after which the whole run is aborted.
+    pub time_limit: Duration,
+    /// Time that all gateways have to discover each other.
+    pub join_timeout: Duration,
+    /// Length of the phase without events, which measures the base rates.
+    pub quiet_time: Duration,
+    /// Time after an event within which all gateways should have acted.
+    pub settle_timeout: Duration,
+    /// Limit of the run's memory in MiB, at most [`MAX_MEMORY_MIB`].
+    pub memory_mib: u64,
+    /// Number of acceptors: the first control servers, or the first gateways where there are no control servers.
     pub voters: usize,
-    /// Length of a lease, in milliseconds.
+    /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// Time between two probes of a member, in milliseconds.
+    /// Time between two probes of a member of the fleet, in milliseconds.
     pub probe_ms: u64,
-    /// Roles that somebody is to hold: the first groups of the list.
+    /// Number of roles to be held by lease, one for each of the first groups of the list.
     pub roles: u64,
-    /// Hosts in the list.
+    /// Hosts in the endpoint list.
     pub hosts: u64,
-    /// Hosts of a group.
+    /// Hosts per group.
     pub group_size: u64,
-    /// Whether each simulated gateway's balancer takes the list in, too.
-    pub router: bool,
+    /// Whether each simulated gateway also updates a balancer from the list (`router` in the file).
+    pub with_balancer: bool,
     /// Whether discovery answers a change with the whole list.
-    pub whole: bool,
-    /// Regions.
+    pub whole_lists: bool,
+    /// Number of regions.
     pub regions: usize,
-    /// Zones over all regions.
+    /// Number of zones over all regions.
     pub zones: usize,
-    /// What happens, in this order.
+    /// Events, in the order in which they are executed.
     pub events: Vec<Event>,
-    /// What has to be kept.
+    /// Limits that the measurements are checked against.
     pub budgets: Vec<Budget>,
 }
 
-/// Something that happens to the gateways or to the list.
+/// A change of the gateways, the control servers or the endpoint list. Its keyword in the file is what
+/// [`Event::keyword`] returns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// So many hosts of the list change.
-    List(u64),
-    /// The primary of a group is another of its hosts.
-    Primary,
-    /// Each gateway reads its configuration anew: simulated ones are handed the text, real ones get SIGHUP.
-    Configuration,
-    /// A gateway that is no voter ends without a word.
-    Death,
-    /// So many gateways of one zone do.
-    Rack(usize),
-    /// All gateways of a zone do, voters too, and come back after so long.
-    Zone(usize, Duration),
-    /// Regions hear nothing of each other for so long.
-    Apart(Duration),
-    /// So many gateways are started anew, one after the other, each so long after the one before.
-    Restarts(usize, Duration),
-    /// A gateway does nothing for so long and then goes on.
-    Stopped(Duration),
-    /// A gateway runs a tenth of the time, for so long.
-    Slow(Duration),
-    /// So many versions of the configuration are put, each so long after the one before.
-    Version(usize, Duration),
-    /// The same with one version, while a gateway that is waited for does nothing for so long.
-    Behind(Duration),
-    /// A control server is killed, and comes back after so long.
-    Control(Duration),
-    /// A control server does nothing for so long and then goes on.
-    Silent(Duration),
+    /// This many hosts of the list get another address.
+    HostsMoved(u64),
+    /// Another host of the first group becomes its primary.
+    PrimaryChanged,
+    /// Each gateway reloads its configuration: simulated ones receive its text, processes receive SIGHUP.
+    ConfigurationReloaded,
+    /// A gateway that is not an acceptor ends without a graceful shutdown.
+    GatewayKilled,
+    /// This many gateways of one zone end without a graceful shutdown.
+    RackLost(usize),
+    /// All gateways of a zone, acceptors included, end without a graceful shutdown and are started again after this
+    /// time.
+    ZoneLost(usize, Duration),
+    /// No datagrams pass between regions for this time.
+    RegionsPartitioned(Duration),
+    /// This many gateways are restarted one after the other, with this pause between them.
+    RollingRestart(usize, Duration),
+    /// A gateway is frozen for this time and then continues.
+    GatewayFrozen(Duration),
+    /// A gateway runs only a tenth of the time, for this long.
+    GatewaySlow(Duration),
+    /// This many versions of the configuration are proposed, with this pause between them.
+    VersionsProposed(usize, Duration),
+    /// One version is proposed while a gateway is frozen for this time; the event waits for that gateway, too.
+    GatewayBehind(Duration),
+    /// A control server is killed and started again after this time.
+    ControlServerKilled(Duration),
+    /// A control server is frozen for this time and then continues.
+    ControlServerFrozen(Duration),
 }
 
 impl Event {
-    /// Its word in the file, and in what the run writes.
-    pub fn word(self) -> &'static str {
+    /// The event's keyword in the plan and in the reports.
+    pub fn keyword(self) -> &'static str {
         match self {
-            Event::List(_) => "list",
-            Event::Primary => "primary",
-            Event::Configuration => "configuration",
-            Event::Death => "death",
-            Event::Rack(_) => "rack",
-            Event::Zone(..) => "zone",
-            Event::Apart(_) => "apart",
-            Event::Restarts(..) => "restarts",
-            Event::Stopped(_) => "stopped",
-            Event::Slow(_) => "slow",
-            Event::Version(..) => "version",
-            Event::Behind(_) => "behind",
-            Event::Control(_) => "control",
-            Event::Silent(_) => "silent",
+            Event::HostsMoved(_) => "list",
+            Event::PrimaryChanged => "primary",
+            Event::ConfigurationReloaded => "configuration",
+            Event::GatewayKilled => "death",
+            Event::RackLost(_) => "rack",
+            Event::ZoneLost(..) => "zone",
+            Event::RegionsPartitioned(_) => "apart",
+            Event::RollingRestart(..) => "restarts",
+            Event::GatewayFrozen(_) => "stopped",
+            Event::GatewaySlow(_) => "slow",
+            Event::VersionsProposed(..) => "version",
+            Event::GatewayBehind(_) => "behind",
+            Event::ControlServerKilled(_) => "control",
+            Event::ControlServerFrozen(_) => "silent",
         }
     }
 
-    /// Reads `WORD NUMBER...`; times are in seconds, but for the milliseconds between restarts and versions.
-    fn read(text: &str) -> Result<Event, String> {
+    /// Parses `KEYWORD NUMBER...`. Times are in seconds, except for the pauses between restarts and between versions,
+    /// which are in milliseconds.
+    fn parse(text: &str) -> Result<Event, String> {
         let mut words = text.split_whitespace();
-        let word = words.next().unwrap_or_default();
+        let keyword = words.next().unwrap_or_default();
         let numbers: Vec<f64> = words
             .map(|word| word.parse::<f64>().ok().filter(|number| (0.0..=100_000.0).contains(number)))
             .collect::<Option<_>>()
-            .ok_or(format!("{text:?}: behind the word stand numbers from 0 to 100000"))?;
+            .ok_or(format!("{text:?}: arguments must be numbers from 0 to 100000"))?;
         let seconds = Duration::from_secs_f64;
-        Ok(match (word, numbers.as_slice()) {
-            ("list", [hosts]) if *hosts >= 1.0 => Event::List(*hosts as u64),
-            ("primary", []) => Event::Primary,
-            ("configuration", []) => Event::Configuration,
-            ("death", []) => Event::Death,
-            ("rack", [size]) if *size >= 1.0 => Event::Rack(*size as usize),
-            ("zone", [zone, time]) => Event::Zone(*zone as usize, seconds(*time)),
-            ("apart", [time]) => Event::Apart(seconds(*time)),
+        Ok(match (keyword, numbers.as_slice()) {
+            ("list", [hosts]) if *hosts >= 1.0 => Event::HostsMoved(*hosts as u64),
+            ("primary", []) => Event::PrimaryChanged,
+            ("configuration", []) => Event::ConfigurationReloaded,
+            ("death", []) => Event::GatewayKilled,
+            ("rack", [size]) if *size >= 1.0 => Event::RackLost(*size as usize),
+            ("zone", [zone, time]) => Event::ZoneLost(*zone as usize, seconds(*time)),
+            ("apart", [time]) => Event::RegionsPartitioned(seconds(*time)),
             ("restarts", [count, pause]) if *count >= 1.0 => {
-                Event::Restarts(*count as usize, seconds(*pause / 1000.0))
+                Event::RollingRestart(*count as usize, seconds(*pause / 1000.0))
             }
-            ("stopped", [time]) => Event::Stopped(seconds(*time)),
-            ("slow", [time]) => Event::Slow(seconds(*time)),
-            ("version", []) => Event::Version(1, Duration::ZERO),
-            ("version", [count]) if (1.0..=MOST_VERSIONS).contains(count) => {
-                Event::Version(*count as usize, Duration::ZERO)
+            ("stopped", [time]) => Event::GatewayFrozen(seconds(*time)),
+            ("slow", [time]) => Event::GatewaySlow(seconds(*time)),
+            ("version", []) => Event::VersionsProposed(1, Duration::ZERO),
+            ("version", [count]) if (1.0..=MAX_VERSIONS).contains(count) => {
+                Event::VersionsProposed(*count as usize, Duration::ZERO)
             }
-            ("version", [count, pause]) if (1.0..=MOST_VERSIONS).contains(count) => {
-                Event::Version(*count as usize, seconds(*pause / 1000.0))
+            ("version", [count, pause]) if (1.0..=MAX_VERSIONS).contains(count) => {
+                Event::VersionsProposed(*count as usize, seconds(*pause / 1000.0))
             }
-            ("behind", [time]) => Event::Behind(seconds(*time)),
-            ("control", [time]) => Event::Control(seconds(*time)),
-            ("silent", [time]) => Event::Silent(seconds(*time)),
+            ("behind", [time]) => Event::GatewayBehind(seconds(*time)),
+            ("control", [time]) => Event::ControlServerKilled(seconds(*time)),
+            ("silent", [time]) => Event::ControlServerFrozen(seconds(*time)),
             _ => {
                 return Err(format!(
-                    "{text:?} is none of: list N, primary, configuration, death, rack N, zone ZONE SECONDS, \
+                "{text:?} is not one of: list N, primary, configuration, death, rack N, zone ZONE SECONDS, \
                      apart SECONDS, restarts N MILLISECONDS, stopped SECONDS, slow SECONDS, \
                      version [N] [MILLISECONDS], behind SECONDS, control SECONDS, silent SECONDS"
-                ))
+            ))
             }
         })
     }
 
-    /// One drawn evenly of those that need no number that a run must choose.
+    /// Draws an event uniformly from the kinds that need no argument chosen by the plan.
     fn draw(rng: &mut Pcg64Mcg) -> Event {
-        let kinds = [Event::List(1), Event::Primary, Event::Configuration, Event::Death, Event::Rack(3)];
+        let kinds = [
+            Event::HostsMoved(1),
+            Event::PrimaryChanged,
+            Event::ConfigurationReloaded,
+            Event::GatewayKilled,
+            Event::RackLost(3),
+        ];
         kinds[rng.next_u32() as usize % kinds.len()]
     }
 }
 
-/// What a budget is about.
+/// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// Part of a core.
-    Core,
-    /// MB of memory.
+    /// Processor time, as a fraction of one core.
+    CpuCores,
+    /// Memory in MB (a million bytes).
     Memory,
-    /// Bytes a second, sent and received.
-    Bytes,
-    /// Seconds from an event to the last gateway that has acted.
-    Last,
+    /// Bytes per second, sent and received together.
+    BytesPerSecond,
+    /// Seconds from an event until the last gateway has acted.
+    SecondsToLast,
 }
 
-/// A limit that the run holds its figures against.
+/// A limit that the measurements of a run are checked against.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// Its key in the file.
+    /// The key in the file, `SUBJECT.MEASURE`.
     pub key: String,
-    /// `gateway`, `voter`, `control` for a control server, or an event's word.
-    pub of: String,
-    /// What is limited.
+    /// `gateway`, `voter`, `control` for a control server, or an event's keyword.
+    pub subject: String,
+    /// The limited quantity.
     pub measure: Measure,
-    /// How much there may be.
-    pub most: f64,
+    /// The highest value that keeps the budget, in the unit of the measure.
+    pub limit: f64,
 }
 
 impl Budget {
-    fn read(key: &str, text: &str) -> Result<Budget, String> {
-        let most = text.trim().parse().map_err(|_| format!("{text:?} is no number"))?;
-        let (of, what) = key.rsplit_once('.').ok_or("is not WHO.WHAT")?;
-        let measure = match (of, what) {
-            ("gateway" | "voter" | "control", "core") => Measure::Core,
-            ("gateway" | "control", "mb") => Measure::Memory,
-            ("gateway" | "voter", "bytes_s") => Measure::Bytes,
-            (_, "last_s") => Measure::Last,
-            _ => {
-                return Err(
-                    "is none of gateway.core, gateway.mb, gateway.bytes_s, voter.core, voter.bytes_s, \
+    fn parse(key: &str, text: &str) -> Result<Budget, String> {
+        let limit = text.trim().parse().map_err(|_| format!("{text:?} is not a number"))?;
+        let (subject, unit) = key.rsplit_once('.').ok_or("is not SUBJECT.MEASURE")?;
+        let measure =
+            match (subject, unit) {
+                ("gateway" | "voter" | "control", "core") => Measure::CpuCores,
+                ("gateway" | "control", "mb") => Measure::Memory,
+                ("gateway" | "voter", "bytes_s") => Measure::BytesPerSecond,
+                (_, "last_s") => Measure::SecondsToLast,
+                _ => return Err(
+                    "is not one of gateway.core, gateway.mb, gateway.bytes_s, voter.core, voter.bytes_s, \
                             control.core, control.mb, EVENT.last_s"
                         .into(),
-                )
-            }
-        };
-        Ok(Budget { key: key.to_string(), of: of.to_string(), measure, most })
+                ),
+            };
+        Ok(Budget { key: key.to_string(), subject: subject.to_string(), measure, limit })
     }
 }
 
-/// A whole number in a range.
-fn number(text: &str, least: u64, most: u64) -> Result<u64, String> {
-    let number: u64 = text.trim().parse().map_err(|_| format!("{text:?} is no whole number"))?;
-    match (least..=most).contains(&number) {
+/// Parses a whole number and checks its range.
+fn parse_integer(text: &str, min: u64, max: u64) -> Result<u64, String> {
+    let number: u64 = text.trim().parse().map_err(|_| format!("{text:?} is not a whole number"))?;
+    match (min..=max).contains(&number) {
         true => Ok(number),
-        false => Err(format!("{number} is out of range ({least} to {most})")),
+        false => Err(format!("{number} is out of range ({min} to {max})")),
     }
 }
 
-fn yes(text: &str) -> Result<bool, String> {
+fn parse_yes_no(text: &str) -> Result<bool, String> {
     match text.trim() {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -243,44 +252,44 @@
 }
 
 impl Plan {
-    /// Reads a file.
+    /// Reads a plan from a file.
     ///
     /// # Errors
-    /// What cannot be used, with its section and key.
+    /// The first value that is not valid, with its section and key.
     pub fn load(path: &Path) -> Result<Plan, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        Plan::read(&text).map_err(|what| format!("{}: {what}", path.display()))
+        Plan::parse(&text).map_err(|error| format!("{}: {error}", path.display()))
     }
 
-    /// Reads a file's text.
+    /// Parses the text of a plan.
     ///
     /// # Errors
-    /// What cannot be used, with its section and key.
-    pub fn read(text: &str) -> Result<Plan, String> {
+    /// The first value that is not valid, with its section and key.
+    pub fn parse(text: &str) -> Result<Plan, String> {
         let file = Ini::load_from_str_noescape(text).map_err(|e| e.to_string())?;
         let mut plan = Plan {
             seed: 1,
             simulated: 30,
             real: 0,
-            control: 0,
+            control_servers: 0,
             document_bytes: 4_096,
             timeouts: Timeouts::default(),
             program: "target/release/dunemount".into(),
             threads: 4,
-            longest: Duration::from_secs(170),
-            join: Duration::from_secs(60),
-            quiet: Duration::from_secs(10),
-            settle: Duration::from_secs(30),
-            memory: MOST_MEMORY,
+            time_limit: Duration::from_secs(170),
+            join_timeout: Duration::from_secs(60),
+            quiet_time: Duration::from_secs(10),
+            settle_timeout: Duration::from_secs(30),
+            memory_mib: MAX_MEMORY_MIB,
             voters: 3,
             lease_ms: 3_000,
             probe_ms: 500,
             roles: 1,
             hosts: 1_000,
             group_size: 5,
-            router: false,
-            whole: true,
+            with_balancer: false,
+            whole_lists: true,
             regions: 2,
             zones: 6,
             events: Vec::new(),
@@ -291,91 +300,97 @@
             let section = section.unwrap_or_default();
             for (key, value) in values {
                 let set = plan.set(section, key, value, &mut drawn);
-                set.map_err(|what| format!("[{section}] {key}: {what}"))?;
+                set.map_err(|error| format!("[{section}] {key}: {error}"))?;
             }
         }
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         plan.events.extend((0..drawn).map(|_| Event::draw(&mut rng)));
-        plan.fits()?;
+        plan.validate()?;
         Ok(plan)
     }
 
     fn set(&mut self, section: &str, key: &str, value: &str, drawn: &mut u64) -> Result<(), String> {
-        let most = MOST_GATEWAYS as u64;
-        let seconds = |most| number(value, 1, most).map(Duration::from_secs);
+        let max_gateways = MAX_GATEWAYS as u64;
+        let seconds = |max| parse_integer(value, 1, max).map(Duration::from_secs);
         match (section, key) {
-            ("run", "seed") => self.seed = number(value, 0, u64::MAX)?,
-            ("run", "hollow") => self.simulated = number(value, 0, most)? as usize,
-            ("run", "real") => self.real = number(value, 0, most)? as usize,
-            ("run", "control") => self.control = number(value, 0, 64)? as usize,
+            ("run", "seed") => self.seed = parse_integer(value, 0, u64::MAX)?,
+            ("run", "hollow") => self.simulated = parse_integer(value, 0, max_gateways)? as usize,
+            ("run", "real") => self.real = parse_integer(value, 0, max_gateways)? as usize,
+            ("run", "control") => self.control_servers = parse_integer(value, 0, 64)? as usize,
             ("run", "document_bytes") => {
-                self.document_bytes = number(value, 0, MAX_DOCUMENT_BYTES as u64)? as usize;
+                self.document_bytes = parse_integer(value, 0, MAX_DOCUMENT_BYTES as u64)? as usize;
             }
             ("run", "home_s") => self.timeouts.return_window = seconds(600)?,
             ("run", "silent_ms") => {
-                self.timeouts.liveness = Duration::from_millis(number(value, 300, 60_000)?);
+                self.timeouts.liveness = Duration::from_millis(parse_integer(value, 300, 60_000)?);
             }
             ("run", "program") => self.program = value.into(),
-            ("run", "threads") => self.threads = number(value, 1, 64)? as usize,
-            ("run", "longest_s") => self.longest = seconds(3_600)?,
-            ("run", "join_s") => self.join = seconds(600)?,
-            ("run", "quiet_s") => self.quiet = seconds(600)?,
-            ("run", "settle_s") => self.settle = seconds(600)?,
-            ("run", "memory_mb") => self.memory = number(value, 1, MOST_MEMORY)?,
-            ("fleet", "voters") => self.voters = number(value, 1, 7)? as usize,
-            ("fleet", "lease_ms") => self.lease_ms = number(value, 300, 600_000)?,
-            ("fleet", "probe_ms") => self.probe_ms = number(value, 50, 60_000)?,
-            ("fleet", "roles") => self.roles = number(value, 0, MOST_HOSTS)?,
-            ("list", "hosts") => self.hosts = number(value, 1, MOST_HOSTS)?,
-            ("list", "group_size") => self.group_size = number(value, 1, MOST_HOSTS)?,
-            ("list", "router") => self.router = yes(value)?,
-            ("list", "whole") => self.whole = yes(value)?,
-            ("places", "regions") => self.regions = number(value, 1, 16)? as usize,
-            ("places", "zones") => self.zones = number(value, 1, 64)? as usize,
-            ("events", "drawn") => *drawn = number(value, 0, 100)?,
-            // Any other name: the order in the file counts.
-            ("events", _) => self.events.push(Event::read(value)?),
-            ("budgets", _) => self.budgets.push(Budget::read(key, value)?),
-            _ => return Err("no such key".into()),
+            ("run", "threads") => self.threads = parse_integer(value, 1, 64)? as usize,
+            ("run", "longest_s") => self.time_limit = seconds(3_600)?,
+            ("run", "join_s") => self.join_timeout = seconds(600)?,
+            ("run", "quiet_s") => self.quiet_time = seconds(600)?,
+            ("run", "settle_s") => self.settle_timeout = seconds(600)?,
+            ("run", "memory_mb") => self.memory_mib = parse_integer(value, 1, MAX_MEMORY_MIB)?,
+            ("fleet", "voters") => self.voters = parse_integer(value, 1, 7)? as usize,
+            ("fleet", "lease_ms") => self.lease_ms = parse_integer(value, 300, 600_000)?,
+            ("fleet", "probe_ms") => self.probe_ms = parse_integer(value, 50, 60_000)?,
+            ("fleet", "roles") => self.roles = parse_integer(value, 0, MAX_HOSTS)?,
+            ("list", "hosts") => self.hosts = parse_integer(value, 1, MAX_HOSTS)?,
+            ("list", "group_size") => self.group_size = parse_integer(value, 1, MAX_HOSTS)?,
+            ("list", "router") => self.with_balancer = parse_yes_no(value)?,
+            ("list", "whole") => self.whole_lists = parse_yes_no(value)?,
+            ("places", "regions") => self.regions = parse_integer(value, 1, 16)? as usize,
+            ("places", "zones") => self.zones = parse_integer(value, 1, 64)? as usize,
+            ("events", "drawn") => *drawn = parse_integer(value, 0, 100)?,
+            // The key of an event may be any other name; events are executed in the order of the file.
+            ("events", _) => self.events.push(Event::parse(value)?),
+            ("budgets", _) => self.budgets.push(Budget::parse(key, value)?),
+            _ => return Err("unknown key".into()),
         }
         Ok(())
     }
 
-    /// Whether what belongs together fits.
-    fn fits(&self) -> Result<(), String> {
+    /// Checks values that depend on each other.
+    fn validate(&self) -> Result<(), String> {
         if !matches!(self.voters, 1 | 3 | 5 | 7) {
-            return Err(format!("[fleet] voters: {}: 1, 3, 5 or 7 keep a majority", self.voters));
+            return Err(format!("[fleet] voters: {}: must be 1, 3, 5 or 7", self.voters));
         }
-        if self.control > self.zones {
-            return Err(format!("[run] control: {}: one a zone, of {}", self.control, self.zones));
+        if self.control_servers > self.zones {
+            return Err(format!(
+                "[run] control: {}: at most one per zone, of {} zones",
+                self.control_servers, self.zones
+            ));
         }
-        if self.control > 0 && self.voters > self.control {
-            return Err(format!("[fleet] voters: {}: more than there are control machines", self.voters));
+        if self.control_servers > 0 && self.voters > self.control_servers {
+            return Err(format!("[fleet] voters: {}: more than there are control servers", self.voters));
         }
-        if self.control == 0 && self.voters > self.gateways() {
+        if self.control_servers == 0 && self.voters > self.gateways() {
             return Err(format!("[fleet] voters: {}: more than there are gateways", self.voters));
         }
-        if self.gateways() > MOST_GATEWAYS {
-            return Err(format!("[run] hollow, real: {MOST_GATEWAYS} gateways at most"));
+        if self.gateways() > MAX_GATEWAYS {
+            return Err(format!("[run] hollow, real: at most {MAX_GATEWAYS} gateways together"));
         }
         if self.lease_ms < self.probe_ms {
-            return Err("[fleet] lease_ms: shorter than probe_ms".into());
+            return Err("[fleet] lease_ms: must not be shorter than probe_ms".into());
         }
         for event in &self.events {
             match event {
-                Event::Zone(zone, _) if *zone >= self.zones => {
+                Event::ZoneLost(zone, _) if *zone >= self.zones => {
                     return Err(format!("[events] zone {zone}: zones are 0 to {}", self.zones - 1))
                 }
-                Event::Apart(_) if self.real + self.control > 0 => {
-                    return Err("[events] apart: datagrams of real processes cannot be held back here".into())
+                Event::RegionsPartitioned(_) if self.real + self.control_servers > 0 => {
+                    return Err("[events] apart: datagrams between processes cannot be dropped; needs real = 0 and control = 0".into())
                 }
-                Event::Version(..) | Event::Behind(_) | Event::Control(_) | Event::Silent(_)
-                    if self.control == 0 =>
+                Event::VersionsProposed(..)
+                | Event::GatewayBehind(_)
+                | Event::ControlServerKilled(_)
+                | Event::ControlServerFrozen(_)
+                    if self.control_servers == 0 =>
                 {
-                    return Err(format!("[events] {}: needs a [run] control of 1", event.word()))
+                    return Err(format!("[events] {}: needs [run] control of at least 1", event.keyword()))
                 }
-                Event::Primary if self.group_size < 2 => {
-                    return Err("[events] primary: needs a list.group_size of 2".into())
+                Event::PrimaryChanged if self.group_size < 2 => {
+                    return Err("[events] primary: needs [list] group_size of at least 2".into())
                 }
                 _ => {}
             }
@@ -383,26 +398,26 @@
         Ok(())
     }
 
-    /// All gateways; the simulated ones come first.
+    /// Number of all gateways; the simulated ones have the first indexes.
     pub fn gateways(&self) -> usize {
         self.simulated + self.real
     }
 
-    /// Voters among the gateways, the first of them.
+    /// Number of acceptors among the gateways; they have the first indexes.
     pub fn voting_gateways(&self) -> usize {
-        if self.control > 0 {
+        if self.control_servers > 0 {
             0
         } else {
             self.voters
         }
     }
 
-    /// A gateway's zone.
+    /// The zone of the gateway with this index.
     pub fn zone(&self, gateway: usize) -> usize {
         gateway % self.zones
     }
 
-    /// A gateway's region.
+    /// The region of the gateway with this index.
     pub fn region(&self, gateway: usize) -> usize {
         self.zone(gateway) % self.regions
     }
--- a/crates/loadtest/src/scale/report.rs
+++ b/crates/loadtest/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run gave, as text, CSV and one plot, and whether its budgets were kept.
+//! Reports of a run as text, CSV files and a plot, and the verdicts on its budgets.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,38 +8,39 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-use super::control::InForce;
+use super::control::VersionTimes;
 use super::count::Counts;
 use super::plan::{Budget, Measure, Plan};
-use super::run::{ControlServerRow, Outcome, Phase, Row};
+use super::run::{ControlServerRow, GatewayRow, Outcome, Phase};
 
-/// Above this part of the machine's cores at work its times are the machine's.
-pub const BUSY: f64 = 2.0 / 3.0;
+/// Fraction of the machine's cores at work above which measured times say more about the machine than about the
+/// gateways.
+pub const BUSY_THRESHOLD: f64 = 2.0 / 3.0;
 
-/// Whether a budget was kept.
+/// The verdict on one budget in one phase; a row of `budgets.csv`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// Its key.
+    /// The budget's key in the plan.
     pub budget: String,
-    /// The phase that is looked at; `all` stands for everything after the join.
+    /// Name of the judged phase; `all` stands for all phases after the start (`join`).
     pub phase: String,
-    /// How much there may be.
+    /// The limit of the budget.
     pub most: f64,
-    /// How much there was, at the worst gateway; nothing if nobody told.
+    /// The value of the worst gateway or control server; `None` if nothing was measured.
     pub found: Option<f64>,
     /// `kept`, `broken` or `not measured`.
     pub verdict: &'static str,
-    /// What else has to be said of it.
+    /// Remarks that qualify the verdict, such as a busy machine; may be empty.
     pub note: String,
 }
 
-/// Least, median and most of some figures; none of none.
+/// Minimum, median and maximum of some figures; `None` if there are none.
 pub fn spread(mut figures: Vec<f64>) -> Option<(f64, f64, f64)> {
     figures.sort_by(f64::total_cmp);
     Some((*figures.first()?, figures[figures.len() / 2], *figures.last()?))
 }
 
-/// Half, 99 in 100 and the last of the times of those that have acted, in seconds.
+/// The 50th percentile, the 99th percentile and the maximum of the times, in seconds; `None` if no gateway has acted.
 pub fn quantiles(acted: &[(usize, Duration)]) -> Option<(f64, f64, f64)> {
     let last = acted.iter().map(|(_, time)| *time).max()?;
     let mut histogram: Histogram<u64> = Histogram::new_with_bounds(1, 3_600_000_000, 3).ok()?;
@@ -51,8 +52,9 @@
     Some((at(0.5).min(last), at(0.99).min(last), last))
 }
 
-/// What a gateway came to over several phases, and their length.
-fn over(phases: &[&Phase], gateway: &Row) -> (Counts, f64) {
+/// The sums of a gateway's processor times and bytes (these in `sent[0]`) over several phases, and the length of the
+/// phases that it has a row in, in seconds.
+fn sum_phases(phases: &[&Phase], gateway: &GatewayRow) -> (Counts, f64) {
     let mut sum = Counts::default();
     let mut length = 0.0;
     for phase in phases {
@@ -66,36 +68,39 @@
     (sum, length)
 }
 
-/// Part of a core that a control server's process took over the phases that it was there in.
-fn core_of(phases: &[&Phase], machine: usize) -> f64 {
+/// The fraction of a core that a control server's process used over the phases that it has a row in.
+fn control_server_cores(phases: &[&Phase], server: usize) -> f64 {
     let (mut cpu, mut length) = (Duration::ZERO, Duration::ZERO);
     for phase in phases {
-        let Some(row) = phase.machines.iter().find(|row| row.machine == machine) else { continue };
+        let Some(row) = phase.control_servers.iter().find(|row| row.server == server) else { continue };
         cpu += row.cpu;
         length += phase.length;
     }
     cpu.as_secs_f64() / length.as_secs_f64().max(1e-9)
 }
 
-/// Holds the figures against the budgets.
+/// Checks the measurements against all budgets of the plan.
 pub fn verdicts(plan: &Plan, outcome: &Outcome) -> Vec<Verdict> {
-    plan.budgets.iter().flat_map(|budget| judge(budget, outcome)).collect()
+    plan.budgets.iter().flat_map(|budget| judge_budget(budget, outcome)).collect()
 }
 
-fn judge(budget: &Budget, outcome: &Outcome) -> Vec<Verdict> {
+/// The verdicts on one budget: for times, one per phase of the event; otherwise one for the phase without events and
+/// one for all phases after the start.
+fn judge_budget(budget: &Budget, outcome: &Outcome) -> Vec<Verdict> {
     let measured: Vec<&Phase> = outcome.phases.iter().filter(|phase| phase.name != "join").collect();
-    if budget.measure == Measure::Last {
-        let of: Vec<&Phase> = outcome.phases.iter().filter(|phase| phase.name == budget.of).collect();
-        let judged = of.iter().map(|phase| {
-            let (wanted, acted) =
-                phase.acted.as_ref().map_or((0, &[][..]), |(wanted, acted)| (*wanted, acted));
+    if budget.measure == Measure::SecondsToLast {
+        let event_phases: Vec<&Phase> =
+            outcome.phases.iter().filter(|phase| phase.name == budget.subject).collect();
+        let judged = event_phases.iter().map(|phase| {
+            let (expected, acted) =
+                phase.acted.as_ref().map_or((0, &[][..]), |(expected, acted)| (*expected, acted));
             let found = quantiles(acted).map(|(_, _, last)| last);
-            let whole = acted.len() == wanted;
+            let is_complete = acted.len() == expected;
             let mut note = String::new();
-            if !whole {
-                let _ = write!(note, "{} of {wanted} have acted", acted.len());
+            if !is_complete {
+                let _ = write!(note, "{} of {expected} have acted", acted.len());
             }
-            verdict(budget, &phase.name, found, whole, note, phase.busy)
+            verdict(budget, &phase.name, found, is_complete, note, phase.busy)
         });
         let judged: Vec<Verdict> = judged.collect();
         return if judged.is_empty() {
@@ -113,29 +118,30 @@
         let length: f64 = phases.iter().map(|phase| phase.length.as_secs_f64()).sum();
         let busy: f64 = phases.iter().map(|phase| phase.busy * phase.length.as_secs_f64()).sum::<f64>()
             / length.max(1e-9);
-        if budget.of == "control" {
+        if budget.subject == "control" {
             let figure = |row: &ControlServerRow| match budget.measure {
                 Measure::Memory => row.memory as f64 * 1024.0 / 1e6,
-                _ => core_of(&phases, row.machine),
+                _ => control_server_cores(&phases, row.server),
             };
-            let rows = phases.iter().flat_map(|phase| &phase.machines);
+            let rows = phases.iter().flat_map(|phase| &phase.control_servers);
             let found = spread(rows.map(figure).collect()).map(|(_, _, most)| most);
             return verdict(budget, name, found, true, String::new(), busy);
         }
-        // Bytes of a process are not counted, and memory is one figure for all simulated ones.
+        // Bytes of processes are not counted; memory of simulated gateways is the same average for each.
         let gateways = phases.iter().flat_map(|phase| &phase.rows);
-        let counted = |row: &&Row| {
-            (budget.of != "voter" || row.voter) && (budget.measure != Measure::Bytes || !row.real)
+        let is_judged = |row: &&GatewayRow| {
+            (budget.subject != "voter" || row.voter)
+                && (budget.measure != Measure::BytesPerSecond || !row.real)
         };
-        let figure = |row: &Row| {
-            let (sum, length) = over(&phases, row);
+        let figure = |row: &GatewayRow| {
+            let (sum, length) = sum_phases(&phases, row);
             match budget.measure {
-                Measure::Core => sum.cpu().as_secs_f64() / length,
+                Measure::CpuCores => sum.cpu().as_secs_f64() / length,
                 Measure::Memory => row.memory as f64 * 1024.0 / 1e6,
-                Measure::Bytes | Measure::Last => sum.sent[0].bytes as f64 / length,
+                Measure::BytesPerSecond | Measure::SecondsToLast => sum.sent[0].bytes as f64 / length,
             }
         };
-        let found = spread(gateways.filter(counted).map(figure).collect()).map(|(_, _, most)| most);
+        let found = spread(gateways.filter(is_judged).map(figure).collect()).map(|(_, _, most)| most);
         verdict(budget, name, found, true, String::new(), busy)
     });
     judged.collect()
@@ -145,50 +151,50 @@
     budget: &Budget,
     phase: &str,
     found: Option<f64>,
-    whole: bool,
+    is_complete: bool,
     mut note: String,
     busy: f64,
 ) -> Verdict {
     let verdict = match found {
-        None if whole || note.is_empty() => "not measured",
-        Some(found) if whole && found <= budget.most => "kept",
+        None if is_complete || note.is_empty() => "not measured",
+        Some(found) if is_complete && found <= budget.limit => "kept",
         _ => "broken",
     };
-    if busy > BUSY && matches!(budget.measure, Measure::Core | Measure::Last) {
+    if busy > BUSY_THRESHOLD && matches!(budget.measure, Measure::CpuCores | Measure::SecondsToLast) {
         let _ = write!(
             note,
-            "{}machine {:.0}% busy: its time, not the gateways'",
+            "{}machine {:.0}% busy: the time is the machine's, not the gateways'",
             if note.is_empty() { "" } else { "; " },
             busy * 100.0
         );
     }
-    Verdict { budget: budget.key.clone(), phase: phase.to_string(), most: budget.most, found, verdict, note }
+    Verdict { budget: budget.key.clone(), phase: phase.to_string(), most: budget.limit, found, verdict, note }
 }
 
-/// What is printed at the end.
+/// The text report that is printed at the end of a run.
 pub fn text(plan: &Plan, outcome: &Outcome) -> String {
     let mut text = format!(
-        "{} hollow and {} real gateways, {} control machines, {} voters, {} hosts, {} roles, seed {}; most memory {} MiB\n",
+        "{} hollow and {} real gateways, {} control servers, {} voters, {} hosts, {} roles, seed {}; peak memory {} MiB\n",
         plan.simulated,
         plan.real,
-        plan.control,
+        plan.control_servers,
         plan.voters,
         plan.hosts,
         plan.roles,
         plan.seed,
-        outcome.most_memory
+        outcome.peak_memory_mib
     );
-    text += "\nA gateway, least / median / most. Bytes are payload, sent and received.\n";
-    text += "phase          s    busy  kind    fleet % core             control % core           rest % core              messages/s            bytes/s                 MB                 most bytes in all\n";
+    text += "\nPer gateway, minimum / median / maximum. Bytes are payload, sent and received.\n";
+    text += "phase          s    busy  kind    fleet % core             control % core           rest % core              messages/s            bytes/s                 MB                 max bytes in all\n";
     for phase in &outcome.phases {
         let length = phase.length.as_secs_f64();
         for (real, voter) in [(false, false), (false, true), (true, false), (true, true)] {
-            let rows: Vec<&Row> =
+            let rows: Vec<&GatewayRow> =
                 phase.rows.iter().filter(|row| row.real == real && row.voter == voter).collect();
             if rows.is_empty() {
                 continue;
             }
-            let column = |figure: &dyn Fn(&Row) -> f64, decimals: usize| {
+            let column = |figure: &dyn Fn(&GatewayRow) -> f64, decimals: usize| {
                 let found = spread(rows.iter().map(|row| figure(row)).collect()).unwrap_or_default();
                 format!("{:.decimals$} / {:.decimals$} / {:.decimals$}", found.0, found.1, found.2)
             };
@@ -198,7 +204,7 @@
                 (true, false) => "real",
                 (true, true) => "real voter",
             };
-            let counted = |text: String| if real { "not counted".to_string() } else { text };
+            let unless_real = |text: String| if real { "not counted".to_string() } else { text };
             let _ = writeln!(
                 text,
                 "{:12} {:5.1}  {:4.0}%  {:10} {:22}  {:22}  {:22}  {:21}  {:22}  {:17}  {}",
@@ -209,16 +215,16 @@
                 column(&|row| row.counts.fleet_cpu.as_secs_f64() / length * 100.0, 2),
                 column(&|row| row.counts.control_cpu.as_secs_f64() / length * 100.0, 2),
                 column(&|row| row.counts.list_cpu.as_secs_f64() / length * 100.0, 2),
-                counted(column(&|row| row.counts.messages() as f64 / length, 1)),
-                counted(column(&|row| row.counts.bytes() as f64 / length, 0)),
+                unless_real(column(&|row| row.counts.messages() as f64 / length, 1)),
+                unless_real(column(&|row| row.counts.bytes() as f64 / length, 0)),
                 column(&|row| row.memory as f64 * 1024.0 / 1e6, 1),
-                counted(rows.iter().map(|row| row.counts.bytes()).max().unwrap_or(0).to_string()),
+                unless_real(rows.iter().map(|row| row.counts.bytes()).max().unwrap_or(0).to_string()),
             );
         }
     }
     text += &control_text(outcome);
-    text += "\nThe machine, in each phase. Datagrams and loopback are of all that runs on it.\n";
-    text += "phase          datagrams/s  loopback bytes/s  calls  lists  bytes told  taken for gone\n";
+    text += "\nThe machine, in each phase. Datagrams and loopback include everything that runs on it.\n";
+    text += "phase          datagrams/s  loopback bytes/s  calls  lists  bytes sent  declared gone\n";
     for phase in &outcome.phases {
         let length = phase.length.as_secs_f64();
         let losses: u64 = phase.rows.iter().map(|row| row.counts.losses).sum();
@@ -228,32 +234,31 @@
             phase.name,
             phase.traffic.0 as f64 / length,
             phase.traffic.1 as f64 / length,
-            phase.told.0,
-            phase.told.1,
-            phase.told.2
+            phase.discovery.0,
+            phase.discovery.1,
+            phase.discovery.2
         );
     }
-    text += "\nFrom an event to the last gateway that has acted, in seconds.\n";
+    text += "\nTime from an event until gateways have acted, in seconds.\n";
     text += "event         acted          p50      p99     last\n";
     for phase in &outcome.phases {
-        let Some((wanted, acted)) = &phase.acted else { continue };
+        let Some((expected, acted)) = &phase.acted else { continue };
         let times = quantiles(acted)
-            .map_or("-".to_string(), |(half, most, last)| format!("{half:7.3}  {most:7.3}  {last:7.3}"));
-        let partial =
-            if acted.len() < *wanted { "  partial: the others have not acted in their time" } else { "" };
-        let _ = writeln!(text, "{:12}  {:4} of {:4}  {times}{partial}", phase.name, acted.len(), wanted);
+            .map_or("-".to_string(), |(p50, p99, last)| format!("{p50:7.3}  {p99:7.3}  {last:7.3}"));
+        let partial = if acted.len() < *expected { "  partial: the others did not act in time" } else { "" };
+        let _ = writeln!(text, "{:12}  {:4} of {:4}  {times}{partial}", phase.name, acted.len(), expected);
     }
     text += &versions_text(outcome);
-    for phase in outcome.phases.iter().filter(|phase| phase.busy > BUSY) {
+    for phase in outcome.phases.iter().filter(|phase| phase.busy > BUSY_THRESHOLD) {
         let _ = writeln!(
             text,
-            "{}: the machine was {:.0}% busy: its times are the machine's, only counts and bytes hold",
+            "{}: the machine was {:.0}% busy: its times are the machine's, only counts and bytes are valid",
             phase.name,
             phase.busy * 100.0
         );
     }
     if !plan.budgets.is_empty() {
-        text += "\nbudget               phase         most     found  verdict\n";
+        text += "\nbudget               phase        limit     found  verdict\n";
     }
     for verdict in verdicts(plan, outcome) {
         let found = verdict.found.map_or("-".to_string(), |found| format!("{found:.3}"));
@@ -271,16 +276,16 @@
     text
 }
 
-/// The control servers' table, and what the gateways said to them; nothing without control servers.
+/// The table of control servers and of the gateways' traffic with them; empty without control servers.
 fn control_text(outcome: &Outcome) -> String {
     let mut text = String::new();
-    for phase in outcome.phases.iter().filter(|phase| !phase.machines.is_empty()) {
+    for phase in outcome.phases.iter().filter(|phase| !phase.control_servers.is_empty()) {
         let length = phase.length.as_secs_f64();
-        let machines = |figure: &dyn Fn(&ControlServerRow) -> f64, decimals: usize| {
-            let found = spread(phase.machines.iter().map(figure).collect()).unwrap_or_default();
+        let control_servers = |figure: &dyn Fn(&ControlServerRow) -> f64, decimals: usize| {
+            let found = spread(phase.control_servers.iter().map(figure).collect()).unwrap_or_default();
             format!("{:.decimals$} / {:.decimals$} / {:.decimals$}", found.0, found.1, found.2)
         };
-        let simulated = |figure: &dyn Fn(&Row) -> u64| {
+        let simulated = |figure: &dyn Fn(&GatewayRow) -> u64| {
             let rows = phase.rows.iter().filter(|row| !row.real);
             let found = spread(rows.map(|row| figure(row) as f64 / length).collect()).unwrap_or_default();
             format!("{:.0} / {:.0} / {:.0}", found.0, found.1, found.2)
@@ -289,10 +294,10 @@
             text,
             "{:12} {:2}  {:22}  {:20}  {:15}  {:22}  {:22}  {}",
             phase.name,
-            phase.machines.len(),
-            machines(&|row| row.cpu.as_secs_f64() / length * 100.0, 2),
-            machines(&|row| row.memory as f64 * 1024.0 / 1e6, 1),
-            machines(&|row| row.gateways as f64, 0),
+            phase.control_servers.len(),
+            control_servers(&|row| row.cpu.as_secs_f64() / length * 100.0, 2),
+            control_servers(&|row| row.memory as f64 * 1024.0 / 1e6, 1),
+            control_servers(&|row| row.gateways as f64, 0),
             simulated(&|row| row.counts.control_sent),
             simulated(&|row| row.counts.control_received),
             phase.arrivals.map_or("-".to_string(), |most| most.to_string()),
@@ -302,17 +307,17 @@
         return text;
     }
     format!(
-        "\nA control machine's process, and what a hollow gateway says to its own and hears, least / median / most.\n\
-         phase      machines  % core              MB                    gateways         sent bytes/s            received bytes/s        most that came in a second\n{text}"
+        "\nPer control server process, and the traffic of a hollow gateway with its own, minimum / median / maximum.\n\
+         phase       servers  % core              MB                    gateways         sent bytes/s            received bytes/s        max arrivals in a second\n{text}"
     )
 }
 
-/// Versions in force; nothing if none was put.
+/// The table of versions; empty if none was proposed.
 fn versions_text(outcome: &Outcome) -> String {
     let mut text = String::new();
     for phase in outcome.phases.iter().filter(|phase| !phase.versions.is_empty()) {
-        let accepted: Vec<&InForce> = phase.versions.iter().filter(|it| it.number.is_some()).collect();
-        let column = |figure: &dyn Fn(&InForce) -> Option<f64>| {
+        let accepted: Vec<&VersionTimes> = phase.versions.iter().filter(|it| it.number.is_some()).collect();
+        let column = |figure: &dyn Fn(&VersionTimes) -> Option<f64>| {
             let found = spread(accepted.iter().filter_map(|it| figure(it)).collect());
             found.map_or("-".to_string(), |it| format!("{:.3} / {:.3} / {:.3}", it.0, it.1, it.2))
         };
@@ -322,29 +327,30 @@
             phase.name,
             accepted.len(),
             phase.versions.len(),
-            column(&|it| Some(it.put.as_secs_f64())),
+            column(&|it| Some(it.answer_time.as_secs_f64())),
             column(&|it| Some(quantiles(&it.acted)?.1)),
             column(&|it| Some(quantiles(&it.acted)?.2)),
-            column(&|it| Some((quantiles(&it.acted)?.2 - it.put.as_secs_f64()).max(0.0))),
+            column(&|it| Some((quantiles(&it.acted)?.2 - it.answer_time.as_secs_f64()).max(0.0))),
         );
     }
     if text.is_empty() {
         return text;
     }
-    let mut told = format!(
-        "\nVersions, least / median / most, in seconds: until the answer, and until the last gateway has it or a newer one.\n\
-         event         accepted      put                     99 in 100 have it       last, from the put      last, from the answer\n{text}\
+    let mut table = format!(
+        "\nVersions, minimum / median / maximum, in seconds: until the answer, and until gateways have it or a newer one.\n\
+         event         accepted      answer                  99% of gateways         last, from proposal     last, from answer\n{text}\
          gateways that went back to an older version: {}\n",
-        outcome.fallen
+        outcome.regressions
     );
-    if let Some(why) = outcome.rejections.first() {
-        let _ = writeln!(told, "not accepted: {}, the first: {why}", outcome.rejections.len());
+    if let Some(reason) = outcome.rejections.first() {
+        let _ = writeln!(table, "not accepted: {}, first reason: {reason}", outcome.rejections.len());
     }
-    told
+    table
 }
 
+/// A row of `control.csv`.
 #[derive(Serialize)]
-struct ControlLine<'a> {
+struct ControlServerCsvRow<'a> {
     phase: &'a str,
     seconds: f64,
     machine_busy: f64,
@@ -354,8 +360,9 @@
     gateways: usize,
 }
 
+/// A row of `versions.csv`.
 #[derive(Serialize)]
-struct VersionLine<'a> {
+struct VersionCsvRow<'a> {
     event: &'a str,
     machine_busy: f64,
     number: Option<u64>,
@@ -367,8 +374,9 @@
     last_after_answer_s: Option<f64>,
 }
 
+/// A row of `gateways.csv`.
 #[derive(Serialize)]
-struct GatewayLine<'a> {
+struct GatewayCsvRow<'a> {
     phase: &'a str,
     seconds: f64,
     machine_busy: f64,
@@ -408,8 +416,9 @@
     mistaken: u64,
 }
 
+/// A row of `events.csv`.
 #[derive(Serialize)]
-struct EventLine<'a> {
+struct EventCsvRow<'a> {
     event: &'a str,
     machine_busy: f64,
     waited_for: usize,
@@ -422,16 +431,17 @@
 /// Writes `gateways.csv`, `control.csv`, `events.csv`, `versions.csv`, `budgets.csv` and `events.svg` into a folder.
 ///
 /// # Errors
-/// The system's, with the folder.
+/// A file or the folder cannot be written; the error names the folder.
 pub fn write(plan: &Plan, outcome: &Outcome, out: &Path) -> Result<(), String> {
-    let place = |e: &dyn std::fmt::Display| format!("cannot write into {}: {e}", out.display());
-    std::fs::create_dir_all(out).map_err(|e| place(&e))?;
-    let gateways = outcome.phases.iter().flat_map(|phase| phase.rows.iter().map(move |row| line(phase, row)));
-    table(&out.join("gateways.csv"), gateways).map_err(|e| place(&e))?;
+    let describe = |e: &dyn std::fmt::Display| format!("cannot write into {}: {e}", out.display());
+    std::fs::create_dir_all(out).map_err(|e| describe(&e))?;
+    let gateways =
+        outcome.phases.iter().flat_map(|phase| phase.rows.iter().map(move |row| gateway_csv_row(phase, row)));
+    write_csv(&out.join("gateways.csv"), gateways).map_err(|e| describe(&e))?;
     let events = outcome.phases.iter().filter_map(|phase| {
         let (waited_for, acted) = phase.acted.as_ref()?;
         let times = quantiles(acted);
-        Some(EventLine {
+        Some(EventCsvRow {
             event: &phase.name,
             machine_busy: phase.busy,
             waited_for: *waited_for,
@@ -441,53 +451,54 @@
             last_s: times.map(|times| times.2),
         })
     });
-    table(&out.join("events.csv"), events).map_err(|e| place(&e))?;
-    let machines = outcome.phases.iter().flat_map(|phase| {
-        phase.machines.iter().map(|row| ControlLine {
+    write_csv(&out.join("events.csv"), events).map_err(|e| describe(&e))?;
+    let control_servers = outcome.phases.iter().flat_map(|phase| {
+        phase.control_servers.iter().map(|row| ControlServerCsvRow {
             phase: &phase.name,
             seconds: phase.length.as_secs_f64(),
             machine_busy: phase.busy,
-            control_machine: row.machine,
+            control_machine: row.server,
             cpu_us: row.cpu.as_micros(),
             memory_kib: row.memory,
             gateways: row.gateways,
         })
     });
-    table(&out.join("control.csv"), machines).map_err(|e| place(&e))?;
+    write_csv(&out.join("control.csv"), control_servers).map_err(|e| describe(&e))?;
     let versions = outcome.phases.iter().flat_map(|phase| {
         phase.versions.iter().map(|version| {
             let times = quantiles(&version.acted);
-            VersionLine {
+            VersionCsvRow {
                 event: &phase.name,
                 machine_busy: phase.busy,
                 number: version.number,
-                put_s: version.put.as_secs_f64(),
+                put_s: version.answer_time.as_secs_f64(),
                 in_force: version.acted.len(),
                 p50_s: times.map(|times| times.0),
                 p99_s: times.map(|times| times.1),
                 last_s: times.map(|times| times.2),
-                last_after_answer_s: times.map(|times| (times.2 - version.put.as_secs_f64()).max(0.0)),
+                last_after_answer_s: times
+                    .map(|times| (times.2 - version.answer_time.as_secs_f64()).max(0.0)),
             }
         })
     });
-    table(&out.join("versions.csv"), versions).map_err(|e| place(&e))?;
-    table(&out.join("budgets.csv"), verdicts(plan, outcome)).map_err(|e| place(&e))?;
-    draw(plan, outcome, &out.join("events.svg")).map_err(|e| place(&e))
+    write_csv(&out.join("versions.csv"), versions).map_err(|e| describe(&e))?;
+    write_csv(&out.join("budgets.csv"), verdicts(plan, outcome)).map_err(|e| describe(&e))?;
+    draw_plot(plan, outcome, &out.join("events.svg")).map_err(|e| describe(&e))
 }
 
-fn table<T: Serialize>(path: &Path, lines: impl IntoIterator<Item = T>) -> Result<(), csv::Error> {
-    let mut table = csv::Writer::from_path(path)?;
-    for line in lines {
-        table.serialize(line)?;
+fn write_csv<T: Serialize>(path: &Path, lines: impl IntoIterator<Item = T>) -> Result<(), csv::Error> {
+    let mut write_csv = csv::Writer::from_path(path)?;
+    for gateway_csv_row in lines {
+        write_csv.serialize(gateway_csv_row)?;
     }
-    Ok(table.flush()?)
+    Ok(write_csv.flush()?)
 }
 
-fn line<'a>(phase: &'a Phase, row: &Row) -> GatewayLine<'a> {
+fn gateway_csv_row<'a>(phase: &'a Phase, row: &GatewayRow) -> GatewayCsvRow<'a> {
     let Counts {
         sent,
         received,
-        held,
+        dropped,
         calls,
         lists,
         idle,
@@ -497,9 +508,9 @@
         list_cpu,
         control_cpu,
         losses,
-        mistaken,
+        mistaken_losses,
     } = row.counts;
-    GatewayLine {
+    GatewayCsvRow {
         phase: &phase.name,
         seconds: phase.length.as_secs_f64(),
         machine_busy: phase.busy,
@@ -526,7 +537,7 @@
         order_sent_bytes: sent[3].bytes,
         order_received: received[3].messages,
         order_received_bytes: received[3].bytes,
-        held_back: held,
+        held_back: dropped,
         discovery_calls: calls.messages,
         discovery_call_bytes: calls.bytes,
         lists: lists.messages,
@@ -536,12 +547,12 @@
         control_sent_bytes: control_sent,
         control_received_bytes: control_received,
         taken_for_gone: losses,
-        mistaken,
+        mistaken: mistaken_losses,
     }
 }
 
-/// One line an event: which part of the gateways had acted after so many seconds.
-fn draw(plan: &Plan, outcome: &Outcome, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+/// Plots, with one line per event, the fraction of the gateways that had acted by each time after the event.
+fn draw_plot(plan: &Plan, outcome: &Outcome, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let times = outcome.phases.iter().filter_map(|phase| phase.acted.as_ref()).flat_map(|(_, acted)| acted);
     let last = times.map(|(_, time)| time.as_secs_f64());
     let last = last.fold(1.0, f64::max);
@@ -557,15 +568,15 @@
     chart
         .configure_mesh()
         .x_desc("seconds from the event")
-        .y_desc("part of the gateways that have acted")
+        .y_desc("fraction of gateways that have acted")
         .draw()?;
     for (number, phase) in outcome.phases.iter().enumerate() {
-        let Some((wanted, acted)) = &phase.acted else { continue };
+        let Some((expected, acted)) = &phase.acted else { continue };
         let colour = Palette99::pick(number).to_rgba();
         let mut points = vec![(0.0, 0.0)];
-        for (place, (_, time)) in acted.iter().enumerate() {
-            let (time, wanted) = (time.as_secs_f64(), *wanted as f64);
-            points.extend([(time, place as f64 / wanted), (time, (place + 1) as f64 / wanted)]);
+        for (index, (_, time)) in acted.iter().enumerate() {
+            let (time, expected) = (time.as_secs_f64(), *expected as f64);
+            points.extend([(time, index as f64 / expected), (time, (index + 1) as f64 / expected)]);
         }
         let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
         drawn
--- a/crates/loadtest/src/scale/run.rs
+++ b/crates/loadtest/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! A run: everything started, converged, disturbed, measured, and ended whatever happens.
+//! Execution of a plan: starts all gateways and control servers, waits until they have converged, executes and measures
+//! the events, and ends everything in any case.
 
 mod convergence;
 mod events;
@@ -23,47 +24,48 @@
 
 use self::files::Folder;
 use self::outcome::PhaseResult;
-pub use self::outcome::{ControlServerRow, Outcome, Phase, Row};
-use super::control::{self, Followed};
+pub use self::outcome::{ControlServerRow, GatewayRow, Outcome, Phase};
+use super::control::{self, FollowedServers};
 use super::convergence::Expected;
 use super::discovery::Discovery;
 use super::plan::Plan;
-use super::real::{Process, Spec};
+use super::real::{Process, ProcessSpec};
 use super::simulated::{Common, Identity, Report, Shard};
 
 /// Time between two checks of signals, memory and admin interfaces.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The name of the fleet that all gateways and control servers of a run belong to.
 const FLEET: &str = "scale";
 
-/// A run under way.
+/// The state of a run.
 struct Run<'a> {
     plan: &'a Plan,
     stop: &'a AtomicBool,
     progress: &'a mut dyn FnMut(&str),
-    /// When the run is broken off.
+    /// When the run is aborted.
     until: Instant,
     rng: Pcg64Mcg,
-    /// Targets set so far.
+    /// Number of targets set so far.
     targets: usize,
     /// Gateways that were started and not killed.
     live: BTreeSet<usize>,
-    /// Gateways that are frozen for the moment.
-    stopped: BTreeSet<usize>,
+    /// Gateways that are frozen at present.
+    frozen: BTreeSet<usize>,
     identities: Vec<Identity>,
-    specs: BTreeMap<usize, Spec>,
+    specs: BTreeMap<usize, ProcessSpec>,
     reports: Receiver<Report>,
     report_sender: Sender<Report>,
     outcome: Outcome,
-    /// Memory of this process before there were gateways, in KiB.
+    /// Memory of the loadtest process before gateways were started, in KiB.
     memory_before: u64,
-    // Dropped in this order: gateways, then what they call, then their files.
+    // Dropped in this order: gateways, control servers, discovery, then their port claims and files.
     shards: Vec<Shard>,
     processes: BTreeMap<usize, Process>,
-    control: BTreeMap<usize, Process>,
-    control_specs: Vec<Spec>,
+    control_servers: BTreeMap<usize, Process>,
+    control_specs: Vec<ProcessSpec>,
     versions: control::VersionTracker,
-    followed: Followed,
-    /// Versions proposed so far.
+    followed: FollowedServers,
+    /// Number of versions proposed so far.
     proposed: u64,
     common: Arc<Common>,
     discovery: Discovery,
@@ -71,35 +73,40 @@
     _folder: Folder,
 }
 
-/// Plays a plan. Returns what it measured and, if it was broken off, why: the measurements are partial then. `stop` breaks
-/// it off; `progress` is called with what is being done. Everything that was started has ended in either case.
-pub fn play(plan: &Plan, stop: &AtomicBool, progress: &mut dyn FnMut(&str)) -> (Outcome, Result<(), String>) {
+/// Executes a plan. Returns the measurements and, if the run was aborted, the reason; the measurements are partial
+/// then. Setting `stop` aborts the run; `progress` is called with a description of the current step. All processes and
+/// threads that were started have ended on return in either case.
+pub fn execute(
+    plan: &Plan,
+    stop: &AtomicBool,
+    progress: &mut dyn FnMut(&str),
+) -> (Outcome, Result<(), String>) {
     match Run::prepare(plan, stop, progress) {
         Ok(mut run) => {
-            let played = run.play();
-            (std::mem::take(&mut run.outcome), played)
+            let result = run.execute();
+            (std::mem::take(&mut run.outcome), result)
         }
-        Err(what) => (Outcome::default(), Err(format!("cannot prepare the run: {what}"))),
+        Err(error) => (Outcome::default(), Err(format!("cannot prepare the run: {error}"))),
     }
 }
 
 impl Run<'_> {
-    /// Starts everybody, measures a quiet time, then plays the events.
-    fn play(&mut self) -> Result<(), String> {
+    /// Starts all control servers and gateways, measures a phase without events, then executes the events.
+    fn execute(&mut self) -> Result<(), String> {
         let all: Vec<usize> = (0..self.plan.gateways()).collect();
         let target = self.target(|_, _| Expected::StartedSince(1));
-        let settle = self.plan.join;
+        let settle = self.plan.join_timeout;
         self.run_until_converged("join", target, &BTreeSet::new(), settle, |run| {
-            (0..run.plan.control).try_for_each(|index| run.start_control_server(index))?;
+            (0..run.plan.control_servers).try_for_each(|index| run.start_control_server(index))?;
             run.wait_for_control_servers()?;
             all.iter().try_for_each(|gateway| run.start(*gateway))?;
             run.wait_for_processes()?;
             Ok(Instant::now())
         })?;
-        let quiet = self.plan.quiet;
+        let quiet = self.plan.quiet_time;
         self.measure_phase("quiet", |run| run.pause(quiet).map(|()| PhaseResult::default()))?;
         for event in &self.plan.events {
-            self.play_event(*event)?;
+            self.execute_event(*event)?;
         }
         self.check_limits()
     }
--- a/crates/loadtest/src/scale/run/events.rs
+++ b/crates/loadtest/src/scale/run/events.rs
@@ -1,4 +1,4 @@
-//! What happens during a run, one function an event, and who it happens to.
+//! Execution of the events, one function for each kind, and the choice of the gateways that they affect.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -15,50 +15,51 @@
 use super::versions::Loss;
 use super::Run;
 
-/// A slow gateway runs for this time, then is frozen for [`SLOW_FROZEN`].
+/// How long a slow gateway runs before it is frozen for [`SLOW_FROZEN`].
 const SLOW_RUNNING: Duration = Duration::from_millis(50);
-/// How long a slow gateway is frozen at a time.
+/// How long a slow gateway is frozen each time.
 const SLOW_FROZEN: Duration = Duration::from_millis(450);
 
 impl Run<'_> {
-    /// Plays one event of the plan, and whatever undoes it.
-    pub(super) fn play_event(&mut self, event: Event) -> Result<(), String> {
-        let name = event.word();
+    /// Executes one event of the plan and, for a temporary one, its reversal.
+    pub(super) fn execute_event(&mut self, event: Event) -> Result<(), String> {
+        let name = event.keyword();
         match event {
-            Event::List(hosts) => self.change_list(name, |run| run.discovery.move_hosts(hosts)),
-            Event::Primary => self.change_list(name, |run| run.discovery.move_primary()),
-            Event::Configuration => self.reload_configuration(name),
-            Event::Death => {
+            Event::HostsMoved(hosts) => self.change_list(name, |run| run.discovery.move_hosts(hosts)),
+            Event::PrimaryChanged => self.change_list(name, |run| run.discovery.move_primary()),
+            Event::ConfigurationReloaded => self.reload_configuration(name),
+            Event::GatewayKilled => {
                 let victims = self.draw(1, |_| true);
                 self.kill_and_expect_absence(name, &victims, None)
             }
-            Event::Rack(size) => self.lose_rack(name, size),
-            Event::Zone(zone, time) => self.lose_zone(name, zone, time),
-            Event::Restarts(count, pause) => {
+            Event::RackLost(size) => self.lose_rack(name, size),
+            Event::ZoneLost(zone, time) => self.lose_zone(name, zone, time),
+            Event::RollingRestart(count, pause) => {
                 let chosen = self.draw(count, |_| true);
                 self.restart(name, &chosen, pause)
             }
-            Event::Apart(time) => self.partition_regions(name, time),
-            Event::Stopped(time) => self.freeze_one(name, time),
-            Event::Slow(time) => self.slow_one(name, time),
-            Event::Version(count, pause) => self.propose_versions(name, count, pause, None),
-            Event::Behind(time) => {
+            Event::RegionsPartitioned(time) => self.partition_regions(name, time),
+            Event::GatewayFrozen(time) => self.freeze_one(name, time),
+            Event::GatewaySlow(time) => self.slow_one(name, time),
+            Event::VersionsProposed(count, pause) => self.propose_versions(name, count, pause, None),
+            Event::GatewayBehind(time) => {
                 let behind = self.draw(1, |_| true).first().map(|gateway| (*gateway, time));
                 self.propose_versions(name, 1, Duration::ZERO, behind)
             }
-            Event::Control(time) => self.lose_control_server(name, time, Loss::Killed),
-            Event::Silent(time) => self.lose_control_server(name, time, Loss::Stopped),
+            Event::ControlServerKilled(time) => self.lose_control_server(name, time, Loss::Killed),
+            Event::ControlServerFrozen(time) => self.lose_control_server(name, time, Loss::Frozen),
         }
     }
 
-    /// Does something, and waits until all that are awake have converged on a target.
+    /// Executes `act` as a phase with this name, and waits until all gateways that are live and not frozen have
+    /// converged on the target.
     fn act_on_all(
         &mut self,
         name: &str,
         target: ConvergenceTarget,
         act: impl FnOnce(&mut Self) -> Result<Instant, String>,
     ) -> Result<(), String> {
-        self.run_until_converged(name, target, &BTreeSet::new(), self.plan.settle, act)
+        self.run_until_converged(name, target, &BTreeSet::new(), self.plan.settle_timeout, act)
     }
 
     fn change_list(&mut self, name: &str, change: impl FnOnce(&mut Self) -> u64) -> Result<(), String> {
@@ -101,13 +102,13 @@
         let target = self.target_of_regions();
         let began = Instant::now();
         self.act_on_all(name, target, |run| {
-            run.common.apart.store(true, Ordering::Relaxed);
+            run.common.partitioned.store(true, Ordering::Relaxed);
             Ok(Instant::now())
         })?;
         self.pause(time.saturating_sub(began.elapsed()))?;
         let target = self.target_of_live(1);
         self.act_on_all("joined", target, |run| {
-            run.common.apart.store(false, Ordering::Relaxed);
+            run.common.partitioned.store(false, Ordering::Relaxed);
             Ok(Instant::now())
         })
     }
@@ -116,7 +117,7 @@
         let frozen: BTreeSet<usize> = self.draw(1, |_| true).into_iter().collect();
         let target = self.target_of_absence(&frozen);
         let began = Instant::now();
-        self.run_until_converged(name, target, &frozen, self.plan.settle.min(time), |run| {
+        self.run_until_converged(name, target, &frozen, self.plan.settle_timeout.min(time), |run| {
             run.freeze(&frozen, true)?;
             Ok(Instant::now())
         })?;
@@ -144,12 +145,13 @@
         self.act_on_all("slow no more", target, |_| Ok(Instant::now()))
     }
 
-    /// Gateways that live and are not frozen.
-    pub(super) fn awake(&self) -> BTreeSet<usize> {
-        self.live.difference(&self.stopped).copied().collect()
+    /// Gateways that are live and not frozen.
+    pub(super) fn running_gateways(&self) -> BTreeSet<usize> {
+        self.live.difference(&self.frozen).copied().collect()
     }
 
-    /// Kills gateways, and a control server with them; those that are left are to see them gone.
+    /// Kills gateways and possibly a control server, and waits until the other gateways know that those gateways are
+    /// gone.
     fn kill_and_expect_absence(
         &mut self,
         name: &str,
@@ -158,27 +160,29 @@
     ) -> Result<(), String> {
         let dead: BTreeSet<usize> = victims.iter().copied().collect();
         let target = self.target_of_absence(&dead);
-        self.run_until_converged(name, target, &dead, self.plan.settle, |run| {
+        self.run_until_converged(name, target, &dead, self.plan.settle_timeout, |run| {
             let began = Instant::now();
             victims.iter().for_each(|gateway| run.kill(*gateway));
-            control_server.map(|index| run.control.remove(&index));
+            control_server.map(|index| run.control_servers.remove(&index));
             Ok(began)
         })
     }
 
-    /// Starts gateways, anew or for the first time since they were killed, one after the other; timed from the last.
+    /// Starts or restarts gateways one after the other and waits until all gateways know the new starts; times count
+    /// from the last start.
     fn restart(&mut self, name: &str, chosen: &[usize], pause: Duration) -> Result<(), String> {
-        let new: BTreeSet<usize> = chosen.iter().copied().collect();
-        let least = unix_ms();
-        let live: BTreeSet<usize> = self.live.union(&new).copied().collect();
-        let target = self.target(|_, other| match (new.contains(&other), live.contains(&other)) {
-            (true, _) => Expected::StartedSince(least),
+        let restarted: BTreeSet<usize> = chosen.iter().copied().collect();
+        let earliest = unix_ms();
+        let live: BTreeSet<usize> = self.live.union(&restarted).copied().collect();
+        let target = self.target(|_, other| match (restarted.contains(&other), live.contains(&other)) {
+            (true, _) => Expected::StartedSince(earliest),
             (false, true) => Expected::StartedSince(1),
             (false, false) => Expected::Anything,
         });
-        // A start within the millisecond of the one before would be the same start.
+        // Start numbers are times in milliseconds: a start in the same millisecond as the previous one would have its
+        // number.
         std::thread::sleep(Duration::from_millis(2));
-        self.run_until_converged(name, target, &BTreeSet::new(), self.plan.settle, |run| {
+        self.run_until_converged(name, target, &BTreeSet::new(), self.plan.settle_timeout, |run| {
             for (index, gateway) in chosen.iter().enumerate() {
                 if index > 0 {
                     run.pause(pause)?;
@@ -190,17 +194,21 @@
         })
     }
 
-    /// Draws so many live gateways that are no acceptors, evenly.
-    fn draw(&mut self, count: usize, fit: impl Fn(usize) -> bool) -> Vec<usize> {
+    /// Draws `count` live gateways that are not acceptors and meet a condition, uniformly.
+    fn draw(&mut self, count: usize, is_eligible: impl Fn(usize) -> bool) -> Vec<usize> {
         let acceptors = self.plan.voting_gateways();
-        let mut fit: Vec<usize> =
-            self.live.iter().copied().filter(|gateway| *gateway >= acceptors && fit(*gateway)).collect();
-        let count = count.min(fit.len());
+        let mut eligible: Vec<usize> = self
+            .live
+            .iter()
+            .copied()
+            .filter(|gateway| *gateway >= acceptors && is_eligible(*gateway))
+            .collect();
+        let count = count.min(eligible.len());
         for index in 0..count {
-            let other = index + self.rng.next_u32() as usize % (fit.len() - index);
-            fit.swap(index, other);
+            let other = index + self.rng.next_u32() as usize % (eligible.len() - index);
+            eligible.swap(index, other);
         }
-        fit.truncate(count);
-        fit
+        eligible.truncate(count);
+        eligible
     }
 }
--- a/crates/loadtest/src/scale/run/files.rs
+++ b/crates/loadtest/src/scale/run/files.rs
@@ -1,4 +1,4 @@
-//! The files that a run writes for its gateways and control servers: configurations, settings, and their folder.
+//! Files that a run writes for its gateways and control servers: configurations and settings, in a temporary folder.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,11 +12,11 @@
 use super::names::{gateway_name, zone_name};
 use super::FLEET;
 
-/// A temporary folder that is removed with its run.
+/// A temporary folder that is removed when it is dropped.
 pub(super) struct Folder(PathBuf);
 
 impl Folder {
-    /// Creates it, named after this process.
+    /// Creates a folder whose name contains the id of this process.
     pub(super) fn new() -> io::Result<Folder> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -25,7 +25,7 @@
         Ok(Folder(path))
     }
 
-    /// A path in it.
+    /// The path of a file in the folder.
     pub(super) fn join(&self, name: impl AsRef<Path>) -> PathBuf {
         self.0.join(name)
     }
@@ -37,7 +37,8 @@
     }
 }
 
-/// The example's configuration with this admin address, this discovery and these known hosts.
+/// The text of `examples/config.json`, adapted to a gateway with this admin address, this discovery address and these
+/// known hosts.
 pub(super) fn configuration(
     gateway: usize,
     plan: &Plan,
@@ -46,7 +47,7 @@
     known: Value,
 ) -> Result<String, String> {
     let example: Value = serde_json::from_str(include_str!("../../../../../examples/config.json"))
-        .map_err(|e| format!("the example: {e}"))?;
+        .map_err(|e| format!("examples/config.json: {e}"))?;
     let mut config = example;
     config["name"] = gateway_name(gateway).into();
     config["listen"] = "127.0.0.1:0".into();
@@ -59,15 +60,15 @@
     Ok(config.to_string())
 }
 
-/// The program, so that it is found from any folder.
+/// The absolute path of the program, so that processes in any folder find it.
 pub(super) fn program(path: &Path) -> Result<PathBuf, String> {
     fs::canonicalize(path).map_err(|e| format!("[run] program: {}: {e}", path.display()))
 }
 
-/// `[fleet]` as a process of the program reads it.
+/// The section `[fleet]` of a process's settings.
 pub(super) fn fleet_settings(fleet: &FleetSettings) -> String {
     let voters: Vec<String> =
-        fleet.voters.iter().map(|place| format!("{}@{}", place.name, place.address)).collect();
+        fleet.voters.iter().map(|voter| format!("{}@{}", voter.name, voter.address)).collect();
     let mut text = format!(
         "[fleet]\nname = {FLEET}\nvoters = {}\nsize = {}\nlease_ms = {}\nprobe_ms = {}\n",
         voters.join(", "),
--- a/crates/loadtest/src/scale/run/gateways.rs
+++ b/crates/loadtest/src/scale/run/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways and control servers of a run: started, killed, frozen, and waited for.
+//! Starting, killing and freezing gateways and control servers, and waiting until they are ready.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use super::{Run, FLEET};
 
 impl Run<'_> {
-    /// The thread of a simulated gateway; none for a process.
+    /// The thread of a simulated gateway; `None` for a gateway that is a process.
     fn shard(&self, gateway: usize) -> Option<&Shard> {
         if gateway >= self.plan.simulated {
             return None;
@@ -23,8 +23,8 @@
     }
 
     /// Sends a command to all threads of simulated gateways.
-    pub(super) fn send_to_all(&self, order: impl Fn() -> Command) {
-        self.shards.iter().for_each(|shard| shard.send(order()));
+    pub(super) fn send_to_all(&self, command: impl Fn() -> Command) {
+        self.shards.iter().for_each(|shard| shard.send(command()));
     }
 
     /// Starts a gateway, simulated or as a process.
@@ -36,7 +36,7 @@
             let progress = ConvergenceTracker::new(gateway, identity.region, self.plan.gateways());
             let program = spec.program.display().to_string();
             let started = Process::start(spec, progress, self.report_sender.clone());
-            let process = started.map_err(|e| format!("{program} cannot be started: {e}"))?;
+            let process = started.map_err(|e| format!("cannot start {program}: {e}"))?;
             self.outcome.started.push(process.id());
             self.processes.insert(gateway, process);
         }
@@ -54,7 +54,7 @@
         self.live.remove(&gateway);
     }
 
-    /// Freezes gateways, or lets them go on.
+    /// Freezes gateways, or lets them continue.
     pub(super) fn freeze(&mut self, chosen: &BTreeSet<usize>, frozen: bool) -> Result<(), String> {
         for gateway in chosen {
             match (self.shard(*gateway), self.processes.get(gateway)) {
@@ -63,9 +63,9 @@
                 (None, None) => {}
             }
             if frozen {
-                self.stopped.insert(*gateway);
+                self.frozen.insert(*gateway);
             } else {
-                self.stopped.remove(gateway);
+                self.frozen.remove(gateway);
             }
         }
         Ok(())
@@ -77,20 +77,23 @@
         let program = spec.program.display().to_string();
         let progress = ConvergenceTracker::new(index, 0, 0);
         let started = Process::start(spec, progress, self.report_sender.clone());
-        let process = started.map_err(|e| format!("{program} cannot be started: {e}"))?;
+        let process = started.map_err(|e| format!("cannot start {program}: {e}"))?;
         self.outcome.started.push(process.id());
-        self.control.insert(index, process);
+        self.control_servers.insert(index, process);
         Ok(())
     }
 
-    /// Waits until each control server knows what the newest version is.
+    /// Waits until each control server reports that it knows the newest version.
     pub(super) fn wait_for_control_servers(&mut self) -> Result<(), String> {
-        let until = Instant::now() + self.plan.join;
-        for index in 0..self.plan.control {
+        let until = Instant::now() + self.plan.join_timeout;
+        for index in 0..self.plan.control_servers {
             let at = self.control_specs[index].admin;
             while !control::status(FLEET, at).is_ok_and(|status| status.fresh) {
                 if Instant::now() >= until {
-                    return Err(format!("{} is not fresh", self.control_specs[index].who));
+                    return Err(format!(
+                        "{} does not know yet which version is the newest",
+                        self.control_specs[index].label
+                    ));
                 }
                 self.receive_report()?;
                 self.check_limits()?;
@@ -99,14 +102,14 @@
         Ok(())
     }
 
-    /// Waits until each gateway that is a process listens.
+    /// Waits until each gateway that is a process is listening.
     pub(super) fn wait_for_processes(&mut self) -> Result<(), String> {
-        let until = Instant::now() + self.plan.join;
-        while let Some(process) = self.processes.values().find(|process| !process.is_up()) {
+        let until = Instant::now() + self.plan.join_timeout;
+        while let Some(process) = self.processes.values().find(|process| !process.is_listening()) {
             if Instant::now() >= until {
-                return Err(format!("{} does not listen", process.who()));
+                return Err(format!("{} is not listening", process.label()));
             }
-            // Its log leaves out lines where many others come, and the one that it listens may be among them.
+            // The log drops lines when there are too many, possibly the one that reports the listener.
             process.poll_status(self.plan.gateways());
             self.receive_report()?;
             self.check_limits()?;
--- a/crates/loadtest/src/scale/run/ports.rs
+++ b/crates/loadtest/src/scale/run/ports.rs
@@ -1,6 +1,6 @@
-//! Ports of loopback for gateways and control servers, outside the range that the system assigns by itself. They are drawn
-//! in blocks that a run claims for as long as it lasts, so that two runs at a time never share a port: each port is bound
-//! and released here, and bound again later by whoever it is for.
+//! Loopback ports for gateways and control servers, outside the ephemeral range that the system assigns from. They are
+//! taken from blocks that a run claims until it ends, so that concurrent runs never share a port: each port is bound
+//! and released here, and bound again later by the gateway or control server that it is for.
 
 use std::collections::hash_map::RandomState;
 use std::fs;
@@ -8,29 +8,29 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Blocks are drawn from this port on.
+/// First port of the first block.
 const FIRST_PORT: u16 = 10_000;
-/// Ports of a block: the first is held by the run that has claimed the block, the others are handed out.
+/// Ports per block: the run that has claimed the block keeps the first one bound, the others are handed out.
 const BLOCK_PORTS: u16 = 64;
-/// Draws until a block is free.
+/// Limit of random draws until a free block is found.
 const MAX_DRAWS: usize = 1_000;
-/// First port that the system assigns by itself, where it does not say.
+/// First port of the ephemeral range, where the system does not report it.
 const DEFAULT_EPHEMERAL: u16 = 32_768;
-/// Least end of the range that blocks are drawn from.
+/// Lowest end of the range that blocks are drawn from.
 const MIN_END: u16 = 20_000;
 
-/// The addresses of a run, and its claims on the blocks that they are from.
+/// The addresses of a run, and its claims on the blocks that contain them.
 pub(super) struct Addresses {
-    /// For the fleet's datagrams: gateways, then control servers.
+    /// Datagram addresses: gateways, then control servers.
     pub(super) fleet: Vec<SocketAddr>,
-    /// Admin interfaces of the gateways that are processes, then the listeners of control servers.
+    /// TCP addresses: admin interfaces of the gateways that are processes, then control servers.
     pub(super) tcp: Vec<SocketAddr>,
-    /// Held for as long as the addresses are used.
+    /// To be kept while the addresses are used.
     pub(super) claims: Vec<TcpListener>,
 }
 
 impl Addresses {
-    /// Draws so many of each.
+    /// Draws this many datagram and TCP addresses.
     pub(super) fn draw(fleet: usize, tcp: usize) -> io::Result<Addresses> {
         let mut claims = Vec::new();
         let fleet = draw_ports(fleet, &mut claims, UdpSocket::bind)?;
@@ -43,7 +43,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Draws so many addresses that can be bound, from blocks that are claimed one after the other.
+/// Draws `count` addresses that can be bound, claiming blocks one after the other.
 fn draw_ports<T>(
     count: usize,
     claims: &mut Vec<TcpListener>,
@@ -60,8 +60,9 @@
     Ok(drawn)
 }
 
-/// Claims a block that no other run has, by holding its first port. What the system assigns to connections could be taken
-/// between the draw and the start of the process that is given the port, or while a control server is away.
+/// Claims a block that no other run has, by keeping its first port bound. Ports of the ephemeral range are not used:
+/// the system could assign one to a connection between the draw and the start of the process, or while a control server
+/// is down.
 fn claim_block() -> io::Result<TcpListener> {
     let range = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap_or_default();
     let first = range.split_whitespace().next().and_then(|text| text.parse().ok());
@@ -69,7 +70,7 @@
     let blocks = u64::from((end - FIRST_PORT) / BLOCK_PORTS);
     let mut last = io::ErrorKind::AddrNotAvailable.into();
     for _ in 0..MAX_DRAWS {
-        // Another run on the machine draws others, whatever its seed.
+        // Not from the plan's seed, so that concurrent runs with the same seed draw different blocks.
         let block = RandomState::new().build_hasher().finish() % blocks;
         match TcpListener::bind(loopback(FIRST_PORT + block as u16 * BLOCK_PORTS)) {
             Ok(claim) => return Ok(claim),
--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -1,4 +1,5 @@
-//! Preparation of a run: addresses, settings and files of everybody, before anything is started but discovery.
+//! Preparation of a run: addresses, settings and files of all gateways and control servers. Only discovery and the
+//! threads of simulated gateways are started here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -16,11 +17,11 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::super::control::{self, Followed, Machines};
+use super::super::control::{self, ControlServers, FollowedServers};
 use super::super::count;
 use super::super::discovery::Discovery;
 use super::super::plan::Plan;
-use super::super::real::{self, Spec};
+use super::super::real::{self, ProcessSpec};
 use super::super::simulated::{Common, Identity, Report, Shard};
 use super::files::{configuration, fleet_settings, program, Folder};
 use super::names::{control_index, control_name, gateway_index, gateway_name, zone_name};
@@ -28,7 +29,7 @@
 use super::ports::Addresses;
 use super::{Run, FLEET};
 
-/// What the gateways and control servers of a run are set up from.
+/// The resources from which the gateways and control servers of a run are set up.
 struct Setup<'a> {
     plan: &'a Plan,
     folder: Folder,
@@ -36,36 +37,38 @@
     fleet: Vec<SocketAddr>,
     /// Admin interfaces of the gateways that are processes.
     admin: Vec<SocketAddr>,
-    machines: Machines,
+    control_servers: ControlServers,
     acceptors: Vec<NamedAddress>,
     discovery: Discovery,
     port_claims: Vec<TcpListener>,
 }
 
-fn text(error: io::Error) -> String {
+fn error_text(error: io::Error) -> String {
     error.to_string()
 }
 
 impl<'a> Setup<'a> {
     fn new(plan: &'a Plan) -> Result<Setup<'a>, String> {
-        let folder = Folder::new().map_err(text)?;
-        let discovery =
-            Discovery::start(plan.hosts, plan.group_size, plan.zones, plan.whole).map_err(text)?;
+        let folder = Folder::new().map_err(error_text)?;
+        let discovery = Discovery::start(plan.hosts, plan.group_size, plan.zones, plan.whole_lists)
+            .map_err(error_text)?;
         let Addresses { fleet, mut tcp, claims: port_claims } =
-            Addresses::draw(plan.gateways() + plan.control, plan.real + plan.control).map_err(text)?;
+            Addresses::draw(plan.gateways() + plan.control_servers, plan.real + plan.control_servers)
+                .map_err(error_text)?;
         let listeners = tcp.split_off(plan.real);
-        let machines = Machines(Arc::new(listeners.into_iter().enumerate().map(control_server).collect()));
+        let control_servers =
+            ControlServers(Arc::new(listeners.into_iter().enumerate().map(control_server).collect()));
         let acceptors = (0..plan.voters).map(|index| acceptor(plan, &fleet, index)).collect();
-        Ok(Setup { plan, folder, fleet, admin: tcp, machines, acceptors, discovery, port_claims })
+        Ok(Setup { plan, folder, fleet, admin: tcp, control_servers, acceptors, discovery, port_claims })
     }
 
-    /// The file of the acceptor with this index, founded; none for whoever is no acceptor.
+    /// Creates the file of the acceptor with this index; `None` if the index is not that of an acceptor.
     fn acceptor_file(&self, index: usize) -> Result<Option<PathBuf>, String> {
         if index >= self.plan.voters {
             return Ok(None);
         }
         let file = self.folder.join(format!("voter-{index}"));
-        AcceptorFile::new(&file).create(AcceptorSlot(index as u8)).map_err(text)?;
+        AcceptorFile::new(&file).create(AcceptorSlot(index as u8)).map_err(error_text)?;
         Ok(Some(file))
     }
 
@@ -88,72 +91,78 @@
     }
 
     fn identity(&self, index: usize, address: SocketAddr, seed: u64) -> Result<Identity, String> {
-        let file = if index < self.plan.voting_gateways() { self.acceptor_file(index)? } else { None };
+        let acceptor_file =
+            if index < self.plan.voting_gateways() { self.acceptor_file(index)? } else { None };
         Ok(Identity {
             index,
             name: gateway_name(index),
             region: self.plan.region(index),
-            fleet: self.fleet_options(address, file.clone()),
-            file,
+            fleet: self.fleet_options(address, acceptor_file.clone()),
+            acceptor_file,
             zone: zone_name(self.plan.zone(index)),
-            kept: self.folder.join(format!("kept-{index}")),
+            version_file: self.folder.join(format!("kept-{index}")),
             seed,
         })
     }
 
-    /// The control servers' processes, with their files written.
-    fn control_specs(&self) -> Result<Vec<Spec>, String> {
+    /// Writes the files of the control servers and returns what their processes are started with.
+    fn control_specs(&self) -> Result<Vec<ProcessSpec>, String> {
         let addresses = &self.fleet[self.plan.gateways()..];
-        let servers = addresses.iter().zip(self.machines.addresses()).enumerate();
+        let servers = addresses.iter().zip(self.control_servers.addresses()).enumerate();
         servers.map(|(index, (address, listen))| self.control_spec(index, *address, listen)).collect()
     }
 
-    fn control_spec(&self, index: usize, address: SocketAddr, listen: SocketAddr) -> Result<Spec, String> {
+    fn control_spec(
+        &self,
+        index: usize,
+        address: SocketAddr,
+        listen: SocketAddr,
+    ) -> Result<ProcessSpec, String> {
         let name = control_name(index);
         let folder = self.folder.join(&name);
         let settings = fleet_settings(&self.fleet_options(address, self.acceptor_file(index)?))
-            + &self.machines.settings(&zone_name(index), &folder.join("kept"));
-        real::lay_out(&folder, None, &settings).map_err(text)?;
-        Ok(Spec {
+            + &self.control_servers.settings(&zone_name(index), &folder.join("kept"));
+        real::write_files(&folder, None, &settings).map_err(error_text)?;
+        Ok(ProcessSpec {
             index,
-            who: format!("control machine {index}"),
+            label: format!("control server {index}"),
             program: program(&self.plan.program)?,
             arguments: ["fleet", "control", "--name", &name].map(str::to_string).to_vec(),
             folder,
             admin: listen,
-            numbers: [gateway_index, control_index],
+            index_parsers: [gateway_index, control_index],
         })
     }
 
-    /// The gateways that are processes, with their files written.
-    fn gateway_specs(&self, identities: &[Identity]) -> Result<BTreeMap<usize, Spec>, String> {
+    /// Writes the files of the gateways that are processes and returns what these are started with.
+    fn gateway_specs(&self, identities: &[Identity]) -> Result<BTreeMap<usize, ProcessSpec>, String> {
         let processes = identities[self.plan.simulated..].iter().zip(&self.admin);
         processes
             .map(|(identity, admin)| Ok((identity.index, self.gateway_spec(identity, *admin)?)))
             .collect()
     }
 
-    fn gateway_spec(&self, identity: &Identity, admin: SocketAddr) -> Result<Spec, String> {
+    fn gateway_spec(&self, identity: &Identity, admin: SocketAddr) -> Result<ProcessSpec, String> {
         let index = identity.index;
         let folder = self.folder.join(&identity.name);
         let known = self.discovery.known(self.plan.roles);
         let config = configuration(index, self.plan, &admin.to_string(), self.discovery.address, known)?;
-        let settings =
-            fleet_settings(&identity.fleet) + &self.machines.settings(&identity.zone, &folder.join("kept"));
-        real::lay_out(&folder, Some(&config), &settings).map_err(text)?;
+        let settings = fleet_settings(&identity.fleet)
+            + &self.control_servers.settings(&identity.zone, &folder.join("kept"));
+        real::write_files(&folder, Some(&config), &settings).map_err(error_text)?;
         let config = folder.join("config.json").display().to_string();
-        Ok(Spec {
+        Ok(ProcessSpec {
             index,
-            who: format!("gateway {index}"),
+            label: format!("gateway {index}"),
             program: program(&self.plan.program)?,
             arguments: vec!["serve".to_string(), "--config".to_string(), config],
             folder,
             admin,
-            numbers: [gateway_index, control_index],
+            index_parsers: [gateway_index, control_index],
         })
     }
 
-    /// What all simulated gateways share.
+    /// The data that all simulated gateways share.
     fn common(&self) -> Result<Common, String> {
         let plan = self.plan;
         let addresses = self.fleet[..plan.gateways()].iter().enumerate();
@@ -162,41 +171,42 @@
         Ok(Common {
             gateways: plan.gateways(),
             regions: addresses.map(|(index, address)| (*address, plan.region(index))).collect(),
-            apart: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
             discovery: self.discovery.address,
             configuration: configuration(0, plan, "127.0.0.1:0", self.discovery.address, known)?,
-            router: plan.router,
+            with_balancer: plan.with_balancer,
             roles: (0..groups).map(|group| format!("survey/{group}")).collect(),
-            machines: self.machines.clone(),
+            control_servers: self.control_servers.clone(),
             timeouts: plan.timeouts,
-            number: gateway_index,
+            gateway_index,
         })
     }
 }
 
-/// The control server with this index, listening there.
-fn control_server((index, address): (usize, SocketAddr)) -> control::Place {
-    let machine = ControlServerInfo { name: control_name(index), zone: zone_name(index) };
-    control::Place { machine, address }
+/// The name, zone and address of a control server.
+fn control_server((index, address): (usize, SocketAddr)) -> control::ControlServerAddress {
+    let server = ControlServerInfo { name: control_name(index), zone: zone_name(index) };
+    control::ControlServerAddress { server, address }
 }
 
-/// Acceptors are the first control servers, or the first gateways where there are none.
+/// The name and address of the acceptor with this index. Acceptors are the first control servers, or the first gateways
+/// in a run without control servers.
 fn acceptor(plan: &Plan, fleet: &[SocketAddr], index: usize) -> NamedAddress {
-    match plan.control {
+    match plan.control_servers {
         0 => NamedAddress { name: gateway_name(index), address: fleet[index] },
         _ => NamedAddress { name: control_name(index), address: fleet[plan.gateways() + index] },
     }
 }
 
-/// The threads that simulated gateways run on. An acceptor waits for its disk: each has a thread of its own, as in the
-/// program.
+/// Starts the threads of the simulated gateways. An acceptor waits for its disk, so each has a thread of its own, as in
+/// the program.
 fn start_shards(plan: &Plan, common: &Arc<Common>, reports: &Sender<Report>) -> Result<Vec<Shard>, String> {
     let count = plan.voting_gateways().min(plan.simulated) + plan.threads.min(plan.simulated);
-    (0..count).map(|_| Shard::start(common.clone(), reports.clone()).map_err(text)).collect()
+    (0..count).map(|_| Shard::start(common.clone(), reports.clone()).map_err(error_text)).collect()
 }
 
 impl<'a> Run<'a> {
-    /// Prepares a run; nothing of it acts before [`Run::play`].
+    /// Prepares a run; no gateway or control server is started before [`Run::execute`].
     pub(super) fn prepare(
         plan: &'a Plan,
         stop: &'a AtomicBool,
@@ -214,23 +224,23 @@
             plan,
             stop,
             progress,
-            until: Instant::now() + plan.longest,
+            until: Instant::now() + plan.time_limit,
             rng,
             targets: 0,
             live: BTreeSet::new(),
-            stopped: BTreeSet::new(),
+            frozen: BTreeSet::new(),
             identities,
             specs,
             reports,
             report_sender,
             outcome: Outcome::default(),
-            memory_before: count::resident("self").unwrap_or(0),
+            memory_before: count::resident_kib("self").unwrap_or(0),
             shards,
             processes: BTreeMap::new(),
-            control: BTreeMap::new(),
+            control_servers: BTreeMap::new(),
             control_specs,
             versions: control::VersionTracker::default(),
-            followed: Followed::default(),
+            followed: FollowedServers::default(),
             proposed: 0,
             common,
             discovery: setup.discovery,
--- a/crates/loadtest/src/scale/run/targets.rs
+++ b/crates/loadtest/src/scale/run/targets.rs
@@ -1,4 +1,4 @@
-//! Targets of a run: what all gateways are to know after an event.
+//! Convergence targets of the events of a run.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,8 @@
 use super::Run;
 
 impl Run<'_> {
-    /// A target by what a gateway of a region is to know of each other one; the list and the configuration stay as they are.
+    /// A target with what `expected` returns for a gateway's region and the index of another gateway. It expects the
+    /// present version of the list and no reload of the configuration.
     pub(super) fn target(&mut self, expected: impl Fn(usize, usize) -> Expected) -> ConvergenceTarget {
         self.targets += 1;
         let others = |region| (0..self.plan.gateways()).map(|other| expected(region, other)).collect();
@@ -19,25 +20,31 @@
         }
     }
 
-    /// A version of the list, and nothing else.
+    /// Expects this version of the list.
     pub(super) fn target_of_version(&mut self, version: u64) -> ConvergenceTarget {
         ConvergenceTarget { version, ..self.target(|_, _| Expected::Anything) }
     }
 
-    /// All live gateways are known, with a start of this number or later.
-    pub(super) fn target_of_live(&mut self, least: u64) -> ConvergenceTarget {
+    /// Expects that all live gateways are known, with this start number or a later one.
+    pub(super) fn target_of_live(&mut self, earliest: u64) -> ConvergenceTarget {
         let live = self.live.clone();
         self.target(
-            |_, other| if live.contains(&other) { Expected::StartedSince(least) } else { Expected::Anything },
+            |_, other| {
+                if live.contains(&other) {
+                    Expected::StartedSince(earliest)
+                } else {
+                    Expected::Anything
+                }
+            },
         )
     }
 
-    /// These gateways are known to be gone.
+    /// Expects that these gateways are known to be gone.
     pub(super) fn target_of_absence(&mut self, gone: &BTreeSet<usize>) -> ConvergenceTarget {
         self.target(|_, other| if gone.contains(&other) { Expected::Absent } else { Expected::Anything })
     }
 
-    /// Gateways of other regions are known to be gone.
+    /// Expects that the gateways of other regions are known to be gone.
     pub(super) fn target_of_regions(&mut self) -> ConvergenceTarget {
         let plan = self.plan;
         self.target(
--- a/crates/loadtest/src/scale/run/versions.rs
+++ b/crates/loadtest/src/scale/run/versions.rs
@@ -1,4 +1,4 @@
-//! Events around versions of the configuration: they are proposed, and control servers are lost.
+//! Events that concern versions of the configuration: proposals, and the loss of control servers.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,17 +12,18 @@
 use super::outcome::PhaseResult;
 use super::{Run, CHECK_INTERVAL, FLEET};
 
-/// How a control server is lost.
+/// How a control server becomes unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Loss {
-    /// Its process ends, and its connections with it.
+    /// Its process is killed, which closes its connections.
     Killed,
-    /// It is frozen and sends nothing more.
-    Stopped,
+    /// Its process is frozen: connections stay open, but it sends nothing.
+    Frozen,
 }
 
 impl Run<'_> {
-    /// Proposes versions and waits until they are in force at all live gateways; one of these may be frozen at first.
+    /// Proposes versions and waits until all gateways that are live and not frozen have the newest one in force.
+    /// `behind` is a gateway that is frozen for the given time from the first proposal on.
     pub(super) fn propose_versions(
         &mut self,
         name: &str,
@@ -30,48 +31,49 @@
         pause: Duration,
         behind: Option<(usize, Duration)>,
     ) -> Result<(), String> {
-        let waited = self.awake();
+        let awaited = self.running_gateways();
         let first = self.proposed + 1;
         self.proposed += count as u64;
         self.measure_phase(name, |run| {
             run.drain_reports()?;
-            run.versions.begin(first);
+            run.versions.start_event(first);
             if let Some((gateway, _)) = behind {
                 run.freeze(&BTreeSet::from([gateway]), true)?;
             }
-            let over = Arc::new(AtomicBool::new(false));
+            let cancelled = Arc::new(AtomicBool::new(false));
             let proposals = Proposals {
                 fleet: FLEET,
-                machines: run.common.machines.addresses(),
+                servers: run.common.control_servers.addresses(),
                 configuration: run.common.configuration.clone(),
                 length: run.plan.document_bytes,
-                first,
+                first_sequence: first,
                 count,
                 pause,
-                over: over.clone(),
+                cancelled: cancelled.clone(),
             };
-            proposals.begin(run.report_sender.clone()).map_err(|e| e.to_string())?;
+            proposals.start(run.report_sender.clone()).map_err(|e| e.to_string())?;
             let began = Instant::now();
-            let mut asleep = behind;
-            let lasts = behind.map_or(Duration::ZERO, |(_, time)| time) + pause * count as u32;
-            run.receive_until(began + lasts + run.plan.settle, &waited, |run| {
-                if let Some((gateway, _)) = asleep.filter(|(_, time)| began.elapsed() >= *time) {
+            let mut frozen = behind;
+            let duration = behind.map_or(Duration::ZERO, |(_, time)| time) + pause * count as u32;
+            run.receive_until(began + duration + run.plan.settle_timeout, &awaited, |run| {
+                if let Some((gateway, _)) = frozen.filter(|(_, time)| began.elapsed() >= *time) {
                     run.freeze(&BTreeSet::from([gateway]), false)?;
-                    asleep = None;
+                    frozen = None;
                 }
-                Ok(asleep.is_none() && run.versions.is_done(count, &waited))
+                Ok(frozen.is_none() && run.versions.is_done(count, &awaited))
             })?;
-            over.store(true, Ordering::Relaxed);
+            cancelled.store(true, Ordering::Relaxed);
             run.outcome.rejections.extend(run.versions.rejections().map(str::to_string));
-            let versions = run.versions.versions(&waited);
+            let versions = run.versions.versions(&awaited);
             let mut acted: Vec<(usize, Duration)> =
                 versions.iter().flat_map(|version| version.acted.iter().copied()).collect();
             acted.sort_by_key(|(_, time)| *time);
-            Ok(PhaseResult { acted: Some((count * waited.len(), acted)), versions, arrivals: None })
+            Ok(PhaseResult { acted: Some((count * awaited.len(), acted)), versions, arrivals: None })
         })
     }
 
-    /// Loses a control server: its followers and all of its zone follow another, and its zone returns to it once it is back.
+    /// Makes a control server unavailable for a time. Waits until its followers and all gateways of its zone follow
+    /// another one and, once it is back, until the gateways of its zone have returned to it.
     pub(super) fn lose_control_server(
         &mut self,
         name: &str,
@@ -79,64 +81,66 @@
         loss: Loss,
     ) -> Result<(), String> {
         self.drain_reports()?;
-        let index = self.rng.next_u32() as usize % self.plan.control.max(1);
+        let index = self.rng.next_u32() as usize % self.plan.control_servers.max(1);
         let zone: BTreeSet<usize> =
-            self.awake().into_iter().filter(|gateway| self.plan.zone(*gateway) == index).collect();
+            self.running_gateways().into_iter().filter(|gateway| self.plan.zone(*gateway) == index).collect();
         let follows = |gateway: &usize| self.followed.since(*gateway, |server| server == index).is_some();
-        let mut waited: BTreeSet<usize> = self.awake().into_iter().filter(follows).collect();
-        waited.extend(&zone);
+        let mut awaited: BTreeSet<usize> = self.running_gateways().into_iter().filter(follows).collect();
+        awaited.extend(&zone);
         let lost = Instant::now();
         self.measure_phase(name, |run| {
             let began = Instant::now();
-            match (loss, run.control.get(&index)) {
-                (Loss::Stopped, Some(process)) => process.signal(Signal::STOP)?,
-                _ => drop(run.control.remove(&index)),
+            match (loss, run.control_servers.get(&index)) {
+                (Loss::Frozen, Some(process)) => process.signal(Signal::STOP)?,
+                _ => drop(run.control_servers.remove(&index)),
             }
-            let found = run.wait_for_followers(began, &waited, run.plan.settle, |server| server != index)?;
+            let found =
+                run.wait_for_followers(began, &awaited, run.plan.settle_timeout, |server| server != index)?;
             Ok(PhaseResult { acted: Some(found), ..PhaseResult::default() })
         })?;
         self.pause(time.saturating_sub(lost.elapsed()))?;
         self.measure_phase(&format!("{name} back"), |run| {
             run.drain_reports()?;
-            run.followed.begin();
+            run.followed.start_event();
             let began = Instant::now();
-            match run.control.get(&index) {
+            match run.control_servers.get(&index) {
                 Some(process) => process.signal(Signal::CONT)?,
                 None => run.start_control_server(index)?,
             }
-            // They come back within a draw over this time.
-            let settle = run.plan.settle + run.plan.timeouts.return_window;
+            // Each gateway returns after a random time within the return window.
+            let settle = run.plan.settle_timeout + run.plan.timeouts.return_window;
             let found = run.wait_for_followers(began, &zone, settle, |server| server == index)?;
-            let arrivals = Some(run.followed.most_in_a_second(index));
+            let arrivals = Some(run.followed.max_arrivals_per_second(index));
             Ok(PhaseResult { acted: Some(found), arrivals, ..PhaseResult::default() })
         })
     }
 
-    /// Waits until gateways follow one of these control servers.
+    /// Waits until all awaited gateways follow a control server that is `wanted`. Returns their number and the time of
+    /// each that does, in ascending order.
     fn wait_for_followers(
         &mut self,
         began: Instant,
-        waited: &BTreeSet<usize>,
+        awaited: &BTreeSet<usize>,
         settle: Duration,
         wanted: impl Fn(usize) -> bool,
     ) -> Result<(usize, Vec<(usize, Duration)>), String> {
-        self.receive_until(began + settle, waited, |run| {
-            Ok(waited.iter().all(|gateway| run.followed.since(*gateway, &wanted).is_some()))
+        self.receive_until(began + settle, awaited, |run| {
+            Ok(awaited.iter().all(|gateway| run.followed.since(*gateway, &wanted).is_some()))
         })?;
         let time = |gateway: &usize| {
             let at = self.followed.since(*gateway, &wanted)?;
             Some((*gateway, at.saturating_duration_since(began)))
         };
-        let mut acted: Vec<(usize, Duration)> = waited.iter().filter_map(time).collect();
+        let mut acted: Vec<(usize, Duration)> = awaited.iter().filter_map(time).collect();
         acted.sort_by_key(|(_, time)| *time);
-        Ok((waited.len(), acted))
+        Ok((awaited.len(), acted))
     }
 
-    /// Receives reports until a condition holds, or the time is over.
+    /// Receives reports until a condition holds or the time `until` is reached.
     fn receive_until(
         &mut self,
         until: Instant,
-        waited: &BTreeSet<usize>,
+        awaited: &BTreeSet<usize>,
         mut holds: impl FnMut(&mut Self) -> Result<bool, String>,
     ) -> Result<(), String> {
         let mut next_check = Instant::now();
@@ -144,8 +148,8 @@
             self.receive_report()?;
             if Instant::now() >= next_check {
                 self.check_limits()?;
-                // One that is stopped would keep the run waiting for its answer.
-                let polled = waited.difference(&self.stopped).filter_map(|at| self.processes.get(at));
+                // A frozen process is not polled: waiting for its answer would delay the run.
+                let polled = awaited.difference(&self.frozen).filter_map(|at| self.processes.get(at));
                 polled.for_each(|process| process.poll_status(self.plan.gateways()));
                 next_check = Instant::now() + CHECK_INTERVAL;
             }
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -1,5 +1,6 @@
-//! Hollow gateways: the fleet's node, the watch on discovery, the directory and the balancer, the connections to control
-//! machines and the versions taken from them as the program has them, each with sockets of its own, many to a thread. There is nothing of clients and nothing of hosts.
+//! Simulated gateways (`hollow` in plans and reports), many to a thread. Each runs the program's own fleet node,
+//! discovery watch, directory, balancer and rollout follower, with sockets of its own. Clients and hosts are not
+//! simulated.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -37,118 +38,118 @@
 use slog::{o, Discard, Logger};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::control::{Machines, Proposal};
+use super::control::{ControlServers, Proposal};
 use super::convergence::{ConvergenceTarget, ConvergenceTracker};
 use super::count::{thread_cpu, Counts};
 
-/// Most gateways of a thread that go on with their list, or take a version, before all nodes are looked at again: either
-/// takes milliseconds, and a node that waits behind hundreds of them would be taken for gone by the others.
-const LISTS: usize = 2;
-/// Longest sleep of a thread.
-const LOOK: Duration = Duration::from_millis(200);
+/// Limit of gateways of a thread that continue with their list or apply a version in one pass over all its gateways.
+/// Either takes milliseconds, and a node that had to wait for hundreds of them would be declared gone by the others.
+const MAX_LIST_TURNS: usize = 2;
+/// Longest wait of a thread for events.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
-/// What all simulated gateways of a run share.
+/// Data that all simulated gateways of a run share.
 pub struct Common {
     /// Number of gateways, simulated and real.
     pub gateways: usize,
-    /// Which region hears at an address.
+    /// The region of the gateway with a datagram address.
     pub regions: BTreeMap<SocketAddr, usize>,
-    /// Regions hear nothing of each other.
-    pub apart: AtomicBool,
-    /// Discovery.
+    /// Whether the regions are partitioned: datagrams from other regions are dropped.
+    pub partitioned: AtomicBool,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The configuration's text.
+    /// Text of the configuration.
     pub configuration: String,
-    /// Whether the balancer takes the list in.
-    pub router: bool,
-    /// The fleet's roles.
+    /// Whether each gateway updates a balancer from the list.
+    pub with_balancer: bool,
+    /// Names of the roles that gateways can hold by lease.
     pub roles: Vec<String>,
     /// The control servers.
-    pub machines: Machines,
-    /// How long what may take between a simulated gateway and the control servers.
+    pub control_servers: ControlServers,
+    /// Timeouts between a gateway and the control servers.
     pub timeouts: Timeouts,
-    /// The number in a name.
-    pub number: fn(&str) -> Option<usize>,
+    /// Returns the index in a gateway's name.
+    pub gateway_index: fn(&str) -> Option<usize>,
 }
 
-/// What a simulated gateway is started with.
+/// The parameters that a simulated gateway is started with.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its number.
+    /// Index among all gateways.
     pub index: usize,
-    /// Its name.
+    /// Name in the fleet.
     pub name: String,
-    /// Its region.
+    /// Index of the region.
     pub region: usize,
-    /// What `[fleet]` would say.
+    /// The settings of the section `[fleet]`.
     pub fleet: FleetSettings,
-    /// A voter's file.
-    pub file: Option<PathBuf>,
-    /// Its zone.
+    /// The acceptor's file; `None` if the gateway is not an acceptor.
+    pub acceptor_file: Option<PathBuf>,
+    /// Name of the zone.
     pub zone: String,
-    /// Where it keeps the version in force.
-    pub kept: PathBuf,
-    /// For random numbers.
+    /// The file that stores the version in force.
+    pub version_file: PathBuf,
+    /// Seed of its random draws.
     pub seed: u64,
 }
 
-/// What a thread of simulated gateways is to do.
+/// A command to a thread of simulated gateways.
 pub enum Command {
-    /// Starts a gateway, under this number of its start.
+    /// Starts or restarts a gateway with this start number.
     Start(Box<Identity>, u64),
-    /// Ends one without a word.
+    /// Ends a gateway without a graceful shutdown.
     Kill(usize),
-    /// One does nothing, or goes on.
+    /// Freezes a gateway, or lets it continue.
     Freeze(usize, bool),
-    /// All are to converge on this.
+    /// Sets the convergence target of all gateways.
     SetTarget(Arc<ConvergenceTarget>),
-    /// All read their configuration anew.
+    /// Makes all gateways reload their configuration.
     Configure,
-    /// Hands in all counts.
+    /// Sends the counters of all gateways, by index.
     Count(Sender<Vec<(usize, Counts)>>),
 }
 
-/// What a gateway, a thread or a process reports.
+/// A report of a gateway, of a thread or of a process.
 #[derive(Debug)]
 pub enum Report {
     /// A gateway has reached a target.
     TargetReached {
-        /// Which.
+        /// Index of the gateway.
         gateway: usize,
-        /// The target.
+        /// Id of the target.
         target: usize,
-        /// When.
+        /// Time of the observation.
         at: Instant,
     },
     /// A gateway has a version in force.
     VersionInForce {
-        /// Which.
+        /// Index of the gateway.
         gateway: usize,
         /// The version's number.
         number: u64,
-        /// When.
+        /// Time of the observation.
         at: Instant,
     },
-    /// A gateway follows a fresh control server, another one than before, or none any more.
+    /// A gateway follows another fresh control server than before, or has lost the last one.
     ControlServerChanged {
-        /// Which.
+        /// Index of the gateway.
         gateway: usize,
-        /// The control server's index.
+        /// Index of the control server; `None` if the gateway follows no fresh one.
         server: Option<usize>,
-        /// When.
+        /// Time of the observation.
         at: Instant,
     },
-    /// A version that was proposed has been answered.
+    /// The proposal of a version was answered.
     VersionProposed(Proposal),
-    /// The run cannot go on.
+    /// An error that aborts the run.
     Failed(String),
 }
 
-/// A thread with its gateways.
+/// A thread that runs simulated gateways; it ends when this value is dropped.
 pub struct Shard {
     commands: Sender<Command>,
     poller: Arc<Poller>,
-    end: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -156,46 +157,46 @@
     /// Starts a thread without gateways.
     ///
     /// # Errors
-    /// What the system does not give.
+    /// The system cannot provide a poller or a thread.
     pub fn start(common: Arc<Common>, reports: Sender<Report>) -> io::Result<Shard> {
-        let (commands, told) = channel();
+        let (commands, command_receiver) = channel();
         let poller = Arc::new(Poller::new()?);
-        let end = Arc::new(AtomicBool::new(false));
-        let work = Work {
+        let stopping = Arc::new(AtomicBool::new(false));
+        let worker = ShardWorker {
             common,
-            told,
+            command_receiver,
             reports: reports.clone(),
             poller: poller.clone(),
             gateways: BTreeMap::new(),
-            next: 0,
+            next_turn: 0,
             clock: Clock::start(),
             began: Instant::now(),
         };
-        let ended = end.clone();
+        let worker_stopping = stopping.clone();
         let thread =
             std::thread::Builder::new().name("simulated".into()).spawn(move || {
-                match catch_unwind(AssertUnwindSafe(|| work.run(&ended))) {
+                match catch_unwind(AssertUnwindSafe(|| worker.run(&worker_stopping))) {
                     Ok(Ok(())) => {}
-                    Ok(Err(what)) => drop(reports.send(Report::Failed(what))),
+                    Ok(Err(error)) => drop(reports.send(Report::Failed(error))),
                     Err(_) => {
                         drop(reports.send(Report::Failed("a thread of simulated gateways panicked".into())));
                     }
                 }
             })?;
-        Ok(Shard { commands, poller, end, thread: Some(thread) })
+        Ok(Shard { commands, poller, stopping, thread: Some(thread) })
     }
 
-    /// Sends it a command.
-    pub fn send(&self, order: Command) {
-        // One that has failed has said so itself.
-        let _ = self.commands.send(order);
+    /// Sends the thread a command.
+    pub fn send(&self, command: Command) {
+        // A thread that has failed does not receive it; it has sent a report of its failure.
+        let _ = self.commands.send(command);
         let _ = self.poller.notify();
     }
 }
 
 impl Drop for Shard {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         let _ = self.poller.notify();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -203,55 +204,55 @@
     }
 }
 
-/// A gateway's socket, counted, with the cut between regions.
-struct Counted<'a> {
+/// A gateway's datagram socket, which counts datagrams and drops those from other regions during a partition.
+struct CountedSocket<'a> {
     socket: &'a UdpSocket,
     counts: &'a mut Counts,
     common: &'a Common,
     region: usize,
 }
 
-impl DatagramSocket for Counted<'_> {
+impl DatagramSocket for CountedSocket<'_> {
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
-            let apart = self.common.apart.load(Ordering::Relaxed);
-            if apart && self.common.regions.get(&from).is_some_and(|region| *region != self.region) {
-                self.counts.held += 1;
+            let partitioned = self.common.partitioned.load(Ordering::Relaxed);
+            if partitioned && self.common.regions.get(&from).is_some_and(|region| *region != self.region) {
+                self.counts.dropped += 1;
                 continue;
             }
-            Counts::book(&mut self.counts.received, frame::peek_kind(&bytes[..count]), count);
+            Counts::record(&mut self.counts.received, frame::peek_kind(&bytes[..count]), count);
             return Ok((count, from));
         }
     }
 
     fn send(&mut self, datagram: &[u8], to: SocketAddr) {
-        Counts::book(&mut self.counts.sent, frame::peek_kind(datagram), datagram.len());
+        Counts::record(&mut self.counts.sent, frame::peek_kind(datagram), datagram.len());
         let _ = self.socket.send_to(datagram, to);
     }
 }
 
-/// A call to discovery that is out.
+/// A call to discovery in progress.
 struct Call {
     socket: TcpStream,
-    text: Vec<u8>,
+    request: Vec<u8>,
     sent: usize,
-    /// Bytes of its answer so far.
-    heard: usize,
-    /// Its key in the poller.
+    /// Bytes of the answer received so far.
+    received: usize,
+    /// Key in the poller.
     key: usize,
     began: Micros,
-    until: Micros,
+    deadline: Micros,
 }
 
-/// The list's part of a gateway.
-struct Listing {
+/// The components of a gateway that receive and apply the endpoint list.
+struct DiscoveryClient {
     watch: Watch,
     call: Option<Call>,
-    /// A watch that has fallen silent and stays out beside the latest call.
-    silent: Option<Call>,
-    /// When the next call goes out, if none is.
-    next: Micros,
+    /// An earlier call without an answer in time, which is kept open beside the current one.
+    silent_call: Option<Call>,
+    /// When to start the next call, if none is in progress.
+    next_call_at: Micros,
     rng: Pcg64Mcg,
     directory: Directory,
     in_force: ActiveConfig,
@@ -259,108 +260,113 @@
     balancer: Option<Balancer>,
 }
 
-/// The part of a gateway that follows the control servers.
-struct Following {
-    carrier: FollowerDriver,
-    /// Where the version in force is kept.
-    kept: PathBuf,
+/// The component of a gateway that follows the control servers.
+struct RolloutFollower {
+    driver: FollowerDriver,
+    /// The file that stores the version in force.
+    version_file: PathBuf,
     in_force: Option<Document>,
-    /// To be taken; the follower hands out one at a time.
+    /// A received version that has not been applied yet; the follower returns one at a time.
     offered: Option<Document>,
-    /// The fresh control server that was heard last.
-    heard: Option<usize>,
+    /// Index of the fresh control server that it followed at the last poll.
+    server: Option<usize>,
 }
 
 struct Gateway {
     region: usize,
-    carrier: NodeTransport,
+    transport: NodeTransport,
     socket: UdpSocket,
-    listing: Listing,
-    following: Option<Following>,
-    progress: ConvergenceTracker,
+    discovery_client: DiscoveryClient,
+    follower: Option<RolloutFollower>,
+    tracker: ConvergenceTracker,
     counts: Counts,
     frozen: bool,
 }
 
-struct Work {
+struct ShardWorker {
     common: Arc<Common>,
-    told: Receiver<Command>,
+    command_receiver: Receiver<Command>,
     reports: Sender<Report>,
     poller: Arc<Poller>,
-    /// By number; one that was killed leaves its counts.
+    /// By index; a killed gateway leaves its counters.
     gateways: BTreeMap<usize, Result<Box<Gateway>, Counts>>,
-    /// Whose turn with a list or a version is first in the next pass.
-    next: usize,
+    /// Index of the gateway that is served first in the next pass.
+    next_turn: usize,
     clock: Clock,
     began: Instant,
 }
 
-/// Keys of a gateway's sockets: one for datagrams, two for calls, three for control servers.
-const KEYS: usize = 6;
-/// The first of those for control servers.
-const CONTROL: usize = 3;
+/// Poller keys per gateway: one for datagrams, two for calls to discovery, three for control servers.
+const KEYS_PER_GATEWAY: usize = 6;
+/// The first key for control servers, relative to the gateway's first key.
+const FIRST_CONTROL_KEY: usize = 3;
 
-fn datagrams(index: usize) -> usize {
-    KEYS * index
+fn datagram_key(index: usize) -> usize {
+    KEYS_PER_GATEWAY * index
 }
 
-/// What the poller has told of a gateway's sockets.
+/// The sockets of a gateway for which the poller has reported events.
 #[derive(Default)]
 struct Ready {
-    heard: bool,
-    answered: bool,
+    datagram: bool,
+    discovery: bool,
     control: Vec<Event>,
 }
 
-impl Work {
-    fn run(mut self, end: &AtomicBool) -> Result<(), String> {
+impl ShardWorker {
+    fn run(mut self, stopping: &AtomicBool) -> Result<(), String> {
         let mut events = Vec::new();
-        while !end.load(Ordering::Relaxed) {
-            let due = self.due().saturating_sub(self.began.elapsed()).min(LOOK);
+        while !stopping.load(Ordering::Relaxed) {
+            let wait = self.next_due().saturating_sub(self.began.elapsed()).min(MAX_SLEEP);
             events.clear();
-            self.poller.wait(&mut events, Some(due)).map_err(|e| format!("cannot wait: {e}"))?;
-            while let Ok(order) = self.told.try_recv() {
-                self.follow(order)?;
+            self.poller.wait(&mut events, Some(wait)).map_err(|e| format!("cannot wait for events: {e}"))?;
+            while let Ok(command) = self.command_receiver.try_recv() {
+                self.handle_command(command)?;
             }
             let mut ready: BTreeMap<usize, Ready> = BTreeMap::new();
             for event in &events {
-                let ready = ready.entry(event.key / KEYS).or_default();
-                match event.key % KEYS {
-                    0 => ready.heard = true,
-                    key if key < CONTROL => ready.answered = true,
+                let ready = ready.entry(event.key / KEYS_PER_GATEWAY).or_default();
+                match event.key % KEYS_PER_GATEWAY {
+                    0 => ready.datagram = true,
+                    key if key < FIRST_CONTROL_KEY => ready.discovery = true,
                     _ => ready.control.push(*event),
                 }
             }
-            let Work { gateways, common, reports, poller, clock, began, next, .. } = &mut self;
-            // Behind the last one that had its turn with a list or a version: from the first one each time, the last would
-            // wait for as long as there is more to do than time.
-            let order: Vec<usize> =
-                gateways.range(*next..).chain(gateways.range(..*next)).map(|(index, _)| *index).collect();
-            let mut lists = 0;
-            for index in order {
+            let ShardWorker { gateways, common, reports, poller, clock, began, next_turn, .. } = &mut self;
+            // Starts after the gateway that was served last: a pass that always started with the first gateway would
+            // never reach the last ones under overload.
+            let turn_order: Vec<usize> = gateways
+                .range(*next_turn..)
+                .chain(gateways.range(..*next_turn))
+                .map(|(index, _)| *index)
+                .collect();
+            let mut list_turns = 0;
+            for index in turn_order {
                 let Some(Ok(gateway)) = gateways.get_mut(&index) else { continue };
                 if gateway.frozen {
                     continue;
                 }
-                let Ready { heard, answered, control } = ready.remove(&index).unwrap_or_default();
+                let Ready { datagram, discovery, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
-                if heard || gateway.carrier.node.next_deadline() <= now {
-                    gateway.turn(now, common);
+                if datagram || gateway.transport.node.next_deadline() <= now {
+                    gateway.poll_node(now, common);
                 }
-                let following = gateway.following.as_ref();
-                if following.is_some_and(|it| !control.is_empty() || it.carrier.next_turn() <= now) {
-                    gateway.follow(index, now, &control, reports);
+                let follower = gateway.follower.as_ref();
+                if follower.is_some_and(|it| !control.is_empty() || it.driver.next_turn() <= now) {
+                    gateway.poll_follower(index, now, &control, reports);
                 }
-                // Who is left out is found ready, or due, in the next pass.
-                if lists < LISTS && gateway.is_offered() {
-                    (lists, *next) = (lists + 1, index + 1);
-                    gateway.take_offered(index, began, common, reports);
+                // A gateway that is not served now is still ready, or due, in the next pass.
+                if list_turns < MAX_LIST_TURNS && gateway.has_offered_version() {
+                    (list_turns, *next_turn) = (list_turns + 1, index + 1);
+                    gateway.apply_offered_version(index, began, common, reports);
                 }
-                if lists < LISTS && (answered || gateway.listing.due() <= clock.read()) {
-                    (lists, *next) = (lists + 1, index + 1);
-                    gateway.watch(index, clock, common, poller);
+                if list_turns < MAX_LIST_TURNS
+                    && (discovery || gateway.discovery_client.next_due() <= clock.read())
+                {
+                    (list_turns, *next_turn) = (list_turns + 1, index + 1);
+                    gateway.poll_discovery(index, clock, common, poller);
                 }
-                if let Some(target) = gateway.progress.take_reached() {
+                if let Some(target) = gateway.tracker.take_reached() {
                     let _ =
                         reports.send(Report::TargetReached { gateway: index, target, at: Instant::now() });
                 }
@@ -369,24 +375,24 @@
         Ok(())
     }
 
-    /// When a gateway has something to do next.
-    fn due(&self) -> Duration {
-        let (now, here) = (self.clock.read(), self.began.elapsed());
-        let awake = self.gateways.values().flatten().filter(|gateway| !gateway.frozen);
-        let due = awake.map(|gateway| {
-            let list = here + Duration::from_micros((gateway.listing.due() - now).0);
-            let control = match &gateway.following {
-                Some(_) if gateway.is_offered() => Duration::ZERO,
-                Some(following) => following.carrier.next_turn(),
+    /// When the next gateway has something to do, counted from the start of the thread.
+    fn next_due(&self) -> Duration {
+        let (now, elapsed) = (self.clock.read(), self.began.elapsed());
+        let running = self.gateways.values().flatten().filter(|gateway| !gateway.frozen);
+        let times = running.map(|gateway| {
+            let list = elapsed + Duration::from_micros((gateway.discovery_client.next_due() - now).0);
+            let control = match &gateway.follower {
+                Some(_) if gateway.has_offered_version() => Duration::ZERO,
+                Some(follower) => follower.driver.next_turn(),
                 None => Duration::MAX,
             };
-            gateway.carrier.node.next_deadline().min(list).min(control)
+            gateway.transport.node.next_deadline().min(list).min(control)
         });
-        due.min().unwrap_or(Duration::MAX)
+        times.min().unwrap_or(Duration::MAX)
     }
 
-    fn follow(&mut self, order: Command) -> Result<(), String> {
-        match order {
+    fn handle_command(&mut self, command: Command) -> Result<(), String> {
+        match command {
             Command::Start(identity, start) => {
                 let (index, name) = (identity.index, identity.name.clone());
                 let counts = match self.gateways.remove(&index) {
@@ -394,7 +400,8 @@
                     Some(Err(counts)) => counts,
                     None => Counts::default(),
                 };
-                let gateway = self.open(*identity, start, counts).map_err(|e| format!("{name}: {e}"))?;
+                let gateway =
+                    self.start_gateway(*identity, start, counts).map_err(|e| format!("{name}: {e}"))?;
                 self.gateways.insert(index, Ok(Box::new(gateway)));
             }
             Command::Kill(index) => {
@@ -411,108 +418,112 @@
             }
             Command::SetTarget(target) => {
                 for gateway in self.gateways.values_mut().flatten() {
-                    gateway.progress.set_target(target.clone());
+                    gateway.tracker.set_target(target.clone());
                 }
             }
             Command::Configure => {
                 for gateway in self.gateways.values_mut().flatten() {
-                    gateway.configure(&self.common.configuration)?;
+                    gateway.reload_configuration(&self.common.configuration)?;
                 }
             }
-            Command::Count(back) => {
+            Command::Count(reply) => {
                 let count = |(index, gateway): (&usize, &Result<Box<Gateway>, Counts>)| match gateway {
-                    Ok(gateway) => (*index, gateway.counted()),
+                    Ok(gateway) => (*index, gateway.total_counts()),
                     Err(counts) => (*index, *counts),
                 };
-                let _ = back.send(self.gateways.iter().map(count).collect());
+                let _ = reply.send(self.gateways.iter().map(count).collect());
             }
         }
         Ok(())
     }
 
-    fn open(&self, identity: Identity, start: u64, counts: Counts) -> Result<Gateway, String> {
-        let said = |e: io::Error| e.to_string();
-        let Identity { index, name, region, fleet, file, zone, kept, seed } = identity;
-        let listen = fleet.listen.ok_or("no address")?;
-        let socket = UdpSocket::bind(listen).map_err(said)?;
-        socket.set_nonblocking(true).map_err(said)?;
-        let beginning = NodeStart { name: name.clone(), start, roles: self.common.roles.clone(), seed };
-        let (settings, slot) =
-            node_settings(&fleet, beginning).map_err(|error| error.to_string())?.ok_or("no fleet")?;
-        let voter = slot.zip(file.as_deref().map(AcceptorFile::new));
-        let carrier = NodeTransport::new(settings, voter, Logger::root(Discard, o!()));
-        let added = self.poller.add_with_mode(&socket, Event::readable(datagrams(index)), PollMode::Level);
-        added.map_err(said)?;
-        let mut progress = ConvergenceTracker::new(index, region, self.common.gateways);
-        (progress.losses, progress.mistaken) = (counts.losses, counts.mistaken);
-        let mut listing = Listing::new(&self.common, seed)?;
+    fn start_gateway(&self, identity: Identity, start: u64, counts: Counts) -> Result<Gateway, String> {
+        let error_text = |e: io::Error| e.to_string();
+        let Identity { index, name, region, fleet, acceptor_file, zone, version_file, seed } = identity;
+        let listen = fleet.listen.ok_or("the settings of the fleet have no listen address")?;
+        let socket = UdpSocket::bind(listen).map_err(error_text)?;
+        socket.set_nonblocking(true).map_err(error_text)?;
+        let node_start = NodeStart { name: name.clone(), start, roles: self.common.roles.clone(), seed };
+        let (settings, slot) = node_settings(&fleet, node_start)
+            .map_err(|error| error.to_string())?
+            .ok_or("the settings have no fleet")?;
+        let acceptor = slot.zip(acceptor_file.as_deref().map(AcceptorFile::new));
+        let transport = NodeTransport::new(settings, acceptor, Logger::root(Discard, o!()));
+        let added = self.poller.add_with_mode(&socket, Event::readable(datagram_key(index)), PollMode::Level);
+        added.map_err(error_text)?;
+        let mut tracker = ConvergenceTracker::new(index, region, self.common.gateways);
+        (tracker.losses, tracker.mistaken_losses) = (counts.losses, counts.mistaken_losses);
+        let mut discovery_client = DiscoveryClient::new(&self.common, seed)?;
         let fleet = fleet.name.unwrap_or_default();
         let settings = follower::Settings {
             fleet,
             name,
             zone,
-            servers: self.common.machines.machines(),
+            servers: self.common.control_servers.infos(),
             timeouts: self.common.timeouts,
             seed,
         };
-        let following = if settings.servers.is_empty() {
+        let follower = if settings.servers.is_empty() {
             None
         } else {
-            let before = listing.restore(&kept, &self.common)?;
+            let before = discovery_client.restore(&version_file, &self.common)?;
             let number = before.as_ref().map(Document::version);
             let follower = Follower::new(settings, number, self.began.elapsed());
-            let (machines, key) = (self.common.machines.addresses(), datagrams(index) + CONTROL);
-            let carrier = FollowerDriver::new(follower, machines, self.poller.clone(), key);
-            Some(Following { carrier, kept, in_force: before, offered: None, heard: None })
+            let (control_servers, key) =
+                (self.common.control_servers.addresses(), datagram_key(index) + FIRST_CONTROL_KEY);
+            let driver = FollowerDriver::new(follower, control_servers, self.poller.clone(), key);
+            Some(RolloutFollower { driver, version_file, in_force: before, offered: None, server: None })
         };
-        Ok(Gateway { region, carrier, socket, listing, following, progress, counts, frozen: false })
+        Ok(Gateway { region, transport, socket, discovery_client, follower, tracker, counts, frozen: false })
     }
 
-    /// Its sockets close with it.
+    /// Removes a gateway's sockets from the poller and returns its counters. The sockets close when the gateway is
+    /// dropped.
     fn kill(&self, gateway: &mut Gateway) -> Counts {
-        if let Some(following) = &mut gateway.following {
-            following.carrier.close();
+        if let Some(follower) = &mut gateway.follower {
+            follower.driver.close();
         }
         let _ = self.poller.delete(&gateway.socket);
-        for call in gateway.listing.calls() {
+        for call in gateway.discovery_client.calls() {
             let _ = self.poller.delete(&call.socket);
         }
-        gateway.counted()
+        gateway.total_counts()
     }
 }
 
-impl Listing {
-    fn new(common: &Common, seed: u64) -> Result<Listing, String> {
+impl DiscoveryClient {
+    fn new(common: &Common, seed: u64) -> Result<DiscoveryClient, String> {
         let mut zones = Zones::default();
         let mut in_force = ActiveConfig::default();
-        let taken = in_force.replace(common.configuration.clone(), &mut zones);
-        let settings = taken.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
-        Ok(Listing {
+        let result = in_force.replace(common.configuration.clone(), &mut zones);
+        let settings = result.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
+        Ok(DiscoveryClient {
             watch: Watch::from_version(None),
             call: None,
-            silent: None,
-            next: Micros(0),
+            silent_call: None,
+            next_call_at: Micros(0),
             rng: Pcg64Mcg::seed_from_u64(seed),
             directory: Directory::new(zones),
             in_force,
-            balancer: common.router.then(|| Balancer::new(settings.clone(), seed)),
+            balancer: common.with_balancer.then(|| Balancer::new(settings.clone(), seed)),
             settings,
         })
     }
 
-    /// Takes the version that was kept before its start.
-    fn restore(&mut self, kept: &Path, common: &Common) -> Result<Option<Document>, String> {
-        let place = kept.display().to_string();
-        let document = gateway::stored_version(kept).map_err(|why| format!("{place}: {why}"))?;
+    /// Applies the version that was stored before the gateway's start, if any.
+    fn restore(&mut self, version_file: &Path, common: &Common) -> Result<Option<Document>, String> {
+        let path = version_file.display().to_string();
+        let document = gateway::stored_version(version_file).map_err(|error| format!("{path}: {error}"))?;
         if let Some(document) = &document {
             let text = version::overlay(&common.configuration, document.bytes());
-            text.and_then(|text| self.take(text)).map_err(|fault| fault.in_file(&place).to_string())?;
+            text.and_then(|text| self.apply_configuration(text))
+                .map_err(|fault| fault.in_file(&path).to_string())?;
         }
         Ok(document)
     }
 
-    /// Takes a configuration, all of it or nothing.
-    fn take(&mut self, text: String) -> ConfigResult<()> {
+    /// Applies a configuration as a whole, or nothing of it if it is not valid.
+    fn apply_configuration(&mut self, text: String) -> ConfigResult<()> {
         let mut zones = self.directory.zones().clone();
         let settings = self.in_force.replace(text, &mut zones)?.settings.router;
         self.directory.set_zones(zones);
@@ -523,11 +534,16 @@
         Ok(())
     }
 
-    /// Takes a version and keeps it, as the program does.
-    fn take_version(&mut self, document: &Document, kept: &Path, common: &Common) -> Result<(), String> {
+    /// Applies a version and stores it, as the program does.
+    fn apply_version(
+        &mut self,
+        document: &Document,
+        version_file: &Path,
+        common: &Common,
+    ) -> Result<(), String> {
         let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
-        let staged = durable_file::stage(kept, &document.to_file()).map_err(|e| e.to_string())?;
-        match self.take(text) {
+        let staged = durable_file::stage(version_file, &document.to_file()).map_err(|e| e.to_string())?;
+        match self.apply_configuration(text) {
             Ok(()) => staged.commit().map_err(|e| e.to_string()),
             Err(fault) => {
                 staged.discard();
@@ -537,15 +553,21 @@
     }
 
     fn calls(&self) -> impl Iterator<Item = &Call> {
-        self.call.iter().chain(&self.silent)
+        self.call.iter().chain(&self.silent_call)
     }
 
-    fn due(&self) -> Micros {
-        self.call.as_ref().map_or(self.next, |call| call.until)
+    fn next_due(&self) -> Micros {
+        self.call.as_ref().map_or(self.next_call_at, |call| call.deadline)
     }
 
-    /// Calls discovery.
-    fn dial(&mut self, index: usize, now: Micros, common: &Common, poller: &Poller) -> io::Result<usize> {
+    /// Starts a call to discovery and returns the length of its request.
+    fn start_call(
+        &mut self,
+        index: usize,
+        now: Micros,
+        common: &Common,
+        poller: &Poller,
+    ) -> io::Result<usize> {
         let socket = Socket::new(Domain::for_address(common.discovery), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
@@ -556,95 +578,100 @@
             _ => {}
         }
         let socket: TcpStream = socket.into();
-        let first = datagrams(index) + 1;
-        let key =
-            if self.silent.as_ref().is_some_and(|silent| silent.key == first) { first + 1 } else { first };
+        let first = datagram_key(index) + 1;
+        let key = if self.silent_call.as_ref().is_some_and(|silent_call| silent_call.key == first) {
+            first + 1
+        } else {
+            first
+        };
         poller.add_with_mode(&socket, Event::writable(key), PollMode::Level)?;
-        let until = now + self.watch.timeout();
-        let text = self.watch.next_request(&common.discovery.to_string()).into_bytes();
-        let length = text.len();
-        self.call = Some(Call { socket, text, sent: 0, heard: 0, key, began: now, until });
+        let deadline = now + self.watch.timeout();
+        let request = self.watch.next_request(&common.discovery.to_string()).into_bytes();
+        let length = request.len();
+        self.call = Some(Call { socket, request, sent: 0, received: 0, key, began: now, deadline });
         Ok(length)
     }
 
-    /// Ends the latest call, or the watch that fell silent before it.
-    fn end_call(&mut self, late: bool, poller: &Poller) -> Option<Call> {
-        let call = if late { &mut self.silent } else { &mut self.call };
+    /// Ends the current call or, with `is_silent`, the earlier one that was kept open.
+    fn end_call(&mut self, is_silent: bool, poller: &Poller) -> Option<Call> {
+        let call = if is_silent { &mut self.silent_call } else { &mut self.call };
         call.take().inspect(|call| drop(poller.delete(&call.socket)))
     }
 
-    /// The latest call has had its time: whether it stays out beside the next is the watch's to say.
-    fn overdue(&mut self, now: Micros, poller: &Poller) {
+    /// Handles the timeout of the current call: the watch decides whether it is kept open beside the next one.
+    fn handle_timeout(&mut self, now: Micros, poller: &Poller) {
         match self.watch.on_timeout() {
             CallFailure::Silent => {
                 self.end_call(true, poller);
-                self.silent = self.call.take();
-                let spent = self.silent.as_ref().map_or(Micros(0), |call| now - call.began);
-                self.call_again(CallFailure::Silent, spent, now);
+                self.silent_call = self.call.take();
+                let spent = self.silent_call.as_ref().map_or(Micros(0), |call| now - call.began);
+                self.schedule_next_call(CallFailure::Silent, spent, now);
             }
-            how => self.failed(how, false, now, poller),
+            failure => self.handle_failure(failure, false, now, poller),
         }
     }
 
-    /// A call has failed. One that fell silent before was booked then.
-    fn failed(&mut self, how: CallFailure, late: bool, now: Micros, poller: &Poller) {
-        let spent = self.end_call(late, poller).map_or(Micros(0), |call| now - call.began);
-        if !late {
-            self.call_again(how, spent, now);
+    /// Ends a failed call and schedules the next one. For the silent call, that was done when it timed out.
+    fn handle_failure(&mut self, failure: CallFailure, is_silent: bool, now: Micros, poller: &Poller) {
+        let spent = self.end_call(is_silent, poller).map_or(Micros(0), |call| now - call.began);
+        if !is_silent {
+            self.schedule_next_call(failure, spent, now);
         }
     }
 
-    /// When the next call goes out is the watch's to say.
-    fn call_again(&mut self, how: CallFailure, spent: Micros, now: Micros) {
-        let draw = f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0);
+    /// Schedules the next call for the time that the watch decides on.
+    fn schedule_next_call(&mut self, failure: CallFailure, spent: Micros, now: Micros) {
+        let random = f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let Settings { gateways, drain_grace, .. } = self.settings;
-        self.next = now + self.watch.on_call_failed(how, gateways, drain_grace, spent, draw);
+        self.next_call_at = now + self.watch.on_call_failed(failure, gateways, drain_grace, spent, random);
     }
 }
 
 impl Gateway {
-    fn counted(&self) -> Counts {
-        let ConvergenceTracker { losses, mistaken, .. } = self.progress;
+    fn total_counts(&self) -> Counts {
+        let ConvergenceTracker { losses, mistaken_losses, .. } = self.tracker;
         let Counts { control_sent, control_received, .. } = self.counts;
         let (sent, received) =
-            self.following.as_ref().map_or((0, 0), |it| (it.carrier.sent(), it.carrier.received()));
+            self.follower.as_ref().map_or((0, 0), |it| (it.driver.sent(), it.driver.received()));
         let (control_sent, control_received) = (control_sent + sent, control_received + received);
-        Counts { losses, mistaken, control_sent, control_received, ..self.counts }
+        Counts { losses, mistaken_losses, control_sent, control_received, ..self.counts }
     }
 
-    /// What comes meanwhile waits in the sockets, as it does before a process that is stopped.
+    /// Freezes the gateway, or lets it continue. Data that arrives meanwhile stays in the sockets, as with a stopped
+    /// process.
     fn freeze(&mut self, frozen: bool, index: usize, poller: &Poller) -> io::Result<()> {
         self.frozen = frozen;
-        let heard = if frozen { Event::none } else { Event::readable };
-        poller.modify_with_mode(&self.socket, heard(datagrams(index)), PollMode::Level)?;
-        for out in self.listing.calls() {
-            let answered = match (frozen, out.sent < out.text.len()) {
+        let interest = if frozen { Event::none } else { Event::readable };
+        poller.modify_with_mode(&self.socket, interest(datagram_key(index)), PollMode::Level)?;
+        for call in self.discovery_client.calls() {
+            let interest = match (frozen, call.sent < call.request.len()) {
                 (true, _) => Event::none,
                 (false, true) => Event::writable,
                 (false, false) => Event::readable,
             };
-            poller.modify_with_mode(&out.socket, answered(out.key), PollMode::Level)?;
+            poller.modify_with_mode(&call.socket, interest(call.key), PollMode::Level)?;
         }
-        match &mut self.following {
-            Some(following) => following.carrier.set_paused(frozen),
+        match &mut self.follower {
+            Some(follower) => follower.driver.set_paused(frozen),
             None => Ok(()),
         }
     }
 
-    fn turn(&mut self, now: Duration, common: &Common) {
+    /// Handles datagrams and timers of the fleet's node, and records membership changes.
+    fn poll_node(&mut self, now: Duration, common: &Common) {
         let before = thread_cpu();
-        let Gateway { carrier, socket, counts, region, .. } = self;
-        carrier.poll(now, Counted { socket, counts, common, region: *region });
-        while let Some(event) = self.carrier.node.next_event() {
+        let Gateway { transport, socket, counts, region, .. } = self;
+        transport.poll(now, CountedSocket { socket, counts, common, region: *region });
+        while let Some(event) = self.transport.node.next_event() {
             match event {
                 NodeEvent::Membership(MembershipChange::Up(peer)) => {
-                    if let Some(other) = (common.number)(&peer.name) {
-                        self.progress.member_joined(other, peer.start);
+                    if let Some(other) = (common.gateway_index)(&peer.name) {
+                        self.tracker.member_joined(other, peer.start);
                     }
                 }
                 NodeEvent::Membership(MembershipChange::Down(peer)) => {
-                    if let Some(other) = (common.number)(&peer.name) {
-                        self.progress.member_left(other, Some(peer.start));
+                    if let Some(other) = (common.gateway_index)(&peer.name) {
+                        self.tracker.member_left(other, Some(peer.start));
                     }
                 }
                 _ => {}
@@ -653,36 +680,44 @@
         self.counts.fleet_cpu += thread_cpu() - before;
     }
 
-    /// Goes on with the control servers.
-    fn follow(&mut self, index: usize, now: Duration, ready: &[Event], reports: &Sender<Report>) {
-        let Some(Following { carrier, offered, heard, .. }) = &mut self.following else { return };
+    /// Handles events and timers of the connections to control servers, and reports a change of the followed server.
+    fn poll_follower(&mut self, index: usize, now: Duration, ready: &[Event], reports: &Sender<Report>) {
+        let Some(RolloutFollower { driver, offered, server, .. }) = &mut self.follower else { return };
         let before = thread_cpu();
-        *offered = carrier.turn(now, ready).pop().or(offered.take());
-        let status = carrier.follower.status(now);
-        let hears = status.server.filter(|_| status.cut_off.is_zero());
-        if std::mem::replace(heard, hears) != hears {
+        *offered = driver.turn(now, ready).pop().or(offered.take());
+        let status = driver.follower.status(now);
+        let fresh_server = status.server.filter(|_| status.cut_off.is_zero());
+        if std::mem::replace(server, fresh_server) != fresh_server {
             let _ = reports.send(Report::ControlServerChanged {
                 gateway: index,
-                server: hears,
+                server: fresh_server,
                 at: Instant::now(),
             });
         }
         self.counts.control_cpu += thread_cpu() - before;
     }
 
-    /// Whether a version is to be taken.
-    fn is_offered(&self) -> bool {
-        self.following.as_ref().is_some_and(|following| following.offered.is_some())
+    /// Whether a received version has not been applied yet.
+    fn has_offered_version(&self) -> bool {
+        self.follower.as_ref().is_some_and(|follower| follower.offered.is_some())
     }
 
-    /// Takes the version that the control server has brought.
-    fn take_offered(&mut self, index: usize, began: &Instant, common: &Common, reports: &Sender<Report>) {
-        let Some(Following { carrier, kept, in_force, offered, .. }) = &mut self.following else { return };
+    /// Applies and stores the version received from the control server, and reports it if that succeeds.
+    fn apply_offered_version(
+        &mut self,
+        index: usize,
+        began: &Instant,
+        common: &Common,
+        reports: &Sender<Report>,
+    ) {
+        let Some(RolloutFollower { driver, version_file, in_force, offered, .. }) = &mut self.follower else {
+            return;
+        };
         let Some(document) = offered.take() else { return };
         let before = thread_cpu();
-        let taken = self.listing.take_version(&document, kept, common);
+        let result = self.discovery_client.apply_version(&document, version_file, common);
         let version = document.version();
-        if taken.is_ok() {
+        if result.is_ok() {
             *in_force = Some(document);
             let _ = reports.send(Report::VersionInForce {
                 gateway: index,
@@ -690,97 +725,111 @@
                 at: Instant::now(),
             });
         }
-        carrier.handle_applied(began.elapsed(), version, taken.map_err(ApplyError));
+        driver.handle_applied(began.elapsed(), version, result.map_err(ApplyError));
         self.counts.control_cpu += thread_cpu() - before;
     }
 
-    /// Goes on with the watch: writes the call, reads the answer, or calls again.
-    fn watch(&mut self, index: usize, clock: &Clock, common: &Common, poller: &Poller) {
+    /// Continues the calls to discovery: writes requests, reads answers, handles timeouts and starts the next call.
+    fn poll_discovery(&mut self, index: usize, clock: &Clock, common: &Common, poller: &Poller) {
         let before = thread_cpu();
         let now = clock.read();
-        for late in [true, false] {
-            self.go_on(late, now, clock, poller);
+        for is_silent in [true, false] {
+            self.advance_call(is_silent, now, clock, poller);
         }
-        if self.listing.call.as_ref().is_some_and(|call| call.until <= now) {
-            self.listing.overdue(now, poller);
+        if self.discovery_client.call.as_ref().is_some_and(|call| call.deadline <= now) {
+            self.discovery_client.handle_timeout(now, poller);
         }
-        if self.listing.call.is_none() && self.listing.next <= now {
-            match self.listing.dial(index, now, common, poller) {
+        if self.discovery_client.call.is_none() && self.discovery_client.next_call_at <= now {
+            match self.discovery_client.start_call(index, now, common, poller) {
                 Ok(length) => self.counts.calls.add(length),
-                Err(_) => self.listing.failed(CallFailure::Rejected, false, now, poller),
+                Err(_) => self.discovery_client.handle_failure(CallFailure::Rejected, false, now, poller),
             }
         }
         self.counts.list_cpu += thread_cpu() - before;
     }
 
-    fn go_on(&mut self, late: bool, now: Micros, clock: &Clock, poller: &Poller) {
-        let listing = &mut self.listing;
-        let Some(out) = (if late { &mut listing.silent } else { &mut listing.call }) else { return };
-        if out.sent < out.text.len() {
-            match out.socket.write(&out.text[out.sent..]) {
-                Ok(count) => out.sent += count,
+    /// Continues the current call or, with `is_silent`, the earlier one that was kept open.
+    fn advance_call(&mut self, is_silent: bool, now: Micros, clock: &Clock, poller: &Poller) {
+        let discovery_client = &mut self.discovery_client;
+        let Some(call) =
+            (if is_silent { &mut discovery_client.silent_call } else { &mut discovery_client.call })
+        else {
+            return;
+        };
+        if call.sent < call.request.len() {
+            match call.socket.write(&call.request[call.sent..]) {
+                Ok(count) => call.sent += count,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return listing.failed(CallFailure::Rejected, late, now, poller),
+                Err(_) => {
+                    return discovery_client.handle_failure(CallFailure::Rejected, is_silent, now, poller)
+                }
             }
-            if out.sent == out.text.len() {
-                let changed = poller.modify_with_mode(&out.socket, Event::readable(out.key), PollMode::Level);
+            if call.sent == call.request.len() {
+                let changed =
+                    poller.modify_with_mode(&call.socket, Event::readable(call.key), PollMode::Level);
                 if changed.is_err() {
-                    listing.failed(CallFailure::Lost, late, now, poller);
+                    discovery_client.handle_failure(CallFailure::Lost, is_silent, now, poller);
                 }
             }
             return;
         }
         let mut bytes = [0; 64 * 1024];
         loop {
-            let Some(out) = (if late { &mut listing.silent } else { &mut listing.call }) else { return };
-            let count = match out.socket.read(&mut bytes) {
+            let Some(call) =
+                (if is_silent { &mut discovery_client.silent_call } else { &mut discovery_client.call })
+            else {
+                return;
+            };
+            let count = match call.socket.read(&mut bytes) {
                 Ok(count) => count,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    self.counts.idle.add(out.heard);
-                    return listing.failed(CallFailure::Lost, late, now, poller);
+                    self.counts.idle.add(call.received);
+                    return discovery_client.handle_failure(CallFailure::Lost, is_silent, now, poller);
                 }
             };
-            out.heard += count;
-            let (heard, known) = (out.heard, listing.watch.version());
-            let answer = match late {
-                true => listing.watch.receive_late(&bytes[..count], count == 0),
-                false => listing.watch.receive(&bytes[..count], count == 0),
+            call.received += count;
+            let (received, known) = (call.received, discovery_client.watch.version());
+            let answer = match is_silent {
+                true => discovery_client.watch.receive_late(&bytes[..count], count == 0),
+                false => discovery_client.watch.receive(&bytes[..count], count == 0),
             };
-            let how = match answer {
+            let failure = match answer {
                 Ok(None) if count > 0 => continue,
                 Ok(Some(list)) => {
                     let (version, all) = (list.rev, list.all);
-                    let (entries, unread) = listing.directory.update(list, clock);
-                    if let Some(balancer) = &mut listing.balancer {
-                        balancer.update_endpoints(now, all && unread == 0, entries);
+                    let (entries, unreadable) = discovery_client.directory.update(list, clock);
+                    if let Some(balancer) = &mut discovery_client.balancer {
+                        balancer.update_endpoints(now, all && unreadable == 0, entries);
                     }
-                    let news = known != Some(version);
-                    (if news { &mut self.counts.lists } else { &mut self.counts.idle }).add(heard);
-                    self.progress.list_received(version);
-                    [true, false].into_iter().for_each(|late| drop(listing.end_call(late, poller)));
-                    listing.next = now;
+                    let is_new = known != Some(version);
+                    (if is_new { &mut self.counts.lists } else { &mut self.counts.idle }).add(received);
+                    self.tracker.list_received(version);
+                    [true, false]
+                        .into_iter()
+                        .for_each(|is_silent| drop(discovery_client.end_call(is_silent, poller)));
+                    discovery_client.next_call_at = now;
                     return;
                 }
                 Err(BadAnswer::Status(_)) => CallFailure::Rejected,
                 Ok(None) | Err(_) => CallFailure::Lost,
             };
-            self.counts.idle.add(heard);
-            return listing.failed(how, late, now, poller);
+            self.counts.idle.add(received);
+            return discovery_client.handle_failure(failure, is_silent, now, poller);
         }
     }
 
-    /// Reads the configuration anew, as a signal makes the program do.
-    fn configure(&mut self, text: &str) -> Result<(), String> {
+    /// Reloads the configuration, as the program does on SIGHUP.
+    fn reload_configuration(&mut self, text: &str) -> Result<(), String> {
         let before = thread_cpu();
-        let in_force = self.following.as_ref().and_then(|following| following.in_force.as_ref());
+        let in_force = self.follower.as_ref().and_then(|follower| follower.in_force.as_ref());
         let text = match in_force {
             Some(document) => version::overlay(text, document.bytes()),
             None => Ok(text.to_string()),
         };
-        text.and_then(|text| self.listing.take(text))
+        text.and_then(|text| self.discovery_client.apply_configuration(text))
             .map_err(|fault| fault.in_file("configuration").to_string())?;
-        self.progress.configuration_read();
+        self.tracker.configuration_read();
         self.counts.list_cpu += thread_cpu() - before;
         Ok(())
     }
