--- a/crates/loadtest/tests/scale.rs
+++ b/crates/loadtest/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Scale runs, small: what they refuse, what they count, what they call broken, and that nothing of them is left.
+//! Small scale runs: rejected plans, counters, verdicts on budgets, and the end of all processes that a run starts.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use dunemount_loadtest::scale::limits::{admit, Means};
+use dunemount_loadtest::scale::limits::{check_resources, Resources};
 use dunemount_loadtest::scale::plan::{Event, Plan};
 use dunemount_loadtest::scale::report::{self, quantiles, verdicts};
-use dunemount_loadtest::scale::run::{play, ControlServerRow, Outcome, Phase};
+use dunemount_loadtest::scale::run::{execute, ControlServerRow, Outcome, Phase};
 use rustix::process::{kill_process, Pid, Signal};
 
-/// However busy the machine, what is waited for comes within this.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout that is not reached even on a busy machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder that goes with its test.
+/// A folder that is removed at the end of its test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -39,15 +39,15 @@
     }
 }
 
-/// Quick enough for a test, with terms long enough that a busy machine takes nobody for gone.
+/// A plan with a short run, but with probes and leases long enough that no gateway is declared gone on a busy machine.
 fn plan(text: &str) -> Plan {
-    let usual = "[run]\nthreads = 2\nquiet_s = 1\njoin_s = 60\nsettle_s = 60\n\
+    let defaults = "[run]\nthreads = 2\nquiet_s = 1\njoin_s = 60\nsettle_s = 60\n\
         [fleet]\nprobe_ms = 400\nlease_ms = 2000\n[list]\nhosts = 20\n";
-    Plan::read(&format!("{usual}{text}")).expect("a plan")
+    Plan::parse(&format!("{defaults}{text}")).expect("a plan")
 }
 
-fn played(plan: &Plan) -> Outcome {
-    let (outcome, done) = play(plan, &AtomicBool::new(false), &mut |_| {});
+fn run_plan(plan: &Plan) -> Outcome {
+    let (outcome, done) = execute(plan, &AtomicBool::new(false), &mut |_| {});
     assert_eq!(done, Ok(()));
     outcome
 }
@@ -56,58 +56,65 @@
     outcome.phases.iter().find(|phase| phase.name == name).expect("a phase")
 }
 
-/// How many were to act, and how many did.
+/// The number of gateways that should act, and the number of those that did.
 fn acted(phase: &Phase) -> (usize, usize) {
-    let (wanted, acted) = phase.acted.as_ref().expect("an event");
-    (*wanted, acted.len())
+    let (expected, acted) = phase.acted.as_ref().expect("an event");
+    (*expected, acted.len())
 }
 
-/// Guards against a file that says something else than its writer meant: each error names section and key.
+/// Guards against mistakes in a plan that would go unnoticed: each is an error that names the section and the key.
 #[test]
-fn what_cannot_be_used_is_named_with_its_place() {
+fn invalid_plans_are_rejected_with_section_and_key() {
     let cases = [
-        ("[run]\nhollow = many", "[run] hollow: \"many\" is no whole number"),
+        ("[run]\nhollow = many", "[run] hollow: \"many\" is not a whole number"),
         ("[run]\nhollow = 2000", "[run] hollow: 2000 is out of range (0 to 1000)"),
-        ("[run]\nhollow = 900\nreal = 200", "[run] hollow, real: 1000 gateways at most"),
-        ("[run]\nhollw = 3", "[run] hollw: no such key"),
-        ("[fleet]\nvoters = 2", "[fleet] voters: 2: 1, 3, 5 or 7 keep a majority"),
+        ("[run]\nhollow = 900\nreal = 200", "[run] hollow, real: at most 1000 gateways together"),
+        ("[run]\nhollw = 3", "[run] hollw: unknown key"),
+        ("[fleet]\nvoters = 2", "[fleet] voters: 2: must be 1, 3, 5 or 7"),
         ("[run]\nhollow = 2", "[fleet] voters: 3: more than there are gateways"),
-        ("[events]\na = flood", "[events] a: \"flood\" is none of: list N"),
-        ("[events]\na = list -1", "[events] a: \"list -1\": behind the word stand numbers"),
+        ("[events]\na = flood", "[events] a: \"flood\" is not one of: list N"),
+        ("[events]\na = list -1", "[events] a: \"list -1\": arguments must be numbers from 0 to 100000"),
         ("[events]\na = zone 6 1", "[events] zone 6: zones are 0 to 5"),
-        ("[run]\nreal = 1\n[events]\na = apart 1", "[events] apart: datagrams of real processes"),
-        ("[run]\ncontrol = 3\n[events]\na = apart 1", "[events] apart: datagrams of real processes"),
-        ("[events]\na = version 2 100", "[events] version: needs a [run] control of 1"),
-        ("[events]\na = silent 2", "[events] silent: needs a [run] control of 1"),
-        ("[events]\na = version 601", "[events] a: \"version 601\" is none of: list N"),
-        ("[run]\ncontrol = 7", "[run] control: 7: one a zone, of 6"),
-        ("[run]\ncontrol = 2", "[fleet] voters: 3: more than there are control machines"),
+        (
+            "[run]\nreal = 1\n[events]\na = apart 1",
+            "[events] apart: datagrams between processes cannot be dropped",
+        ),
+        (
+            "[run]\ncontrol = 3\n[events]\na = apart 1",
+            "[events] apart: datagrams between processes cannot be dropped",
+        ),
+        ("[events]\na = version 2 100", "[events] version: needs [run] control of at least 1"),
+        ("[events]\na = silent 2", "[events] silent: needs [run] control of at least 1"),
+        ("[events]\na = version 601", "[events] a: \"version 601\" is not one of: list N"),
+        ("[run]\ncontrol = 7", "[run] control: 7: at most one per zone, of 6 zones"),
+        ("[run]\ncontrol = 2", "[fleet] voters: 3: more than there are control servers"),
         ("[run]\ndocument_bytes = 262145", "[run] document_bytes: 262145 is out of range (0 to 262144)"),
-        ("[budgets]\ncontrol.bytes_s = 1", "[budgets] control.bytes_s: is none of"),
-        ("[budgets]\ngateway.cores = 1", "[budgets] gateway.cores: is none of"),
-        ("[budgets]\ngateway.core = little", "[budgets] gateway.core: \"little\" is no number"),
+        ("[budgets]\ncontrol.bytes_s = 1", "[budgets] control.bytes_s: is not one of"),
+        ("[budgets]\ngateway.cores = 1", "[budgets] gateway.cores: is not one of"),
+        ("[budgets]\ngateway.core = little", "[budgets] gateway.core: \"little\" is not a number"),
     ];
-    for (text, what) in cases {
-        let refused = Plan::read(text).expect_err(text);
-        assert!(refused.starts_with(what), "{text:?}: {refused}");
+    for (text, expected) in cases {
+        let error = Plan::parse(text).expect_err(text);
+        assert!(error.starts_with(expected), "{text:?}: {error}");
     }
 }
 
-/// Guards the order of events, and that a seed draws the same ones again.
+/// Guards the order of events, and that the same seed draws the same events.
 #[test]
 fn events_come_in_the_order_of_the_file_and_from_the_seed() {
-    let read = |text: &str| Plan::read(text).expect("a plan").events;
+    let read = |text: &str| Plan::parse(text).expect("a plan").events;
     let events = read("[events]\nb = death\na = rack 4\nc = restarts 3 250");
-    let wanted = [Event::Death, Event::Rack(4), Event::Restarts(3, Duration::from_millis(250))];
+    let wanted =
+        [Event::GatewayKilled, Event::RackLost(4), Event::RollingRestart(3, Duration::from_millis(250))];
     assert_eq!(events, wanted);
     let events =
         read("[run]\ncontrol = 3\n[events]\na = version\nb = version 5 250\nc = control 2\nd = behind 1.5");
     let ms = Duration::from_millis;
     let wanted = [
-        Event::Version(1, ms(0)),
-        Event::Version(5, ms(250)),
-        Event::Control(ms(2_000)),
-        Event::Behind(ms(1_500)),
+        Event::VersionsProposed(1, ms(0)),
+        Event::VersionsProposed(5, ms(250)),
+        Event::ControlServerKilled(ms(2_000)),
+        Event::GatewayBehind(ms(1_500)),
     ];
     assert_eq!(events, wanted);
     let drawn = |seed: u64| read(&format!("[run]\nseed = {seed}\n[events]\ndrawn = 12"));
@@ -116,29 +123,36 @@
     assert_ne!(drawn(5), drawn(6));
 }
 
-/// Guards the machine: a run that it could not carry is refused with the reason, before anything starts.
+/// Guards the machine against runs that exceed its resources: they are refused with a reason before anything starts.
 #[test]
-fn a_run_that_the_machine_could_not_carry_is_refused() {
-    let plan = Plan::read("[run]\nhollow = 710\nreal = 30\n[list]\nrouter = yes").expect("a plan");
-    let plenty = Means { descriptors: 1 << 20, memory: 1 << 20, processes: 1 << 20 };
-    assert_eq!(admit(&plan, plenty), Ok(()));
-    for (what, have) in [
-        ("descriptors: ", Means { descriptors: 1024, ..plenty }),
-        ("memory: ", Means { memory: 1024, ..plenty }),
-        ("processes and threads: ", Means { processes: 64, ..plenty }),
+fn a_run_that_exceeds_the_resources_of_the_machine_is_refused() {
+    let plan = Plan::parse("[run]\nhollow = 710\nreal = 30\n[list]\nrouter = yes").expect("a plan");
+    let plenty = Resources { descriptors: 1 << 20, memory: 1 << 20, processes: 1 << 20 };
+    assert_eq!(check_resources(&plan, plenty), Ok(()));
+    for (resource, available) in [
+        ("descriptors: ", Resources { descriptors: 1024, ..plenty }),
+        ("memory: ", Resources { memory: 1024, ..plenty }),
+        ("processes and threads: ", Resources { processes: 64, ..plenty }),
     ] {
-        let refused = admit(&plan, have).expect_err(what);
-        assert!(refused.starts_with(what), "{refused}");
+        let error = check_resources(&plan, available).expect_err(resource);
+        assert!(error.starts_with(resource), "{error}");
     }
-    let allowed = Plan { memory: 512, ..plan.clone() };
-    assert!(admit(&allowed, plenty).expect_err("more than allowed").contains("[run] memory_mb"));
+    let allowed = Plan { memory_mib: 512, ..plan.clone() };
+    assert!(check_resources(&allowed, plenty).expect_err("more than allowed").contains("[run] memory_mb"));
     let processes = Plan { simulated: 0, real: 201, ..plan };
-    assert_eq!(admit(&processes, plenty), Err("processes: 201 asked for, 200 at most".to_string()));
-    // Control machines are processes like others, and each gateway has connections to them.
-    let control = Plan { real: 195, control: 6, ..processes };
-    assert_eq!(admit(&control, plenty), Err("processes: 201 asked for, 200 at most".to_string()));
-    let (with, without) = (Plan { control: 6, ..allowed.clone() }, Plan { control: 0, ..allowed });
-    let (with, without) = (Means::needed(&with), Means::needed(&without));
+    assert_eq!(
+        check_resources(&processes, plenty),
+        Err("processes: 201 required, at most 200 allowed".to_string())
+    );
+    // Control servers count as processes, and each gateway has connections to them.
+    let control = Plan { real: 195, control_servers: 6, ..processes };
+    assert_eq!(
+        check_resources(&control, plenty),
+        Err("processes: 201 required, at most 200 allowed".to_string())
+    );
+    let (with, without) =
+        (Plan { control_servers: 6, ..allowed.clone() }, Plan { control_servers: 0, ..allowed });
+    let (with, without) = (Resources::required(&with), Resources::required(&without));
     assert!(with.descriptors >= without.descriptors + 710 * 3, "{with:?}, {without:?}");
     assert!(with.memory > without.memory && with.processes > without.processes, "{with:?}, {without:?}");
 
@@ -146,13 +160,13 @@
     let file = folder.file("run.ini", "[run]\nhollow = 100\nmemory_mb = 1\n");
     let output = loadtest(&file, &folder.0.join("out"));
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("refused to begin: memory: "), "{said}");
-    assert!(!folder.0.join("out").exists(), "nothing was begun");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("refused to start: memory: "), "{stderr}");
+    assert!(!folder.0.join("out").exists(), "nothing was started");
 }
 
-/// Guards the counts: each gateway takes each list once, with its bytes, and each sees each death once; a budget that
-/// is too small is called broken, one that nothing measured is called that.
+/// Guards the counters and the verdicts: each gateway receives each list once, with its bytes, and declares a killed
+/// gateway gone once; a budget that is too small is broken, and one without measurements is not measured.
 #[test]
 fn lists_and_deaths_are_counted_and_budgets_judged() {
     let plan = plan(
@@ -160,7 +174,7 @@
          [budgets]\ngateway.bytes_s = 1\ngateway.mb = 4096\nvoter.bytes_s = 1000000000\nlist.last_s = 0\n\
          death.last_s = 60\nrack.last_s = 60\n",
     );
-    let outcome = played(&plan);
+    let outcome = run_plan(&plan);
     let names: Vec<&str> = outcome.phases.iter().map(|phase| &*phase.name).collect();
     assert_eq!(names, ["join", "quiet", "list", "primary", "configuration", "death"]);
     for name in ["join", "list", "primary", "configuration"] {
@@ -176,26 +190,29 @@
             lists[0].bytes
         })
         .collect();
-    // Both are the whole list: 20 lines of some 150 bytes.
+    // Both answers contain the whole list: 20 hosts of about 150 bytes.
     assert!(lengths.iter().all(|length| (2_000..6_000).contains(length)), "{lengths:?}");
-    // Each of the others gives the dead one up, once, and nobody else.
+    // Each of the other 11 gateways declares the killed one gone once, and no other.
     let rows = &phase(&outcome, "death").rows;
-    let given_up: Vec<(u64, u64)> =
-        rows.iter().map(|row| (row.counts.losses - row.counts.mistaken, row.counts.mistaken)).collect();
-    assert_eq!(given_up.iter().map(|(dead, _)| dead).sum::<u64>(), 11, "{given_up:?}");
-    assert!(given_up.iter().all(|(dead, live)| *dead <= 1 && *live == 0), "{given_up:?}");
-    // Whoever calls is heard: nothing else than membership, calls and replies is said, and each reply follows a call.
+    let losses: Vec<(u64, u64)> = rows
+        .iter()
+        .map(|row| (row.counts.losses - row.counts.mistaken_losses, row.counts.mistaken_losses))
+        .collect();
+    assert_eq!(losses.iter().map(|(dead, _)| dead).sum::<u64>(), 11, "{losses:?}");
+    assert!(losses.iter().all(|(dead, live)| *dead <= 1 && *live == 0), "{losses:?}");
+    // Only datagrams of membership, calls and replies are sent, and each reply follows a call.
     let all = |kind: usize, sent: bool| -> u64 {
         let rows = outcome.phases.iter().flat_map(|phase| &phase.rows);
         rows.map(|row| if sent { row.counts.sent[kind] } else { row.counts.received[kind] }.messages).sum()
     };
     assert!(all(0, true) > 0 && all(1, true) > 0 && all(2, true) > 0);
-    // A node replies in the turn in which it hears, and counts are taken between turns: so of each gateway in each phase.
+    // A node replies in the poll in which it receives a call, and counters are read between polls; so this holds for
+    // each gateway in each phase.
     for row in outcome.phases.iter().flat_map(|phase| &phase.rows) {
         let (calls, replies) = (row.counts.received[1].messages, row.counts.sent[2].messages);
         assert!(replies <= calls, "{replies} replies to {calls} calls of gateway {}", row.gateway);
     }
-    assert_eq!((all(3, true), all(3, false)), (0, 0), "nobody orders");
+    assert_eq!((all(3, true), all(3, false)), (0, 0), "no orders are sent");
 
     let verdicts = verdicts(&plan, &outcome);
     let of = |budget: &str, phase: &str| {
@@ -211,16 +228,16 @@
     assert_eq!(of("rack.last_s", "-"), "not measured");
 }
 
-/// Guards a budget on time against those that have not acted at all: they are the worst.
+/// Guards a time budget against counting only the gateways that have acted: one that has not acted breaks it.
 #[test]
-fn who_has_not_acted_breaks_a_budget() {
+fn a_gateway_that_has_not_acted_breaks_a_time_budget() {
     let plan = plan("[run]\nhollow = 3\n[budgets]\ndeath.last_s = 60\n");
     let one = |wanted, acted| Phase {
         name: "death".into(),
         length: Duration::from_secs(1),
         busy: 0.0,
         traffic: (0, 0),
-        told: (0, 0, 0),
+        discovery: (0, 0, 0),
         rows: vec![],
         acted: Some((wanted, acted)),
         ..Phase::default()
@@ -240,16 +257,16 @@
     assert_eq!((last * 1e3).round() as u64, 99);
 }
 
-/// Guards the larger events, voters among those that go: a zone that is lost and comes back, regions apart, restarts,
-/// and one that stands still; in the end all know all.
+/// Guards the events that affect several gateways, acceptors among them: the loss and return of a zone, a partition
+/// between regions, restarts and a frozen gateway; all gateways converge after each.
 #[test]
-fn zones_regions_and_restarts_are_seen_by_all() {
+fn all_gateways_converge_after_losses_partitions_and_restarts() {
     let plan = plan(
         "[run]\nhollow = 12\n[places]\nzones = 4\nregions = 2\n[fleet]\nprobe_ms = 150\nlease_ms = 900\n\
          [events]\na = zone 1 1\nb = apart 1\nc = restarts 3 20\nd = stopped 20\ne = rack 2\n",
     );
-    let outcome = played(&plan);
-    let told: Vec<(&str, (usize, usize))> = outcome
+    let outcome = run_plan(&plan);
+    let converged: Vec<(&str, (usize, usize))> = outcome
         .phases
         .iter()
         .filter(|phase| phase.acted.is_some())
@@ -257,7 +274,7 @@
         .collect();
     let wanted = [
         ("join", (12, 12)),
-        // Three of a zone.
+        // Three gateways are in the zone.
         ("zone", (9, 9)),
         ("zone back", (12, 12)),
         ("apart", (12, 12)),
@@ -266,11 +283,11 @@
         ("stopped", (11, 11)),
         ("goes on", (12, 12)),
     ];
-    assert_eq!(told[..8], wanted);
-    let held = |name: &str| phase(&outcome, name).rows.iter().map(|row| row.counts.held).sum::<u64>();
-    assert!(held("apart") > 0, "the cut holds datagrams back");
-    assert_eq!(held("zone") + held("restarts"), 0, "nothing else does");
-    assert!(told[8].0 == "rack" && told[8].1 .0 == told[8].1 .1, "{told:?}");
+    assert_eq!(converged[..8], wanted);
+    let dropped = |name: &str| phase(&outcome, name).rows.iter().map(|row| row.counts.dropped).sum::<u64>();
+    assert!(dropped("apart") > 0, "the partition drops datagrams");
+    assert_eq!(dropped("zone") + dropped("restarts"), 0, "no datagrams are dropped otherwise");
+    assert!(converged[8].0 == "rack" && converged[8].1 .0 == converged[8].1 .1, "{converged:?}");
 }
 
 fn loadtest(file: &Path, out: &Path) -> Output {
@@ -278,16 +295,16 @@
     command.arg("scale").arg(file).arg("--out").arg(out).output().expect("it runs")
 }
 
-/// Guards what is written, and that a pipe is told of no progress.
+/// Guards the written files, and that no progress is written if standard error is not a terminal.
 #[test]
-fn tables_and_a_plot_are_written_and_a_pipe_hears_no_progress() {
+fn reports_are_written_and_progress_only_to_a_terminal() {
     let folder = Folder::new("written");
     let file =
         folder.file("run.ini", "[run]\nhollow = 3\nquiet_s = 1\n[list]\nhosts = 5\n[events]\na = list 1\n");
     let out = folder.0.join("out");
     let output = loadtest(&file, &out);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.success() && said.is_empty(), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success() && stderr.is_empty(), "{stderr}");
     let read = |name: &str| fs::read_to_string(out.join(name)).expect(name);
     assert_eq!(read("gateways.csv").lines().count(), 1 + 3 * 3);
     let events: Vec<String> = read("events.csv").lines().map(str::to_string).collect();
@@ -298,11 +315,11 @@
     assert!(String::from_utf8_lossy(&output.stdout).contains("3 hollow and 0 real gateways"));
 }
 
-/// A program in place of the real one that notes its id and does what the last line says.
+/// A shell script in place of the program: it writes its process id into a file name and ends with the line `last`.
 fn program(folder: &Folder, last: &str) -> PathBuf {
     use std::os::unix::fs::PermissionsExt;
-    let notes = folder.0.display();
-    let path = folder.file("program", &format!("#!/bin/sh\necho $$ > {notes}/id-$$\n{last}\n"));
+    let id_folder = folder.0.display();
+    let path = folder.file("program", &format!("#!/bin/sh\necho $$ > {id_folder}/id-$$\n{last}\n"));
     fs::set_permissions(&path, fs::Permissions::from_mode(0o755)).expect("permitted");
     path
 }
@@ -318,22 +335,23 @@
     }
 }
 
-/// Guards the machine: processes that were started are ended when the run fails, and when it is told to stop.
+/// Guards against processes left behind: all are ended when the run fails and when it is stopped.
 #[test]
-fn everything_is_ended_after_a_failure() {
+fn all_processes_are_ended_after_a_failure() {
     let folder = Folder::new("failure");
     let program = program(&folder, "exec sleep 600");
-    let silent = Plan { join: Duration::from_secs(2), program, ..plan("[run]\nhollow = 3\nreal = 3\n") };
-    let failed = play(&silent, &AtomicBool::new(false), &mut |_| {}).1.expect_err("it cannot join");
-    assert_eq!(failed, "gateway 3 does not listen");
+    let silent =
+        Plan { join_timeout: Duration::from_secs(2), program, ..plan("[run]\nhollow = 3\nreal = 3\n") };
+    let failed = execute(&silent, &AtomicBool::new(false), &mut |_| {}).1.expect_err("it cannot join");
+    assert_eq!(failed, "gateway 3 is not listening");
     assert_eq!(ids(&folder).len(), 3);
     assert_all_ended(&ids(&folder));
 
     let stop = AtomicBool::new(false);
-    let patient = Plan { join: LONG, ..silent };
+    let patient = Plan { join_timeout: TEST_TIMEOUT, ..silent };
     let failed = std::thread::scope(|scope| {
-        let run = scope.spawn(|| play(&patient, &stop, &mut |_| {}).1);
-        let until = Instant::now() + LONG;
+        let run = scope.spawn(|| execute(&patient, &stop, &mut |_| {}).1);
+        let until = Instant::now() + TEST_TIMEOUT;
         while ids(&folder).len() < 6 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -344,20 +362,21 @@
     assert_all_ended(&ids(&folder));
 }
 
-/// Guards the report: a process that ends by itself breaks the run off and is named, and none is left.
+/// Guards against a run that continues without one of its processes: the run is aborted with an error that names the
+/// process, and all others are ended.
 #[test]
-fn a_process_that_ends_by_itself_breaks_the_run_off() {
+fn a_process_that_exits_aborts_the_run() {
     let folder = Folder::new("itself");
     let program = program(&folder, "exit 3");
     let plan = Plan { program, ..plan("[run]\nhollow = 1\nreal = 1\n[fleet]\nvoters = 1\n") };
-    let failed = play(&plan, &AtomicBool::new(false), &mut |_| {}).1.expect_err("it ended");
-    assert_eq!(failed, "gateway 1 has ended by itself");
+    let failed = execute(&plan, &AtomicBool::new(false), &mut |_| {}).1.expect_err("it ended");
+    assert_eq!(failed, "gateway 1 exited unexpectedly");
     assert_all_ended(&ids(&folder));
 }
 
-/// Guards the same through the command, by the signal that a terminal sends.
+/// Guards against processes left behind by the command when SIGINT interrupts it.
 #[test]
-fn everything_is_ended_when_the_command_is_interrupted() {
+fn all_processes_are_ended_when_the_command_is_interrupted() {
     let folder = Folder::new("interrupted");
     let program = program(&folder, "exec sleep 600");
     let text = format!("[run]\nhollow = 3\nreal = 2\nprogram = {}\n", program.display());
@@ -365,7 +384,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_loadtest"));
     command.arg("scale").arg(&file).arg("--out").arg(folder.0.join("out"));
     let mut child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     while ids(&folder).len() < 2 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -375,58 +394,59 @@
     assert_all_ended(&ids(&folder));
 }
 
-/// Guards the likeness: hollow gateways and processes of the program are one fleet, and each acts on the same events.
+/// Guards against simulated gateways that behave unlike the program: both form one fleet and act on the same events.
 #[test]
-fn hollow_gateways_and_processes_of_the_program_are_one_fleet() {
+fn simulated_gateways_and_processes_form_one_fleet() {
     let plan = Plan {
         program: built(),
         ..plan(
             "[run]\nhollow = 3\nreal = 3\n[events]\na = list 2\nb = primary\nc = configuration\nd = death\n",
         )
     };
-    let outcome = played(&plan);
-    let mut told: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+    let outcome = run_plan(&plan);
+    let mut converged: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for phase in outcome.phases.iter().filter(|phase| phase.acted.is_some()) {
-        told.insert(&phase.name, acted(phase));
+        converged.insert(&phase.name, acted(phase));
     }
     let all = (6, 6);
     let wanted = [("configuration", all), ("death", (5, 5)), ("join", all), ("list", all), ("primary", all)];
-    assert_eq!(told, BTreeMap::from(wanted));
+    assert_eq!(converged, BTreeMap::from(wanted));
     assert_eq!(outcome.started.len(), 3);
     let ids: Vec<i32> = outcome.started.iter().map(|id| *id as i32).collect();
     assert_all_ended(&ids);
 }
 
-/// Guards runs without hollow gateways: processes alone are played, and their processor time is told.
+/// Guards runs without simulated gateways: processes alone converge, and their processor time is measured.
 #[test]
-fn processes_alone_are_played() {
+fn a_run_of_processes_alone_is_measured() {
     let outcome =
-        played(&Plan { program: built(), ..plan("[run]\nhollow = 0\nreal = 3\n[events]\na = list 1\n") });
+        run_plan(&Plan { program: built(), ..plan("[run]\nhollow = 0\nreal = 3\n[events]\na = list 1\n") });
     assert_eq!(acted(phase(&outcome, "join")), (3, 3));
     assert_eq!(acted(phase(&outcome, "list")), (3, 3));
     let quiet = phase(&outcome, "quiet");
     assert!(quiet.rows.iter().all(|row| row.real && row.counts.fleet_cpu > Duration::ZERO && row.memory > 0));
 }
 
-/// The program, as it is built with the workspace.
+/// The program, as built with the workspace.
 fn built() -> PathBuf {
     let program = Path::new(env!("CARGO_BIN_EXE_loadtest")).with_file_name("dunemount");
     assert!(program.exists(), "{}: build the workspace first", program.display());
     program
 }
 
-/// Guards the way of a version: each gateway, hollow or a process, gets the newest, never an older one behind it, for the
-/// bytes of one document; a control machine that is killed costs nobody a version, and its zone comes back to it.
+/// Guards the distribution of versions: each gateway, simulated or a process, receives the newest version and never an
+/// older one after it, for the bytes of one document. While a control server is killed, all gateways still receive new
+/// versions, and those of its zone return to it afterwards.
 #[test]
-fn versions_reach_all_gateways_and_a_lost_control_machine_is_passed_over() {
+fn versions_reach_all_gateways_despite_a_killed_control_server() {
     let text =
         "[run]\nhollow = 10\nreal = 2\ncontrol = 3\nhome_s = 1\nsilent_ms = 20000\nseed = 1\n[places]\nzones = 3\nregions = 1\n\
         [events]\na = version\nb = version 4 100\nc = control 1\nd = version\n\
         [budgets]\nversion.last_s = 60\ncontrol.mb = 1\ncontrol.core = 1\n";
     let plan = Plan { program: built(), ..plan(text) };
-    let outcome = played(&plan);
+    let outcome = run_plan(&plan);
     assert_eq!(outcome.rejections, Vec::<String>::new());
-    let told: Vec<(&str, (usize, usize))> = outcome
+    let converged: Vec<(&str, (usize, usize))> = outcome
         .phases
         .iter()
         .filter(|phase| phase.acted.is_some())
@@ -434,9 +454,9 @@
         .collect();
     let killed = phase(&outcome, "control");
     assert!(
-        killed.machines.iter().all(|row| row.machine > 0),
-        "the one without processes: {:?}",
-        killed.machines
+        killed.control_servers.iter().all(|row| row.server > 0),
+        "the killed one is control server 0, whose zone has no processes: {:?}",
+        killed.control_servers
     );
     let (at_killed, _) = acted(killed);
     assert!((4..=6).contains(&at_killed), "{at_killed}");
@@ -444,20 +464,20 @@
         ("join", (12, 12)),
         ("version", (12, 12)),
         ("version", (48, 48)),
-        // A zone's gateways, all of them hollow: processes take 30 s to come back. On a machine so busy that a control
-        // machine is late by 0.5 s a process may hear the one that is killed.
+        // The gateways of a zone, all of them simulated: processes take 30 s to return. On a machine so busy that a
+        // control server is late by 0.5 s, a process may follow the one that is killed.
         ("control", (at_killed, at_killed)),
         ("control back", (4, 4)),
         ("version", (12, 12)),
     ];
-    assert_eq!(told, wanted);
-    assert_eq!(outcome.fallen, 0, "nobody went back");
+    assert_eq!(converged, wanted);
+    assert_eq!(outcome.regressions, 0, "no gateway went back to an older version");
     assert_eq!(outcome.in_force, (0..12).map(|gateway| (gateway, 6)).collect());
     let versions = outcome.phases.iter().flat_map(|phase| &phase.versions);
     let numbers: Vec<Option<u64>> = versions.map(|version| version.number).collect();
     assert_eq!(numbers, (1..=6).map(Some).collect::<Vec<_>>());
 
-    // A document each, with what stands beside it and the signs of life, which are 40 bytes each 150 ms.
+    // Each gateway receives one document with the rest of its message, and heartbeats of 40 bytes every 150 ms.
     let first = phase(&outcome, "version");
     let spare = 400 + (first.length.as_secs_f64() / 0.15 * 60.0) as u64;
     for row in first.rows.iter().filter(|row| !row.real) {
@@ -465,7 +485,7 @@
         assert!((4_096..4_096 + spare).contains(&bytes), "gateway {}: {bytes} bytes", row.gateway);
         assert!(row.counts.bytes() >= bytes + row.counts.control_sent);
     }
-    // What is in force is told at once, a digest and little more, and again each second.
+    // A gateway reports the version in force at once and again every second, in little more than a digest.
     for gateway in 0..plan.simulated {
         let rows = outcome.phases.iter().flat_map(|phase| &phase.rows).filter(|row| row.gateway == gateway);
         let sent: u64 = rows.map(|row| row.counts.control_sent).sum();
@@ -473,19 +493,23 @@
         assert!((100..2_000 + (length * 60.0) as u64).contains(&sent), "gateway {gateway}: {sent} bytes");
     }
     let quiet = phase(&outcome, "quiet");
-    // Each zone hears its own: of 12 the 10 hollow ones, however late the machine is.
-    let assert_heard = |phase: &Phase, least: &[usize]| {
-        let heard: Vec<usize> = phase.machines.iter().map(|row| row.gateways).collect();
-        let enough = heard.iter().zip(least).all(|(heard, least)| heard >= least);
-        assert!(heard.len() == least.len() && enough && heard.iter().sum::<usize>() <= 12, "{heard:?}");
+    // Each gateway follows the server of its zone; on a busy machine that is certain only of the 10 simulated ones of
+    // 12.
+    let assert_followers = |phase: &Phase, least: &[usize]| {
+        let followers: Vec<usize> = phase.control_servers.iter().map(|row| row.gateways).collect();
+        let enough = followers.iter().zip(least).all(|(followers, least)| followers >= least);
+        assert!(
+            followers.len() == least.len() && enough && followers.iter().sum::<usize>() <= 12,
+            "{followers:?}"
+        );
     };
-    assert_heard(quiet, &[4, 3, 3]);
+    assert_followers(quiet, &[4, 3, 3]);
     let spent = |row: &ControlServerRow| row.cpu > Duration::ZERO && row.memory > 0;
-    assert!(quiet.machines.iter().all(spent), "{:?}", quiet.machines);
-    // The next one of the ring has both zones.
-    assert_heard(killed, &[7, 3]);
+    assert!(quiet.control_servers.iter().all(spent), "{:?}", quiet.control_servers);
+    // The next control server of the ring takes over the gateways of the killed one.
+    assert_followers(killed, &[7, 3]);
     let back = phase(&outcome, "control back");
-    assert_heard(back, &[4, 3, 3]);
+    assert_followers(back, &[4, 3, 3]);
     assert!((1..=4).contains(&back.arrivals.expect("counted")), "{:?}", back.arrivals);
 
     let verdicts = verdicts(&plan, &outcome);
@@ -496,19 +520,19 @@
     assert_eq!(of("control.mb"), ["broken", "broken"]);
     assert_eq!(of("control.core"), ["kept", "kept"]);
 
-    assert_eq!(outcome.started.len(), 6, "two gateways, three control machines, one of them twice");
+    assert_eq!(outcome.started.len(), 6, "two gateways, three control servers, one of them twice");
     let ids: Vec<i32> = outcome.started.iter().map(|id| *id as i32).collect();
     assert_all_ended(&ids);
 }
 
-/// Guards the budget of a version: one gateway that stands still breaks it and gets the newest later; a control machine
-/// that falls silent without a word is left like one that is gone. And what is written of it.
+/// Guards the time budget of a version: a gateway that is frozen breaks it and still receives the newest version later.
+/// Also guards the files and the text that are written about versions.
 #[test]
-fn a_gateway_that_lags_breaks_the_budget_of_a_version() {
+fn a_frozen_gateway_breaks_the_time_budget_of_a_version() {
     let text = "[run]\nhollow = 4\ncontrol = 1\ndocument_bytes = 0\n[fleet]\nvoters = 1\n\
         [events]\na = version\nb = behind 1.5\n[budgets]\nversion.last_s = 60\nbehind.last_s = 1\nsilent.last_s = 1\n";
     let plan = Plan { program: built(), ..plan(text) };
-    let outcome = played(&plan);
+    let outcome = run_plan(&plan);
     assert_eq!(outcome.rejections, Vec::<String>::new());
     assert_eq!(acted(phase(&outcome, "version")), (4, 4));
     assert_eq!(acted(phase(&outcome, "behind")), (4, 4));
@@ -527,20 +551,21 @@
     let versions = lines("versions.csv");
     assert_eq!(versions.len(), 3);
     assert!(versions[1].starts_with("version,") && versions[2].starts_with("behind,"), "{versions:?}");
-    assert_eq!(lines("control.csv").len(), 1 + 4, "one machine in four phases");
-    let said = report::text(&plan, &outcome);
-    assert!(said.contains("gateways that went back to an older version: 0"), "{said}");
+    assert_eq!(lines("control.csv").len(), 1 + 4, "one control server in four phases");
+    let report_text = report::text(&plan, &outcome);
+    assert!(report_text.contains("gateways that went back to an older version: 0"), "{report_text}");
 }
 
-/// Guards the likeness of a stopped control machine and a killed one: its gateways hear another, and come back.
+/// Guards against gateways that stay with a control server that is frozen: they follow another one, as after a kill,
+/// and return later.
 #[test]
-fn a_control_machine_that_falls_silent_is_left_for_the_next() {
+fn gateways_leave_a_frozen_control_server() {
     let text = "[run]\nhollow = 6\ncontrol = 2\nhome_s = 1\nsilent_ms = 4000\n[fleet]\nvoters = 1\n[places]\nzones = 2\n\
         [events]\na = silent 5\n";
-    let outcome = played(&Plan { program: built(), ..plan(text) });
+    let outcome = run_plan(&Plan { program: built(), ..plan(text) });
     assert_eq!(acted(phase(&outcome, "silent")), (3, 3));
     let silent = phase(&outcome, "silent");
-    let heard: Vec<usize> = silent.machines.iter().map(|row| row.gateways).collect();
-    assert!(heard == [0, 6] || heard == [6, 0], "{heard:?}");
+    let followers: Vec<usize> = silent.control_servers.iter().map(|row| row.gateways).collect();
+    assert!(followers == [0, 6] || followers == [6, 0], "{followers:?}");
     assert_eq!(acted(phase(&outcome, "silent back")), (3, 3));
 }
