--- a/crates/loadtest/src/scale/discovery.rs
+++ b/crates/loadtest/src/scale/discovery.rs
@@ -195,7 +195,7 @@
     }
 }
 
-/// A connection with one connection.
+/// A connection to the service, which carries one call.
 struct Connection {
     socket: TcpStream,
     request_bytes: Vec<u8>,
--- a/crates/loadtest/src/scale/limits.rs
+++ b/crates/loadtest/src/scale/limits.rs
@@ -16,7 +16,8 @@
     pub processes: u64,
 }
 
-// Memory figures are rounded up from runs with 45 to 710 gateways and 1,000 hosts (`docs/measurements/scale.md`).
+// Memory per member and per host is rounded up from runs with 45 to 710 gateways and 1,000 hosts
+// (`docs/measurements/scale.md`).
 
 /// Memory that a gateway takes for each member of the fleet that it knows.
 const MEMBER_BYTES: u64 = 1_024;
--- a/crates/loadtest/src/scale/mod.rs
+++ b/crates/loadtest/src/scale/mod.rs
@@ -48,6 +48,6 @@
         return result;
     }
     report::write(&plan, &outcome, out)?;
-    print!("{}", report::text(&plan, &outcome));
+    print!("{}", report::render_text(&plan, &outcome));
     result.map_err(|error| format!("{error}; the results above and in the tables are partial"))
 }
--- a/crates/loadtest/src/scale/plan.rs
+++ b/crates/loadtest/src/scale/plan.rs
@@ -9,7 +9,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Limit of gateways, simulated and real together: a member of the fleet knows at most 1,024 others.
+/// Limit of gateways, simulated and real together: a member of the fleet knows at most 1,024.
 pub const MAX_GATEWAYS: usize = 1_000;
 /// Limit of processes that a run starts.
 pub const MAX_PROCESSES: usize = 200;
@@ -90,8 +90,8 @@
     GatewayKilled,
     /// This many gateways of one zone end without a graceful shutdown.
     RackLost(usize),
-    /// All gateways of a zone, acceptors included, end without a graceful shutdown and are started again after this
-    /// time.
+    /// All gateways of a zone, acceptors included, and its control server end without a graceful shutdown and are
+    /// started again after this time.
     ZoneLost(usize, Duration),
     /// No datagrams pass between regions for this time.
     RegionsPartitioned(Duration),
@@ -353,7 +353,7 @@
     /// Checks values that depend on each other.
     fn validate(&self) -> Result<(), String> {
         if !matches!(self.voters, 1 | 3 | 5 | 7) {
-            return Err(format!("[fleet] voters: {}: must be 1, 3, 5 or 7", self.voters));
+            return Err(format!("[fleet] voters: {}: must be 1, 3, 5 or 7 to keep a majority", self.voters));
         }
         if self.control_servers > self.zones {
             return Err(format!(
--- a/crates/loadtest/src/scale/report.rs
+++ b/crates/loadtest/src/scale/report.rs
@@ -35,7 +35,7 @@
 }
 
 /// Minimum, median and maximum of some figures; `None` if there are none.
-pub fn spread(mut figures: Vec<f64>) -> Option<(f64, f64, f64)> {
+pub fn min_median_max(mut figures: Vec<f64>) -> Option<(f64, f64, f64)> {
     figures.sort_by(f64::total_cmp);
     Some((*figures.first()?, figures[figures.len() / 2], *figures.last()?))
 }
@@ -124,7 +124,7 @@
                 _ => control_server_cores(&phases, row.server),
             };
             let rows = phases.iter().flat_map(|phase| &phase.control_servers);
-            let found = spread(rows.map(figure).collect()).map(|(_, _, most)| most);
+            let found = min_median_max(rows.map(figure).collect()).map(|(_, _, most)| most);
             return verdict(budget, name, found, true, String::new(), busy);
         }
         // Bytes of processes are not counted; memory of simulated gateways is the same average for each.
@@ -141,7 +141,7 @@
                 Measure::BytesPerSecond | Measure::SecondsToLast => sum.sent[0].bytes as f64 / length,
             }
         };
-        let found = spread(gateways.filter(is_judged).map(figure).collect()).map(|(_, _, most)| most);
+        let found = min_median_max(gateways.filter(is_judged).map(figure).collect()).map(|(_, _, most)| most);
         verdict(budget, name, found, true, String::new(), busy)
     });
     judged.collect()
@@ -172,7 +172,7 @@
 }
 
 /// The text report that is printed at the end of a run.
-pub fn text(plan: &Plan, outcome: &Outcome) -> String {
+pub fn render_text(plan: &Plan, outcome: &Outcome) -> String {
     let mut text = format!(
         "{} hollow and {} real gateways, {} control servers, {} voters, {} hosts, {} roles, seed {}; peak memory {} MiB\n",
         plan.simulated,
@@ -195,7 +195,7 @@
                 continue;
             }
             let column = |figure: &dyn Fn(&GatewayRow) -> f64, decimals: usize| {
-                let found = spread(rows.iter().map(|row| figure(row)).collect()).unwrap_or_default();
+                let found = min_median_max(rows.iter().map(|row| figure(row)).collect()).unwrap_or_default();
                 format!("{:.decimals$} / {:.decimals$} / {:.decimals$}", found.0, found.1, found.2)
             };
             let kind = match (real, voter) {
@@ -282,12 +282,14 @@
     for phase in outcome.phases.iter().filter(|phase| !phase.control_servers.is_empty()) {
         let length = phase.length.as_secs_f64();
         let control_servers = |figure: &dyn Fn(&ControlServerRow) -> f64, decimals: usize| {
-            let found = spread(phase.control_servers.iter().map(figure).collect()).unwrap_or_default();
+            let found =
+                min_median_max(phase.control_servers.iter().map(figure).collect()).unwrap_or_default();
             format!("{:.decimals$} / {:.decimals$} / {:.decimals$}", found.0, found.1, found.2)
         };
         let simulated = |figure: &dyn Fn(&GatewayRow) -> u64| {
             let rows = phase.rows.iter().filter(|row| !row.real);
-            let found = spread(rows.map(|row| figure(row) as f64 / length).collect()).unwrap_or_default();
+            let found =
+                min_median_max(rows.map(|row| figure(row) as f64 / length).collect()).unwrap_or_default();
             format!("{:.0} / {:.0} / {:.0}", found.0, found.1, found.2)
         };
         let _ = writeln!(
@@ -318,7 +320,7 @@
     for phase in outcome.phases.iter().filter(|phase| !phase.versions.is_empty()) {
         let accepted: Vec<&VersionTimes> = phase.versions.iter().filter(|it| it.number.is_some()).collect();
         let column = |figure: &dyn Fn(&VersionTimes) -> Option<f64>| {
-            let found = spread(accepted.iter().filter_map(|it| figure(it)).collect());
+            let found = min_median_max(accepted.iter().filter_map(|it| figure(it)).collect());
             found.map_or("-".to_string(), |it| format!("{:.3} / {:.3} / {:.3}", it.0, it.1, it.2))
         };
         let _ = writeln!(
--- a/crates/loadtest/src/scale/run.rs
+++ b/crates/loadtest/src/scale/run.rs
@@ -30,7 +30,7 @@
 use super::discovery::Discovery;
 use super::plan::Plan;
 use super::real::{Process, ProcessSpec};
-use super::simulated::{Common, Identity, Report, Shard};
+use super::simulated::{GatewayIdentity, Report, Shard, SimulationContext};
 
 /// Time between two checks of signals, memory and admin interfaces.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -51,7 +51,7 @@
     live: BTreeSet<usize>,
     /// Gateways that are frozen at present.
     frozen: BTreeSet<usize>,
-    identities: Vec<Identity>,
+    identities: Vec<GatewayIdentity>,
     specs: BTreeMap<usize, ProcessSpec>,
     reports: Receiver<Report>,
     report_sender: Sender<Report>,
@@ -67,7 +67,7 @@
     followed: FollowedServers,
     /// Number of versions proposed so far.
     proposed: u64,
-    common: Arc<Common>,
+    context: Arc<SimulationContext>,
     discovery: Discovery,
     _port_claims: Vec<TcpListener>,
     _folder: Folder,
--- a/crates/loadtest/src/scale/run/events.rs
+++ b/crates/loadtest/src/scale/run/events.rs
@@ -102,13 +102,13 @@
         let target = self.target_of_regions();
         let began = Instant::now();
         self.act_on_all(name, target, |run| {
-            run.common.partitioned.store(true, Ordering::Relaxed);
+            run.context.partitioned.store(true, Ordering::Relaxed);
             Ok(Instant::now())
         })?;
         self.pause(time.saturating_sub(began.elapsed()))?;
         let target = self.target_of_live(1);
         self.act_on_all("joined", target, |run| {
-            run.common.partitioned.store(false, Ordering::Relaxed);
+            run.context.partitioned.store(false, Ordering::Relaxed);
             Ok(Instant::now())
         })
     }
--- a/crates/loadtest/src/scale/run/prepare.rs
+++ b/crates/loadtest/src/scale/run/prepare.rs
@@ -22,7 +22,7 @@
 use super::super::discovery::Discovery;
 use super::super::plan::Plan;
 use super::super::real::{self, ProcessSpec};
-use super::super::simulated::{Common, Identity, Report, Shard};
+use super::super::simulated::{GatewayIdentity, Report, Shard, SimulationContext};
 use super::files::{configuration, fleet_settings, program, Folder};
 use super::names::{control_index, control_name, gateway_index, gateway_name, zone_name};
 use super::outcome::Outcome;
@@ -85,15 +85,15 @@
         }
     }
 
-    fn identities(&self, rng: &mut Pcg64Mcg) -> Result<Vec<Identity>, String> {
+    fn identities(&self, rng: &mut Pcg64Mcg) -> Result<Vec<GatewayIdentity>, String> {
         let gateways = self.fleet[..self.plan.gateways()].iter().enumerate();
         gateways.map(|(index, address)| self.identity(index, *address, rng.next_u64())).collect()
     }
 
-    fn identity(&self, index: usize, address: SocketAddr, seed: u64) -> Result<Identity, String> {
+    fn identity(&self, index: usize, address: SocketAddr, seed: u64) -> Result<GatewayIdentity, String> {
         let acceptor_file =
             if index < self.plan.voting_gateways() { self.acceptor_file(index)? } else { None };
-        Ok(Identity {
+        Ok(GatewayIdentity {
             index,
             name: gateway_name(index),
             region: self.plan.region(index),
@@ -135,14 +135,14 @@
     }
 
     /// Writes the files of the gateways that are processes and returns what these are started with.
-    fn gateway_specs(&self, identities: &[Identity]) -> Result<BTreeMap<usize, ProcessSpec>, String> {
+    fn gateway_specs(&self, identities: &[GatewayIdentity]) -> Result<BTreeMap<usize, ProcessSpec>, String> {
         let processes = identities[self.plan.simulated..].iter().zip(&self.admin);
         processes
             .map(|(identity, admin)| Ok((identity.index, self.gateway_spec(identity, *admin)?)))
             .collect()
     }
 
-    fn gateway_spec(&self, identity: &Identity, admin: SocketAddr) -> Result<ProcessSpec, String> {
+    fn gateway_spec(&self, identity: &GatewayIdentity, admin: SocketAddr) -> Result<ProcessSpec, String> {
         let index = identity.index;
         let folder = self.folder.join(&identity.name);
         let known = self.discovery.known(self.plan.roles);
@@ -163,12 +163,12 @@
     }
 
     /// The data that all simulated gateways share.
-    fn common(&self) -> Result<Common, String> {
+    fn context(&self) -> Result<SimulationContext, String> {
         let plan = self.plan;
         let addresses = self.fleet[..plan.gateways()].iter().enumerate();
         let groups = plan.hosts.div_ceil(plan.group_size).min(plan.roles);
         let known = self.discovery.known(0);
-        Ok(Common {
+        Ok(SimulationContext {
             gateways: plan.gateways(),
             regions: addresses.map(|(index, address)| (*address, plan.region(index))).collect(),
             partitioned: AtomicBool::new(false),
@@ -200,9 +200,13 @@
 
 /// Starts the threads of the simulated gateways. An acceptor waits for its disk, so each has a thread of its own, as in
 /// the program.
-fn start_shards(plan: &Plan, common: &Arc<Common>, reports: &Sender<Report>) -> Result<Vec<Shard>, String> {
+fn start_shards(
+    plan: &Plan,
+    context: &Arc<SimulationContext>,
+    reports: &Sender<Report>,
+) -> Result<Vec<Shard>, String> {
     let count = plan.voting_gateways().min(plan.simulated) + plan.threads.min(plan.simulated);
-    (0..count).map(|_| Shard::start(common.clone(), reports.clone()).map_err(error_text)).collect()
+    (0..count).map(|_| Shard::start(context.clone(), reports.clone()).map_err(error_text)).collect()
 }
 
 impl<'a> Run<'a> {
@@ -217,9 +221,9 @@
         let identities = setup.identities(&mut rng)?;
         let control_specs = setup.control_specs()?;
         let specs = setup.gateway_specs(&identities)?;
-        let common = Arc::new(setup.common()?);
+        let context = Arc::new(setup.context()?);
         let (report_sender, reports) = channel();
-        let shards = start_shards(plan, &common, &report_sender)?;
+        let shards = start_shards(plan, &context, &report_sender)?;
         Ok(Run {
             plan,
             stop,
@@ -242,7 +246,7 @@
             versions: control::VersionTracker::default(),
             followed: FollowedServers::default(),
             proposed: 0,
-            common,
+            context,
             discovery: setup.discovery,
             _port_claims: setup.port_claims,
             _folder: setup.folder,
--- a/crates/loadtest/src/scale/run/versions.rs
+++ b/crates/loadtest/src/scale/run/versions.rs
@@ -43,8 +43,8 @@
             let cancelled = Arc::new(AtomicBool::new(false));
             let proposals = Proposals {
                 fleet: FLEET,
-                servers: run.common.control_servers.addresses(),
-                configuration: run.common.configuration.clone(),
+                servers: run.context.control_servers.addresses(),
+                configuration: run.context.configuration.clone(),
                 length: run.plan.document_bytes,
                 first_sequence: first,
                 count,
--- a/crates/loadtest/src/scale/simulated.rs
+++ b/crates/loadtest/src/scale/simulated.rs
@@ -49,7 +49,7 @@
 const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 /// Data that all simulated gateways of a run share.
-pub struct Common {
+pub struct SimulationContext {
     /// Number of gateways, simulated and real.
     pub gateways: usize,
     /// The region of the gateway with a datagram address.
@@ -74,7 +74,7 @@
 
 /// The parameters that a simulated gateway is started with.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub struct GatewayIdentity {
     /// Index among all gateways.
     pub index: usize,
     /// Name in the fleet.
@@ -96,7 +96,7 @@
 /// A command to a thread of simulated gateways.
 pub enum Command {
     /// Starts or restarts a gateway with this start number.
-    Start(Box<Identity>, u64),
+    Start(Box<GatewayIdentity>, u64),
     /// Ends a gateway without a graceful shutdown.
     Kill(usize),
     /// Freezes a gateway, or lets it continue.
@@ -158,12 +158,12 @@
     ///
     /// # Errors
     /// The system cannot provide a poller or a thread.
-    pub fn start(common: Arc<Common>, reports: Sender<Report>) -> io::Result<Shard> {
+    pub fn start(context: Arc<SimulationContext>, reports: Sender<Report>) -> io::Result<Shard> {
         let (commands, command_receiver) = channel();
         let poller = Arc::new(Poller::new()?);
         let stopping = Arc::new(AtomicBool::new(false));
         let worker = ShardWorker {
-            common,
+            context,
             command_receiver,
             reports: reports.clone(),
             poller: poller.clone(),
@@ -208,7 +208,7 @@
 struct CountedSocket<'a> {
     socket: &'a UdpSocket,
     counts: &'a mut Counts,
-    common: &'a Common,
+    context: &'a SimulationContext,
     region: usize,
 }
 
@@ -216,8 +216,8 @@
     fn receive(&mut self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let (count, from) = self.socket.recv_from(bytes)?;
-            let partitioned = self.common.partitioned.load(Ordering::Relaxed);
-            if partitioned && self.common.regions.get(&from).is_some_and(|region| *region != self.region) {
+            let partitioned = self.context.partitioned.load(Ordering::Relaxed);
+            if partitioned && self.context.regions.get(&from).is_some_and(|region| *region != self.region) {
                 self.counts.dropped += 1;
                 continue;
             }
@@ -284,7 +284,7 @@
 }
 
 struct ShardWorker {
-    common: Arc<Common>,
+    context: Arc<SimulationContext>,
     command_receiver: Receiver<Command>,
     reports: Sender<Report>,
     poller: Arc<Poller>,
@@ -332,7 +332,7 @@
                     _ => ready.control.push(*event),
                 }
             }
-            let ShardWorker { gateways, common, reports, poller, clock, began, next_turn, .. } = &mut self;
+            let ShardWorker { gateways, context, reports, poller, clock, began, next_turn, .. } = &mut self;
             // Starts after the gateway that was served last: a pass that always started with the first gateway would
             // never reach the last ones under overload.
             let turn_order: Vec<usize> = gateways
@@ -349,7 +349,7 @@
                 let Ready { datagram, discovery, control } = ready.remove(&index).unwrap_or_default();
                 let now = began.elapsed();
                 if datagram || gateway.transport.node.next_deadline() <= now {
-                    gateway.poll_node(now, common);
+                    gateway.poll_node(now, context);
                 }
                 let follower = gateway.follower.as_ref();
                 if follower.is_some_and(|it| !control.is_empty() || it.driver.next_turn() <= now) {
@@ -358,13 +358,13 @@
                 // A gateway that is not served now is still ready, or due, in the next pass.
                 if list_turns < MAX_LIST_TURNS && gateway.has_offered_version() {
                     (list_turns, *next_turn) = (list_turns + 1, index + 1);
-                    gateway.apply_offered_version(index, began, common, reports);
+                    gateway.apply_offered_version(index, began, context, reports);
                 }
                 if list_turns < MAX_LIST_TURNS
                     && (discovery || gateway.discovery_client.next_due() <= clock.read())
                 {
                     (list_turns, *next_turn) = (list_turns + 1, index + 1);
-                    gateway.poll_discovery(index, clock, common, poller);
+                    gateway.poll_discovery(index, clock, context, poller);
                 }
                 if let Some(target) = gateway.tracker.take_reached() {
                     let _ =
@@ -423,7 +423,7 @@
             }
             Command::Configure => {
                 for gateway in self.gateways.values_mut().flatten() {
-                    gateway.reload_configuration(&self.common.configuration)?;
+                    gateway.reload_configuration(&self.context.configuration)?;
                 }
             }
             Command::Count(reply) => {
@@ -437,13 +437,19 @@
         Ok(())
     }
 
-    fn start_gateway(&self, identity: Identity, start: u64, counts: Counts) -> Result<Gateway, String> {
+    fn start_gateway(
+        &self,
+        identity: GatewayIdentity,
+        start: u64,
+        counts: Counts,
+    ) -> Result<Gateway, String> {
         let error_text = |e: io::Error| e.to_string();
-        let Identity { index, name, region, fleet, acceptor_file, zone, version_file, seed } = identity;
+        let GatewayIdentity { index, name, region, fleet, acceptor_file, zone, version_file, seed } =
+            identity;
         let listen = fleet.listen.ok_or("the settings of the fleet have no listen address")?;
         let socket = UdpSocket::bind(listen).map_err(error_text)?;
         socket.set_nonblocking(true).map_err(error_text)?;
-        let node_start = NodeStart { name: name.clone(), start, roles: self.common.roles.clone(), seed };
+        let node_start = NodeStart { name: name.clone(), start, roles: self.context.roles.clone(), seed };
         let (settings, slot) = node_settings(&fleet, node_start)
             .map_err(|error| error.to_string())?
             .ok_or("the settings have no fleet")?;
@@ -451,27 +457,27 @@
         let transport = NodeTransport::new(settings, acceptor, Logger::root(Discard, o!()));
         let added = self.poller.add_with_mode(&socket, Event::readable(datagram_key(index)), PollMode::Level);
         added.map_err(error_text)?;
-        let mut tracker = ConvergenceTracker::new(index, region, self.common.gateways);
+        let mut tracker = ConvergenceTracker::new(index, region, self.context.gateways);
         (tracker.losses, tracker.mistaken_losses) = (counts.losses, counts.mistaken_losses);
-        let mut discovery_client = DiscoveryClient::new(&self.common, seed)?;
+        let mut discovery_client = DiscoveryClient::new(&self.context, seed)?;
         let fleet = fleet.name.unwrap_or_default();
         let settings = follower::Settings {
             fleet,
             name,
             zone,
-            servers: self.common.control_servers.infos(),
-            timeouts: self.common.timeouts,
+            servers: self.context.control_servers.infos(),
+            timeouts: self.context.timeouts,
             seed,
         };
         let follower = if settings.servers.is_empty() {
             None
         } else {
-            let before = discovery_client.restore(&version_file, &self.common)?;
+            let before = discovery_client.restore(&version_file, &self.context)?;
             let number = before.as_ref().map(Document::version);
-            let follower = Follower::new(settings, number, self.began.elapsed());
+            let state_machine = Follower::new(settings, number, self.began.elapsed());
             let (control_servers, key) =
-                (self.common.control_servers.addresses(), datagram_key(index) + FIRST_CONTROL_KEY);
-            let driver = FollowerDriver::new(follower, control_servers, self.poller.clone(), key);
+                (self.context.control_servers.addresses(), datagram_key(index) + FIRST_CONTROL_KEY);
+            let driver = FollowerDriver::new(state_machine, control_servers, self.poller.clone(), key);
             Some(RolloutFollower { driver, version_file, in_force: before, offered: None, server: None })
         };
         Ok(Gateway { region, transport, socket, discovery_client, follower, tracker, counts, frozen: false })
@@ -492,10 +498,10 @@
 }
 
 impl DiscoveryClient {
-    fn new(common: &Common, seed: u64) -> Result<DiscoveryClient, String> {
+    fn new(context: &SimulationContext, seed: u64) -> Result<DiscoveryClient, String> {
         let mut zones = Zones::default();
         let mut in_force = ActiveConfig::default();
-        let result = in_force.replace(common.configuration.clone(), &mut zones);
+        let result = in_force.replace(context.configuration.clone(), &mut zones);
         let settings = result.map_err(|fault| fault.in_file("configuration").to_string())?.settings.router;
         Ok(DiscoveryClient {
             watch: Watch::from_version(None),
@@ -505,17 +511,21 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             directory: Directory::new(zones),
             in_force,
-            balancer: common.with_balancer.then(|| Balancer::new(settings.clone(), seed)),
+            balancer: context.with_balancer.then(|| Balancer::new(settings.clone(), seed)),
             settings,
         })
     }
 
     /// Applies the version that was stored before the gateway's start, if any.
-    fn restore(&mut self, version_file: &Path, common: &Common) -> Result<Option<Document>, String> {
+    fn restore(
+        &mut self,
+        version_file: &Path,
+        context: &SimulationContext,
+    ) -> Result<Option<Document>, String> {
         let path = version_file.display().to_string();
         let document = gateway::stored_version(version_file).map_err(|error| format!("{path}: {error}"))?;
         if let Some(document) = &document {
-            let text = version::overlay(&common.configuration, document.bytes());
+            let text = version::overlay(&context.configuration, document.bytes());
             text.and_then(|text| self.apply_configuration(text))
                 .map_err(|fault| fault.in_file(&path).to_string())?;
         }
@@ -539,9 +549,9 @@
         &mut self,
         document: &Document,
         version_file: &Path,
-        common: &Common,
+        context: &SimulationContext,
     ) -> Result<(), String> {
-        let text = version::overlay(&common.configuration, document.bytes()).map_err(|e| e.to_string())?;
+        let text = version::overlay(&context.configuration, document.bytes()).map_err(|e| e.to_string())?;
         let staged = durable_file::stage(version_file, &document.to_file()).map_err(|e| e.to_string())?;
         match self.apply_configuration(text) {
             Ok(()) => staged.commit().map_err(|e| e.to_string()),
@@ -565,13 +575,13 @@
         &mut self,
         index: usize,
         now: Micros,
-        common: &Common,
+        context: &SimulationContext,
         poller: &Poller,
     ) -> io::Result<usize> {
-        let socket = Socket::new(Domain::for_address(common.discovery), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(Domain::for_address(context.discovery), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
-        match socket.connect(&common.discovery.into()) {
+        match socket.connect(&context.discovery.into()) {
             Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
                 return Err(e)
             }
@@ -586,7 +596,7 @@
         };
         poller.add_with_mode(&socket, Event::writable(key), PollMode::Level)?;
         let deadline = now + self.watch.timeout();
-        let request = self.watch.next_request(&common.discovery.to_string()).into_bytes();
+        let request = self.watch.next_request(&context.discovery.to_string()).into_bytes();
         let length = request.len();
         self.call = Some(Call { socket, request, sent: 0, received: 0, key, began: now, deadline });
         Ok(length)
@@ -658,19 +668,19 @@
     }
 
     /// Handles datagrams and timers of the fleet's node, and records membership changes.
-    fn poll_node(&mut self, now: Duration, common: &Common) {
+    fn poll_node(&mut self, now: Duration, context: &SimulationContext) {
         let before = thread_cpu();
         let Gateway { transport, socket, counts, region, .. } = self;
-        transport.poll(now, CountedSocket { socket, counts, common, region: *region });
+        transport.poll(now, CountedSocket { socket, counts, context, region: *region });
         while let Some(event) = self.transport.node.next_event() {
             match event {
                 NodeEvent::Membership(MembershipChange::Up(peer)) => {
-                    if let Some(other) = (common.gateway_index)(&peer.name) {
+                    if let Some(other) = (context.gateway_index)(&peer.name) {
                         self.tracker.member_joined(other, peer.start);
                     }
                 }
                 NodeEvent::Membership(MembershipChange::Down(peer)) => {
-                    if let Some(other) = (common.gateway_index)(&peer.name) {
+                    if let Some(other) = (context.gateway_index)(&peer.name) {
                         self.tracker.member_left(other, Some(peer.start));
                     }
                 }
@@ -707,7 +717,7 @@
         &mut self,
         index: usize,
         began: &Instant,
-        common: &Common,
+        context: &SimulationContext,
         reports: &Sender<Report>,
     ) {
         let Some(RolloutFollower { driver, version_file, in_force, offered, .. }) = &mut self.follower else {
@@ -715,7 +725,7 @@
         };
         let Some(document) = offered.take() else { return };
         let before = thread_cpu();
-        let result = self.discovery_client.apply_version(&document, version_file, common);
+        let result = self.discovery_client.apply_version(&document, version_file, context);
         let version = document.version();
         if result.is_ok() {
             *in_force = Some(document);
@@ -730,7 +740,7 @@
     }
 
     /// Continues the calls to discovery: writes requests, reads answers, handles timeouts and starts the next call.
-    fn poll_discovery(&mut self, index: usize, clock: &Clock, common: &Common, poller: &Poller) {
+    fn poll_discovery(&mut self, index: usize, clock: &Clock, context: &SimulationContext, poller: &Poller) {
         let before = thread_cpu();
         let now = clock.read();
         for is_silent in [true, false] {
@@ -740,7 +750,7 @@
             self.discovery_client.handle_timeout(now, poller);
         }
         if self.discovery_client.call.is_none() && self.discovery_client.next_call_at <= now {
-            match self.discovery_client.start_call(index, now, common, poller) {
+            match self.discovery_client.start_call(index, now, context, poller) {
                 Ok(length) => self.counts.calls.add(length),
                 Err(_) => self.discovery_client.handle_failure(CallFailure::Rejected, false, now, poller),
             }
--- a/crates/loadtest/tests/scale.rs
+++ b/crates/loadtest/tests/scale.rs
@@ -70,7 +70,7 @@
         ("[run]\nhollow = 2000", "[run] hollow: 2000 is out of range (0 to 1000)"),
         ("[run]\nhollow = 900\nreal = 200", "[run] hollow, real: at most 1000 gateways together"),
         ("[run]\nhollw = 3", "[run] hollw: unknown key"),
-        ("[fleet]\nvoters = 2", "[fleet] voters: 2: must be 1, 3, 5 or 7"),
+        ("[fleet]\nvoters = 2", "[fleet] voters: 2: must be 1, 3, 5 or 7 to keep a majority"),
         ("[run]\nhollow = 2", "[fleet] voters: 3: more than there are gateways"),
         ("[events]\na = flood", "[events] a: \"flood\" is not one of: list N"),
         ("[events]\na = list -1", "[events] a: \"list -1\": arguments must be numbers from 0 to 100000"),
@@ -552,7 +552,7 @@
     assert_eq!(versions.len(), 3);
     assert!(versions[1].starts_with("version,") && versions[2].starts_with("behind,"), "{versions:?}");
     assert_eq!(lines("control.csv").len(), 1 + 4, "one control server in four phases");
-    let report_text = report::text(&plan, &outcome);
+    let report_text = report::render_text(&plan, &outcome);
     assert!(report_text.contains("gateways that went back to an older version: 0"), "{report_text}");
 }
 
