--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -248,15 +248,15 @@
             if let Some(number) = number.filter(|number| watched.took(*number, true)) {
                 let _ = self.reports.send(Report::VersionInForce { gateway: self.gateway, number, at });
             }
-        } else if line.contains("config: hears a control machine") {
+        } else if line.contains("config: following a control machine") {
             let machine = value(line, "machine").and_then(self.numbers[1]);
             watched.hears(self.gateway, machine, at, &self.reports);
         }
         let progress = &mut watched.progress;
         let other = || value(line, "member").and_then(self.numbers[0]);
-        if line.contains("fleet: member came") {
+        if line.contains("fleet: member up") {
             other().into_iter().for_each(|other| progress.member_joined(other, unix_ms()));
-        } else if line.contains("fleet: member went") {
+        } else if line.contains("fleet: member down") {
             other().into_iter().for_each(|other| progress.member_left(other, None));
         } else if line.contains("configuration read anew") {
             progress.configuration_read();
--- a/src/fleet/acceptor_file.rs
+++ b/src/fleet/acceptor_file.rs
@@ -1,4 +1,4 @@
-//! The file of this gateway's acceptor (the operators' pages call it a voter), on disk.
+//! The file in which this gateway's acceptor persists its state. Operators know an acceptor as a voter.
 
 use std::fs;
 use std::io;
@@ -11,18 +11,18 @@
 
 use super::durable_file;
 
-/// Why an acceptor starts without what it has promised before.
+/// Why an acceptor starts without the promises that it has made before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum UnusableFile {
     /// There is no file.
-    #[error("there is none")]
+    #[error("the file does not exist")]
     Missing,
-    /// The file holds something else, or is damaged.
+    /// The file is not an acceptor's file, or is damaged.
     #[error(transparent)]
     Invalid(#[from] AcceptorFileError),
 }
 
-/// The path of an acceptor's file.
+/// An acceptor's file.
 #[derive(Debug)]
 pub struct AcceptorFile {
     path: PathBuf,
@@ -41,10 +41,11 @@
         self.store_error.as_ref()
     }
 
-    /// The acceptor of this slot. Without a usable file it is uninitialized, and the reason is given.
+    /// Loads the acceptor of this slot. Without a usable file the acceptor is uninitialized, and the reason is returned
+    /// with it.
     ///
     /// # Errors
-    /// The file cannot be read. Whether there is one is not known then: it has to be tried again.
+    /// The file cannot be read, so it is unknown whether it holds promises: the caller has to retry.
     pub fn load(&self, slot: AcceptorSlot, salt: u32) -> io::Result<(Acceptor, Option<UnusableFile>)> {
         let unusable = match fs::read(&self.path) {
             Ok(bytes) => match Acceptor::from_file(slot, &bytes) {
@@ -60,7 +61,7 @@
     /// Creates the file for an acceptor of a new fleet.
     ///
     /// # Errors
-    /// An existing file is left as it is: it may hold promises.
+    /// The file cannot be written; or it exists already, and is left as it is since it may hold promises.
     pub fn create(&self, slot: AcceptorSlot) -> io::Result<()> {
         if self.path.try_exists()? {
             return Err(io::ErrorKind::AlreadyExists.into());
--- a/src/fleet/acceptor_file/tests.rs
+++ b/src/fleet/acceptor_file/tests.rs
@@ -1,4 +1,4 @@
-//! An acceptor's file.
+//! Tests of an acceptor's file.
 
 use super::*;
 
@@ -8,15 +8,15 @@
     folder
 }
 
-/// Guards promises: a file cut at any byte, or with any byte changed, is not used, and neither is one that is
-/// longer; its acceptor starts uninitialized and gives the reason.
+/// Guards promises: a file that is cut at any byte, has any byte changed or is too long is not used. Its acceptor
+/// starts uninitialized, and the reason is returned.
 #[test]
 fn a_file_cut_at_any_byte_is_not_used() {
     let folder = folder("cut");
     let path = folder.join("voter");
     let file = AcceptorFile::new(&path);
     file.create(AcceptorSlot(1)).expect("written");
-    assert!(file.create(AcceptorSlot(1)).is_err(), "never over one that is there");
+    assert!(file.create(AcceptorSlot(1)).is_err(), "an existing file is not replaced");
     let complete = fs::read(&path).expect("there");
     assert!(!file.load(AcceptorSlot(1), 7).expect("read").0.is_uninitialized());
     for length in 0..complete.len() {
@@ -35,7 +35,7 @@
     fs::remove_dir_all(folder).expect("its own");
 }
 
-/// Guards promises on a disk that takes nothing: a failed store is reported.
+/// Guards promises on a disk that cannot be written: a failed store is reported.
 #[test]
 fn a_failed_store_is_reported() {
     let folder = folder("full");
--- a/src/fleet/durable_file.rs
+++ b/src/fleet/durable_file.rs
@@ -1,29 +1,29 @@
-//! Files that are replaced atomically and durably, by fsync and rename: after a crash there is the old one or the new one,
-//! complete.
+//! Files that are replaced atomically and durably, by fsync and rename: after a crash there is either the complete old
+//! file or the complete new one.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Added to a file's name for the file that is to replace it.
+/// Suffix that is added to a file's name for its staged replacement.
 const STAGED_SUFFIX: &str = ".next";
 
-/// A durable file beside the one that it is to replace.
+/// The durable replacement of a file, stored beside it under another name.
 #[derive(Debug)]
 pub struct StagedFile {
     staged: PathBuf,
     path: PathBuf,
 }
 
-/// Writes a file beside the one that it is to replace, and syncs it.
+/// Writes the replacement of a file beside it, and syncs it.
 ///
 /// # Errors
-/// It is not durable, and nothing has changed.
+/// The replacement is not durable; the file itself is unchanged.
 pub fn stage(path: &Path, bytes: &[u8]) -> io::Result<StagedFile> {
     let mut staged = path.as_os_str().to_owned();
     staged.push(STAGED_SUFFIX);
     let file = StagedFile { staged: staged.into(), path: path.to_path_buf() };
-    // After a failed sync nothing of a file is certain, not even that its bytes are there: a new one is written.
+    // After a failed sync it is unknown which bytes of a file are on the disk: an earlier staged file is not reused.
     match fs::remove_file(&file.staged) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
@@ -38,7 +38,7 @@
     /// Replaces the file.
     ///
     /// # Errors
-    /// It is not certain that the replacement is durable.
+    /// The file may or may not be replaced, and a replacement may not be durable.
     pub fn commit(self) -> io::Result<()> {
         fs::rename(&self.staged, &self.path)?;
         // The directory entry has to be durable as well.
@@ -46,7 +46,7 @@
         File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
     }
 
-    /// Removes the staged file; one that cannot be removed is replaced by the next.
+    /// Removes the staged file. An error is ignored, since the next call of [`stage`] removes the file as well.
     pub fn discard(self) {
         let _ = fs::remove_file(self.staged);
     }
@@ -55,7 +55,7 @@
 /// Replaces a file.
 ///
 /// # Errors
-/// It is not certain that the replacement is durable.
+/// The file may or may not be replaced, and a replacement may not be durable.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     stage(path, bytes)?.commit()
 }
--- a/src/fleet/event_log.rs
+++ b/src/fleet/event_log.rs
@@ -1,4 +1,4 @@
-//! Log lines for a node's events, in the words of the operators' pages.
+//! Logs a node's events. The names in the values are those of the operators' documentation.
 
 use dunemount_fleet::fencing::FencingError;
 use dunemount_fleet::lease::{LeaseEvent, LeaseLoss};
@@ -6,19 +6,21 @@
 use dunemount_fleet::node::NodeEvent;
 use slog::{info, warn, Logger};
 
-/// Logs an event. The outcomes of reads and changes of registers are left to whoever asked for them.
+/// Logs an event. Outcomes of reads and changes of registers are not logged: they are handled where the operation was
+/// started.
 pub(super) fn log_event(log: &Logger, event: NodeEvent) {
     match event {
         NodeEvent::Membership(change) => log_membership_change(log, &change),
         NodeEvent::Lease { role, event } => log_lease_event(log, role, event),
         NodeEvent::Order { order, is_first_of_epoch } => {
-            info!(log, "fleet: order"; "first" => is_first_of_epoch, "epoch" => order.epoch, "role" => order.role);
+            info!(log, "fleet: order received"; "first" => is_first_of_epoch, "epoch" => order.epoch,
+                "role" => order.role);
         }
         NodeEvent::OrderRejected { order, error } => {
             let why = rejection_reason(error);
             warn!(log, "fleet: order refused"; "why" => why, "epoch" => order.epoch, "role" => order.role);
         }
-        NodeEvent::AcceptorAdmitted => info!(log, "fleet: the voter is let in"),
+        NodeEvent::AcceptorAdmitted => info!(log, "fleet: the voter has been admitted; it votes now"),
         NodeEvent::Register { .. } => {}
     }
 }
@@ -26,13 +28,16 @@
 fn log_membership_change(log: &Logger, change: &MembershipChange) {
     match change {
         MembershipChange::Up(member) => {
-            info!(log, "fleet: member came"; "member" => &member.name, "address" => %member.address);
+            info!(log, "fleet: member up"; "member" => &member.name, "address" => %member.address);
         }
         MembershipChange::Down(member) => {
-            info!(log, "fleet: member went"; "member" => &member.name, "address" => %member.address);
+            info!(log, "fleet: member down"; "member" => &member.name, "address" => %member.address);
         }
         MembershipChange::Superseded => {
-            warn!(log, "fleet: a process with this name has started later, this one is no member any more");
+            warn!(
+                log,
+                "fleet: a process with this name has started later; this process is no longer a member"
+            );
         }
     }
 }
@@ -40,10 +45,10 @@
 fn log_lease_event(log: &Logger, role: String, event: LeaseEvent) {
     match event {
         LeaseEvent::Acquired { epoch } => {
-            info!(log, "fleet: role taken"; "epoch" => epoch, "role" => role);
+            info!(log, "fleet: role lease acquired"; "epoch" => epoch, "role" => role);
         }
         LeaseEvent::Lost { epoch, reason } => {
-            info!(log, "fleet: role ended"; "why" => loss_reason(reason), "epoch" => epoch, "role" => role);
+            info!(log, "fleet: role lease ended"; "why" => loss_reason(reason), "epoch" => epoch, "role" => role);
         }
     }
 }
--- a/src/fleet/event_loop.rs
+++ b/src/fleet/event_loop.rs
@@ -1,6 +1,8 @@
-//! The thread of one node of the fleet: its socket and its clock. It decides nothing.
+//! The thread that runs this gateway's node of the fleet. It owns the socket and the clock; all decisions are the
+//! node's.
 //!
-//! It is a thread of its own, since an acceptor waits for its disk at each promise and no client may wait for that.
+//! The node has a thread of its own, since an acceptor waits for its disk at each promise and no client may wait for
+//! that.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, UdpSocket};
@@ -19,9 +21,9 @@
 use super::transport::NodeTransport;
 use crate::settings_file::FleetSettings;
 
-/// Time between two attempts to bind the address, which the process before may still have.
+/// Time between two attempts to bind the address, which the previous process of this gateway may still use.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a node takes at most to release its leases.
+/// Longest time that a node which leaves its fleet may take to release its leases.
 pub(super) const LEAVE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between two updates of the status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
@@ -38,17 +40,17 @@
 }
 
 impl FleetThread {
-    /// Lets the node leave its fleet gracefully, and waits for it.
+    /// Makes the node leave its fleet gracefully, and waits until the thread has ended.
     pub fn end(mut self) {
         let _ = self.shutdown.write_all(&[1]);
         let _ = self.thread.join();
     }
 }
 
-/// Starts a node, if the operator names a fleet.
+/// Starts the node's thread, if the settings name a fleet. The thread retries to bind an address that is in use.
 ///
 /// # Errors
-/// A voter without a file; the system gives no thread, pipe or poller. An address that is taken is waited for.
+/// The gateway is a voter without a file, or the system cannot create a thread, pipe or poller.
 pub fn start(options: &FleetSettings, start: NodeStart, log: &Logger) -> io::Result<Option<FleetThread>> {
     let name = start.name.clone();
     let settings = node_settings(options, start).map_err(io::Error::other)?;
@@ -62,9 +64,9 @@
     let thread = std::thread::Builder::new().name("fleet".into());
     let log = log.clone();
     let thread = thread.spawn(move || {
-        // A gateway serves without its fleet; the others see this member go.
+        // The gateway continues to serve without its fleet; the other members detect that this one is down.
         if catch_unwind(AssertUnwindSafe(|| event_loop.run(listen))).is_err() {
-            error!(log, "fleet: its thread panicked, this gateway is no member any more");
+            error!(log, "fleet: the node's thread panicked; this gateway is no longer a member");
         }
     })?;
     Ok(Some(FleetThread { status, shutdown: sender, thread }))
@@ -97,7 +99,7 @@
         let Some(socket) = self.bind(listen) else { return };
         let added = self.poller.add_with_mode(&socket, PollEvent::readable(SOCKET_KEY), PollMode::Level);
         if let Err(e) = added {
-            warn!(self.log, "fleet: cannot wait for datagrams, this gateway is not a member"; "error" => %e);
+            warn!(self.log, "fleet: cannot wait for datagrams; this gateway is not a member"; "error" => %e);
             return;
         }
         info!(self.log, "fleet: joining"; "address" => %listen);
@@ -120,14 +122,15 @@
         self.started_at.elapsed()
     }
 
-    /// Waits for the address: during a hot restart the process before has it until it ends.
+    /// Binds the address, and retries until that succeeds: during a hot restart the previous process uses it until it
+    /// ends. None if the thread is shut down meanwhile.
     fn bind(&mut self, listen: SocketAddr) -> Option<UdpSocket> {
         let mut is_logged = false;
         loop {
             match bind_nonblocking(listen) {
                 Ok(socket) => return Some(socket),
                 Err(e) if !is_logged => {
-                    warn!(self.log, "fleet: the address is not to be had yet"; "address" => %listen, "error" => %e);
+                    warn!(self.log, "fleet: cannot bind the address yet; retrying"; "address" => %listen, "error" => %e);
                     is_logged = true;
                 }
                 Err(_) => {}
@@ -141,7 +144,7 @@
 
     fn wait(&self, until: Duration) {
         let timeout = until.saturating_sub(self.now());
-        // Whatever woke the thread, all that is due is done.
+        // The events do not matter: after each wake-up the thread handles everything that is due.
         let _ = self.poller.wait(&mut Vec::new(), Some(timeout));
     }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway as a member of a fleet: `dunemount-fleet` over UDP in a thread of its own, its acceptor's file, and its status.
-//! Nothing of it is started without `[fleet]` in the settings.
+//! Runs this gateway as a member of a fleet: a thread for the node of `dunemount-fleet` over UDP, the acceptor's file,
+//! and the node's status. Nothing here is started unless the settings have a `[fleet]` section.
 
 pub mod acceptor_file;
 pub mod durable_file;
--- a/src/fleet/node_settings.rs
+++ b/src/fleet/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node, from those of the operator.
+//! Derives the settings of a node from the operator's settings.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 
 use crate::settings_file::{FleetSettings, NamedAddress, SettingsFileError};
 
-/// The most by which the speeds of two gateways' clocks differ, as a part.
+/// Largest relative difference between the rates of two gateways' clocks.
 const MAX_CLOCK_DRIFT: f64 = 0.05;
-/// How often requests are sent again within a lease.
+/// Number of times that a request is sent again within a lease's duration.
 const RESENDS_PER_LEASE: u32 = 20;
-/// A member has this part of the probe interval to answer.
+/// The time that a member has to answer a probe is the probe interval divided by this.
 const PROBE_TIMEOUTS_PER_INTERVAL: u32 = 3;
 const SUSPICION_PROBE_INTERVALS: u32 = 3;
 const DOWN_RETENTION_PROBE_INTERVALS: u32 = 120;
 
-/// What a node is started with beside the operator's settings.
+/// The parameters of a node's start that are not in the operator's settings.
 #[derive(Clone, Debug)]
 pub struct NodeStart {
     /// The gateway's name.
     pub name: String,
-    /// Rises with each start: Unix time in milliseconds will do.
+    /// A number that rises with each start of this gateway, such as Unix time in milliseconds.
     pub start: u64,
-    /// The roles that somebody is to hold.
+    /// The roles that this node is a candidate for.
     pub roles: Vec<String>,
     /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A node's settings, and the slot of its acceptor if it has one; none unless the operator names a fleet.
+/// A node's settings, and the slot of its acceptor if it has one; none unless the operator's settings name a fleet.
 ///
 /// # Errors
-/// A voter without a file.
+/// The gateway is a voter, and the settings name no file for it.
 pub fn node_settings(
     options: &FleetSettings,
     start: NodeStart,
 ) -> Result<Option<(NodeSettings, Option<usize>)>, SettingsFileError> {
     let (Some(fleet), Some(listen)) = (options.name.clone(), options.listen) else { return Ok(None) };
     let slot = options.voter(&start.name)?.map(|(slot, _)| slot);
-    // Of an acceptor the address that the others know counts: it may differ from the one that is listened at.
+    // An acceptor is known by its address in the list of voters, which may differ from the one that it listens on.
     let address = slot.map_or(listen, |slot| options.voters[slot].address);
     let acceptors = identities(&options.voters);
     let seeds = if options.seeds.is_empty() { acceptors.clone() } else { identities(&options.seeds) };
--- a/src/fleet/rollout/client.rs
+++ b/src/fleet/rollout/client.rs
@@ -22,16 +22,16 @@
     #[error("timed out")]
     Timeout,
     /// The server closed the connection.
-    #[error("it closed the connection")]
+    #[error("the control machine closed the connection")]
     Closed,
-    /// The server sent what is no frame.
+    /// The server sent bytes that are not a frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The server sent another message than an answer.
-    #[error("an answer without sense")]
+    /// The server sent a message that is no answer to the request.
+    #[error("unexpected message instead of an answer")]
     UnexpectedAnswer,
-    /// The thread that asked has panicked.
-    #[error("the question panicked")]
+    /// The thread that sent the request has panicked.
+    #[error("the thread that sent the request panicked")]
     Panicked,
 }
 
@@ -57,7 +57,7 @@
         Ok(self.socket.write_all(&encode_frame(message))?)
     }
 
-    /// Receives a message, if it comes in time.
+    /// Receives a message, or fails once the timeout has passed.
     pub(super) fn receive(&mut self, timeout: Duration) -> Result<Message, ClientError> {
         let deadline = Instant::now() + timeout;
         let mut bytes = [0; READ_BYTES];
--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -14,7 +14,7 @@
 use crate::settings_file::{LoadError, LocalSettings, SettingsFile};
 use crate::text_file::{self, LineError, ReadError, TextFileError};
 
-/// Why a command failed, in words for the operator.
+/// Why a command failed, with a message for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The settings cannot be used.
@@ -29,7 +29,7 @@
     /// The file that is to be the next version is no valid configuration.
     #[error(transparent)]
     Config(#[from] TextFileError<ConfigError>),
-    /// The file's shared part is too long.
+    /// The part of the file that all gateways share is too long.
     #[error("{}: {length} bytes as a version, {MAX_DOCUMENT_BYTES} at most", .path.display())]
     TooLong {
         /// The file.
@@ -143,7 +143,7 @@
         }
     }
 
-    /// What all control servers know, together.
+    /// The combined status of all control servers.
     ///
     /// # Errors
     /// None of them answers.
@@ -164,8 +164,9 @@
         }
     }
 
-    /// The first control server that is fresh, else the first that answers. It has to answer before it gets a proposal: one
-    /// that a stopped process finds later could become a version long after the operator has tried again elsewhere.
+    /// Chooses the first control server that is fresh, else the first that answers. A server must answer before it gets
+    /// a proposal: a stopped process would read the proposal once it continues, and it could become a version long
+    /// after the operator has retried at another server.
     fn choose_server(&self) -> Result<(Client, &str), CommandError> {
         let mut answering = None;
         let mut silent = Vec::new();
@@ -195,13 +196,13 @@
 enum ShowError {
     #[error(transparent)]
     Client(#[from] ClientError),
-    #[error("its bytes do not fit their digest")]
+    #[error("the document does not match its digest")]
     DigestMismatch,
     #[error("{0}")]
     NotFound(String),
 }
 
-/// The document that a file's shared part is.
+/// The part of a file that all gateways share, as a document.
 fn document_of(path: &Path, text: &str) -> Result<Vec<u8>, CommandError> {
     let document = version::shared_part(text).map_err(|error| error.in_file(path))?;
     match document.len() {
@@ -210,7 +211,7 @@
     }
 }
 
-/// A control server's reason with the line of the operator's file that it speaks of, if it names one.
+/// A control server's reason, with the file and the line that it concerns if a line can be found.
 fn with_line(path: &Path, text: &str, reason: String) -> String {
     match line_of(text, &reason) {
         0 => reason,
--- a/src/fleet/rollout/connections.rs
+++ b/src/fleet/rollout/connections.rs
@@ -1,4 +1,5 @@
-//! Non-blocking connections of one thread. What waits to be sent is bounded, and so is what is read in one turn.
+//! Non-blocking connections of one thread. Unsent bytes are bounded for each connection, and so are the reads in one
+//! turn.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -13,8 +14,8 @@
 
 use crate::net::dial;
 
-/// Most bytes that wait to be sent on one connection: the longest frame, and two documents. A receiver that is slower is
-/// disconnected, and reconnects for the newest version only.
+/// Most bytes that wait to be sent on one connection: the longest frame, and two documents. A receiver that is too slow
+/// is disconnected; after it has reconnected it gets the newest version only.
 const MAX_UNSENT_BYTES: usize = MAX_FRAME_BYTES + 2 * MAX_DOCUMENT_BYTES;
 /// Bytes that one read takes at most.
 const READ_BYTES: usize = 64 * 1024;
@@ -31,12 +32,12 @@
     id: ConnectionId,
     socket: TcpStream,
     is_connecting: bool,
-    /// It is closed once all is sent, and nothing more is read.
+    /// The connection is closed once all bytes are sent; received bytes are ignored.
     is_closing: bool,
     unsent: VecDeque<Arc<[u8]>>,
-    /// Bytes of the first one that were sent.
+    /// Number of bytes of the first element of `unsent` that were sent already.
     sent_of_first: usize,
-    /// Bytes of all of them that were not sent.
+    /// Number of bytes in `unsent` that were not sent yet.
     unsent_bytes: usize,
     /// The poller watches for the socket to become writable.
     awaits_writable: bool,
@@ -60,7 +61,7 @@
 }
 
 impl Connections {
-    /// No connections yet, and at most `max_connections`.
+    /// An empty set, which holds at most `max_connections` connections.
     pub(super) fn new(poller: Arc<Poller>, first_key: usize, max_connections: usize) -> Connections {
         Connections {
             poller,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Adds a connection that another process has opened.
+    /// Adds an accepted connection, which another process has opened.
     pub(super) fn add_accepted(&mut self, id: ConnectionId, socket: TcpStream) {
         let set = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
         if set.and_then(|()| self.insert(id, socket, false)).is_err() {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Closes a connection. Nothing more is reported of it.
+    /// Closes a connection. No further events of it are reported.
     pub(super) fn close(&mut self, id: ConnectionId) {
         self.lost.retain(|lost| *lost != id);
         if let Some(index) = self.indices.get(&id).copied() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Closes a connection once all is sent. Nothing more is reported of it.
+    /// Closes a connection once all bytes are sent. No further events of it are reported.
     pub(super) fn close_after_sending(&mut self, id: ConnectionId) {
         let Some(index) = self.indices.get(&id).copied() else { return self.close(id) };
         if let Some(connection) = self.open.get_mut(index) {
@@ -143,7 +144,7 @@
         self.write(index);
     }
 
-    /// Stops receiving on all connections, so that what is sent to them waits in the sockets, or receives again.
+    /// Pauses or resumes all connections. While they are paused, received bytes wait in the sockets.
     pub(super) fn set_paused(&mut self, paused: bool) -> io::Result<()> {
         for (index, connection) in &self.open {
             let key = self.first_key + index;
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Closes all.
+    /// Closes all connections.
     pub(super) fn close_all(&mut self) {
         for index in std::mem::take(&mut self.indices).into_values() {
             self.remove(index);
@@ -182,7 +183,7 @@
         self.lost.extend(id);
     }
 
-    /// Writes what the socket takes, and waits until it is writable again if that is not all.
+    /// Writes as many bytes as the socket accepts; if some remain, the poller reports when it is writable again.
     fn write(&mut self, index: usize) {
         let Some(connection) = self.open.get_mut(index) else { return };
         while let Some(bytes) = connection.unsent.front() {
@@ -233,7 +234,7 @@
                         connection.is_connecting = false;
                         on_event(connection.id, ConnectionEvent::Established);
                     }
-                    // Neither established nor failed yet.
+                    // The connection is neither established nor failed yet.
                     (Ok(None), Err(_)) if !event.readable => continue,
                     _ => {
                         self.lose(index);
@@ -257,7 +258,7 @@
                 Ok(0) => return self.lose(index),
                 Ok(count) => {
                     self.received += count as u64;
-                    // Nothing more is expected of a connection that is closing.
+                    // Bytes received on a connection that is closing are ignored.
                     if !connection.is_closing {
                         on_event(connection.id, ConnectionEvent::Received(&self.read_buffer[..count]));
                     }
--- a/src/fleet/rollout/connections/tests.rs
+++ b/src/fleet/rollout/connections/tests.rs
@@ -15,11 +15,11 @@
     (listener, address)
 }
 
-/// One turn: whether a connection was established, and the number of bytes received.
+/// Runs one turn. Returns whether a connection was established, and the number of bytes received.
 fn turn(connections: &mut Connections) -> (bool, usize) {
     let mut ready = Vec::new();
     let wait = Some(Duration::from_millis(10));
-    connections.poller.wait(&mut ready, wait).expect("it waits");
+    connections.poller.wait(&mut ready, wait).expect("the poller waits");
     let (mut is_established, mut count) = (false, 0);
     connections.handle_ready(&ready, |_, event| match event {
         ConnectionEvent::Established => is_established = true,
@@ -28,17 +28,17 @@
     (is_established, count)
 }
 
-/// Guards memory: a receiver that does not read is disconnected once more than a few documents wait for it, which is reported
-/// once.
+/// Guards memory: a receiver that does not read is disconnected once more bytes wait for it than a few documents have.
+/// The loss is reported once.
 #[test]
 fn a_receiver_that_does_not_read_is_disconnected() {
     let (listener, address) = listener();
     let mut connections = connections(1);
     connections.connect(ConnectionId(1), address);
-    let (_silent, _) = listener.accept().expect("it comes");
+    let (_silent, _) = listener.accept().expect("a pending connection");
     while !turn(&mut connections).0 {}
     let bytes: Arc<[u8]> = vec![7; MAX_FRAME_BYTES].into();
-    // The system's buffers are not limited here; what waits behind them is.
+    // The size of the system's buffers is not limited here, only that of the bytes that wait behind them.
     let sent = (0..1_000).take_while(|_| {
         connections.send(ConnectionId(1), bytes.clone());
         connections.lost.is_empty()
@@ -48,17 +48,18 @@
     assert!(connections.open.is_empty() && connections.indices.is_empty());
 }
 
-/// Guards the other connections of a thread: one that sends without end is read a limited number of times in a turn.
+/// Guards the other connections of a thread: a connection on which bytes arrive continuously is read a limited number
+/// of times in a turn.
 #[test]
 fn a_turn_reads_a_limited_number_of_bytes() {
     let (listener, address) = listener();
     let mut connections = connections(1);
     connections.connect(ConnectionId(1), address);
-    let (mut loud, _) = listener.accept().expect("it comes");
+    let (mut sender, _) = listener.accept().expect("a pending connection");
     while !turn(&mut connections).0 {}
     let writer = std::thread::spawn(move || {
-        let written = loud.write_all(&vec![7; 4 * MAX_READS * READ_BYTES]);
-        drop(loud);
+        let written = sender.write_all(&vec![7; 4 * MAX_READS * READ_BYTES]);
+        drop(sender);
         written
     });
     let mut all = 0;
@@ -74,17 +75,18 @@
     );
 }
 
-/// Guards the last message: what was sent before the close is received, and nothing more is reported of the connection.
+/// Guards the last message: bytes sent before the close are received, and no further event of the connection is
+/// reported.
 #[test]
-fn what_was_sent_is_received_before_the_close() {
+fn bytes_sent_before_the_close_are_received() {
     let (listener, address) = listener();
     let mut client = TcpStream::connect(address).expect("accepted");
-    let (socket, _) = listener.accept().expect("it comes");
+    let (socket, _) = listener.accept().expect("a pending connection");
     let mut connections = connections(1);
     connections.add_accepted(ConnectionId(1), socket);
     let bytes: Arc<[u8]> = vec![7; MAX_DOCUMENT_BYTES / 2].into();
     let mut count = 0;
-    // Until the system takes no more.
+    // Until the system's buffers are full.
     while connections.open[0].unsent_bytes == 0 {
         connections.send(ConnectionId(1), bytes.clone());
         count += bytes.len();
@@ -101,7 +103,7 @@
     assert_eq!(connections.next_lost(), None);
 }
 
-/// Guards the report of connections that cannot be established, exceed the limit or end.
+/// Guards the report of connections that cannot be established, exceed the limit or are closed by the peer.
 #[test]
 fn lost_connections_are_reported() {
     let (listener, address) = listener();
@@ -116,7 +118,7 @@
     connections.connect(ConnectionId(2), address);
     connections.connect(ConnectionId(3), address);
     assert_eq!(connections.next_lost(), Some(ConnectionId(3)), "the limit is one");
-    let (socket, _) = listener.accept().expect("it comes");
+    let (socket, _) = listener.accept().expect("a pending connection");
     while !turn(&mut connections).0 {}
     socket.shutdown(Shutdown::Both).expect("shut");
     while connections.lost.is_empty() {
@@ -127,6 +129,6 @@
     connections.close(ConnectionId(4));
     assert!(
         connections.open.is_empty() && connections.lost.is_empty(),
-        "nothing more is reported of one that was closed"
+        "no further event of a closed connection is reported"
     );
 }
--- a/src/fleet/rollout/control_server.rs
+++ b/src/fleet/rollout/control_server.rs
@@ -1,5 +1,5 @@
-//! The process of a control server: a node of the fleet, the connections for the configuration's versions, and the file in
-//! which they are stored, all on one thread. What is to be done is decided by the state machines.
+//! The process of a control server. One thread runs the node of the fleet, the connections over which versions of the
+//! configuration are exchanged, and the file in which versions are stored. The state machines make all decisions.
 
 mod setup;
 mod store;
@@ -26,19 +26,21 @@
 use crate::fleet::transport::NodeTransport;
 use crate::settings_file::{LocalSettings, SettingsFileError, MAX_CONTROL_SERVERS};
 
-/// Time between two reads of the register: one may fail, and the next succeed, before the last is no longer fresh.
+/// Time between two reads of the register: if one fails, the next may still succeed before the last result is no longer
+/// fresh.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a read of the register counts as fresh.
 const FRESHNESS: Duration = Duration::from_secs(2);
-/// How long an operator waits at most until a proposal is accepted.
+/// Longest time until a proposal is accepted.
 pub(super) const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most connections: all that the state machine accepts, and its own to the other servers.
+/// Most connections: all that the state machine accepts, and this server's own connections to the other servers.
 const MAX_CONNECTIONS: usize = MAX_GATEWAYS + 64 + MAX_CONTROL_SERVERS;
 /// Most connections accepted in one turn.
 const MAX_ACCEPTS: usize = 64;
-/// Pause after the system has refused to accept a connection.
+/// Pause after the system has failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Most rounds in one turn in which outputs lead to more outputs; the rest waits for the next turn.
+/// Most rounds of carrying out outputs in one turn, since outputs may cause further ones; the rest waits for the next
+/// turn.
 const MAX_OUTPUT_ROUNDS: usize = 100;
 /// The poller's keys: those of the connections begin at zero.
 const SOCKET_KEY: usize = usize::MAX - 1;
@@ -48,7 +50,7 @@
 /// Why a control server cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its name is none of those in the settings.
+    /// The settings name no control server with this name.
     #[error("{0} is none of [control] machines")]
     UnknownName(String),
     /// The settings name no fleet.
@@ -66,7 +68,7 @@
         source: io::Error,
     },
     /// The address for datagrams cannot be bound.
-    #[error("cannot hear datagrams at {address}: {source}")]
+    #[error("cannot bind the datagram socket to {address}: {source}")]
     BindSocket {
         /// The address.
         address: SocketAddr,
@@ -81,39 +83,39 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The system gives no poller.
+    /// The poller cannot be created, or cannot watch the sockets.
     #[error("cannot wait for events: {0}")]
     Poller(#[source] io::Error),
 }
 
-/// What a control server is started with beside the options.
+/// The parameters of a control server's start that are not in the settings.
 pub struct Start {
     /// Its name, one of `[control] machines`.
     pub name: String,
     /// The file in which versions are stored.
     pub file: PathBuf,
-    /// As for a gateway's node.
+    /// A number that rises with each start of this control server, such as Unix time in milliseconds.
     pub start: u64,
     /// Seed of the random generator.
     pub seed: u64,
-    /// Becomes readable when the process is to end.
+    /// Becomes readable when the process is to shut down.
     pub shutdown: UnixStream,
 }
 
-/// Runs a control server until it is to end.
+/// Runs a control server until it is shut down.
 ///
 /// # Errors
-/// The settings lack something, or the system refuses something.
+/// The settings are incomplete, the stored state cannot be read, or the sockets cannot be opened.
 pub fn run(options: &LocalSettings, start: Start, log: &Logger) -> Result<(), StartError> {
     let servers = &options.control.servers;
     let own = servers.iter().position(|(server, _)| server.name == start.name);
     let own = own.ok_or_else(|| StartError::UnknownName(start.name.clone()))?;
     let (node, voter) = node_with_voter(options, &start)?;
-    let Some(datagrams) = options.fleet.listen else { return Err(StartError::NoFleet) };
+    let Some(datagram_address) = options.fleet.listen else { return Err(StartError::NoFleet) };
     let state = read_state(&start.file, log)?;
     let (zone, listen) = (servers[own].0.zone.clone(), servers[own].1);
     let settings = settings(options, &start, &node.fleet);
-    let Sockets { socket, listener, poller } = Sockets::open(datagrams, listen, &start.shutdown)?;
+    let Sockets { socket, listener, poller } = Sockets::open(datagram_address, listen, &start.shutdown)?;
     let process = Process {
         transport: NodeTransport::new(node, voter, log.clone()),
         control: ControlServer::new(settings, state, Duration::ZERO),
@@ -128,12 +130,12 @@
         started_at: Instant::now(),
         log: log.clone(),
     };
-    info!(log, "control machine"; "hears" => %datagrams, "listens" => %listen, "zone" => zone);
+    info!(log, "control machine started"; "hears" => %datagram_address, "listens" => %listen, "zone" => zone);
     process.run();
     Ok(())
 }
 
-/// A control server that runs.
+/// A running control server.
 struct Process {
     transport: NodeTransport,
     control: ControlServer,
@@ -143,7 +145,7 @@
     addresses: Vec<SocketAddr>,
     socket: UdpSocket,
     listener: TcpListener,
-    /// No connection is accepted before: the system has refused one.
+    /// No connection is accepted before this time: the system has failed to accept one.
     accept_again_at: Option<Duration>,
     shutdown: UnixStream,
     poller: Arc<Poller>,
@@ -159,12 +161,12 @@
         while leave_until.is_none_or(|until| self.now() < until && !self.transport.node.has_left()) {
             ready.clear();
             let wait = if has_more { Duration::ZERO } else { self.next_turn().saturating_sub(self.now()) };
-            // Whatever woke the thread, all that is due is done.
+            // An error does not matter: after each wake-up the thread handles everything that is due.
             let _ = self.poller.wait(&mut ready, Some(wait));
             let now = self.now();
             has_more = self.turn(now, &ready);
             if leave_until.is_none() && self.shutdown.read(&mut [0]).is_ok() {
-                info!(self.log, "signal to end");
+                info!(self.log, "signal received, leaving the fleet");
                 self.transport.node.leave(now);
                 self.transport.node.tick(now);
                 leave_until = Some(now + LEAVE_TIMEOUT);
@@ -184,7 +186,7 @@
         self.accept_again_at.map_or(next, |at| next.min(at))
     }
 
-    /// Handles the poller's events and the timers. Whether outputs are left for the next turn.
+    /// Handles the poller's events and the timers. Returns whether outputs are left for the next turn.
     fn turn(&mut self, now: Duration, ready: &[PollEvent]) -> bool {
         self.transport.poll(now, &self.socket);
         self.handle_ready(now, ready);
@@ -217,8 +219,8 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) => {
-                    // A connection that waits to be accepted would wake this thread without end.
-                    warn!(self.log, "config: cannot accept"; "error" => %e);
+                    // A connection that waits to be accepted would wake this thread again and again.
+                    warn!(self.log, "config: cannot accept a connection; trying again after a pause"; "error" => %e);
                     let _ = self.watch_listener(PollEvent::none(LISTENER_KEY));
                     self.accept_again_at = Some(now + ACCEPT_PAUSE);
                     return;
@@ -231,7 +233,7 @@
         self.poller.modify_with_mode(&self.listener, interest, PollMode::Level)
     }
 
-    /// Carries out the outputs of the state machines; whether there were any.
+    /// Carries out the outputs of the state machines. Returns whether there were any.
     fn carry_out(&mut self, now: Duration) -> bool {
         let mut has_outputs = false;
         while let Some(output) = self.control.next_output() {
@@ -290,7 +292,7 @@
     }
 }
 
-/// The names of the members that the node knows, its own among them.
+/// The names of the members that the node knows, including its own.
 fn members(node: &Node) -> Vec<String> {
     let members = node.membership();
     members.members().chain([members.local()]).map(|peer| peer.name.clone()).collect()
--- a/src/fleet/rollout/control_server/setup.rs
+++ b/src/fleet/rollout/control_server/setup.rs
@@ -18,7 +18,7 @@
 use crate::settings_file::LocalSettings;
 use crate::shortage::{is_shortage, retry, START_RETRY_TIMEOUT};
 
-/// The settings of the fleet's node, and its index among the voters with its file if it is one.
+/// The settings of the fleet's node, and if it is a voter, its index among the voters and its file.
 pub(super) fn node_with_voter(
     options: &LocalSettings,
     start: &Start,
@@ -54,15 +54,15 @@
 }
 
 impl Sockets {
-    /// Opens the sockets; a shortage of the system is waited out for a while.
+    /// Opens the sockets. Retries for a while if the system is short of resources.
     pub(super) fn open(
-        datagrams: SocketAddr,
+        datagram_address: SocketAddr,
         listen: SocketAddr,
         shutdown: &UnixStream,
     ) -> Result<Sockets, StartError> {
         let until = Instant::now() + START_RETRY_TIMEOUT;
-        let socket = retry(until, is_shortage, || UdpSocket::bind(datagrams))
-            .map_err(|source| StartError::BindSocket { address: datagrams, source })?;
+        let socket = retry(until, is_shortage, || UdpSocket::bind(datagram_address))
+            .map_err(|source| StartError::BindSocket { address: datagram_address, source })?;
         let listener = retry(until, is_shortage, || TcpListener::bind(listen))
             .map_err(|source| StartError::BindListener { address: listen, source })?;
         let poller = Arc::new(retry(until, is_shortage, Poller::new).map_err(StartError::Poller)?);
--- a/src/fleet/rollout/control_server/store.rs
+++ b/src/fleet/rollout/control_server/store.rs
@@ -35,20 +35,21 @@
     fn store(&mut self, state: &PersistentState) -> bool {
         let stored = durable_file::replace(&self.file, &state.to_file());
         if let Err(e) = &stored {
-            warn!(self.log, "config: versions cannot be kept"; "error" => %e, "file" => %self.file.display());
+            warn!(self.log, "config: versions cannot be stored"; "error" => %e, "file" => %self.file.display());
         }
         stored.is_ok()
     }
 }
 
-/// Reads the state that a control server has stored: empty if there is no file, or one that contains something else.
+/// Reads the state that a control server has stored: empty if there is no file, or one that cannot be decoded.
 ///
 /// # Errors
-/// The file cannot be read, also after a while. It must not be overwritten, since its content may not be lost.
+/// The file cannot be read, even after retries. It must not be overwritten then, since its content must not be lost.
 pub(super) fn read_state(path: &Path, log: &Logger) -> Result<PersistentState, StartError> {
     match retry(Instant::now() + START_RETRY_TIMEOUT, is_transient_file_error, || fs::read(path)) {
         Ok(bytes) => Ok(PersistentState::from_file(&bytes).unwrap_or_else(|error| {
-            warn!(log, "config: what was kept cannot be used, the others have to give it"; "why" => %error);
+            warn!(log, "config: the stored versions cannot be used; fetching them from the other control machines";
+                "why" => %error);
             PersistentState::default()
         })),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(PersistentState::default()),
--- a/src/fleet/rollout/follower_driver.rs
+++ b/src/fleet/rollout/follower_driver.rs
@@ -1,5 +1,5 @@
-//! The connections of a gateway to its control servers. The driver never waits: the gateway's thread, or whoever drives many
-//! gateways from one poller, decides when a turn is due.
+//! The connections of a gateway to its control servers. The driver never blocks: its caller, which is the gateway's
+//! thread or a program that drives many gateways from one poller, decides when a turn is due.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,23 +12,23 @@
 
 use super::connections::{ConnectionEvent, Connections};
 
-/// Most connections at a time: the one in use, the next one that is tried, and that to the own zone's server.
+/// Most connections at a time: the one in use, the next one that is tried, and the one to the own zone's server.
 const MAX_CONNECTIONS: usize = 3;
 
 /// A gateway's state machine with its connections.
 pub struct FollowerDriver {
-    /// The state machine, of which the owner reads the status.
+    /// The state machine; the owner reads its status.
     pub follower: Follower,
     /// Addresses of the control servers, in the settings' order.
     addresses: Vec<SocketAddr>,
     connections: Connections,
-    /// The state machine has outputs since the last turn.
+    /// The state machine may have new outputs since the last turn.
     has_outputs: bool,
 }
 
 impl FollowerDriver {
-    /// A gateway's state machine with the addresses of the control servers, in the settings' order. It uses three keys of the
-    /// poller from the first one on.
+    /// A gateway's state machine with the addresses of the control servers, in the settings' order. It uses three keys
+    /// of the poller from the first one on.
     pub fn new(
         follower: Follower,
         addresses: Vec<SocketAddr>,
@@ -39,8 +39,8 @@
         FollowerDriver { follower, addresses, connections, has_outputs: false }
     }
 
-    /// One turn: handles the poller's events and the timers, and sends what is to be sent. The versions that it returns are to
-    /// be applied one after the other, each with a call of [`FollowerDriver::handle_applied`].
+    /// Runs one turn: handles the poller's events and the timers, and carries out the outputs. The caller applies the
+    /// returned versions one after the other, and reports each with [`FollowerDriver::handle_applied`].
     pub fn turn(&mut self, now: Duration, ready: &[Event]) -> Vec<Document> {
         let follower = &mut self.follower;
         self.connections.handle_ready(ready, |id, event| match event {
@@ -52,7 +52,7 @@
         self.carry_out(now)
     }
 
-    /// A version is stored and in force, or could not be applied.
+    /// Handles the report that a version is stored and in force, or could not be applied.
     pub fn handle_applied(&mut self, now: Duration, version: Version, result: Result<(), ApplyError>) {
         self.follower.handle_applied(now, version, result);
         self.has_outputs = true;
@@ -77,11 +77,11 @@
         self.connections.received
     }
 
-    /// Stops receiving, as a stopped process does, or receives again. Without this, whoever drives many gateways from one
-    /// poller would be woken again and again by what waits for one that takes no turn.
+    /// Pauses the connections, as those of a stopped process are, or resumes them. A program that drives many gateways
+    /// from one poller would otherwise be woken again and again by bytes for a gateway that runs no turns.
     ///
     /// # Errors
-    /// The poller's.
+    /// The poller cannot change how it watches a socket.
     pub fn set_paused(&mut self, paused: bool) -> io::Result<()> {
         self.connections.set_paused(paused)
     }
--- a/src/fleet/rollout/gateway.rs
+++ b/src/fleet/rollout/gateway.rs
@@ -1,6 +1,6 @@
-//! The thread of a gateway that follows the control servers: its connections, its clock, and the file in which the version in
-//! force is stored. It has a thread of its own because a version is on the disk before it is reported as in force, and no
-//! client may wait for that.
+//! The thread of a gateway that follows the control servers: its connections, its clock, and the file in which the
+//! version in force is stored. It has a thread of its own because a version is on the disk before it is reported as in
+//! force, and no client may wait for that.
 
 mod installer;
 mod startup;
@@ -30,7 +30,7 @@
 use crate::fleet::status::{ConfigurationStatus, SharedStatus};
 use crate::shortage::{is_transient_file_error, retry};
 
-/// How long a read of the file is retried that fails for a moment: the gateway has to be ready soon.
+/// How long a read of the file is retried after transient errors: the gateway has to be ready soon.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time between two updates of the status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
@@ -49,11 +49,11 @@
     Format(#[from] FileError),
 }
 
-/// Reads the version that a gateway has stored; none if there is no file. A read that fails for a moment is retried, since a
-/// gateway that starts without its version would go back to an older one.
+/// Reads the version that a gateway has stored; none if there is no file. After a transient error the read is retried,
+/// since a gateway that starts without its version would go back to an older one.
 ///
 /// # Errors
-/// The file cannot be used.
+/// The file cannot be read, or contains no version.
 pub fn stored_version(path: &Path) -> Result<Option<Document>, StoredVersionError> {
     match retry(Instant::now() + READ_TIMEOUT, is_transient_file_error, || fs::read(path)) {
         Ok(bytes) => Ok(Some(Document::from_file(&bytes)?)),
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the thread is started with.
+/// The parameters of the thread's start.
 pub struct Start {
     /// The settings of the state machine.
     pub settings: Settings,
@@ -73,7 +73,7 @@
     /// The version that the gateway was started with.
     pub in_force: Option<Version>,
     /// Where the status is published.
-    pub board: SharedStatus,
+    pub shared_status: SharedStatus,
 }
 
 /// The thread that follows the control servers.
@@ -84,17 +84,17 @@
 }
 
 impl FollowerThread {
-    /// Ends the thread, and waits for it.
+    /// Shuts the thread down, and waits until it has ended.
     pub fn end(mut self) {
         let _ = self.shutdown.write_all(&[1]);
         let _ = self.thread.join();
     }
 }
 
-/// Starts the thread. The event loop receives versions from the receiver.
+/// Starts the thread. The event loop receives versions from the returned receiver.
 ///
 /// # Errors
-/// The system gives no thread, pipe or poller.
+/// The system cannot create a thread, pipe or poller.
 pub fn start(start: Start, log: &Logger) -> io::Result<(FollowerThread, VersionReceiver)> {
     let poller = Arc::new(Poller::new()?);
     let (sender, shutdown) = UnixStream::pair()?;
@@ -106,20 +106,21 @@
     let thread = thread.spawn(move || {
         let startup =
             Startup { start, shutdown, poller, versions, started_at: Instant::now(), log: log.clone() };
-        // The gateway serves on with the version in force; the control servers report that it is silent.
+        // The gateway continues with the version in force; the control servers report that it is silent.
         if catch_unwind(AssertUnwindSafe(|| startup.run())).is_err() {
-            error!(log, "config: its thread panicked, this gateway gets no versions any more");
+            error!(log, "config: the follower's thread panicked; this gateway receives no more versions");
         }
     })?;
     Ok((FollowerThread { shutdown: sender, thread }, receiver))
 }
 
 fn is_shut_down(shutdown: &mut UnixStream) -> bool {
-    // The other end is open until the thread has ended.
+    // A successful read is a shutdown request, not the end of the stream: the other end is open until the thread has
+    // ended.
     shutdown.read(&mut [0]).is_ok()
 }
 
-/// The thread once the file is its own.
+/// The state of the thread once it has locked the file.
 struct FollowerLoop {
     driver: FollowerDriver,
     shutdown: UnixStream,
@@ -127,7 +128,7 @@
     started_at: Instant,
     installer: Installer,
     status_log: StatusLog,
-    board: SharedStatus,
+    shared_status: SharedStatus,
 }
 
 impl FollowerLoop {
@@ -135,7 +136,7 @@
         let mut ready = Vec::new();
         while !is_shut_down(&mut self.shutdown) {
             ready.clear();
-            // Whatever woke the thread, all that is due is done.
+            // An error does not matter: after each wake-up the thread handles everything that is due.
             let _ = self.poller.wait(&mut ready, Some(self.time_to_wait()));
             let installed = self.installer.poll_result();
             self.handle_installed(installed);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Publishes the status, and logs what has changed.
+    /// Publishes the status, and logs its changes.
     fn publish_status(&mut self) {
         let status = self.driver.follower.status(self.started_at.elapsed());
         let servers = &self.driver.follower.settings().servers;
@@ -171,6 +172,6 @@
         let configuration =
             ConfigurationStatus { unstored, ..ConfigurationStatus::from_follower(&status, server) };
         self.status_log.update(status, server);
-        self.board.update_configuration(configuration);
+        self.shared_status.update_configuration(configuration);
     }
 }
--- a/src/fleet/rollout/gateway/installer.rs
+++ b/src/fleet/rollout/gateway/installer.rs
@@ -1,5 +1,5 @@
-//! Installs a version at a gateway: it is stored beside the file, applied by the event loop, and put in the file's place.
-//! A disk that fails for a moment is tried again.
+//! Installs a version at a gateway: stages it beside the file, has the event loop apply it, and then replaces the file.
+//! Transient errors of the disk are retried.
 
 use std::io;
 use std::path::PathBuf;
@@ -16,14 +16,14 @@
 /// Time between two attempts to store a version.
 pub(super) const STORE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a version could not be installed, in words for the operator.
+/// Why a version could not be installed, with a message for the operator.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InstallError {
     /// It could not be stored, and is not applied.
-    #[error("cannot be kept: {0}")]
+    #[error("cannot be stored: {0}")]
     Store(#[source] io::Error),
-    /// It is applied, and could not be put in the file's place.
-    #[error("in force until the next start, cannot be kept: {0}")]
+    /// It is applied, but could not replace the file.
+    #[error("in force until the next start, cannot be stored: {0}")]
     Commit(#[source] io::Error),
     /// The event loop could not apply it.
     #[error(transparent)]
@@ -36,19 +36,19 @@
     }
 }
 
-/// A version that is installed, or could not be.
+/// The result of installing a version.
 pub(super) struct Installed {
     pub(super) version: Version,
     pub(super) result: Result<(), InstallError>,
 }
 
-/// How far the version that is being installed has come.
+/// The next step for the version that is being installed.
 enum Stage {
-    /// It is to be stored, at this time.
+    /// It is to be staged, at this time.
     Store(Document, Duration),
-    /// It is stored beside the file, and the event loop is to apply it.
+    /// It is staged, and the event loop is to apply it.
     Apply(Document, StagedFile),
-    /// The event loop has applied it, and it is to be put in the file's place, at this time.
+    /// The event loop has applied it, and it is to replace the file, at this time.
     Commit(Document, Duration),
 }
 
@@ -73,7 +73,7 @@
         self.storage_error.as_deref()
     }
 
-    /// Stores a version, and sends it to the event loop.
+    /// Stages a version, and sends it to the event loop. Returns a result only if that has failed for good.
     pub(super) fn install(&mut self, document: Document) -> Option<Installed> {
         match durable_file::stage(&self.file, &document.to_file()) {
             Ok(staged) => {
@@ -124,7 +124,8 @@
         }
     }
 
-    /// The version that the event loop has applied is in the file's place, or is to be written there again.
+    /// Ends the installation of a version that the event loop has applied; after a transient error the file is replaced
+    /// later.
     fn finish(&mut self, document: Document, committed: io::Result<()>) -> Option<Installed> {
         match committed {
             Err(error) if is_transient_file_error(&error) => {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Tries again to store what could not be stored.
+    /// Retries a step that has failed with a transient error, if it is due.
     pub(super) fn retry(&mut self, now: Duration) -> Option<Installed> {
         match self.stage.take() {
             Some(Stage::Store(document, at)) if now >= at => self.install(document),
@@ -161,7 +162,7 @@
 
     fn record_storage_error(&mut self, document: &Document, error: &io::Error) {
         if self.storage_error.replace(error.to_string()).is_none() {
-            warn!(self.log, "config: a version cannot be stored, it is tried again"; "error" => %error,
+            warn!(self.log, "config: a version cannot be stored; retrying"; "error" => %error,
                 "version" => document.version().number);
         }
     }
--- a/src/fleet/rollout/gateway/startup.rs
+++ b/src/fleet/rollout/gateway/startup.rs
@@ -1,5 +1,5 @@
-//! Before a gateway follows the control servers: it waits until no other process uses its file, and applies the version that
-//! the process before has stored meanwhile.
+//! The steps before a gateway follows the control servers: it waits until no other process uses its file, and applies
+//! the version that the previous process has stored meanwhile.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -19,10 +19,10 @@
 use crate::fleet::rollout::follower_driver::FollowerDriver;
 use crate::fleet::rollout::version_channel::VersionSender;
 
-/// Time between two attempts to lock the file, which the process before may still use.
+/// Time between two attempts to lock the file, which the previous process may still use.
 const LOCK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A gateway's thread before the file is its own.
+/// The state of a gateway's thread before it has locked the file.
 pub(super) struct Startup {
     pub(super) start: Start,
     pub(super) shutdown: UnixStream,
@@ -33,12 +33,12 @@
 }
 
 impl Startup {
-    /// Runs the thread until it is to end.
+    /// Runs the thread until it is shut down.
     pub(super) fn run(mut self) {
         let Some(_locked) = self.lock() else { return };
         let in_force = self.catch_up();
         if let Some(version) = in_force {
-            info!(self.log, "config: goes on with the version kept"; "digest" => %version.digest,
+            info!(self.log, "config: continuing with the stored version"; "digest" => %version.digest,
                 "version" => version.number);
         }
         self.into_loop(in_force).run();
@@ -47,7 +47,7 @@
     fn into_loop(self, in_force: Option<Version>) -> FollowerLoop {
         let now = self.started_at.elapsed();
         let Startup { start, shutdown, poller, versions, started_at, log } = self;
-        let Start { settings, addresses, file, board, .. } = start;
+        let Start { settings, addresses, file, shared_status, .. } = start;
         let follower = Follower::new(settings, in_force, now);
         FollowerLoop {
             driver: FollowerDriver::new(follower, addresses, poller.clone(), FIRST_CONNECTION_KEY),
@@ -56,19 +56,19 @@
             started_at,
             installer: Installer::new(file, versions, started_at, log.clone()),
             status_log: StatusLog::new(in_force, log),
-            board,
+            shared_status,
         }
     }
 
-    /// Waits until no other process has the file; none if the thread is to end. During an upgrade the process before has it
-    /// until it ends.
+    /// Waits until no other process has locked the file; none if the thread is shut down meanwhile. During a hot
+    /// restart the previous process has the lock until it ends.
     fn lock(&mut self) -> Option<File> {
         let mut is_logged = false;
         loop {
             match self.try_lock() {
                 Ok(file) => return Some(file),
                 Err(e) if !std::mem::replace(&mut is_logged, true) => {
-                    warn!(self.log, "config: the file is not to be had yet"; "error" => %e,
+                    warn!(self.log, "config: cannot lock the version's file yet; retrying"; "error" => %e,
                         "file" => %self.start.file.display());
                 }
                 Err(_) => {}
@@ -87,8 +87,8 @@
         Ok(file)
     }
 
-    /// Applies the version that the process before has stored since this one was started, so that nothing goes back. The
-    /// version in force.
+    /// Applies a newer version that the previous process has stored since this one was started, so that the gateway
+    /// does not go back to an older one. Returns the version in force.
     fn catch_up(&mut self) -> Option<Version> {
         let in_force = self.start.in_force;
         let Some(document) = self.newer_stored_version() else { return in_force };
@@ -98,7 +98,7 @@
             match self.versions.try_result() {
                 Some(Ok(())) => return Some(version),
                 Some(Err(error)) => {
-                    warn!(self.log, "config: the version kept cannot be taken"; "why" => %error,
+                    warn!(self.log, "config: the stored version cannot be applied"; "why" => %error,
                         "version" => version.number);
                     return in_force;
                 }
@@ -114,7 +114,7 @@
         stored.filter(|document| Some(document.version().number) > in_force)
     }
 
-    /// Waits for at most so long; whether the thread is to end.
+    /// Waits for at most this time. Returns whether the thread is to shut down.
     fn wait(&mut self, pause: Duration) -> bool {
         let _ = self.poller.wait(&mut Vec::new(), Some(pause));
         is_shut_down(&mut self.shutdown)
--- a/src/fleet/rollout/gateway/status_log.rs
+++ b/src/fleet/rollout/gateway/status_log.rs
@@ -1,4 +1,4 @@
-//! Logs what has changed in the status of a gateway.
+//! Logs the changes of a gateway's status.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use dunemount_rollout::version::Version;
 use slog::{error, info, warn, Logger};
 
-/// A gateway that has followed no fresh control server for so long logs that it is cut off.
+/// A gateway that has followed no fresh control server for this time logs that it is cut off.
 const CUT_OFF_AFTER: Duration = Duration::from_secs(5);
 
-/// What has been logged.
+/// The status that was logged last.
 pub(super) struct StatusLog {
     status: FollowerStatus,
     /// The last fresh control server, by its index in the settings.
@@ -25,7 +25,7 @@
         StatusLog { status, fresh_server: None, is_cut_off: false, log }
     }
 
-    /// Logs what differs from the status before. `server` is the one that is followed.
+    /// Logs the differences from the previous status. `server` is the control server that the gateway follows.
     pub(super) fn update(&mut self, status: FollowerStatus, server: Option<&ControlServerInfo>) {
         self.log_versions(&status);
         self.log_server(&status, server);
@@ -49,10 +49,10 @@
         let fresh = server.filter(|_| status.cut_off.is_zero());
         if let Some(server) = fresh.filter(|_| self.fresh_server != status.server) {
             self.fresh_server = status.server;
-            info!(self.log, "config: hears a control machine"; "zone" => &server.zone, "machine" => &server.name);
+            info!(self.log, "config: following a control machine"; "zone" => &server.zone, "machine" => &server.name);
         }
         if status.cut_off > CUT_OFF_AFTER && !std::mem::replace(&mut self.is_cut_off, true) {
-            warn!(self.log, "config: cut off from all control machines, the version in force stays");
+            warn!(self.log, "config: cut off from all control machines; the version in force stays");
         }
         if status.cut_off.is_zero() && std::mem::replace(&mut self.is_cut_off, false) {
             info!(self.log, "config: no longer cut off");
@@ -61,11 +61,11 @@
 
     fn log_offers(&self, status: &FollowerStatus) {
         if status.conflicts > self.status.conflicts {
-            error!(self.log, "config: one number came with two digests, nothing is taken";
+            error!(self.log, "config: received one version number with two digests; the version is not applied";
                 "so_far" => status.conflicts);
         }
         if status.stale_offers > self.status.stale_offers {
-            warn!(self.log, "config: an older version was offered and not taken"; "so_far" => status.stale_offers);
+            warn!(self.log, "config: an older version was offered and not applied"; "so_far" => status.stale_offers);
         }
     }
 }
--- a/src/fleet/rollout/mod.rs
+++ b/src/fleet/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Distributes versions of the configuration from the control servers to all gateways: sockets, threads and files around the
-//! state machines of `dunemount_rollout`.
+//! Distributes versions of the configuration from the control servers to all gateways: sockets, threads and files
+//! around the state machines of `dunemount_rollout`.
 //!
 //! - [`gateway`]: the thread of a gateway that follows the control servers;
 //! - [`follower_driver`]: its connections to them;
--- a/src/fleet/rollout/status_report.rs
+++ b/src/fleet/rollout/status_report.rs
@@ -11,7 +11,7 @@
 
 use super::client::ClientError;
 
-/// A gateway reports each second: one that has not reported for so long is silent.
+/// A gateway that has not reported for longer than this is silent; each gateway reports every second.
 const SILENT_AFTER_MS: u64 = 5_000;
 
 /// A version.
@@ -36,9 +36,9 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it has answered.
+    /// Whether it has answered the command.
     pub reached: bool,
-    /// Why it has not.
+    /// Why it has not answered.
     pub why: Option<String>,
     /// Whether it has recently read the newest version from a majority of the voters.
     pub fresh: bool,
@@ -68,7 +68,7 @@
     Silent,
 }
 
-/// A gateway as its last report says.
+/// A gateway, by its last report.
 #[derive(Clone, Debug, Serialize)]
 pub struct GatewayEntry {
     /// Its name.
@@ -86,23 +86,23 @@
     pub silent_ms: u64,
 }
 
-/// What all control servers know, together.
+/// The combined status of all control servers.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReport {
-    /// The newest version that any of them knows of.
+    /// The newest version that any control server knows of.
     pub newest: Option<VersionEntry>,
-    /// Each of them.
+    /// The control servers.
     pub machines: Vec<ControlServerEntry>,
     /// Gateways that have the newest version in force.
     pub in_force: usize,
-    /// The gateways that have reported to any of them, by name.
+    /// The gateways that have reported to any control server, by name.
     pub gateways: Vec<GatewayEntry>,
-    /// Members of the fleet that have reported to none of them.
+    /// Members of the fleet that have reported to no control server.
     pub unheard: Vec<String>,
 }
 
 impl StatusReport {
-    /// The report of these control servers' answers, in the settings' order.
+    /// The report from the answers of these control servers, in the settings' order.
     pub(super) fn new(
         servers: &[(ControlServerInfo, SocketAddr)],
         answers: Vec<Result<ControlServerStatus, ClientError>>,
@@ -137,7 +137,7 @@
     latest
 }
 
-/// Members of the fleet that are no control servers and have reported to none.
+/// Members of the fleet that are not control servers and have reported to none.
 fn members_without_report(
     servers: &[(ControlServerInfo, SocketAddr)],
     statuses: &[&ControlServerStatus],
--- a/src/fleet/rollout/version_channel.rs
+++ b/src/fleet/rollout/version_channel.rs
@@ -1,5 +1,5 @@
-//! The channel on which a version goes from the thread that received it to the event loop that applies it, and on which the
-//! result comes back.
+//! The channel that takes a version from the thread that has received it to the event loop that applies it, and the
+//! result back.
 
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -13,10 +13,10 @@
 /// Bytes of the wake-up pipe that are read at once.
 const WAKE_UP_BYTES: usize = 16;
 
-/// Whether a version is in force now, or why not.
+/// Success if a version is in force now, else the reason why it is not.
 pub type ApplyResult = Result<(), ApplyError>;
 
-/// The event loop's end.
+/// The event loop's end of the channel.
 #[derive(Debug)]
 pub struct VersionReceiver {
     /// Becomes readable when a version waits.
@@ -24,7 +24,7 @@
     offers: Receiver<VersionOffer>,
 }
 
-/// The end of the thread that receives versions.
+/// The other end of the channel, of the thread that receives versions from the control servers.
 #[derive(Debug)]
 pub struct VersionSender {
     pipe: UnixStream,
@@ -46,7 +46,7 @@
 /// Opens a channel. A result wakes the poller, which is that of the sender's thread.
 ///
 /// # Errors
-/// The system gives no pipe.
+/// The system cannot create a pipe.
 pub fn open(poller: Arc<Poller>) -> io::Result<(VersionSender, VersionReceiver)> {
     let (sender_pipe, receiver_pipe) = UnixStream::pair()?;
     sender_pipe.set_nonblocking(true)?;
@@ -60,9 +60,9 @@
     /// Sends a version, and wakes the event loop. [`VersionSender::try_result`] gives the result.
     pub fn send(&mut self, document: Document) {
         let (results, poller) = (self.results.0.clone(), self.poller.clone());
-        // If the event loop has ended, the offer is dropped and answers itself.
+        // If the event loop has ended, the offer is dropped, which sends a result.
         let _ = self.offers.send(VersionOffer { document, results, poller, is_answered: false });
-        // A pipe that is full wakes the event loop as well.
+        // If the pipe is full, its earlier bytes wake the event loop.
         let _ = self.pipe.write(&[1]);
     }
 
@@ -95,8 +95,8 @@
 }
 
 impl Drop for VersionOffer {
-    /// The sender gets a result also when the event loop panics over the version.
+    /// Sends a failure if there was no answer, so that the sender gets a result even if the event loop panics.
     fn drop(&mut self) {
-        self.send_result(Err(ApplyError("the gateway did not take it".into())));
+        self.send_result(Err(ApplyError("the gateway did not apply it".into())));
     }
 }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -30,20 +30,20 @@
     pub start: u64,
 }
 
-/// A role, as this node has seen it last.
+/// A role, as last seen by this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// Its name.
     pub name: String,
     /// The epoch of its lease.
     pub epoch: u64,
-    /// Who holds the lease; unnamed if it is no member that this node knows.
+    /// The name of the lease holder; none if the role has no holder, or one that this node does not know as a member.
     pub owner: Option<String>,
-    /// Whether this node may give orders in it.
+    /// Whether this node holds a valid lease on it.
     pub held: bool,
 }
 
-/// An acceptor, which the operators' pages call a voter.
+/// An acceptor; operators know it as a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterStatus {
     /// The name of its gateway.
@@ -74,16 +74,16 @@
     pub digest: Option<String>,
     /// The control server that it follows.
     pub machine: Option<String>,
-    /// Since when no fresh control server has been reachable, in milliseconds; zero while one is.
+    /// Time since a fresh control server was last reachable, in milliseconds; zero while one is.
     pub cut_off_ms: u64,
     /// The last version that was rejected, if it is newer than the one in force.
     pub refused: Option<RejectedVersion>,
     /// Why the version to be applied could not be stored at the last attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unstored: Option<String>,
-    /// How many offered versions were older than the one in force.
+    /// Number of offered versions that were older than the one in force.
     pub older: u64,
-    /// How many numbers came with two digests.
+    /// Number of received versions with the number but not the digest of a known version.
     pub conflicts: u64,
 }
 
@@ -119,24 +119,25 @@
     pub members: Vec<MemberStatus>,
     /// The acceptors, by slot.
     pub voters: Vec<VoterStatus>,
-    /// Whether this node's own acceptor takes part; none if it has no acceptor.
+    /// Whether this node's acceptor takes part in votes; none if it has no acceptor.
     pub voting: Option<bool>,
-    /// How many registers this node's acceptor keeps.
+    /// Number of registers in this node's acceptor.
     pub registers: usize,
-    /// Why this node's acceptor makes no new promises at present: its file cannot be stored, or not be read.
+    /// Why this node's acceptor currently makes no new promises: its file cannot be stored, or cannot be read.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unstored: Option<String>,
     /// The roles that this node is a candidate for.
     pub roles: Vec<RoleStatus>,
-    /// Datagrams dropped: another fleet's, another version's, damaged.
+    /// Number of dropped datagrams that are damaged, or of another fleet or format version.
     pub foreign: u64,
-    /// Messages that made no sense.
+    /// Number of messages that could not be decoded, or were rejected by the membership protocol.
     pub senseless: u64,
-    /// Orders rejected by their epoch.
+    /// Number of orders that were rejected.
     pub refused: u64,
-    /// Messages too long to be sent.
+    /// Number of messages that were too long to be sent.
     pub too_long: u64,
-    /// Replies of acceptors that cannot store, or came back with an older copy of their file.
+    /// Number of replies from acceptors that cannot store, restarted from an older copy of their file, or have reached
+    /// a limit.
     pub unfit: u64,
     /// The status of the configuration's versions, if the gateway gets them from control servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -181,7 +182,7 @@
     }
 }
 
-/// None if the node is no candidate for the role.
+/// The status of a role; none if the node is no candidate for it.
 fn role_status(node: &Node, now: Duration, role: &str) -> Option<RoleStatus> {
     let lease = node.lease(role)?;
     let record = lease.last_seen();
--- a/src/fleet/status/client.rs
+++ b/src/fleet/status/client.rs
@@ -10,14 +10,14 @@
 
 /// How long the admin interface may take to answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest response that is read: a thousand members and roles are a fifth of it.
+/// Longest response that is read; the status of a thousand members and roles takes a fifth of it.
 const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
 
-/// Why there is no status.
+/// Why a status could not be fetched.
 #[derive(Debug, Error)]
 pub enum StatusError {
     /// No connection, or no response.
-    #[error("{admin} does not answer: {source}")]
+    #[error("cannot fetch the status from {admin}: {source}")]
     Io {
         /// The admin interface.
         admin: SocketAddr,
@@ -25,13 +25,13 @@
         source: io::Error,
     },
     /// The response is not HTTP.
-    #[error("{0}: no answer of a door")]
+    #[error("{0}: the response is not HTTP")]
     NotHttp(SocketAddr),
     /// The gateway is in no fleet.
     #[error("{0}: this gateway is in no fleet")]
     NoFleet(SocketAddr),
-    /// Another response than a status.
-    #[error("{admin}: {status_line}")]
+    /// The response has an unexpected status code.
+    #[error("{admin}: unexpected response: {status_line}")]
     UnexpectedResponse {
         /// The admin interface.
         admin: SocketAddr,
@@ -39,11 +39,11 @@
         status_line: String,
     },
     /// The body is no status.
-    #[error("{admin}: {source}")]
+    #[error("{admin}: cannot decode the status: {source}")]
     Malformed {
         /// The admin interface.
         admin: SocketAddr,
-        /// Why it cannot be read.
+        /// Why it cannot be decoded.
         source: serde_json::Error,
     },
 }
@@ -52,7 +52,7 @@
     /// Fetches the status from a gateway's admin interface.
     ///
     /// # Errors
-    /// Why there is none.
+    /// The gateway cannot be reached, is in no fleet, or sends another response than a status.
     pub fn fetch(admin: SocketAddr) -> Result<NodeStatus, StatusError> {
         let response = request_status(admin).map_err(|source| StatusError::Io { admin, source })?;
         let (head, body) = response.split_once("\r\n\r\n").ok_or(StatusError::NotHttp(admin))?;
--- a/src/fleet/status/tests.rs
+++ b/src/fleet/status/tests.rs
@@ -1,4 +1,4 @@
-//! What the admin interface and the command say, kept from the first version.
+//! Tests that the response of the admin interface and the output of the command keep the form of their first version.
 
 use super::*;
 
@@ -56,19 +56,19 @@
     }
 }
 
-/// Without a voter's file, and without configurations from control machines.
+/// The status of a voter without its file, and without configurations from control servers.
 fn plain() -> NodeStatus {
     NodeStatus { fleet: "sand".into(), me: member(1), voting: Some(false), ..NodeStatus::default() }
 }
 
-/// Guards `GET /ops/fleet`, which scripts and the command read: names and forms are those of the first version.
+/// Guards `GET /ops/fleet`, which scripts and the command read: names and format are those of the first version.
 #[test]
 fn the_admin_interfaces_response() {
-    let kept = [
+    let fixtures = [
         (full(), include_str!("../../../tests/fixtures/fleet-status-v1.json")),
         (plain(), include_str!("../../../tests/fixtures/fleet-status-plain-v1.json")),
     ];
-    for (status, json) in kept {
+    for (status, json) in fixtures {
         assert_eq!(serde_json::to_string(&status).expect("JSON"), json);
         assert_eq!(serde_json::from_str::<NodeStatus>(json).expect("a status"), status);
     }
--- a/src/fleet/transport.rs
+++ b/src/fleet/transport.rs
@@ -1,5 +1,5 @@
-//! A node of the fleet with its acceptor's file, over whatever carries its datagrams. It waits for nothing but the
-//! acceptor's disk: the event loop of one node, and one that drives many, decide when to call it.
+//! Connects a node of the fleet with its acceptor's file and a datagram socket. Only writes to the acceptor's disk
+//! block. The caller decides when a call is due: the event loop of one node, or a program that drives many nodes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,15 +18,15 @@
 /// Time between two attempts to read an acceptor's file.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What carries datagrams, without waiting.
+/// A non-blocking datagram socket.
 pub trait DatagramSocket {
-    /// Receives a datagram: its length and who sent it.
+    /// Receives a datagram: its length and the sender's address.
     ///
     /// # Errors
-    /// `WouldBlock` if there is none; other errors are of datagrams sent before.
+    /// `WouldBlock` if there is none. Any other error concerns a datagram that was sent before.
     fn receive(&mut self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 
-    /// Sends a datagram. What cannot be sent now is lost like any other, and sent again by whoever needs it.
+    /// Sends a datagram. One that cannot be sent now is dropped: the protocols repeat messages that were lost.
     fn send(&mut self, datagram: &[u8], to: SocketAddr);
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// For a node without an acceptor, which never stores.
+/// The storage of a node without an acceptor, which never stores.
 struct NoStorage;
 
 impl AcceptorStorage for NoStorage {
@@ -52,7 +52,7 @@
 /// An acceptor's file that could not be read yet.
 struct UnreadFile {
     slot: AcceptorSlot,
-    /// For the generation of a new file, if there turns out to be none.
+    /// Salt for the generation of a new file, in case there is no file.
     salt: u32,
     retry_at: Duration,
     error: Option<io::Error>,
@@ -60,7 +60,7 @@
 
 /// A node and its acceptor's file.
 pub struct NodeTransport {
-    /// The node: the event loop looks at its state and takes its events.
+    /// The node; the event loop reads its state and takes its events.
     pub node: Node,
     file: Option<AcceptorFile>,
     unread: Option<UnreadFile>,
@@ -70,7 +70,7 @@
 }
 
 impl NodeTransport {
-    /// A node by its settings. Its acceptor's file, if it has one, is read now, or as soon as it can be.
+    /// Creates a node from its settings. The file of its acceptor, if it has one, is read now, or as soon as it can be.
     pub fn new(
         settings: NodeSettings,
         acceptor: Option<(usize, AcceptorFile)>,
@@ -92,7 +92,7 @@
         transport
     }
 
-    /// Why the acceptor makes no new promises at present: its file cannot be read, or not be stored.
+    /// Why the acceptor currently makes no new promises: its file cannot be read, or cannot be stored.
     pub fn storage_error(&self) -> Option<String> {
         if let Some(UnreadFile { error: Some(e), .. }) = &self.unread {
             return Some(format!("cannot be read: {e}"));
@@ -106,8 +106,8 @@
         self.node.next_deadline().min(retry_at)
     }
 
-    /// Reads the acceptor's file, if that has not succeeded yet. A file that cannot be read at this moment may hold
-    /// promises: until it can be, the node has no acceptor, not even an uninitialized one.
+    /// Reads the acceptor's file, if that has not succeeded yet. A file that cannot be read may hold promises: until it
+    /// can be read, the node has no acceptor, not even an uninitialized one.
     fn read_file(&mut self, now: Duration) {
         let (Some(unread), Some(file)) = (&mut self.unread, &self.file) else { return };
         if now < unread.retry_at {
@@ -116,16 +116,18 @@
         match file.load(unread.slot, unread.salt) {
             Ok((acceptor, unusable)) => {
                 if let Some(why) = unusable {
-                    warn!(self.log, "fleet: the voter's file cannot be used, the others have to let it in"; "why" => %why);
+                    warn!(self.log, "fleet: the voter's file cannot be used; waiting until the other voters admit it";
+                        "why" => %why);
                 } else if unread.error.is_some() {
-                    info!(self.log, "fleet: the voter's file is read");
+                    info!(self.log, "fleet: the voter's file has been read");
                 }
                 self.node.set_acceptor(acceptor);
                 self.unread = None;
             }
             Err(e) => {
                 if unread.error.is_none() {
-                    warn!(self.log, "fleet: the voter's file cannot be read yet, it votes once it can be"; "error" => %e);
+                    warn!(self.log, "fleet: the voter's file cannot be read yet; retrying, it does not vote until then";
+                        "error" => %e);
                 }
                 unread.retry_at = now + READ_RETRY_INTERVAL;
                 unread.error = Some(e);
@@ -149,13 +151,13 @@
     }
 
     fn receive_datagrams(&mut self, now: Duration, socket: &mut impl DatagramSocket) {
-        // One byte more, so that a datagram that is too long is seen to be.
+        // One byte more than the longest datagram, so that one that is too long is not cut to a valid length.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_POLL {
             let (length, from) = match socket.receive(&mut buffer) {
                 Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // Of a datagram sent before: the socket has no connection.
+                // The error concerns a datagram that was sent before: the socket is not connected.
                 Err(_) => continue,
             };
             let datagram = &buffer[..length];
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Counts a dropped datagram, and logs the first and each at which the count has doubled.
+    /// Counts a dropped datagram, and logs it if it is the first of its kind or their number has doubled since the last
+    /// line.
     fn count_dropped(&mut self, error: FrameError, from: SocketAddr) {
         let count = self.dropped_datagrams.entry(error).or_default();
         *count += 1;
@@ -180,12 +183,13 @@
         }
     }
 
-    /// Logs when the acceptor cannot store, and when it can again.
+    /// Logs when the acceptor can no longer store its state, and when it can again.
     fn log_store_error(&mut self) {
         let error = self.file.as_ref().and_then(AcceptorFile::store_error);
         match error {
             Some(e) if !self.store_error_logged => {
-                warn!(self.log, "fleet: the voter cannot store, it answers nothing new until it can"; "error" => %e);
+                warn!(self.log, "fleet: the voter cannot store its state; it makes no new promises until it can";
+                    "error" => %e);
             }
             None if self.store_error_logged => info!(self.log, "fleet: the voter stores again"),
             _ => {}
@@ -194,7 +198,7 @@
     }
 }
 
-/// Why a datagram was dropped, in the words of the operators' pages.
+/// Why a datagram was dropped: the name in the log.
 fn drop_reason(error: FrameError) -> &'static str {
     match error {
         FrameError::Length => "Length",
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -114,9 +114,9 @@
         let fleet = self.join_fleet(&log)?;
         let follower = self.follow_control_servers(fleet.as_ref(), &log)?;
         let (follower, versions) = follower.unzip();
-        let board = fleet.as_ref().map(|fleet| fleet.status.clone());
+        let shared_status = fleet.as_ref().map(|fleet| fleet.status.clone());
         let cores = self.settings_file.settings.cores;
-        let (config, source) = self.into_event_loop_parts(&addresses, board);
+        let (config, source) = self.into_event_loop_parts(&addresses, shared_status);
         let ended = run_event_loop(config, source, versions, cores, &log);
         if let Some(follower) = follower {
             follower.end();
@@ -133,7 +133,7 @@
             warn!(log, "the process before did not hand over, starting alone"; "error" => %e);
         }
         if let Some(why) = &self.initial.unusable_version {
-            warn!(log, "config: the version kept cannot be used, starting without"; "why" => %why);
+            warn!(log, "config: the stored version cannot be used; starting without it"; "why" => %why);
         }
     }
 
@@ -169,7 +169,7 @@
             addresses: settings.control.servers.iter().map(|(_, address)| *address).collect(),
             file: own.file.to_path_buf(),
             in_force: self.initial.version.as_ref().map(Document::version),
-            board: fleet.status.clone(),
+            shared_status: fleet.status.clone(),
         };
         gateway::start(start, log).map(Some).map_err(StartError::FollowControlServers)
     }
@@ -178,7 +178,7 @@
     fn into_event_loop_parts(
         self,
         addresses: &Addresses,
-        fleet: Option<SharedStatus>,
+        shared_status: Option<SharedStatus>,
     ) -> (Config, ConfigSource) {
         let InitialConfig { loaded, active, zones, file_text, version, .. } = self.initial;
         let config = Config {
@@ -194,7 +194,7 @@
             text: active.text().to_string(),
             handover_path: self.takeover.socket_path,
             predecessor: self.takeover.state,
-            fleet,
+            fleet: shared_status,
         };
         let source = ConfigSource {
             path: self.path,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -119,7 +119,7 @@
         loop {
             assert!(Instant::now() < end, "other lines come, and not the one that is waited for");
             let (index, line) = self.lines.recv_timeout(LINE_TIMEOUT).expect("a line that was waited for");
-            if let Some(epoch) = line.contains("fleet: role taken").then(|| epoch(&line)) {
+            if let Some(epoch) = line.contains("fleet: role lease acquired").then(|| epoch(&line)) {
                 self.holders.entry(epoch).or_default().insert(index);
             }
             if wanted(index, &line) {
@@ -138,7 +138,8 @@
     }
 
     fn wait_for_acquisition(&mut self, after: u64) -> (usize, u64) {
-        let is_acquisition = |_, line: &str| line.contains("fleet: role taken") && epoch(line) > after;
+        let is_acquisition =
+            |_, line: &str| line.contains("fleet: role lease acquired") && epoch(line) > after;
         let (index, line) = self.wait_for_line(is_acquisition);
         (index, epoch(&line))
     }
@@ -149,7 +150,7 @@
             if let Some((epoch, holders)) = self.holders.range(after + 1..).next_back() {
                 return (*holders.first().expect("one at least"), *epoch);
             }
-            self.wait_for_line(|_, line| line.contains("fleet: role taken"));
+            self.wait_for_line(|_, line| line.contains("fleet: role lease acquired"));
         }
     }
 
@@ -218,7 +219,7 @@
         assert_ne!(next, holder);
         let restarted = holder;
         fleet.start(restarted);
-        fleet.wait_for_line(|index, line| index == restarted && line.contains("fleet: member came"));
+        fleet.wait_for_line(|index, line| index == restarted && line.contains("fleet: member up"));
         (holder, last_epoch) = (next, epoch);
     }
     fleet.end();
@@ -234,7 +235,7 @@
     let (next, _) = fleet.wait_for_acquisition(epoch);
     assert_ne!(next, holder);
     fleet.signal(holder, Signal::CONT);
-    fleet.wait_for_line(|index, line| index == holder && line.contains("fleet: role ended"));
+    fleet.wait_for_line(|index, line| index == holder && line.contains("fleet: role lease ended"));
     fleet.end();
 }
 
@@ -246,7 +247,7 @@
     fleet.kill(1);
     std::fs::remove_file(fleet.directory.join("voter-1")).expect("it was there");
     fleet.start(1);
-    fleet.wait_for_line(|index, line| index == 1 && line.contains("fleet: the voter is let in"));
+    fleet.wait_for_line(|index, line| index == 1 && line.contains("fleet: the voter has been admitted"));
     (0..3).for_each(|index| fleet.kill(index));
     (0..3).for_each(|index| fleet.start(index));
     let (_, later) = fleet.wait_for_acquisition(epoch);
@@ -360,8 +361,8 @@
         });
         fleet.faults[1].set("");
         fleet.wait_for_line(|index, line| {
-            assert!(!(index == 1 && line.contains("let in")), "{line}");
-            index == 1 && line.contains("the voter's file is read")
+            assert!(!(index == 1 && line.contains("admitted")), "{line}");
+            index == 1 && line.contains("the voter's file has been read")
         });
         // With only one of the others left, its vote is needed.
         let (holder, last_epoch) = fleet.holder_after(epoch - 1);
@@ -398,7 +399,7 @@
             let restarted = holder;
             fleet.wait_for_line(|index, line| {
                 assert!(!line.contains("cannot be used"), "{fault}: {line}");
-                index == restarted && line.contains("fleet: member came")
+                index == restarted && line.contains("fleet: member up")
             });
             // On a busy machine the lease may have passed on once more meanwhile.
             (holder, last_epoch) = fleet.holder_after(epoch - 1);
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -399,7 +399,7 @@
         deployment.wait_until_in_force([0], 1);
     }
     deployment
-        .wait_until_logged(CONTROL_SERVERS, "config: the version kept cannot be used, starting without");
+        .wait_until_logged(CONTROL_SERVERS, "config: the stored version cannot be used; starting without it");
 
     // With its own file alone it would not say so.
     (0..CONTROL_SERVERS).for_each(|server| deployment.kill(server));
@@ -415,7 +415,7 @@
     );
     assert!(!deployment.config(&["status"], "0.ini").status.success());
     assert!(deployment.propose(&document(2)).is_err_and(|why| why.contains("no control machine answers")));
-    deployment.wait_until_logged(CONTROL_SERVERS, "config: goes on with the version kept");
+    deployment.wait_until_logged(CONTROL_SERVERS, "config: continuing with the stored version");
     assert!(deployment.end_process(CONTROL_SERVERS), "it ends in good order");
     deployment.end();
 }
@@ -429,7 +429,7 @@
     deployment.wait_until_in_force([0], 1);
     let next = deployment.start_successor(0);
     deployment.wait_until_logged(CONTROL_SERVERS + next, "ready");
-    deployment.wait_until_logged(CONTROL_SERVERS + next, "config: the file is not to be had yet");
+    deployment.wait_until_logged(CONTROL_SERVERS + next, "config: cannot lock the version's file yet");
     assert_eq!(deployment.propose(&document(2)), Ok(2));
     deployment.wait_until_in_force([0], 2);
     (0..CONTROL_SERVERS).for_each(|server| deployment.kill(server));
