--- a/crates/mailbox/benches/wakeup.rs
+++ b/crates/mailbox/benches/wakeup.rs
@@ -1,5 +1,5 @@
-//! What it costs to hand a message to another thread's poller and to get the answer back, against the same
-//! work done under a lock by the thread itself. Prints one line for each way and load.
+//! Compares the cost of a message to another thread's poller and of its answer with that of the same work done by the
+//! thread itself under a lock. Prints one line for each method and load.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -36,7 +36,7 @@
         Endpoint { mailbox: Arc::new(Mailbox::new(CAPACITY, Waker(poller.clone()))), poller }
     }
 
-    /// Sleeps until there are messages, or for a while, and takes them.
+    /// Sleeps until there are messages, for a limited time, and drains them.
     fn receive(&self, messages: &mut VecDeque<u64>) {
         if self.mailbox.prepare_sleep() {
             let mut events = Vec::new();
@@ -46,19 +46,19 @@
     }
 }
 
-/// Keeps so many messages in flight to a neighbour that returns them: round trips a second, and the time of each in
-/// microseconds.
+/// Keeps this number of messages in flight to another thread that returns them. Returns the number of round trips in a
+/// second, and the time of each in microseconds.
 fn round_trips(in_flight: u64) -> (f64, f64) {
-    let (here, there) = (Endpoint::new(), Endpoint::new());
+    let (local, remote) = (Endpoint::new(), Endpoint::new());
     let stop = Arc::new(AtomicBool::new(false));
-    let neighbour = {
-        let (here, there, stop) = (here.clone(), there.clone(), stop.clone());
+    let remote_thread = {
+        let (local, remote, stop) = (local.clone(), remote.clone(), stop.clone());
         std::thread::spawn(move || {
             let mut batch = VecDeque::new();
             while !stop.load(Ordering::Relaxed) {
-                there.receive(&mut batch);
+                remote.receive(&mut batch);
                 for number in batch.drain(..) {
-                    here.mailbox.send(number);
+                    local.mailbox.send(number);
                 }
             }
         })
@@ -66,22 +66,23 @@
     let (mut batch, mut returned) = (VecDeque::new(), 0u64);
     let start = Instant::now();
     for number in 0..in_flight {
-        let _ = there.mailbox.try_send(number);
+        let _ = remote.mailbox.try_send(number);
     }
     while start.elapsed() < DURATION {
-        here.receive(&mut batch);
+        local.receive(&mut batch);
         for number in batch.drain(..) {
             returned += 1;
-            let _ = there.mailbox.try_send(number);
+            let _ = remote.mailbox.try_send(number);
         }
     }
     let elapsed = start.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
-    neighbour.join().expect("it ends");
+    remote_thread.join().expect("no panic");
     (returned as f64 / elapsed, elapsed * 1e6 * in_flight as f64 / returned as f64)
 }
 
-/// Steps of this length under one lock, by so many threads that do as much work again without it.
+/// The number of steps of this length that threads do under one lock in a second, if each does nine times as much work
+/// without the lock.
 fn steps_under_lock(threads: usize, step: Duration) -> f64 {
     let lock = Arc::new(Mutex::new(0u64));
     let work = move || {
@@ -100,25 +101,25 @@
                     for _ in 0..9 {
                         work();
                     }
-                    let mut count = lock.lock().expect("nobody panics");
+                    let mut count = lock.lock().expect("no panic");
                     work();
                     *count += 1;
                 }
             })
         })
         .collect();
-    all.into_iter().for_each(|thread| thread.join().expect("it ends"));
-    let steps = *lock.lock().expect("nobody panics");
+    all.into_iter().for_each(|thread| thread.join().expect("no panic"));
+    let steps = *lock.lock().expect("no panic");
     steps as f64 / from.elapsed().as_secs_f64()
 }
 
 fn main() {
     for in_flight in [1, 4, 16, 64, 256] {
         let (rate, trip) = round_trips(in_flight);
-        println!("hop: {in_flight} out: {rate:.0} there and back a second, {trip:.1} us each way and back");
+        println!("mailbox: {in_flight} in flight: {rate:.0} round trips a second, {trip:.1} us each");
     }
     for threads in [1, 2, 4] {
         let rate = steps_under_lock(threads, Duration::from_micros(3));
-        println!("lock: {threads} threads, 3 us under the lock in 30: {rate:.0} a second");
+        println!("lock: {threads} threads, each 3 us of 30 under the lock: {rate:.0} steps a second");
     }
 }
--- a/crates/mailbox/src/lib.rs
+++ b/crates/mailbox/src/lib.rs
@@ -1,16 +1,16 @@
 //! Bounded queues between threads that each sleep in a poller of their own.
 //!
-//! A [`Mailbox`] belongs to one thread, its owner, which drains it at once, and any number of other threads send messages
-//! to it. Nothing here ever waits: a mailbox that is full rejects the message.
+//! A [`Mailbox`] belongs to one thread, its owner, which drains all messages in one call. Any number of other threads
+//! send messages to it. Senders never wait for space: a mailbox that is full rejects the message.
 //!
-//! Two kinds of messages go through one queue, so that they stay in the order in which they were sent:
+//! Two kinds of messages share one queue, so that they stay in the order in which they were sent:
 //!
 //! - requests, by [`Mailbox::try_send`]: no more than a fixed number of them are queued;
-//! - what the owner has asked for before, by [`Mailbox::send`]: never rejected. The number of these is bounded by what was
-//!   asked for, and [`Mailbox::stats`] shows the most messages that were ever queued.
+//! - messages that the owner has requested before, by [`Mailbox::send`]: never rejected. Their number is bounded by that of
+//!   the owner's requests, and [`Mailbox::stats`] shows the most messages that were ever queued.
 //!
-//! An owner that is about to sleep calls [`Mailbox::prepare_sleep`]; the first message after that wakes it, later ones do
-//! not, since a wake-up is a system call.
+//! An owner that is about to sleep calls [`Mailbox::prepare_sleep`]; the first message after that wakes it, later ones
+//! do not, since a wake-up is a system call.
 
 use std::collections::VecDeque;
 
@@ -21,12 +21,12 @@
 
 /// Wakes the thread that owns a mailbox.
 pub trait Wake {
-    /// Called at most once for each sleep, without the mailbox's lock. A wake-up that comes before the sleep
-    /// must end that sleep at once.
+    /// Called at most once for each sleep, without holding the mailbox's lock. A wake-up before the sleep must end that
+    /// sleep at once.
     fn wake(&self);
 }
 
-/// What has become of messages since the mailbox was made.
+/// Counts of messages since the mailbox was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// The most messages that were ever queued.
@@ -48,13 +48,13 @@
     queue: VecDeque<T>,
     /// How many messages of the queue count against the capacity.
     bounded: usize,
-    /// The owner sleeps, or is about to.
+    /// Whether the owner sleeps, or is about to.
     is_asleep: bool,
     stats: Stats,
 }
 
 impl<T, W: Wake> Mailbox<T, W> {
-    /// A mailbox in which at most `capacity` messages of [`Mailbox::try_send`] are queued.
+    /// Creates a mailbox in which at most `capacity` messages of [`Mailbox::try_send`] are queued.
     pub fn new(capacity: usize, waker: W) -> Self {
         let state = State { queue: VecDeque::new(), bounded: 0, is_asleep: false, stats: Stats::default() };
         Mailbox { state: Mutex::new(state), capacity, waker }
@@ -63,7 +63,7 @@
     /// Sends a message that counts against the capacity.
     ///
     /// # Errors
-    /// The mailbox is full: the message.
+    /// The mailbox is full; the error returns the message.
     pub fn try_send(&self, message: T) -> Result<(), T> {
         let mut state = self.lock();
         if state.bounded >= self.capacity {
@@ -99,7 +99,7 @@
         messages.append(&mut state.queue);
     }
 
-    /// Notes that the owner is about to sleep. False if there are messages to drain first: then it must not.
+    /// Records that the owner is about to sleep. False if there are messages to drain first: then it must not sleep.
     #[must_use]
     pub fn prepare_sleep(&self) -> bool {
         let mut state = self.lock();
@@ -107,7 +107,7 @@
         state.is_asleep
     }
 
-    /// What has become of messages so far.
+    /// The counts so far.
     pub fn stats(&self) -> Stats {
         self.lock().stats
     }
--- a/crates/mailbox/tests/interleavings.rs
+++ b/crates/mailbox/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! The mailbox under a scheduler that tries interleavings of its threads: on the type that the gateway uses.
+//! Runs the gateway's mailbox type under a scheduler that tries interleavings of its threads.
 #![cfg(feature = "shuttle")]
 
 use std::collections::VecDeque;
@@ -10,7 +10,7 @@
 /// Interleavings tried for each test.
 const INTERLEAVINGS: usize = 3_000;
 
-/// What a poller is to a thread: a wake-up ends the sleep that goes on, or the next one.
+/// A stand-in for a thread's poller: a wake-up ends the current sleep, or else the next one.
 #[derive(Clone, Default)]
 struct Poller(Arc<(Mutex<bool>, Condvar)>);
 
@@ -31,10 +31,10 @@
     }
 }
 
-/// Guards against messages that are lost or doubled, out of order for one sender, or slept through: the owner
-/// drains only between sleeps, and a lost wake-up would leave it asleep for ever, which the scheduler finds.
+/// Guards against messages that are lost, duplicated or out of order for one sender, and against lost wake-ups: the
+/// owner drains only between sleeps, and a lost wake-up would leave it asleep for ever, which the scheduler detects.
 #[test]
-fn nothing_is_lost_doubled_or_slept_through() {
+fn no_message_or_wake_up_is_lost_or_duplicated() {
     check_random(
         || {
             let poller = Poller::default();
@@ -67,10 +67,10 @@
     );
 }
 
-/// Guards the bound: however the threads meet, no more bounded messages are queued than the capacity, each of them is
-/// either received or rejected, and the others always go in.
+/// Guards the bound: in each interleaving no more bounded messages are queued than the capacity, each of them is either
+/// received or rejected, and unbounded messages are always accepted.
 #[test]
-fn the_bound_holds_and_unbounded_messages_go_in() {
+fn the_bound_holds_and_unbounded_messages_are_accepted() {
     check_random(
         || {
             let mailbox = Arc::new(Mailbox::new(2, Poller::default()));
@@ -100,8 +100,7 @@
     );
 }
 
-/// The same mailbox with one step in the wrong place: whether the owner sleeps is looked at before the message is
-/// queued, not under the same lock.
+/// A mailbox with a race: it checks whether the owner sleeps before it queues the message, and not under the same lock.
 struct RacyMailbox {
     queue: Mutex<VecDeque<u32>>,
     is_asleep: Mutex<bool>,
@@ -124,7 +123,7 @@
     }
 }
 
-/// The broken variant of the first rule: the check above must be able to find a wake-up that is lost.
+/// Guards the tests above: the scheduler must detect the lost wake-up of a mailbox with a race.
 #[test]
 fn a_racy_mailbox_is_caught() {
     let caught = std::panic::catch_unwind(|| {
@@ -147,5 +146,5 @@
             INTERLEAVINGS,
         );
     });
-    assert!(caught.is_err(), "a sleep that nobody ends is a deadlock to the scheduler");
+    assert!(caught.is_err(), "the scheduler reports a sleep without a wake-up as a deadlock");
 }
--- a/src/bin/dunemount-benchlink.rs
+++ b/src/bin/dunemount-benchlink.rs
@@ -1,6 +1,6 @@
-//! Hosts routers behind the line-by-line JSON wire: one batch of events in, one reply out.
+//! Runs routers behind a protocol of JSON lines: reads a batch of events from each line, and writes a reply for it.
 //!
-//! This file translates and nothing else; every decision is the library's.
+//! This program only translates; all decisions are the library's.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -23,17 +23,17 @@
 
 /// Answers each line until the input ends.
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     for (index, line) in input.lines().enumerate() {
-        let place = format!("line {}", index + 1);
-        let line = line.map_err(|e| format!("{place}: cannot read: {e}"))?;
-        let batch = serde_json::from_str(&line).map_err(|e| format!("{place}: {e}"))?;
-        let reply = host.batch(batch).map_err(|e| format!("{place}: {e}"))?;
-        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("{place}: cannot write: {e}"))?;
+        let location = format!("line {}", index + 1);
+        let line = line.map_err(|e| format!("{location}: cannot read: {e}"))?;
+        let batch = serde_json::from_str(&line).map_err(|e| format!("{location}: {e}"))?;
+        let reply = adapter.handle_batch(batch).map_err(|e| format!("{location}: {e}"))?;
+        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("{location}: cannot write: {e}"))?;
         output
             .write_all(b"\n")
             .and_then(|()| output.flush())
-            .map_err(|e| format!("{place}: cannot write: {e}"))?;
+            .map_err(|e| format!("{location}: cannot write: {e}"))?;
     }
     Ok(())
 }
@@ -151,8 +151,8 @@
 }
 
 impl From<Disposition> for AttemptStatus {
-    fn from(word: Disposition) -> AttemptStatus {
-        match word {
+    fn from(disposition: Disposition) -> AttemptStatus {
+        match disposition {
             Disposition::Served => AttemptStatus::Ok,
             Disposition::ServerError => AttemptStatus::Error,
             Disposition::TurnedAway => AttemptStatus::Rejected,
@@ -214,29 +214,29 @@
     NoteDown { who: u64, body_text: String },
 }
 
-/// A router and what its settings say.
+/// A router and its settings.
 struct Instance {
     router: Router,
     site: SiteSettings,
 }
 
-/// All instances of this process, and what the wire scopes to the process.
+/// All instances of this process, and the state that they share.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: BTreeMap<u64, Instance>,
     lists: BTreeMap<u64, Vec<Endpoint>>,
     zones: Zones,
 }
 
-impl Host {
-    fn batch(&mut self, batch: Batch) -> Result<Reply, String> {
+impl Adapter {
+    fn handle_batch(&mut self, batch: Batch) -> Result<Reply, String> {
         let now = batch.moment_ms.into();
         let mut outbox = Vec::new();
         let mut actions = Vec::new();
         for (index, event) in batch.events.into_iter().enumerate() {
-            let place = |e: String| format!("event {}: {e}", index + 1);
-            if let Some((who, event)) = self.translate(now, event).map_err(place)? {
-                self.instance(who).map_err(place)?.router.handle(now, event, &mut actions);
+            let in_event = |e: String| format!("event {}: {e}", index + 1);
+            if let Some((who, event)) = self.translate(now, event).map_err(in_event)? {
+                self.instance(who).map_err(in_event)?.router.handle(now, event, &mut actions);
                 outbox.extend(actions.drain(..).map(|action| wire_action(who, action)));
             }
         }
@@ -244,10 +244,11 @@
     }
 
     fn instance(&mut self, who: u64) -> Result<&mut Instance, String> {
-        self.instances.get_mut(&who).ok_or_else(|| format!("Who: instance {who} was never launched"))
+        self.instances.get_mut(&who).ok_or_else(|| format!("Who: instance {who} has not been launched"))
     }
 
-    /// The library's event for one of the wire, if it is meant for a router.
+    /// Translates an event of the protocol. Returns the instance and its event, or none if the event is not for a
+    /// router.
     fn translate(&mut self, now: Micros, event: WireEvent) -> Result<Option<(u64, Event)>, String> {
         Ok(Some(match event {
             WireEvent::Launch { who, salt, params } => {
@@ -356,7 +357,7 @@
 }
 
 fn request_id(text: &str) -> Result<RequestId, String> {
-    u64::from_str_radix(text, 16).map(RequestId).map_err(|e| format!("Id: {text:?} is no request id: {e}"))
+    u64::from_str_radix(text, 16).map(RequestId).map_err(|e| format!("Id: {text:?} is not a request id: {e}"))
 }
 
 fn report(telemetry: Option<Telemetry>, counted_from: Micros) -> HealthReport {
--- a/src/hot_restart/handover_socket.rs
+++ b/src/hot_restart/handover_socket.rs
@@ -1,5 +1,6 @@
-//! The socket between two processes of one gateway: a Unix socket that keeps packets whole and passes file descriptors
-//! along. It never blocks once the state has been received; what cannot be sent yet is queued in order.
+//! The socket between two processes of one gateway: a Unix socket of type `SOCK_SEQPACKET`, which keeps packets whole
+//! and passes file descriptors. It never blocks once the state has been received; packets that cannot be sent yet are
+//! queued in order.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -17,17 +18,17 @@
 use super::message::{GatewaySnapshot, Message};
 
 /// Most bytes of a message in one packet.
-const MAX_PAYLOAD: usize = 32 * 1024;
-/// Longest message that is accepted, in bytes.
-const MAX_MESSAGE: usize = 16 * 1024 * 1024;
-/// First byte of a packet behind which more of the message follows.
+const MAX_PAYLOAD_BYTES: usize = 32 * 1024;
+/// Longest message that is accepted.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+/// First byte of a packet that is followed by another one of the same message.
 const CONTINUED: u8 = b'+';
 /// First byte of a message's last packet.
 const FINAL: u8 = b'.';
-/// Most processes that wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: i32 = 4;
 
-/// A packet that is still to be sent, and the descriptor that goes along.
+/// A packet that is still to be sent, and the descriptor that is sent with it.
 struct Packet {
     bytes: Vec<u8>,
     descriptor: Option<OwnedFd>,
@@ -37,20 +38,20 @@
 pub struct HandoverSocket {
     socket: OwnedFd,
     pending: VecDeque<Packet>,
-    /// What has come of a message that is not complete.
+    /// The bytes received so far of a message that is not complete.
     partial_message: Vec<u8>,
     receive_buffer: Vec<u8>,
 }
 
-/// What the process before hands over.
+/// The state that the previous process hands over.
 pub struct HandoverState {
-    /// The connection to it.
+    /// The connection to the previous process.
     pub socket: HandoverSocket,
-    /// What it knows.
+    /// Its snapshot.
     pub snapshot: GatewaySnapshot,
     /// The listening socket.
     pub listener: OwnedFd,
-    /// When this process asked for it: the snapshot was taken later.
+    /// When this process requested the state; the snapshot was taken later.
     pub requested_at: Instant,
 }
 
@@ -59,7 +60,8 @@
     Ok(net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Listens at a path for the process that follows. A socket that is there belongs to a process before, and is replaced.
+/// Listens at a path for the successor of this process. An existing socket belongs to a previous process, and is
+/// replaced.
 ///
 /// # Errors
 /// The path cannot be bound.
@@ -77,7 +79,7 @@
 /// Takes over from the process that listens at a path.
 ///
 /// # Errors
-/// Nobody listens, or no state comes within the timeout.
+/// No process listens, or it sends no state within the timeout.
 pub fn take_over(path: &Path, timeout: Duration) -> io::Result<HandoverState> {
     let (requested_at, socket) = (Instant::now(), open_socket()?);
     net::connect(&socket, &SocketAddrUnix::new(path)?)?;
@@ -111,22 +113,22 @@
         }
     }
 
-    /// Accepts the next process that has connected.
+    /// Accepts the next connection of another process.
     ///
     /// # Errors
-    /// There is none at present.
+    /// No connection waits to be accepted, or the system cannot accept it.
     pub fn accept(listener: &OwnedFd) -> io::Result<HandoverSocket> {
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
         Ok(HandoverSocket::new(net::accept_with(listener, flags)?))
     }
 
-    /// Queues a message, with a descriptor if one goes along, and sends what can be sent now.
+    /// Queues a message with an optional descriptor, and sends as many packets as the socket accepts now.
     ///
     /// # Errors
-    /// The other process is gone.
+    /// The other process has closed the connection.
     pub fn send(&mut self, message: &Message, descriptor: Option<OwnedFd>) -> io::Result<()> {
-        let text = serde_json::to_vec(message)?;
-        let mut payloads = text.chunks(MAX_PAYLOAD).peekable();
+        let json = serde_json::to_vec(message)?;
+        let mut payloads = json.chunks(MAX_PAYLOAD_BYTES).peekable();
         let mut descriptor = descriptor;
         while let Some(payload) = payloads.next() {
             let is_final = payloads.peek().is_none();
@@ -137,20 +139,20 @@
         self.flush()
     }
 
-    /// Whether something still has to be sent.
+    /// Whether packets wait to be sent.
     pub fn has_pending_output(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Sends what can be sent now. A descriptor that has been sent is closed here.
+    /// Sends as many packets as the socket accepts now. A descriptor that has been sent is closed in this process.
     ///
     /// # Errors
-    /// The other process is gone.
+    /// The other process has closed the connection.
     pub fn flush(&mut self) -> io::Result<()> {
         while let Some(packet) = self.pending.front() {
             match send_packet(&self.socket, packet) {
                 Ok(()) => drop(self.pending.pop_front()),
-                // Too many descriptors in flight counts as a full socket.
+                // Too many descriptors in flight are treated like a full socket.
                 Err(Errno::AGAIN | Errno::TOOMANYREFS) => return Ok(()),
                 Err(Errno::INTR) => {}
                 Err(e) => return Err(e.into()),
@@ -159,12 +161,12 @@
         Ok(())
     }
 
-    /// The next message and the descriptor that came along; `None` while there is none.
+    /// The next message and the descriptor received with it; `None` while no complete message has arrived.
     ///
     /// # Errors
-    /// The other process is gone, or has sent what is no message.
+    /// The other process has closed the connection, or has sent bytes that are not a message.
     pub fn receive(&mut self) -> io::Result<Option<(Message, Option<OwnedFd>)>> {
-        self.receive_buffer.resize(MAX_PAYLOAD + 1, 0);
+        self.receive_buffer.resize(MAX_PAYLOAD_BYTES + 1, 0);
         loop {
             let (length, descriptor) = match receive_packet(&self.socket, &mut self.receive_buffer) {
                 Ok(received) => received,
@@ -175,13 +177,13 @@
             let Some((kind, payload)) = self.receive_buffer[..length].split_first() else {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             };
-            if self.partial_message.len() + payload.len() > MAX_MESSAGE {
+            if self.partial_message.len() + payload.len() > MAX_MESSAGE_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             self.partial_message.extend_from_slice(payload);
             if *kind == FINAL {
-                let text = std::mem::take(&mut self.partial_message);
-                return Ok(Some((serde_json::from_slice(&text)?, descriptor)));
+                let json = std::mem::take(&mut self.partial_message);
+                return Ok(Some((serde_json::from_slice(&json)?, descriptor)));
             }
         }
     }
@@ -197,7 +199,7 @@
     net::sendmsg(socket, &[IoSlice::new(&packet.bytes)], &mut ancillary, SendFlags::NOSIGNAL).map(drop)
 }
 
-/// The length of the next packet, and the descriptor that came along.
+/// The length of the next packet, and the descriptor received with it.
 fn receive_packet(socket: &OwnedFd, buffer: &mut [u8]) -> Result<(usize, Option<OwnedFd>), Errno> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -12,18 +12,19 @@
 use crate::pg::timed_buffer::Arrival;
 use crate::{ClassId, GroupId, Micros, SessionKey};
 
-/// All that a process needs before it accepts clients.
+/// The state that a process needs before it accepts clients.
 #[derive(Serialize, Deserialize)]
 pub struct GatewaySnapshot {
     /// The Unix time from which positions count, as [`crate::net::clock::Clock::resume`] takes it.
     #[serde(rename = "clock")]
     pub position_reference: i64,
-    /// What the clock that all other times in here are on has just shown; a process of an earlier version does not say.
+    /// The current reading of the clock on which all other times of the snapshot are; a process of an earlier version
+    /// sends none.
     #[serde(rename = "reading", default)]
     pub clock_reading: Option<Reading>,
     /// The text of the configuration in force.
     pub config: String,
-    /// Discovery's address, which a new configuration may have moved.
+    /// The address of discovery, which a new configuration may have changed.
     pub discovery: SocketAddr,
     /// The revision of the endpoint list.
     #[serde(rename = "rev")]
@@ -35,50 +36,51 @@
     pub class_ids: BTreeMap<String, ClassId>,
     /// The balancer's state.
     pub balancer: balancer::Snapshot,
-    /// Names of the hosts that operators have put down.
+    /// Names of the hosts that operators have put administratively down.
     #[serde(rename = "down")]
     pub administratively_down: BTreeSet<String>,
-    /// Ids of the requests in flight, and when each ends at the latest.
+    /// Ids of the requests in flight, and the latest time at which each ends.
     #[serde(rename = "open")]
     pub in_flight: Vec<(String, Micros)>,
-    /// Number of clients that the process before still has.
+    /// Number of clients that the previous process still has.
     #[serde(rename = "clients")]
     pub open_clients: usize,
-    /// It understands [`Message::Cancel`]; a process of an earlier version does not, and would close the socket.
+    /// Whether the sender understands [`Message::Cancel`]; a process of an earlier version does not, and would close
+    /// the socket.
     #[serde(rename = "cancels", default)]
     pub accepts_cancel: bool,
 }
 
-/// A message; some carry a descriptor along.
+/// A message between two processes; some are sent with a descriptor.
 #[derive(Serialize, Deserialize)]
 pub enum Message {
     /// The sender's state, and the listening socket.
     #[serde(rename = "Estate")]
     Snapshot(Box<GatewaySnapshot>),
-    /// The sender accepts clients now: the receiver accepts none any more.
+    /// The sender accepts clients from now on, and the receiver accepts none any more.
     Ready,
     /// A client and its socket.
     Client {
-        /// It has been greeted.
+        /// Whether it has completed the startup handshake.
         greeted: bool,
-        /// It has sent a query before.
+        /// Whether it has sent a query before.
         #[serde(rename = "asked")]
         has_queried: bool,
         /// Bytes that were received and not parsed yet.
         bytes: Vec<u8>,
-        /// The key with which its query may be cancelled; a process of an earlier version gave none.
+        /// The key with which its query may be cancelled; a process of an earlier version sends none.
         #[serde(default)]
         key: CancelKey,
         /// When the complete messages among the bytes arrived, in their order, on the clock of
-        /// [`GatewaySnapshot::clock_reading`]. A process of an earlier version gave none, and ignores them: there all count
-        /// as having arrived now.
+        /// [`GatewaySnapshot::clock_reading`]. A process of an earlier version sends none, and ignores those that it
+        /// receives: there all messages count as having arrived now.
         #[serde(default)]
         arrivals: Vec<Arrival>,
     },
-    /// A client's query is to be cancelled, if it is the receiver's. Sent to a process before only if that has said that
-    /// it understands it.
+    /// Requests that a client's query is cancelled, if the client is the receiver's. Sent to a previous process only if
+    /// its snapshot has [`GatewaySnapshot::accepts_cancel`].
     Cancel(CancelKey),
-    /// How many clients the sender still has.
+    /// Reports the number of clients that the sender still has.
     #[serde(rename = "Holding")]
     RemainingClients {
         /// Their number.
@@ -93,12 +95,12 @@
         /// Its position.
         commit: Micros,
     },
-    /// Operators have put a host down, or back up.
+    /// An operator has put a host administratively down, or up again.
     #[serde(rename = "Bar")]
     SetDown {
         /// Its name.
         host: String,
-        /// Down, or up.
+        /// Whether it is down.
         #[serde(rename = "out")]
         down: bool,
     },
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,4 @@
-//! The log: lines on standard output, written by a thread of their own so that a slow reader never
-//! holds up the traffic.
+//! The log: lines on standard output, written by a separate thread so that a slow reader never delays the traffic.
 
 use std::cell::Cell;
 use std::io::stdout;
@@ -11,7 +10,7 @@
 
 use crate::cli::LogFormat;
 
-/// Most log lines in a second, of level debug and of all others; what is beyond is dropped.
+/// Most log lines in a second, counted separately for level debug and for all other levels; further lines are dropped.
 const MAX_LINES_PER_SECOND: u32 = 100;
 /// Most lines that wait for the writer.
 const QUEUE_CAPACITY: usize = 512;
@@ -32,7 +31,7 @@
     D: Drain + Send + 'static,
     D::Err: std::fmt::Debug,
 {
-    // A line that cannot be written is lost; the thread that writes, and whoever logs, go on.
+    // A line that cannot be written is dropped, without an effect on the writing thread or on the threads that log.
     let (lines, guard) = Async::new(lines.ignore_res())
         .chan_size(QUEUE_CAPACITY)
         .overflow_strategy(OverflowStrategy::DropAndReport)
@@ -40,16 +39,17 @@
     (Logger::root(RateLimited::new(lines.ignore_res(), level), o!("gateway" => name)), guard)
 }
 
-/// A drain that passes lines of a level on, and so many of them a second.
+/// A drain that forwards lines of at least a level, and a limited number of them in a second.
 struct RateLimited<D> {
-    lines: D,
+    inner: D,
     level: Level,
-    /// Lines on single requests, of which a busy second has many, are limited apart from all others.
+    /// Debug lines concern single requests and may be many in a second: their own limit keeps them from displacing
+    /// others.
     debug_limit: RateLimit,
     other_limit: RateLimit,
 }
 
-/// A number of lines a second: when the present second began, and the lines since.
+/// Limits the number of lines in a second. Holds the start of the current second, and the number of lines since.
 struct RateLimit(Mutex<Cell<(Instant, u32)>>);
 
 impl RateLimit {
@@ -67,8 +67,8 @@
 }
 
 impl<D> RateLimited<D> {
-    fn new(lines: D, level: Level) -> Self {
-        RateLimited { lines, level, debug_limit: RateLimit::new(), other_limit: RateLimit::new() }
+    fn new(inner: D, level: Level) -> Self {
+        RateLimited { inner, level, debug_limit: RateLimit::new(), other_limit: RateLimit::new() }
     }
 }
 
@@ -83,7 +83,7 @@
         let is_debug = !record.level().is_at_least(Level::Info);
         let limit = if is_debug { &self.debug_limit } else { &self.other_limit };
         if record.level().is_at_least(self.level) && limit.try_acquire() {
-            self.lines.log(record, values)?;
+            self.inner.log(record, values)?;
         }
         Ok(())
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,20 +15,20 @@
 use serde::Serialize;
 use slog::Level;
 
-/// Exit status of what may or may not have been done.
-const UNCERTAIN: u8 = 3;
+/// Exit status of a command that may or may not take effect.
+const EXIT_UNCERTAIN: u8 = 3;
 
-/// Why the program ends without success.
-struct Failed {
-    /// In words for the operator.
-    why: String,
+/// Why a command failed.
+struct Failure {
+    /// The message for the operator.
+    message: String,
     /// The command may still take effect.
     uncertain: bool,
 }
 
-impl From<CommandError> for Failed {
-    fn from(error: CommandError) -> Failed {
-        Failed { why: error.to_string(), uncertain: error.is_uncertain() }
+impl From<CommandError> for Failure {
+    fn from(error: CommandError) -> Failure {
+        Failure { message: error.to_string(), uncertain: error.is_uncertain() }
     }
 }
 
@@ -36,35 +36,37 @@
     let cli = Cli::parse();
     match run(cli) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed { why, uncertain }) => {
-            eprintln!("dunemount: {why}");
+        Err(Failure { message, uncertain }) => {
+            eprintln!("dunemount: {message}");
             if uncertain {
-                eprintln!("dunemount: uncertain: it may still become a version, `fleet config status` tells");
-                return ExitCode::from(UNCERTAIN);
+                eprintln!(
+                    "dunemount: uncertain: it may still become a version; check with `fleet config status`"
+                );
+                return ExitCode::from(EXIT_UNCERTAIN);
             }
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(cli: Cli) -> Result<(), Failed> {
+fn run(cli: Cli) -> Result<(), Failure> {
     match cli.command {
-        None => startup::serve(cli.serve).map_err(failed),
-        Some(Command::Serve(args)) => startup::serve(args).map_err(failed),
+        None => startup::serve(cli.serve).map_err(failure),
+        Some(Command::Serve(args)) => startup::serve(args).map_err(failure),
         Some(Command::Check(files)) => {
-            println!("{}", validation::validate(&files).map_err(failed)?);
+            println!("{}", validation::validate(&files).map_err(failure)?);
             Ok(())
         }
         Some(Command::Fleet(command)) => run_fleet_command(command),
     }
 }
 
-fn run_fleet_command(command: FleetCommand) -> Result<(), Failed> {
+fn run_fleet_command(command: FleetCommand) -> Result<(), Failure> {
     match command {
         FleetCommand::CreateVoterFile { files, name } => {
-            println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failed)?);
+            println!("{}", validation::create_voter_file(&files, name.as_deref()).map_err(failure)?);
         }
-        FleetCommand::Status { admin, json } => print_as(&NodeStatus::fetch(admin).map_err(failed)?, json),
+        FleetCommand::Status { admin, json } => print_as(&NodeStatus::fetch(admin).map_err(failure)?, json),
         FleetCommand::Control { name, settings, log } => {
             run_control_server(name, settings.settings.as_deref(), log)?;
         }
@@ -73,7 +75,7 @@
     Ok(())
 }
 
-fn run_config_command(command: ConfigCommand) -> Result<(), Failed> {
+fn run_config_command(command: ConfigCommand) -> Result<(), Failure> {
     match command {
         ConfigCommand::Put { file, settings } => {
             let version = ConfigClient::from_settings(settings.settings.as_deref())?.put(&file)?;
@@ -92,11 +94,11 @@
     Ok(())
 }
 
-fn failed(error: impl Display) -> Failed {
-    Failed { why: error.to_string(), uncertain: false }
+fn failure(error: impl Display) -> Failure {
+    Failure { message: error.to_string(), uncertain: false }
 }
 
-/// Prints for people, or as JSON.
+/// Prints a value as text, or as JSON.
 fn print_as(value: &(impl Serialize + Display), json: bool) {
     match json {
         true => println!("{}", serde_json::to_string_pretty(value).unwrap_or_default()),
@@ -105,15 +107,15 @@
 }
 
 /// Runs a control server until a signal ends it.
-fn run_control_server(name: String, settings: Option<&Path>, format: LogFormat) -> Result<(), Failed> {
-    let settings_file = SettingsFile::load(settings).map_err(failed)?;
+fn run_control_server(name: String, settings: Option<&Path>, format: LogFormat) -> Result<(), Failure> {
+    let settings_file = SettingsFile::load(settings).map_err(failure)?;
     let start = control_server::Start {
         name: name.clone(),
-        file: settings_file.version_file().map_err(failed)?.to_path_buf(),
+        file: settings_file.version_file().map_err(failure)?.to_path_buf(),
         start: startup::start_number(),
         seed: startup::random_seed(),
-        shutdown: signals::termination().map_err(|e| failed(format!("cannot watch for signals: {e}")))?,
+        shutdown: signals::termination().map_err(|e| failure(format!("cannot watch for signals: {e}")))?,
     };
     let (log, _flushed_at_end) = logging::open(name, format, Level::Info);
-    control_server::run(&settings_file.settings, start, &log).map_err(failed)
+    control_server::run(&settings_file.settings, start, &log).map_err(failure)
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,5 +1,5 @@
-//! The start of a gateway: reads its files, takes over from the process before, opens the log, joins the fleet, follows
-//! the control servers, and runs the event loop until a signal ends it.
+//! The start of a gateway: reads its files, takes over from the previous process, opens the log, joins the fleet,
+//! follows the control servers, and runs the event loop until a signal ends it.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -35,16 +35,16 @@
 use self::initial_config::InitialConfig;
 use self::takeover::Takeover;
 
-/// Why a gateway does not start, or ends before its time.
+/// Why a gateway does not start, or ends with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// No configuration is named.
     #[error("GW_CONFIG does not name a configuration file, nor does --config")]
     NoConfig,
-    /// The configuration cannot be read, and there is no process to take over from.
+    /// The configuration cannot be read, and there is no previous process to take over from.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The configuration cannot be used, and there is no process to take over from.
+    /// The configuration cannot be used, and there is no previous process to take over from.
     #[error(transparent)]
     Config(#[from] TextFileError<ConfigError>),
     /// An address cannot be used.
@@ -68,9 +68,9 @@
     /// The event loop does not start.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Where clients were to connect.
+        /// The address for clients.
         address: SocketAddr,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
     /// The event loop has ended with an error.
@@ -78,10 +78,10 @@
     EventLoop(#[source] io::Error),
 }
 
-/// Serves until a signal ends it.
+/// Runs a gateway until a signal ends it.
 ///
 /// # Errors
-/// It cannot start, or cannot go on.
+/// The gateway cannot start, or its event loop fails.
 pub fn serve(args: ServeArgs) -> Result<(), StartError> {
     let path = args.files.config.ok_or(StartError::NoConfig)?;
     let settings_file = SettingsFile::load(args.files.settings.as_deref())?;
@@ -94,7 +94,7 @@
     Startup { path, settings_file, name, initial, takeover }.run(args.log)
 }
 
-/// What is known once the files are read and the process before has handed over.
+/// The state of a start once the files are read and the previous process has handed over.
 struct Startup {
     /// The configuration file.
     path: PathBuf,
@@ -127,10 +127,10 @@
         ended
     }
 
-    /// Logs what went wrong before there was a log.
+    /// Logs the problems from before the log was opened.
     fn log_problems(&self, log: &Logger) {
         if let Some(e) = &self.takeover.error {
-            warn!(log, "the process before did not hand over, starting alone"; "error" => %e);
+            warn!(log, "the previous process did not hand over its state; starting without it"; "error" => %e);
         }
         if let Some(why) = &self.initial.unusable_version {
             warn!(log, "config: the stored version cannot be used; starting without it"; "why" => %why);
@@ -174,7 +174,7 @@
         gateway::start(start, log).map(Some).map_err(StartError::FollowControlServers)
     }
 
-    /// What the event loop is opened with, and where it gets further configurations from.
+    /// The event loop's parameters, and the source of further configurations.
     fn into_event_loop_parts(
         self,
         addresses: &Addresses,
@@ -208,7 +208,7 @@
     }
 }
 
-/// The addresses of a configuration, each replaced by the environment where that names one.
+/// The addresses of a configuration; an environment variable overrides each of them.
 struct Addresses {
     listen: SocketAddr,
     admin: Option<SocketAddr>,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Opens all workers and runs them to their end.
+/// Opens all workers and runs them until they end.
 fn run_event_loop(
     config: Config,
     mut source: ConfigSource,
@@ -251,7 +251,7 @@
     std::env::var(name).ok()
 }
 
-/// `GW_LOG=debug` adds a line for each attempt that failed.
+/// The log level: `GW_LOG=debug` adds a line for each failed attempt.
 fn log_level() -> Level {
     match variable("GW_LOG").as_deref() {
         Some("debug") => Level::Debug,
@@ -259,7 +259,7 @@
     }
 }
 
-/// A number that rises with each start of a process.
+/// A number that rises with each start of a process: Unix time in milliseconds.
 pub fn start_number() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -12,30 +12,30 @@
 use crate::settings::Zones;
 use crate::text_file::{LineError, ReadError};
 
-/// The configuration that a process starts with, and where it comes from: the gateway's own file, under the version
-/// that it has persisted if that can be used; where the file cannot be used, what the process before runs on.
+/// The configuration that a process starts with, and its source: the gateway's own file, overlaid with the persisted
+/// version if that can be used. If the file cannot be used, it is the configuration of the previous process.
 pub struct InitialConfig {
     /// The configuration.
     pub loaded: LoadedConfig,
-    /// Its text, as what is in force.
+    /// The configuration in force, with its text.
     pub active: ActiveConfig,
     /// The zones that the settings name.
     pub zones: Zones,
     /// The text of the gateway's own file.
     pub file_text: String,
-    /// The version that lies over it.
+    /// The version with which the file is overlaid.
     pub version: Option<Document>,
-    /// Why the persisted version is not used: the newest one comes from the control servers again.
+    /// Why the persisted version is not used; the control servers send the newest one again.
     pub unusable_version: Option<UnusableVersion>,
 }
 
 /// Why a persisted version is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum UnusableVersion {
-    /// Its file cannot be read, or holds no version.
+    /// Its file cannot be read, or contains no version.
     #[error(transparent)]
     File(#[from] StoredVersionError),
-    /// Over the gateway's own file it makes no usable configuration.
+    /// The gateway's own file overlaid with it is no usable configuration.
     #[error("version {number}: {source}")]
     Config {
         /// Its number.
@@ -49,7 +49,7 @@
     /// Loads the configuration of a file with this text.
     ///
     /// # Errors
-    /// The file cannot be used, and there is no process before.
+    /// The file cannot be used, and there is no previous process.
     pub fn load(
         path: &Path,
         text: Result<String, ReadError>,
@@ -61,7 +61,7 @@
         let version = version_file.and_then(|file| loader.read_version(file));
         match (loader.load_file(path, text, version), fallback) {
             (Ok((loaded, file_text, version)), _) => Ok(loader.into_initial(loaded, file_text, version)),
-            // The process before has rejected the file as well.
+            // The previous process has rejected the file as well.
             (Err(_), Some(loaded)) => {
                 let file_text = loader.active.text().to_string();
                 Ok(loader.into_initial(loaded, file_text, None))
@@ -71,7 +71,7 @@
     }
 }
 
-/// The name of the gateway that a configuration's text is for; none unless that can be read.
+/// The gateway's name in a configuration's text; none if the text cannot be parsed.
 pub fn configured_name(text: &str) -> Option<String> {
     serde_json::from_str::<ConfigFile>(text).ok().map(|file| file.name)
 }
@@ -84,7 +84,7 @@
 }
 
 impl Loader {
-    /// What the process before runs on.
+    /// The configuration of the previous process.
     fn load_from(&mut self, predecessor: &HandoverState) -> Option<LoadedConfig> {
         self.zones = predecessor.snapshot.directory.zones().clone();
         self.active.replace(predecessor.snapshot.config.clone(), &mut self.zones).ok()
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The gateway's own file, its text, and the version that lies over it.
+    /// The gateway's own file overlaid with the version, the file's text, and the version if it is used.
     fn load_file(
         &mut self,
         path: &Path,
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -1,4 +1,5 @@
-//! Signals: a pipe wakes whoever waits for one, and a flag tells it also where the pipe could not be written.
+//! Signals: a pipe wakes the thread that waits for a signal, and a flag reports the signal even if the pipe could not
+//! be written.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -20,7 +21,7 @@
 /// Watches for all signals that an event loop handles.
 ///
 /// # Errors
-/// The system does not give a pipe.
+/// The system cannot create a pipe or register a handler.
 pub fn watch(versions: Option<VersionReceiver>, read_config: ReadConfig) -> io::Result<Signals> {
     let (shutdown_requested, reload_requested) = (flag(&TERMINATION)?, flag(&RELOAD)?);
     Ok(Signals {
@@ -33,10 +34,10 @@
     })
 }
 
-/// A pipe that becomes readable when the process is to end.
+/// A pipe that becomes readable when a signal to end the process arrives.
 ///
 /// # Errors
-/// The system does not give one.
+/// The system cannot create a pipe or register a handler.
 pub fn termination() -> io::Result<UnixStream> {
     pipe(&TERMINATION)
 }
--- a/src/startup/takeover.rs
+++ b/src/startup/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over from the process of this gateway that still serves, if there is one.
+//! Takes over from the previous process of this gateway, if one still serves.
 
 use std::io::{self, ErrorKind};
 use std::path::PathBuf;
@@ -7,22 +7,22 @@
 use crate::hot_restart::handover_socket::{take_over, HandoverState};
 use crate::shortage::{is_shortage, retry};
 
-/// How long the process before may take to hand over.
+/// How long the previous process may take to hand over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came of the attempt to take over.
+/// The result of an attempt to take over.
 #[derive(Default)]
 pub struct Takeover {
-    /// Where processes of this gateway meet; none without a folder that they share.
+    /// The path of the handover socket; none unless the processes of this gateway share a folder.
     pub socket_path: Option<PathBuf>,
-    /// What the process before has handed over.
+    /// The state that the previous process has handed over.
     pub state: Option<HandoverState>,
-    /// Why a process that is there has handed nothing over.
+    /// Why an existing previous process has not handed over its state.
     pub error: Option<io::Error>,
 }
 
 impl Takeover {
-    /// Takes over from the process of the gateway with this name, if one waits for it.
+    /// Takes over from the process of the gateway with this name that listens for a successor, if there is one.
     pub fn attempt(name: Option<&str>) -> Takeover {
         let Some(path) = name.and_then(socket_path) else { return Takeover::default() };
         let until = Instant::now() + HANDOVER_TIMEOUT;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Where processes of this gateway meet: in `TMPDIR`, where one is named.
+/// The path of the handover socket: in `TMPDIR`, if that names a folder.
 fn socket_path(name: &str) -> Option<PathBuf> {
     let plain: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line and the project's own settings, through the program itself.
+//! Tests of the command line and of the settings file, through the program itself.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -14,13 +14,13 @@
     command.env_remove("GW_CONFIG").env_remove("GW_SETTINGS").args(args).output().expect("it starts")
 }
 
-/// Guards the operators' settings: whatever is not known, of the wrong type or out of range is named with
-/// its line, and so is what is no INI at all.
+/// Guards the settings file: a key that is unknown, of the wrong type or out of range is reported with its line, and so
+/// is a line that is not INI.
 #[test]
-fn each_fault_of_the_settings_is_named_with_its_line() {
+fn each_error_in_the_settings_is_reported_with_its_line() {
     let many: Vec<String> = (0..17).map(|n| format!("z/c-{n}@127.0.0.1:{}", n + 1)).collect();
     let many = format!("[control]\nmachines = {}", many.join(", "));
-    for (text, line, word) in [
+    for (text, line, expected) in [
         ("[cores]\ncount = 0\n", 2, "out of range (1 to"),
         ("[cores]\ncount = 65000", 2, "out of range"),
         ("[cores]\ncount = two", 2, "no whole number"),
@@ -58,23 +58,24 @@
         ("[control]\nmachine = z/a@127.0.0.1:1", 2, "no such key"),
         ("[cores]\n[control]\nmachines = z/a@127.0.0.1:1", 2, "[fleet] name is missing"),
     ] {
-        let fault = LocalSettings::parse(text).expect_err(text);
-        assert_eq!(fault.line, line, "{text:?}: {fault}");
-        assert!(fault.error.to_string().contains(word), "{text:?}: {fault}");
+        let error = LocalSettings::parse(text).expect_err(text);
+        assert_eq!(error.line, line, "{text:?}: {error}");
+        assert!(error.error.to_string().contains(expected), "{text:?}: {error}");
     }
     let text = "[fleet]\nname = shop\nlisten = 127.0.0.1:1\nvoters = a@127.0.0.1:1";
-    let fleet = LocalSettings::parse(text).expect("whole but for the file").fleet;
+    let fleet = LocalSettings::parse(text).expect("valid without the file").fleet;
     assert!(fleet.voter("a").is_err_and(|why| why.to_string().contains("file: missing")));
-    assert_eq!(fleet.voter("b"), Ok(None), "no vote, no file");
+    assert_eq!(fleet.voter("b"), Ok(None), "a gateway that is no voter needs no file");
     for text in ["", "[cores]", "# a word\n[cores]\n  count : 1  \n"] {
         assert_eq!(LocalSettings::parse(text), Ok(LocalSettings::default()), "{text:?}");
     }
 }
 
-/// Guards `[control]`: a gateway that is to follow control machines and lacks its zone or its file does not start, nor does a
-/// control machine that is none of them or lacks its file, and `check` says the same; without machines nothing is asked for.
+/// Guards `[control]`: a gateway that is to follow control machines does not start without its zone or its file, nor
+/// does a control machine that the settings do not name or that has no file. `check` reports the same errors. Without
+/// machines no other key is required.
 #[test]
-fn what_control_machines_need_is_named_with_its_line() {
+fn missing_settings_for_control_machines_are_reported_with_their_line() {
     let folder = std::env::temp_dir().join(format!("dunemount-control-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (ini, long) = (folder.join("some.ini"), folder.join("long.json"));
@@ -91,36 +92,39 @@
         std::fs::write(&ini, format!("{control}{rest}")).expect("written");
         for command in ["check", "serve"] {
             let output = run(&[command, "--config", good, "--settings", ini_name]);
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
+            let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
             let wanted = format!("some.ini:5: [control] {what}");
-            assert!(!output.status.success() && said.contains(&wanted), "{command}: {said}");
+            assert!(!output.status.success() && stderr.contains(&wanted), "{command}: {stderr}");
         }
     }
     std::fs::write(&ini, format!("{control}zone = z\nfile = f\n")).expect("written");
     let output = run(&["check", "--config", long_name, "--settings", ini_name]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        said.contains("some.ini:5: [control] machines: the gateway's name of 65 bytes, 64 at most"),
-        "{said}"
+        stderr.contains("some.ini:5: [control] machines: the gateway's name of 65 bytes, 64 at most"),
+        "{stderr}"
     );
     assert!(run(&["check", "--config", good, "--settings", ini_name]).status.success());
     let output = run(&["fleet", "control", "--name", "d", "--settings", ini_name]);
     assert!(String::from_utf8_lossy(&output.stderr).contains("d is none of [control] machines"));
     std::fs::write(&ini, control).expect("written");
     let output = run(&["fleet", "control", "--name", "c", "--settings", ini_name]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("some.ini:5: [control] file: missing"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("some.ini:5: [control] file: missing"), "{stderr}");
     std::fs::write(&ini, format!("{fleet}[control]\n")).expect("written");
     assert!(run(&["check", "--config", good, "--settings", ini_name]).status.success());
     for what in [&["show"][..], &["status"], &["put", good]] {
         let output = run(&[&["fleet", "config"][..], what, &["--settings", ini_name]].concat());
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains("[control] machines: none"), "{what:?}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(
+            !output.status.success() && stderr.contains("[control] machines: none"),
+            "{what:?}: {stderr}"
+        );
     }
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// Guards the shipped settings file: it is what a start without one does.
+/// Guards the shipped settings file: its values are the defaults of a start without a file.
 #[test]
 fn the_shipped_settings_are_the_defaults() {
     let shipped = include_str!("../deploy/dunemount.ini");
@@ -130,10 +134,10 @@
     }
 }
 
-/// Guards `check`: it reads both files as a start would, names the first fault with file and line, and the
-/// exit status tells.
+/// Guards `check`: it reads both files as a start does, reports the first error with file and line, and sets the exit
+/// status.
 #[test]
-fn check_names_the_file_and_the_line() {
+fn check_reports_the_file_and_the_line() {
     let example = example();
     let good = example.to_str().expect("a path");
     let output = run(&["check", "--config", good]);
@@ -157,34 +161,37 @@
         assert!(text.contains(old), "{old}");
         std::fs::write(&bad, text.replacen(old, new, 1)).expect("written");
         let output = run(&["check", "--config", bad_name]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-        assert!(said.contains(&format!("bad.json:{line}: ")), "{new}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && stderr.lines().count() == 1, "{stderr}");
+        assert!(stderr.contains(&format!("bad.json:{line}: ")), "{new}: {stderr}");
     }
     std::fs::write(&ini, "[cores]\n\ncount = none\n").expect("written");
     for command in ["check", "serve"] {
         let output = run(&[command, "--config", good, "--settings", ini_name]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains("bad.ini:3: [cores] count"), "{command}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(
+            !output.status.success() && stderr.contains("bad.ini:3: [cores] count"),
+            "{command}: {stderr}"
+        );
     }
     let output = run(&["check", "--config", folder.join("none.json").to_str().expect("a path")]);
     assert!(!output.status.success());
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// Guards `--help` and words that mean nothing.
+/// Guards `--help`, and the rejection of invalid arguments.
 #[test]
-fn help_tells_what_may_be_asked_and_nonsense_is_refused() {
-    let said = String::from_utf8_lossy(&run(&["--help"]).stdout).into_owned();
+fn help_lists_the_commands_and_invalid_arguments_are_rejected() {
+    let help = String::from_utf8_lossy(&run(&["--help"]).stdout).into_owned();
     for word in ["serve", "check", "GW_CONFIG", "--settings", "SIGHUP"] {
-        assert!(said.contains(word), "{word}");
+        assert!(help.contains(word), "{word}");
     }
     assert!(!run(&["frob"]).status.success());
     assert!(!run(&["serve", "--log", "xml"]).status.success());
-    assert!(!run(&[]).status.success(), "nothing names a configuration");
+    assert!(!run(&[]).status.success(), "no configuration is named");
 }
 
-/// Guards the whole text of `--help` of each command, which operators' pages quote.
+/// Guards the complete text of `--help` of each command, which the operators' documentation quotes.
 #[test]
 fn help_keeps_its_text() {
     for command in [
@@ -202,16 +209,17 @@
     ] {
         let output =
             Command::new(env!("CARGO_BIN_EXE_dunemount")).env_clear().args(command).arg("--help").output();
-        let said = String::from_utf8(output.expect("it starts").stdout).expect("text");
+        let help = String::from_utf8(output.expect("it starts").stdout).expect("text");
         let name = format!("{}-v1.txt", [&["help"], command].concat().join("-"));
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(&name);
-        assert_eq!(said, std::fs::read_to_string(path).expect(&name), "{name}");
+        assert_eq!(help, std::fs::read_to_string(path).expect(&name), "{name}");
     }
 }
 
-/// Guards what is said of a start that cannot be, word for word. `FOLDER` stands for the test's own.
+/// Guards the messages of failed starts, word for word. `FOLDER` stands for the test's folder, and `TAKEN` for an
+/// address that is in use.
 #[test]
-fn starts_that_cannot_be_keep_their_words() {
+fn failed_starts_keep_their_messages() {
     let folder = std::env::temp_dir().join(format!("dunemount-starts-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = |name: &str, text: &str| {
@@ -231,7 +239,7 @@
     let other = file("other.ini", &format!("{fleet}voters = gw@127.0.0.1:1\n"));
     let lost = file("lost.ini", &format!("{fleet}voters = toy@127.0.0.1:1\nfile = /dev/null/voter\n"));
     let none = folder.join("none").to_str().expect("a path").to_string();
-    let mut said = String::new();
+    let mut transcript = String::new();
     for (args, variables) in [
         (vec![], &[][..]),
         (vec!["check"], &[]),
@@ -264,15 +272,15 @@
         let output =
             command.env_clear().envs(variables.iter().copied()).args(&args).output().expect("it starts");
         assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0), "{args:?}");
-        said += &format!("{} {variables:?}\n", args.join(" "));
-        said += std::str::from_utf8(&output.stderr).expect("text");
+        transcript += &format!("{} {variables:?}\n", args.join(" "));
+        transcript += std::str::from_utf8(&output.stderr).expect("text");
     }
-    said = said.replace(folder.to_str().expect("a path"), "FOLDER").replace(&taken, "TAKEN");
-    assert_eq!(said, include_str!("fixtures/start-faults-v1.txt"));
+    transcript = transcript.replace(folder.to_str().expect("a path"), "FOLDER").replace(&taken, "TAKEN");
+    assert_eq!(transcript, include_str!("fixtures/start-faults-v1.txt"));
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// Guards the log's second form: each line is a JSON object with its message and fields, to the last one.
+/// Guards the log's JSON format: each line, including the last one, is an object with its message and fields.
 #[test]
 fn json_lines_are_objects() {
     use std::io::{BufRead, BufReader, Read};
@@ -306,5 +314,5 @@
 /// Sends SIGTERM to a process that this test started.
 fn signal(id: u32) {
     let id = rustix::process::Pid::from_raw(id as i32).expect("a process");
-    rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("told");
+    rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("sent");
 }
--- a/tests/config_status.rs
+++ b/tests/config_status.rs
@@ -1,5 +1,5 @@
-//! What `dunemount fleet config status` prints, as JSON and as a table, byte by byte: the files under `fixtures/` were written
-//! by the version that introduced them.
+//! Tests that `dunemount fleet config status` keeps its output, as JSON and as a table, byte by byte. The files under
+//! `fixtures/` are the output of the first version that had the command.
 
 use std::path::Path;
 
@@ -47,7 +47,7 @@
         gateways: 0,
         ..control_server("ctl-2")
     };
-    let refused = GatewayEntry {
+    let rejected = GatewayEntry {
         why: Some("line 3: port in use".to_string()),
         ..gateway("gw-3", GatewayState::Rejected, None)
     };
@@ -64,7 +64,7 @@
         gateways: vec![
             gateway("gw-1", GatewayState::InForce, version(12)),
             gateway("gw-2", GatewayState::Lagging, version(11)),
-            refused,
+            rejected,
             GatewayEntry { silent_ms: 70_000, ..gateway("gw-4", GatewayState::Silent, version(10)) },
         ],
         unheard: vec!["gw-5".to_string()],
@@ -76,22 +76,22 @@
     std::fs::read_to_string(path).expect("a fixture")
 }
 
-/// Guards the JSON that operators' own programs read: the names, their order, and the words for how a gateway stands.
+/// Guards the JSON that operators' own programs read: the names, their order, and the names of a gateway's states.
 #[test]
-fn the_json_of_a_status_keeps_its_form() {
+fn the_json_of_a_status_keeps_its_format() {
     let text = fixture("config-status-v1.json");
     let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(value["newest"]["version"], 12);
     assert_eq!(value["machines"][1]["why"], "connection refused (os error 111)");
     assert_eq!(value["machines"][2]["looked_ms"], 9_000);
-    let stands: Vec<_> = (0..4).map(|index| value["gateways"][index]["stands"].clone()).collect();
-    assert_eq!(stands, ["in_force", "lags", "refused", "silent"]);
+    let states: Vec<_> = (0..4).map(|index| value["gateways"][index]["stands"].clone()).collect();
+    assert_eq!(states, ["in_force", "lags", "refused", "silent"]);
     assert_eq!(value["unheard"][0], "gw-5");
     assert_eq!(serde_json::to_string_pretty(&report()).expect("JSON"), text);
 }
 
 /// Guards the table that operators read.
 #[test]
-fn the_table_of_a_status_keeps_its_form() {
+fn the_table_of_a_status_keeps_its_format() {
     assert_eq!(report().to_string(), fixture("config-status-v1.txt"));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes on loopback: leases pass on when their holder is killed or stopped, and voters come back.
+//! Tests of a fleet of real processes on loopback: leases pass on when their holder is killed or stopped, and voters
+//! return after they have lost their files.
 
 mod harness;
 
@@ -13,9 +14,9 @@
 use harness::process::Faults;
 use rustix::process::{kill_process, Pid, Signal};
 
-/// However busy the machine, an awaited log line comes within this.
+/// Longest wait for any next log line, also on a busy machine.
 const LINE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bounds a wait during which other log lines come.
+/// Longest wait for an expected log line while other lines are read.
 const TEST_TIMEOUT: Duration = Duration::from_secs(300);
 
 struct Fleet {
@@ -24,10 +25,10 @@
     processes: Vec<Option<Child>>,
     line_sender: Sender<(usize, String)>,
     lines: Receiver<(usize, String)>,
-    /// Who acquired the lease under each epoch, by the logs.
+    /// The processes that acquired the lease under each epoch, by their logs.
     holders: BTreeMap<u64, BTreeSet<usize>>,
     admin_addresses: Vec<SocketAddr>,
-    /// What the system does to each process.
+    /// The system faults of each process.
     faults: Vec<Faults>,
     passed: bool,
 }
@@ -36,15 +37,14 @@
     fn start_all(count: usize, test: &str) -> Fleet {
         let directory = std::env::temp_dir().join(format!("dunemount-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("a folder");
-        // All are kept bound until each has its own.
+        // All sockets stay bound until each process has been given its own ports.
         let sockets: Vec<UdpSocket> =
             (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
         let admin_listeners: Vec<TcpListener> =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
         let address = |index: usize| sockets[index].local_addr().expect("bound").to_string();
-        let voters_at: Vec<String> =
-            (0..count).map(|index| format!("gw-{index}@{}", address(index))).collect();
-        let voters = voters_at[..count.min(3)].join(", ");
+        let members: Vec<String> = (0..count).map(|index| format!("gw-{index}@{}", address(index))).collect();
+        let voters = members[..count.min(3)].join(", ");
         for (index, admin) in admin_listeners.iter().enumerate() {
             let file = directory.join(format!("voter-{index}"));
             let ini = format!(
@@ -88,9 +88,9 @@
         fleet
     }
 
-    fn command(&self, index: usize, what: &[&str]) -> Command {
+    fn command(&self, index: usize, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
-        command.args(what).arg("--config").arg(self.directory.join(format!("{index}.json")));
+        command.args(args).arg("--config").arg(self.directory.join(format!("{index}.json")));
         command.arg("--settings").arg(self.directory.join(format!("{index}.ini")));
         for variable in ["GW_CONFIG", "GW_SETTINGS", "GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"]
         {
@@ -113,12 +113,12 @@
         self.processes[index] = Some(child);
     }
 
-    /// Reads logs up to such a line: who wrote it, and the line.
+    /// Reads logs up to a matching line. Returns the process that wrote it, and the line.
     fn wait_for_line(&mut self, wanted: impl Fn(usize, &str) -> bool) -> (usize, String) {
         let end = Instant::now() + TEST_TIMEOUT;
         loop {
-            assert!(Instant::now() < end, "other lines come, and not the one that is waited for");
-            let (index, line) = self.lines.recv_timeout(LINE_TIMEOUT).expect("a line that was waited for");
+            assert!(Instant::now() < end, "timed out: only other lines were logged");
+            let (index, line) = self.lines.recv_timeout(LINE_TIMEOUT).expect("a log line in time");
             if let Some(epoch) = line.contains("fleet: role lease acquired").then(|| epoch(&line)) {
                 self.holders.entry(epoch).or_default().insert(index);
             }
@@ -129,8 +129,8 @@
     }
 
     /// Reads logs until each of these has written a line that contains the text.
-    fn wait_for_line_of_each(&mut self, who: &[usize], words: &str) {
-        let mut left: BTreeSet<usize> = who.iter().copied().collect();
+    fn wait_for_line_of_each(&mut self, processes: &[usize], words: &str) {
+        let mut left: BTreeSet<usize> = processes.iter().copied().collect();
         while !left.is_empty() {
             let (index, _) = self.wait_for_line(|index, line| left.contains(&index) && line.contains(words));
             left.remove(&index);
@@ -144,7 +144,8 @@
         (index, epoch(&line))
     }
 
-    /// Who holds the lease under the last epoch after this one, as far as logs were read; waits for one if there is none.
+    /// The holder of the lease under the last epoch after this one, and the epoch, by the logs read so far; waits for
+    /// an acquisition if there is none.
     fn holder_after(&mut self, after: u64) -> (usize, u64) {
         loop {
             if let Some((epoch, holders)) = self.holders.range(after + 1..).next_back() {
@@ -154,10 +155,10 @@
         }
     }
 
-    /// The same, but another process than the one that is gone: its own earlier acquisitions are read first.
-    fn other_holder_after(&mut self, gone: usize, after: u64) -> (usize, u64) {
+    /// The same, but skips acquisitions by a process that was killed, which may still be among the lines to be read.
+    fn other_holder_after(&mut self, killed: usize, after: u64) -> (usize, u64) {
         let (mut holder, mut epoch) = self.holder_after(after);
-        while holder == gone {
+        while holder == killed {
             (holder, epoch) = self.holder_after(epoch);
         }
         (holder, epoch)
@@ -168,7 +169,7 @@
         kill_process(Pid::from_child(child), signal).expect("its own child");
     }
 
-    /// What the command prints of a gateway.
+    /// The output of `fleet status` for a gateway.
     fn status(&self, index: usize, json: bool) -> String {
         let admin = self.admin_addresses[index].to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
@@ -207,7 +208,7 @@
     text.split(|c: char| !c.is_ascii_digit()).next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// Guards a lease through the death of its holder: one of the others acquires it under a later epoch, and the killed one
+/// Guards a lease whose holder is killed: one of the others acquires it under a later epoch, and the killed process
 /// returns as a member and acquires no epoch twice.
 #[test]
 fn a_lease_passes_on_when_its_holder_is_killed() {
@@ -225,8 +226,8 @@
     fleet.end();
 }
 
-/// Guards a lease through a stop of its holder: another process acquires it meanwhile, and the former holder knows that it
-/// has lost it once it continues.
+/// Guards a lease whose holder is stopped: another process acquires it meanwhile, and the former holder detects the
+/// loss once it continues.
 #[test]
 fn a_holder_that_was_stopped_loses_its_lease() {
     let mut fleet = Fleet::start_all(4, "stopped");
@@ -239,9 +240,10 @@
     fleet.end();
 }
 
-/// Guards voters: one that has lost its file is admitted by the others; all killed at once go on under later epochs.
+/// Guards voters: one that has lost its file is admitted by the others, and after all were killed at once they continue
+/// under later epochs.
 #[test]
-fn voters_come_back_without_their_file_and_all_at_once() {
+fn voters_return_without_their_file_and_after_all_were_killed() {
     let mut fleet = Fleet::start_all(3, "voters");
     let (_, epoch) = fleet.wait_for_acquisition(0);
     fleet.kill(1);
@@ -255,15 +257,16 @@
     fleet.end();
 }
 
-/// Guards a graceful shutdown: the lease is released, so that nobody waits for it to expire, and the program ends.
+/// Guards a graceful shutdown: the lease is released, so that the others need not wait for it to expire, and the
+/// program ends.
 #[test]
 fn a_graceful_shutdown_releases_the_lease() {
     let mut fleet = Fleet::start_all(3, "leaves");
     let (mut holder, mut held) = fleet.wait_for_acquisition(0);
-    let given_back = loop {
+    let released_epoch = loop {
         fleet.signal(holder, Signal::TERM);
-        let over = |line: &str| line.contains("why: GivenBack") || line.contains("fleet: left");
-        let (_, line) = fleet.wait_for_line(|index, line| index == holder && over(line));
+        let has_ended = |line: &str| line.contains("why: GivenBack") || line.contains("fleet: left");
+        let (_, line) = fleet.wait_for_line(|index, line| index == holder && has_ended(line));
         if line.contains("why: GivenBack") {
             break epoch(&line);
         }
@@ -272,7 +275,7 @@
         fleet.start(holder);
         (holder, held) = fleet.holder_after(held);
     };
-    fleet.holder_after(given_back);
+    fleet.holder_after(released_epoch);
     let mut child = fleet.processes[holder].take().expect("there");
     assert!(child.wait().expect("it ends").success());
     fleet.end();
@@ -284,7 +287,7 @@
 fn the_status_shows_members_voters_and_the_holder() {
     let mut fleet = Fleet::start_all(3, "status");
     let (holder, epoch) = fleet.wait_for_acquisition(0);
-    // Each knows of the others before its status shows them.
+    // The status is updated at intervals: it may show members later than the log does.
     let status = loop {
         let status: serde_json::Value = serde_json::from_str(&fleet.status(holder, true)).unwrap_or_default();
         if status["members"].as_array().is_some_and(|members| members.len() == 2)
@@ -304,10 +307,11 @@
     fleet.end();
 }
 
-/// Guards voters whose directory fails for a while, at each of the calls that store: none is silenced for good. The lease
-/// passes on once the directory works again; until then nobody acquires it, and log and status say why.
+/// Guards voters whose directory fails for a while, at each of the system calls that store: no voter stops for good.
+/// The lease passes on once the directory works again; until then no process acquires it, and log and status show the
+/// reason.
 #[test]
-fn a_directory_that_fails_for_a_while_silences_voters_for_that_while() {
+fn voters_continue_after_their_directory_has_failed_for_a_while() {
     for fault in ["open 28 1 voter", "write 28 1 voter", "fsync 5 1 voter", "rename 5 1 voter", "fsync 5 2"] {
         let mut fleet = Fleet::start_all(3, "folder");
         let (holder, epoch) = fleet.wait_for_acquisition(0);
@@ -330,9 +334,9 @@
     }
 }
 
-/// Guards the same where some of the calls fail all the time.
+/// Guards voters whose directory fails at some of the system calls all the time: leases still pass on.
 #[test]
-fn a_directory_that_fails_now_and_then_blocks_no_lease() {
+fn a_directory_with_intermittent_failures_blocks_no_lease() {
     let mut fleet = Fleet::start_all(3, "now-and-then");
     fleet.faults.iter().for_each(|faults| faults.set("fsync 5 7\nwrite 28 11 voter\n"));
     let (mut holder, mut last_epoch) = fleet.wait_for_acquisition(0);
@@ -345,10 +349,10 @@
     fleet.end();
 }
 
-/// Guards promises against a file that cannot be read at a start: its voter is not mistaken for one that has lost it, and
-/// votes once it can be read.
+/// Guards promises in a file that cannot be read at the start: the voter is not treated as one that has lost its file,
+/// and votes once the file can be read.
 #[test]
-fn a_file_that_cannot_be_read_for_a_while_is_not_mistaken_for_none() {
+fn a_file_that_cannot_be_read_for_a_while_is_not_treated_as_missing() {
     for fault in ["open 5 1 voter-1", "open 24 1 voter-1"] {
         let mut fleet = Fleet::start_all(3, "unread");
         let (_, epoch) = fleet.wait_for_acquisition(0);
@@ -375,8 +379,8 @@
     }
 }
 
-/// Guards promises against a kill between any two steps of storing them, half of a write included: the voter continues from
-/// a complete file, and no epoch has two holders.
+/// Guards promises against a kill between any two steps of storing them, or in the middle of a write: the voter
+/// continues from a complete file, and no epoch has two holders.
 #[test]
 fn a_voter_that_is_killed_while_it_stores_continues_from_a_complete_file() {
     for fault in [
@@ -389,7 +393,7 @@
         let mut fleet = Fleet::start_all(3, "stores");
         let (mut holder, mut last_epoch) = fleet.wait_for_acquisition(0);
         for _ in 0..2 {
-            // The holder stores its renewal; the process is gone in the middle of it.
+            // The process is killed while the holder stores the renewal of its lease.
             fleet.faults[holder].set(fault);
             let mut child = fleet.processes[holder].take().expect("there");
             assert!(!child.wait().expect("killed").success(), "{fault}");
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! The distribution of versions from operators to gateways, each control server and each gateway a process of its own, while
-//! processes are killed and stopped and disks fail.
+//! Tests of the distribution of versions from operators to gateways, while processes are killed and stopped and disks
+//! fail. Each control server and each gateway is a process of its own.
 
 mod harness;
 mod rollout_deployment;
@@ -14,8 +14,8 @@
 use rollout_deployment::{document, Deployment, Discovery, CONTROL_SERVERS};
 
 /// Guards the distribution of a version: proposed once, it is in force at all gateways, which the command and the admin
-/// interfaces show; clients and their requests stay, and so does the watch on discovery unless the version moves it; a SIGHUP
-/// does not drop the version.
+/// interfaces show. Clients and their requests are kept, and so is the watch on discovery unless the version changes
+/// its address. A SIGHUP does not drop the version.
 #[test]
 fn a_proposed_version_is_in_force_everywhere() {
     let (said, heard) = channel();
@@ -53,34 +53,35 @@
         (0..3).map(|gateway| figure(deployment.addresses[gateway].admin, "config_applied")).max()
     };
     assert_eq!(applied(&deployment), Some(1));
-    // What a gateway asks of discovery it asks one after the other: whoever watches on has not asked for the list before.
+    // A gateway sends its requests to discovery one after the other: one that continues its watch has not requested the
+    // full list before.
     let watched: Vec<usize> = deployment.discoveries.iter().map(Discovery::watches).collect();
-    deployment.wait_until("each watch goes on", |deployment| {
+    deployment.wait_until("each watch continues", |deployment| {
         deployment.discoveries.iter().zip(&watched).all(|(own, before)| own.watches() > before + 2)
     });
     assert_eq!(
         deployment.discoveries.iter().map(Discovery::full_list_requests).sum::<usize>(),
         0,
-        "nobody asks for the whole list"
+        "no gateway requests the full list"
     );
 
     let moved = Discovery::start();
-    let mut elsewhere = document(2);
-    elsewhere["discovery"] = json!(moved.address.to_string());
-    assert_eq!(deployment.propose(&elsewhere), Ok(2));
+    let mut moved_document = document(2);
+    moved_document["discovery"] = json!(moved.address.to_string());
+    assert_eq!(deployment.propose(&moved_document), Ok(2));
     deployment.wait_until_in_force(0..3, 2);
     deployment.wait_until("all have moved", |_| moved.full_list_requests() == 3 && moved.watches() >= 3);
-    elsewhere["settings"]["Permissions"]["MaxRetryAfterMs"] = json!(3.0);
-    assert_eq!(deployment.propose(&elsewhere), Ok(3));
+    moved_document["settings"]["Permissions"]["MaxRetryAfterMs"] = json!(3.0);
+    assert_eq!(deployment.propose(&moved_document), Ok(3));
     deployment.wait_until_in_force(0..3, 3);
     let watched = moved.watches();
-    deployment.wait_until("the watches go on", |_| moved.watches() > watched + 9);
-    assert_eq!(moved.full_list_requests(), 3, "it has not moved again");
+    deployment.wait_until("the watches continue", |_| moved.watches() > watched + 9);
+    assert_eq!(moved.full_list_requests(), 3, "no gateway has changed its discovery again");
 
-    // The own file names another discovery: by it the gateway would go back.
+    // The gateway's own file names another discovery: if it applied that file alone, it would go back to it.
     deployment.signal(CONTROL_SERVERS, Signal::HUP);
     deployment.wait_until_logged(CONTROL_SERVERS, "configuration read anew");
-    deployment.wait_until("a SIGHUP asks for the whole list, as ever", |_| moved.full_list_requests() == 4);
+    deployment.wait_until("a SIGHUP requests the full list", |_| moved.full_list_requests() == 4);
     assert_eq!(deployment.configuration_status(0)["version"], 3);
     assert_eq!(applied(&deployment), Some(4));
 
@@ -91,23 +92,23 @@
     deployment.end();
 }
 
-/// Guards against an invalid file: the command names the line, the control server rejects what only it can tell, and a gateway
-/// what only its own file shows; nothing changes anywhere else, and a valid file is still accepted.
+/// Guards against an invalid file: the command names the line, the control server rejects errors that only it can
+/// detect, and a gateway those that depend on its own file. Nothing else changes, and a valid file is still accepted.
 #[test]
-fn an_invalid_file_is_rejected_by_the_first_process_that_can_tell() {
+fn an_invalid_file_is_rejected_by_the_first_process_that_can_detect_it() {
     let mut deployment = Deployment::new("rollout-bad", 2);
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force(0..2, 1);
 
-    for (pointer, value, place, what) in [
+    for (pointer, value, key, error) in [
         ("/settings/Safety/FallMs", json!("x"), "\"FallMs\"", "invalid type: string"),
         ("/settings/Permissions/SendCap", json!(0), "\"SendCap\"", "SendCap: not positive"),
     ] {
         let mut bad = document(2);
         *bad.pointer_mut(pointer).expect("there") = value;
         let why = deployment.propose(&bad).expect_err("it cannot be used");
-        let line = format!("{bad:#}").lines().position(|line| line.contains(place)).expect("there") + 1;
-        assert!(why.contains(&format!(".json:{line}: ")) && why.contains(what), "{line}: {why}");
+        let line = format!("{bad:#}").lines().position(|line| line.contains(key)).expect("there") + 1;
+        assert!(why.contains(&format!(".json:{line}: ")) && why.contains(error), "{line}: {why}");
     }
     let mut whole = document(2);
     whole["listen"] = json!("nowhere");
@@ -122,7 +123,7 @@
     assert!((0..2).all(|gateway| deployment.configuration_status(gateway)["version"] == 1));
     assert!((0..2).all(|gateway| figure(deployment.addresses[gateway].admin, "config_rejected") == 0));
 
-    // This gateway's own file has a key that no version has: a new one of that shape is in force there first.
+    // This gateway's own file has a key that no version has: it rejects versions until one has that key.
     deployment.kill(CONTROL_SERVERS + 1);
     let path = deployment.folder.join(format!("{}.json", CONTROL_SERVERS + 1));
     let mut own: Value = serde_json::from_str(&std::fs::read_to_string(&path).expect("there")).expect("JSON");
@@ -146,15 +147,15 @@
     assert_eq!(figure(deployment.addresses[1].admin, "config_rejected"), 1);
     assert_eq!(deployment.propose(&document(3)), Ok(2));
     deployment.wait_until_in_force([0], 2);
-    let mut with = document(4);
-    with["settings"]["Safety"]["OnlyHere"] = json!(1);
-    assert_eq!(deployment.propose(&with), Ok(3));
+    let mut with_key = document(4);
+    with_key["settings"]["Safety"]["OnlyHere"] = json!(1);
+    assert_eq!(deployment.propose(&with_key), Ok(3));
     deployment.wait_until_in_force(0..2, 3);
     deployment.end();
 }
 
-/// Guards a zone against the loss of its control server: its gateways follow another one and get the next version there, and
-/// the server comes back with its disk, learns what it has missed and distributes it.
+/// Guards a zone against the loss of its control server: its gateways follow another one and get the next version
+/// there. The server returns with its disk, fetches the versions that it has missed and distributes them.
 #[test]
 fn a_zone_without_its_control_server_gets_the_next_version() {
     let mut deployment = Deployment::new("rollout-killed", 3);
@@ -163,7 +164,7 @@
     deployment.wait_until_followed(0, "c-0");
     deployment.kill(0);
     deployment.wait_until_followed(0, "c-1");
-    // The command skips the one that is gone.
+    // The command skips the control server that was killed.
     assert_eq!(deployment.propose(&document(2)), Ok(2));
     deployment.wait_until_in_force(0..3, 2);
     deployment.start(0);
@@ -178,17 +179,18 @@
     deployment.end();
 }
 
-/// Guards against a control server that was stopped during two versions: no gateway goes back, neither its own nor the others.
+/// Guards against a control server that was stopped during two versions: no gateway goes back to an older version,
+/// neither those of its zone nor the others.
 #[test]
-fn a_control_server_that_was_stopped_takes_nobody_back() {
+fn a_control_server_that_was_stopped_takes_no_gateway_back() {
     let deployment = Deployment::new("rollout-late", 4);
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force(0..4, 1);
     deployment.wait_until_followed(0, "c-0");
     deployment.signal(0, Signal::STOP);
     deployment.wait_until_followed(0, "c-1");
-    assert_eq!(deployment.propose_with(&document(2), "back.ini"), Ok(2));
-    assert_eq!(deployment.propose_with(&document(3), "back.ini"), Ok(3));
+    assert_eq!(deployment.propose_with(&document(2), "reversed.ini"), Ok(2));
+    assert_eq!(deployment.propose_with(&document(3), "reversed.ini"), Ok(3));
     deployment.wait_until_in_force(0..4, 3);
     deployment.signal(0, Signal::CONT);
     deployment.wait_until("it knows", |deployment| {
@@ -205,8 +207,8 @@
     deployment.end();
 }
 
-/// Guards against a control server that comes back with an old disk and finds no majority: it sends its version to nobody,
-/// not even to a gateway that has none and finds no other server.
+/// Guards against a control server that returns with an old disk and reaches no majority: it sends its version to no
+/// gateway, not even to one that has no version and reaches no other server.
 #[test]
 fn a_control_server_with_an_old_disk_sends_nothing_before_it_is_fresh() {
     let mut deployment = Deployment::new("rollout-old", 4);
@@ -225,12 +227,12 @@
     deployment.signal(2, Signal::STOP);
     deployment.start(CONTROL_SERVERS + 3);
     deployment.start(0);
-    deployment.wait_until("it has heard the new gateway", |deployment| {
+    deployment.wait_until("the new gateway has reported to it", |deployment| {
         let status = deployment.status();
         let gateways = status["gateways"].as_array();
         gateways.is_some_and(|all| all.iter().any(|gateway| gateway["name"] == "gw-3"))
     });
-    deployment.wait_until("the new gateway has asked around", |deployment| {
+    deployment.wait_until("the new gateway has tried all control servers", |deployment| {
         deployment.configuration_status(3)["cut_off_ms"].as_u64() > Some(5_000)
     });
     assert_eq!(deployment.status()["newest"]["version"], 1, "it knows no newer one");
@@ -238,7 +240,7 @@
     deployment.signal(1, Signal::CONT);
     deployment.signal(2, Signal::CONT);
     deployment.wait_until_in_force(0..4, 3);
-    // The log is written by a thread of its own, behind the board.
+    // The log is written by a thread of its own, after the status is published.
     deployment.wait_until("its log says so", |deployment| !deployment.versions_in_force(3).is_empty());
     assert_eq!(deployment.versions_in_force(3), [3], "nothing older in between");
     deployment.end();
@@ -269,8 +271,8 @@
     deployment.end();
 }
 
-/// Guards the majority: without it nothing is accepted or applied, and the operator is notified; once it is back, versions are
-/// accepted without intervention.
+/// Guards the majority: without it nothing is accepted or applied, and the operator is notified. Once there is one
+/// again, versions are accepted without intervention.
 #[test]
 fn without_a_majority_nothing_is_accepted() {
     let deployment = Deployment::new("rollout-few", 3);
@@ -281,7 +283,7 @@
     deployment.wait_until("it is no longer fresh", |deployment| {
         deployment.status()["machines"][0]["fresh"] == false
     });
-    let why = deployment.propose(&document(2)).expect_err("nobody to agree with");
+    let why = deployment.propose(&document(2)).expect_err("no majority");
     assert!(why.contains("no majority") && !why.contains("uncertain"), "{why}");
     assert_eq!(deployment.status()["newest"]["version"], 1);
     assert!((0..3).all(|gateway| deployment.configuration_status(gateway)["version"] == 1));
@@ -318,7 +320,7 @@
     assert_eq!(
         deployment.configuration_status(1),
         Value::Null,
-        "without [control] it says nothing of versions"
+        "without [control] its status has no configuration"
     );
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force([0], 1);
@@ -326,8 +328,8 @@
     deployment.end();
 }
 
-/// Guards against two operators at once, at different control servers: each gets a number of its own, and all gateways end
-/// with the later version.
+/// Guards against two operators at once, at different control servers: each gets a number of its own, and all gateways
+/// end with the later version.
 #[test]
 fn two_operators_at_once_get_two_numbers() {
     let deployment = Deployment::new("rollout-two", 3);
@@ -338,7 +340,7 @@
             let put = |mark: usize, by: &'static str| {
                 scope.spawn(move || deployment.propose_with(&document(mark), by))
             };
-            let both = [put(10 + turn, "0.ini"), put(20 + turn, "back.ini")];
+            let both = [put(10 + turn, "0.ini"), put(20 + turn, "reversed.ini")];
             let numbers = both.map(|put| put.join().expect("no panic").expect("accepted"));
             (numbers, [10 + turn, 20 + turn])
         });
@@ -356,8 +358,8 @@
     deployment.end();
 }
 
-/// Guards the order of many changes, each accepted after the one before: numbers rise by one and at each gateway, and the
-/// last is in force everywhere.
+/// Guards the order of many changes, each proposed after the previous one was accepted: numbers rise by one, the
+/// numbers in force at each gateway only rise, and the last version is in force everywhere.
 #[test]
 fn the_last_of_many_changes_is_in_force_everywhere() {
     let deployment = Deployment::new("rollout-many", 4);
@@ -369,8 +371,8 @@
     deployment.wait_until("the command shows it", |deployment| deployment.status()["in_force"] == 4);
     let shown = deployment.config(&["show", "--number", &(first + 19).to_string()], "0.ini");
     assert_eq!(serde_json::from_slice::<Value>(&shown.stdout).expect("the one before"), document(19));
-    assert!(!deployment.config(&["show", "--number", "1"], "0.ini").status.success(), "long gone");
-    // Who has it in force says so after it has counted it; each had the one that the file before the first brought.
+    assert!(!deployment.config(&["show", "--number", "1"], "0.ini").status.success(), "no longer stored");
+    // A gateway counts a version before it logs that the version is in force.
     for gateway in 0..4 {
         let versions = deployment.versions_in_force(gateway);
         assert!(versions.is_sorted_by(|a, b| a < b), "{versions:?}");
@@ -379,29 +381,32 @@
     deployment.end();
 }
 
-/// Guards the file of a gateway's version: with it the gateway starts on its version while no control server is there; without
-/// it, or with a damaged one, it starts on its own file and gets the newest version again.
+/// Guards the file of a gateway's version: with it the gateway starts on its version while no control server runs.
+/// Without it, or with a damaged one, the gateway starts on its own configuration file and gets the newest version
+/// again.
 #[test]
 fn a_gateway_stores_its_version_and_survives_without_the_file() {
     let mut deployment = Deployment::new("rollout-file", 1);
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force([0], 1);
-    let kept = deployment.folder.join(format!("kept-{CONTROL_SERVERS}"));
-    let whole = std::fs::read(&kept).expect("kept");
-    for damaged in [None, Some(&whole[..whole.len() - 1]), Some(b"{}"), Some(b"")] {
+    let version_file = deployment.folder.join(format!("kept-{CONTROL_SERVERS}"));
+    let complete = std::fs::read(&version_file).expect("stored");
+    for damaged in [None, Some(&complete[..complete.len() - 1]), Some(b"{}"), Some(b"")] {
         deployment.kill(CONTROL_SERVERS);
         match damaged {
-            None => std::fs::remove_file(&kept).expect("it was there"),
-            Some(bytes) => std::fs::write(&kept, bytes).expect("written"),
+            None => std::fs::remove_file(&version_file).expect("it was there"),
+            Some(bytes) => std::fs::write(&version_file, bytes).expect("written"),
         }
         deployment.start(CONTROL_SERVERS);
-        deployment.wait_until("it is kept again", |_| std::fs::read(&kept).is_ok_and(|bytes| bytes == whole));
+        deployment.wait_until("it is stored again", |_| {
+            std::fs::read(&version_file).is_ok_and(|bytes| bytes == complete)
+        });
         deployment.wait_until_in_force([0], 1);
     }
     deployment
         .wait_until_logged(CONTROL_SERVERS, "config: the stored version cannot be used; starting without it");
 
-    // With its own file alone it would not say so.
+    // Without the stored version the gateway would have no version in force.
     (0..CONTROL_SERVERS).for_each(|server| deployment.kill(server));
     deployment.kill(CONTROL_SERVERS);
     deployment.start(CONTROL_SERVERS);
@@ -416,12 +421,12 @@
     assert!(!deployment.config(&["status"], "0.ini").status.success());
     assert!(deployment.propose(&document(2)).is_err_and(|why| why.contains("no control machine answers")));
     deployment.wait_until_logged(CONTROL_SERVERS, "config: continuing with the stored version");
-    assert!(deployment.end_process(CONTROL_SERVERS), "it ends in good order");
+    assert!(deployment.end_process(CONTROL_SERVERS), "it ends gracefully");
     deployment.end();
 }
 
-/// Guards a hot restart: the successor starts on the version in force, and applies what its predecessor has applied since,
-/// also when no control server is there; the two do not write one file at once.
+/// Guards a hot restart: the successor starts on the version in force, and applies the versions that its predecessor
+/// has applied since, even while no control server runs. The two processes do not write the file at the same time.
 #[test]
 fn a_hot_restart_keeps_the_version_in_force() {
     let mut deployment = Deployment::new("rollout-upgrade", 1);
@@ -433,7 +438,7 @@
     assert_eq!(deployment.propose(&document(2)), Ok(2));
     deployment.wait_until_in_force([0], 2);
     (0..CONTROL_SERVERS).for_each(|server| deployment.kill(server));
-    assert!(deployment.end_process(CONTROL_SERVERS), "it ends in good order");
+    assert!(deployment.end_process(CONTROL_SERVERS), "it ends gracefully");
     deployment.wait_until_in_force([next], 2);
     assert_eq!(figure(deployment.addresses[next].admin, "config_applied"), 1);
     (0..CONTROL_SERVERS).for_each(|server| deployment.start(server));
@@ -442,8 +447,8 @@
     deployment.end();
 }
 
-/// Guards a version against a gateway's disk that fails for a while, at each system call of storing: the gateway shows it, and
-/// applies the version once it can be stored, without a newer version or a restart.
+/// Guards a version against a gateway's disk that fails for a while, at each of the system calls that store: the status
+/// shows it, and the gateway applies the version once it can be stored, without a newer version or a restart.
 #[test]
 fn a_version_that_cannot_be_stored_for_a_while_is_applied_once_it_can_be() {
     let deployment = Deployment::new("rollout-full", 1);
@@ -455,7 +460,7 @@
     for (index, fault) in calls.into_iter().enumerate() {
         faults.set(fault);
         number = deployment.propose_until_accepted(&document(index + 1));
-        deployment.wait_until(&format!("{fault}: it shows it"), |deployment| {
+        deployment.wait_until(&format!("{fault}: the status shows the error"), |deployment| {
             deployment.configuration_status(0)["unstored"].is_string()
         });
         assert!(
@@ -464,15 +469,15 @@
         );
         faults.set("");
         deployment.wait_until_in_force([0], number);
-        deployment.wait_until("it no longer shows it", |deployment| {
+        deployment.wait_until("the status no longer shows the error", |deployment| {
             deployment.configuration_status(0)["unstored"].is_null()
         });
     }
     deployment.end();
 }
 
-/// Guards the file of a gateway's version against a kill between any two steps of storing, half of a write included: the
-/// gateway starts on the version before or on this one, and goes on from there.
+/// Guards the file of a gateway's version against a kill between any two steps of storing, or in the middle of a write:
+/// the gateway starts on the previous version or on this one, and continues from there.
 #[test]
 fn a_gateway_killed_while_it_stores_starts_on_a_complete_version() {
     let mut deployment = Deployment::new("rollout-killed", 1);
@@ -496,18 +501,18 @@
     deployment.end();
 }
 
-/// Guards a control server against the same: it does not confirm what it cannot store, and stores again as soon as it can;
-/// killed while it stores, it comes back with a complete state.
+/// Guards the state of a control server whose disk fails, or which is killed while it stores: it does not confirm a
+/// document that it cannot store, stores again as soon as it can, and restarts with a complete state.
 #[test]
-fn a_control_server_whose_disk_fails_confirms_nothing_and_goes_on() {
-    let mut deployment = Deployment::new("rollout-shelf", 1);
+fn a_control_server_whose_disk_fails_confirms_nothing_and_continues() {
+    let mut deployment = Deployment::new("rollout-disk", 1);
     let mut number = deployment.propose_until_accepted(&document(0));
     deployment.wait_until_in_force([0], number);
     let calls = ["open 28 1 kept", "write 28 1 kept", "fsync 5 1 kept", "rename 5 1 kept"];
     for (index, fault) in calls.into_iter().enumerate() {
-        // All of them: nobody can keep the document.
+        // The fault is set at all control servers: none can store the document.
         (0..CONTROL_SERVERS).for_each(|server| deployment.faults(server).set(fault));
-        let refused = deployment.propose(&document(10 + index)).expect_err("nobody has kept it");
+        let refused = deployment.propose(&document(10 + index)).expect_err("no control server has stored it");
         assert!(refused.contains("cannot store it"), "{fault}: {refused}");
         (0..CONTROL_SERVERS).for_each(|server| deployment.faults(server).set(""));
         let next = deployment.propose_until_accepted(&document(20 + index));
--- a/tests/rollout_deployment/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment on loopback: control servers, gateways and simulated discovery services. Each control server and each gateway
-//! is a process of its own. Tests wait for what logs, admin interfaces and the operators' command show.
+//! A deployment on loopback: control servers, gateways and simulated discovery services. Each control server and each
+//! gateway is a process of its own. Tests observe them through logs, admin interfaces and the operators' command.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -36,11 +36,11 @@
         let discovery = Discovery { address, full_list_requests: Arc::default(), watches: Arc::default() };
         let (full_lists, watches) = (discovery.full_list_requests.clone(), discovery.watches.clone());
         std::thread::spawn(move || {
-            for mut call in listener.incoming().flatten() {
+            for mut connection in listener.incoming().flatten() {
                 let (full_lists, watches) = (full_lists.clone(), watches.clone());
                 std::thread::spawn(move || {
                     let mut request = [0; 1024];
-                    let count = call.read(&mut request).unwrap_or(0);
+                    let count = connection.read(&mut request).unwrap_or(0);
                     let request = String::from_utf8_lossy(&request[..count]).into_owned();
                     if request.contains("index=") {
                         watches.fetch_add(1, Ordering::SeqCst);
@@ -50,7 +50,7 @@
                     }
                     let body = json!({"rev": 4, "all": false, "targets": []}).to_string();
                     let length = body.len();
-                    let _ = write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
+                    let _ = write!(connection, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
                 });
             }
         });
@@ -87,8 +87,7 @@
     ended: bool,
 }
 
-/// An address that only this deployment uses, so that a port which is free while its process is down is not taken by another
-/// test.
+/// An address that only this deployment uses, so that no other test binds the port of a process while that is down.
 fn own_address() -> IpAddr {
     static DEPLOYMENTS: AtomicUsize = AtomicUsize::new(0);
     let deployment = DEPLOYMENTS.fetch_add(1, Ordering::SeqCst) + 1;
@@ -110,7 +109,8 @@
 }
 
 impl Deployment {
-    /// Control servers and so many gateways; gateway `n` is in the zone of control server `n`, around the ring.
+    /// Starts all control servers and this number of gateways. Gateway `n` is in the zone of control server
+    /// `n % CONTROL_SERVERS`.
     pub fn new(test: &str, gateways: usize) -> Deployment {
         Deployment::with_hosts(test, gateways, harness::listing(&[]))
     }
@@ -120,17 +120,17 @@
         let folder = std::env::temp_dir().join(format!("dunemount-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let own = own_address();
-        // All ports are bound until each process has its own.
+        // All ports stay bound until each process has been given its own.
         let datagrams: Vec<UdpSocket> = (0..CONTROL_SERVERS + gateways)
             .map(|_| UdpSocket::bind((own, 0)).expect("a free port"))
             .collect();
         let streams: Vec<TcpListener> = (0..CONTROL_SERVERS + 2 * gateways).map(|_| listener(own)).collect();
         let datagrams_at = |index: usize| datagrams[index].local_addr().expect("bound").to_string();
         let stream_at = |index: usize| streams[index].local_addr().expect("bound");
-        let places =
+        let server_list =
             |form: &dyn Fn(usize) -> String| (0..CONTROL_SERVERS).map(form).collect::<Vec<_>>().join(", ");
-        let voters = places(&|index| format!("c-{index}@{}", datagrams_at(index)));
-        let machines = places(&|index| format!("zone-{index}/c-{index}@{}", stream_at(index)));
+        let voters = server_list(&|index| format!("c-{index}@{}", datagrams_at(index)));
+        let machines = server_list(&|index| format!("zone-{index}/c-{index}@{}", stream_at(index)));
         for index in 0..CONTROL_SERVERS + gateways {
             let path = |kind: &str| folder.join(format!("{kind}-{index}")).display().to_string();
             let ini = format!(
@@ -143,12 +143,12 @@
             );
             std::fs::write(folder.join(format!("{index}.ini")), ini).expect("written");
         }
-        let back: Vec<&str> = machines.rsplit(", ").collect();
+        let reversed: Vec<&str> = machines.rsplit(", ").collect();
         let ini = format!(
             "[fleet]\nname = {test}\nlisten = {own}:0\nvoters = {voters}\n[control]\nmachines = {}\n",
-            back.join(", ")
+            reversed.join(", ")
         );
-        std::fs::write(folder.join("back.ini"), ini).expect("written");
+        std::fs::write(folder.join("reversed.ini"), ini).expect("written");
         let discoveries: Vec<Discovery> = (0..gateways).map(|_| Discovery::start()).collect();
         let mut addresses = Vec::new();
         for (index, discovery) in discoveries.iter().enumerate() {
@@ -174,14 +174,14 @@
         deployment
     }
 
-    /// The program with the settings of a process.
-    fn dunemount(&self, what: &[&str], index: usize) -> Command {
-        self.with_settings(what, &format!("{index}.ini"))
+    /// A command that runs the program with the settings file of a process.
+    fn dunemount(&self, args: &[&str], index: usize) -> Command {
+        self.with_settings(args, &format!("{index}.ini"))
     }
 
-    fn with_settings(&self, what: &[&str], settings: &str) -> Command {
+    fn with_settings(&self, args: &[&str], settings: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
-        command.args(what).arg("--settings").arg(self.folder.join(settings));
+        command.args(args).arg("--settings").arg(self.folder.join(settings));
         for variable in ["GW_CONFIG", "GW_SETTINGS", "GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"]
         {
             command.env_remove(variable);
@@ -190,12 +190,12 @@
         command
     }
 
-    /// The system faults that a process meets.
+    /// The system faults that are injected into a process.
     pub fn faults(&self, index: usize) -> Faults {
         Faults::at(&self.folder.join(format!("faults-{index}")))
     }
 
-    /// Starts a process, whose log is continued.
+    /// Starts a process; its log is appended to that of earlier starts.
     pub fn start(&mut self, index: usize) {
         let mut command = match index < CONTROL_SERVERS {
             true => self.dunemount(&["fleet", "control", "--name", &format!("c-{index}")], index),
@@ -208,14 +208,15 @@
     fn serve(&self, index: usize) -> Command {
         let mut command = self.dunemount(&["serve"], index);
         command.arg("--config").arg(self.folder.join(format!("{index}.json")));
-        // The successor of a process finds it there.
+        // The process and its successor share this folder for the handover socket.
         let shared = self.folder.join(format!("shared-{index}"));
         std::fs::create_dir_all(&shared).expect("a folder");
         command.env("TMPDIR", shared);
         command
     }
 
-    /// Starts the successor of a gateway's process, which counts as a gateway with an admin interface of its own.
+    /// Starts the successor of a gateway's process. It gets an index among the gateways, which is returned, and an
+    /// admin interface of its own.
     pub fn start_successor(&mut self, gateway: usize) -> usize {
         let admin = listener(self.addresses[gateway].admin.ip()).local_addr().expect("bound");
         let mut command = self.serve(CONTROL_SERVERS + gateway);
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Ends a process by a signal; whether it was successful.
+    /// Ends a process by a signal. Returns whether its exit status was success.
     pub fn end_process(&mut self, index: usize) -> bool {
         self.signal(index, Signal::TERM);
         self.processes[index].child.take().expect("there").wait().expect("it ends").success()
@@ -295,9 +296,9 @@
     }
 
     /// Runs `fleet config` with these arguments and a settings file.
-    pub fn config(&self, what: &[&str], settings: &str) -> Output {
-        let words: Vec<&str> = ["fleet", "config"].iter().chain(what).copied().collect();
-        self.with_settings(&words, settings).output().expect("it runs")
+    pub fn config(&self, subcommand: &[&str], settings: &str) -> Output {
+        let args: Vec<&str> = ["fleet", "config"].iter().chain(subcommand).copied().collect();
+        self.with_settings(&args, settings).output().expect("it runs")
     }
 
     /// Proposes a document: its version number, or the error.
@@ -310,14 +311,14 @@
         let path = self.folder.join(format!("put-{}.json", FILES.fetch_add(1, Ordering::SeqCst)));
         std::fs::write(&path, format!("{document:#}")).expect("written");
         let output = self.config(&["put", path.to_str().expect("a path")], settings);
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
         match output.status.success() {
-            true => Ok(number(&said).expect("a version")),
+            true => Ok(number(&stdout).expect("a version")),
             false => Err(String::from_utf8_lossy(&output.stderr).into_owned()),
         }
     }
 
-    /// Proposes a document again and again until it is accepted.
+    /// Retries to propose a document until it is accepted. Returns its version number.
     pub fn propose_until_accepted(&self, document: &Value) -> u64 {
         let began = Instant::now();
         loop {
@@ -351,12 +352,12 @@
     /// The configuration status of a gateway, by its admin interface.
     pub fn configuration_status(&self, gateway: usize) -> Value {
         let Ok(mut admin) = TcpStream::connect(self.addresses[gateway].admin) else { return Value::Null };
-        let mut said = String::new();
+        let mut response = String::new();
         let sent = admin.write_all(b"GET /ops/fleet HTTP/1.1\r\nHost: x\r\n\r\n");
-        if sent.and_then(|()| admin.read_to_string(&mut said)).is_err() {
+        if sent.and_then(|()| admin.read_to_string(&mut response)).is_err() {
             return Value::Null;
         }
-        let body = said.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
+        let body = response.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
         let status: Value = serde_json::from_str(body).unwrap_or_default();
         status["configuration"].clone()
     }
@@ -385,7 +386,7 @@
         lines.map(|line| number(line).expect("a version")).collect()
     }
 
-    /// Ends a successful test: no gateway has gone back, and the folder is removed.
+    /// Ends a successful test: checks that no gateway went back to an older version, and removes the folder.
     pub fn end(mut self) {
         for gateway in 0..self.addresses.len() {
             let versions = self.versions_in_force(gateway);
@@ -406,7 +407,7 @@
     }
 }
 
-/// The number behind the word `version` or `version:`.
+/// The number after the word `version` or `version:`.
 fn number(text: &str) -> Option<u64> {
     text.split("version").skip(1).find_map(|rest| {
         let rest = rest.trim_start_matches([':', ' ']);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades: two gateways at one address, the line between them, and starts without a peer.
+//! Tests of hot restarts: two processes of a gateway at one address, the handover socket between them, and starts
+//! without a previous process.
 
 mod harness;
 
@@ -17,36 +18,37 @@
 use harness::stage::{cancel, with_key};
 use harness::{figure, get, order, read, write, Harness};
 
-/// However busy the machine, a peer in the same process answers within this.
-const LONG: Duration = Duration::from_secs(60);
+/// Longest wait for an answer of another thread of the test, also on a busy machine.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A path of this test's own.
-fn path(test: &str) -> PathBuf {
+/// A path that only this test uses.
+fn socket_path(test: &str) -> PathBuf {
     std::env::temp_dir().join(format!("dunemount-{test}-{}.line", std::process::id()))
 }
 
-fn follow(path: &Path) -> Harness {
+/// Starts the successor of the process that listens at a path.
+fn start_successor(path: &Path) -> Harness {
     Harness::beside(
         200,
         Some(path.to_path_buf()),
-        Some(handover_socket::take_over(path, LONG).expect("handed over")),
+        Some(handover_socket::take_over(path, HANDOVER_TIMEOUT).expect("handed over")),
     )
 }
 
-/// Guards clients through an upgrade: one that was idle goes on at the next process on the same
-/// connection, half a command included, one that was owed an answer gets it first, and new ones meet no
-/// refusal. Then the old process ends by itself.
+/// Guards clients during a hot restart: an idle client continues at the successor on the same connection, even after
+/// half a command; one that waits for an answer gets it before it is handed over; and new clients are accepted. Then
+/// the previous process ends by itself.
 #[test]
-fn clients_go_over_to_the_next_process() {
-    let at = path("clients");
-    let mut old = Harness::beside(200, Some(at.clone()), None);
+fn clients_are_handed_over_to_the_successor() {
+    let path = socket_path("clients");
+    let mut old = Harness::beside(200, Some(path.clone()), None);
     let (mut idle, mut half, mut busy) = (old.client(), old.client(), old.client());
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
     busy.ask(&read("held"));
     while !old.heard.recv().expect("heard").contains("'held'") {}
     half.socket.write_all(b"Q\0\0").expect("written");
-    let new = follow(&at);
+    let new = start_successor(&path);
     assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
@@ -57,27 +59,27 @@
     fresh.ask(&read("k"));
     assert_eq!(fresh.answer().len(), 4);
     old.stop.write_all(&[1]).expect("told");
-    assert!(!old.gateway.is_finished(), "it still owes an answer");
+    assert!(!old.gateway.is_finished(), "a request is still in flight");
     old.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     old.gateway.join().expect("it ends by itself");
     busy.ask(&read("k"));
-    assert_eq!(busy.answer().len(), 4, "it has gone over as well");
+    assert_eq!(busy.answer().len(), 4, "this client has been handed over as well");
     assert_eq!(figure(new.admin, "responses.look.ok"), 3);
     new.end();
 }
 
-/// Guards a cancel that meets an upgrade: it arrives at the next process, whose the listener is, while the request is
-/// still the old one's; and once the client has gone over its key goes on to count.
+/// Guards a cancel request during a hot restart: it arrives at the successor, which has the listener, while the
+/// previous process still has the request. The client's key stays valid after the client was handed over.
 #[test]
-fn a_cancel_finds_its_request_on_both_sides_of_an_upgrade() {
-    let at = path("cancels");
-    let old = Harness::beside(200, Some(at.clone()), None);
+fn a_cancel_reaches_its_request_in_both_processes() {
+    let path = socket_path("cancels");
+    let old = Harness::beside(200, Some(path.clone()), None);
     let (mut client, key) = with_key(&old);
     client.ask(&read("held"));
     while !old.heard.recv().expect("heard").contains("'held'") {}
-    let new = follow(&at);
-    // The old process has heard that the next one takes clients: it accepts nobody any more.
+    let new = start_successor(&path);
+    // The previous process has received the message that the successor accepts clients, and accepts none any more.
     while !get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 ") {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
@@ -93,39 +95,40 @@
     new.end();
 }
 
-/// Guards clients against a next process that dies or says nothing at any point of the hand-over: before it has read
-/// the state, after it, or once it has said that it takes clients. The old one goes on to serve, and hands over again.
+/// Guards clients against a successor that dies or stops at any point of the handover: before it has read the state,
+/// after that, or once it has reported that it accepts clients. The previous process continues to serve, and hands over
+/// again.
 #[test]
-fn a_next_process_that_dies_at_any_message_costs_nobody() {
-    let at = path("dying");
-    let old = Harness::beside(200, Some(at.clone()), None);
+fn a_successor_that_dies_at_any_message_affects_no_client() {
+    let path = socket_path("dying");
+    let old = Harness::beside(200, Some(path.clone()), None);
     let mut client = old.client();
     for message in 0..3 {
-        let stand_in = match message {
+        let successor = match message {
             0 => {
-                // It calls and is gone before a word.
-                let place = rustix::net::SocketAddrUnix::new(&at).expect("a path");
+                // It connects, and closes the connection before any message.
+                let address = rustix::net::SocketAddrUnix::new(&path).expect("a path");
                 let (family, kind) = (rustix::net::AddressFamily::UNIX, rustix::net::SocketType::SEQPACKET);
                 let socket = rustix::net::socket(family, kind, None).expect("a socket");
-                rustix::net::connect(&socket, &place).expect("it waits there");
+                rustix::net::connect(&socket, &address).expect("a process listens there");
                 None
             }
-            _ => Some(handover_socket::take_over(&at, LONG).expect("handed over")),
+            _ => Some(handover_socket::take_over(&path, HANDOVER_TIMEOUT).expect("handed over")),
         };
-        if let Some(mut next) = stand_in {
-            // It stands still: clients are served meanwhile.
+        if let Some(mut next) = successor {
+            // The successor does nothing: the previous process serves clients meanwhile.
             client.ask(&read("k"));
             assert_eq!(client.answer().len(), 4, "{message}");
             if message == 2 {
-                next.socket.send(&Message::Ready, None).expect("told");
-                // Its death is told on the line behind that word.
+                next.socket.send(&Message::Ready, None).expect("sent");
+                // The end of the connection follows that message on the socket.
             }
         }
         let mut other = old.client();
         other.ask(&read("k"));
         assert_eq!(other.answer().len(), 4, "{message}");
     }
-    let new = follow(&at);
+    let new = start_successor(&path);
     client = new.client();
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
@@ -133,14 +136,14 @@
     new.end();
 }
 
-/// Guards hosts put down by hand: what is put down outlives the process that took it, and a word at either admin interface of
-/// two counts at both.
+/// Guards hosts that are administratively down: the state outlives the process that received the command, and a command
+/// at the admin interface of either process takes effect at both.
 #[test]
-fn bans_hold_at_both_processes() {
-    let at = path("bans");
-    let old = Harness::beside(200, Some(at.clone()), None);
+fn hosts_put_down_are_down_at_both_processes() {
+    let path = socket_path("bans");
+    let old = Harness::beside(200, Some(path.clone()), None);
     assert!(order(old.admin, "down", "s-1"));
-    let new = follow(&at);
+    let new = start_successor(&path);
     assert_eq!(figure(new.admin, "pool_ejected"), 1);
     assert!(order(old.admin, "down", "s-2"));
     while figure(new.admin, "pool_ejected") != 2 {}
@@ -148,34 +151,34 @@
     assert!(order(new.admin, "up", "s-1"));
     assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
     new.end();
-    // Nobody is left to take over from, and what is still down stays down.
-    let alone = Harness::beside(200, Some(at.clone()), None);
+    // There is no process to take over from, and a host that was not put up again stays down.
+    let alone = Harness::beside(200, Some(path.clone()), None);
     assert_eq!(figure(alone.admin, "pool_ejected"), 1);
     assert!(order(alone.admin, "up", "s-2"));
     alone.end();
-    let after = Harness::beside(200, Some(at.clone()), None);
+    let after = Harness::beside(200, Some(path.clone()), None);
     assert_eq!(figure(after.admin, "pool_ejected"), 0);
     after.end();
-    std::fs::remove_file(at.with_extension("down")).expect("removed");
+    std::fs::remove_file(path.with_extension("down")).expect("removed");
 }
 
-/// Guards several upgrades in a row, and an upgrade that fails: when the next process ends early, the
-/// one before serves again and hands over to another.
+/// Guards several hot restarts in a row, and one that fails: if the successor ends early, the previous process serves
+/// again and hands over to another successor.
 #[test]
-fn a_process_that_follows_may_fail_and_another_come() {
-    let at = path("row");
-    let first = Harness::beside(200, Some(at.clone()), None);
-    let failed = handover_socket::take_over(&at, LONG).expect("handed over");
+fn another_successor_takes_over_after_one_has_failed() {
+    let path = socket_path("row");
+    let first = Harness::beside(200, Some(path.clone()), None);
+    let failed = handover_socket::take_over(&path, HANDOVER_TIMEOUT).expect("handed over");
     drop(failed);
-    let second = follow(&at);
+    let second = start_successor(&path);
     second.end();
     // The second has ended: the first accepts again, and waits for the next.
     let mut client = first.client();
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
     let third = loop {
-        match handover_socket::take_over(&at, LONG) {
-            Ok(inherited) => break Harness::beside(200, Some(at.clone()), Some(inherited)),
+        match handover_socket::take_over(&path, HANDOVER_TIMEOUT) {
+            Ok(inherited) => break Harness::beside(200, Some(path.clone()), Some(inherited)),
             Err(_) => std::thread::yield_now(),
         }
     };
@@ -185,45 +188,47 @@
     third.end();
 }
 
-/// Guards starts without a sound peer: nobody there, one that died and left its path, one that says
-/// nothing and one that says nonsense. None holds a start up for longer than its patience.
+/// Guards starts without a working previous process: none at all, one that died and left its socket, one that sends
+/// nothing and one that sends an unexpected message. None delays a start for longer than the timeout.
 #[test]
-fn a_missing_or_broken_peer_stops_no_start() {
-    let at = path("alone");
-    let soon = Duration::from_millis(50);
-    assert!(handover_socket::take_over(&at, soon).is_err(), "nobody");
-    drop(handover_socket::listen(&at).expect("a path"));
-    assert!(handover_socket::take_over(&at, soon).is_err(), "left behind by a process that died");
-    let silent = handover_socket::listen(&at).expect("the path is taken over");
-    assert!(handover_socket::take_over(&at, soon).is_err(), "silent");
-    let (called, ended) = std::sync::mpsc::channel();
-    let caller = at.clone();
-    std::thread::spawn(move || called.send(handover_socket::take_over(&caller, LONG).is_err()));
-    // The silent call still waits in front.
+fn a_missing_or_broken_previous_process_prevents_no_start() {
+    let path = socket_path("alone");
+    let short_timeout = Duration::from_millis(50);
+    assert!(handover_socket::take_over(&path, short_timeout).is_err(), "no process");
+    drop(handover_socket::listen(&path).expect("a path"));
+    assert!(handover_socket::take_over(&path, short_timeout).is_err(), "left behind by a process that died");
+    let silent = handover_socket::listen(&path).expect("the path is taken over");
+    assert!(handover_socket::take_over(&path, short_timeout).is_err(), "silent");
+    let (result_sender, result) = std::sync::mpsc::channel();
+    let successor_path = path.clone();
+    std::thread::spawn(move || {
+        result_sender.send(handover_socket::take_over(&successor_path, HANDOVER_TIMEOUT).is_err())
+    });
+    // The connection of the earlier call is still the first in the queue.
     for _ in 0..2 {
-        let mut line = loop {
+        let mut socket = loop {
             match HandoverSocket::accept(&silent) {
-                Ok(line) => break line,
+                Ok(socket) => break socket,
                 Err(_) => std::thread::yield_now(),
             }
         };
-        let _ = line.send(&Message::Ready, None);
+        let _ = socket.send(&Message::Ready, None);
     }
-    assert!(ended.recv().expect("it gave up"), "no snapshot");
-    std::fs::remove_file(at).expect("removed");
+    assert!(result.recv().expect("it returns"), "no snapshot");
+    std::fs::remove_file(path).expect("removed");
 }
 
-/// Guards hand-overs between versions: a client of a process that told no arrivals is taken, and one that reads none
-/// passes over them.
+/// Guards handovers between versions: the message of a process that sends no arrivals is understood, and a process that
+/// reads no arrivals ignores them.
 #[test]
-fn a_client_goes_over_between_versions_that_tell_arrivals_and_that_do_not() {
+fn a_client_is_handed_over_between_versions_with_and_without_arrivals() {
     #[derive(serde::Deserialize)]
     enum Earlier {
         Client { greeted: bool, asked: bool, bytes: Vec<u8> },
     }
-    let told = r#"{"Client":{"greeted":true,"asked":false,"bytes":[81]}}"#;
+    let json = r#"{"Client":{"greeted":true,"asked":false,"bytes":[81]}}"#;
     let Ok(Message::Client { greeted: true, has_queried: false, bytes, key, arrivals }) =
-        serde_json::from_str(told)
+        serde_json::from_str(json)
     else {
         panic!("an earlier version's client is not understood")
     };
@@ -231,37 +236,39 @@
     let arrivals = vec![Arrival(Micros(7), 2), Arrival(Micros(9), 1)];
     let key = CancelKey { process: 3, secret: 4 };
     let message = Message::Client { greeted: true, has_queried: true, bytes: vec![81, 0], key, arrivals };
-    let told = serde_json::to_string(&message).expect("text");
+    let json = serde_json::to_string(&message).expect("JSON");
     let Earlier::Client { greeted, asked, bytes } =
-        serde_json::from_str(&told).expect("understood by an earlier version");
+        serde_json::from_str(&json).expect("understood by an earlier version");
     assert_eq!((greeted, asked, bytes), (true, true, vec![81, 0]));
-    let Ok(Message::Client { arrivals, .. }) = serde_json::from_str(&told) else { panic!("not understood") };
+    let Ok(Message::Client { arrivals, .. }) = serde_json::from_str(&json) else { panic!("not understood") };
     assert_eq!(arrivals, [Arrival(Micros(7), 2), Arrival(Micros(9), 1)]);
 }
 
-/// Guards the order and wholeness of what is told: long messages arrive whole, sockets with the message
-/// that they belong to, also where the other end reads late.
+/// Guards the order and completeness of messages: long messages arrive complete, and descriptors with the message that
+/// they belong to, even if the other end reads late.
 #[test]
-fn a_line_keeps_messages_whole_and_in_order() {
-    let at = path("order");
-    let waits = handover_socket::listen(&at).expect("a path");
-    let (caller, long) = (at.clone(), "x".repeat(300_000));
-    let reader = std::thread::spawn(move || handover_socket::take_over(&caller, LONG).err());
-    let mut line = loop {
-        match HandoverSocket::accept(&waits) {
-            Ok(line) => break line,
+fn a_handover_socket_keeps_messages_whole_and_in_order() {
+    let path = socket_path("order");
+    let listener = handover_socket::listen(&path).expect("a path");
+    let (successor_path, long) = (path.clone(), "x".repeat(300_000));
+    let reader =
+        std::thread::spawn(move || handover_socket::take_over(&successor_path, HANDOVER_TIMEOUT).err());
+    let mut handover = loop {
+        match HandoverSocket::accept(&listener) {
+            Ok(handover) => break handover,
             Err(_) => std::thread::yield_now(),
         }
     };
-    // A first message other than a snapshot ends the call; what was sent is still whole on this side.
+    // The other end closes the connection at a first message that is no snapshot; this end sends until it
+    // detects that.
     let (socket, mut other) = UnixStream::pair().expect("a pair");
     let down = Message::SetDown { host: long, down: true };
-    line.send(&down, Some(OwnedFd::from(socket))).expect("sent");
+    handover.send(&down, Some(OwnedFd::from(socket))).expect("sent");
     let commit = Message::Commit { group: GroupId(1), session: SessionKey(u64::MAX), commit: Micros(7) };
-    while line.send(&commit, None).is_ok() && line.has_pending_output() {
-        line.flush().unwrap_or_default();
+    while handover.send(&commit, None).is_ok() && handover.has_pending_output() {
+        handover.flush().unwrap_or_default();
     }
     assert!(reader.join().expect("it returns").is_some());
-    assert!(other.write_all(&[0; 1 << 20]).is_err(), "the socket went over and was closed there");
-    std::fs::remove_file(at).expect("removed");
+    assert!(other.write_all(&[0; 1 << 20]).is_err(), "the descriptor was received and closed there");
+    std::fs::remove_file(path).expect("removed");
 }
