--- a/src/startup.rs
+++ b/src/startup.rs
@@ -178,7 +178,7 @@
     fn into_event_loop_parts(
         self,
         addresses: &Addresses,
-        shared_status: Option<SharedStatus>,
+        fleet: Option<SharedStatus>,
     ) -> (Config, ConfigSource) {
         let InitialConfig { loaded, active, zones, file_text, version, .. } = self.initial;
         let config = Config {
@@ -194,7 +194,7 @@
             text: active.text().to_string(),
             handover_path: self.takeover.socket_path,
             predecessor: self.takeover.state,
-            fleet: shared_status,
+            fleet,
         };
         let source = ConfigSource {
             path: self.path,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -165,8 +165,8 @@
     }
 
     fn signal(&self, index: usize, signal: Signal) {
-        let child = self.processes[index].as_ref().expect("there");
-        kill_process(Pid::from_child(child), signal).expect("its own child");
+        let child = self.processes[index].as_ref().expect("a running process");
+        kill_process(Pid::from_child(child), signal).expect("the signal is sent");
     }
 
     /// The output of `fleet status` for a gateway.
@@ -247,7 +247,7 @@
     let mut fleet = Fleet::start_all(3, "voters");
     let (_, epoch) = fleet.wait_for_acquisition(0);
     fleet.kill(1);
-    std::fs::remove_file(fleet.directory.join("voter-1")).expect("it was there");
+    std::fs::remove_file(fleet.directory.join("voter-1")).expect("the file exists");
     fleet.start(1);
     fleet.wait_for_line(|index, line| index == 1 && line.contains("fleet: the voter has been admitted"));
     (0..3).for_each(|index| fleet.kill(index));
@@ -276,7 +276,7 @@
         (holder, held) = fleet.holder_after(held);
     };
     fleet.holder_after(released_epoch);
-    let mut child = fleet.processes[holder].take().expect("there");
+    let mut child = fleet.processes[holder].take().expect("a running process");
     assert!(child.wait().expect("it ends").success());
     fleet.end();
 }
@@ -395,7 +395,7 @@
         for _ in 0..2 {
             // The process is killed while the holder stores the renewal of its lease.
             fleet.faults[holder].set(fault);
-            let mut child = fleet.processes[holder].take().expect("there");
+            let mut child = fleet.processes[holder].take().expect("a running process");
             assert!(!child.wait().expect("killed").success(), "{fault}");
             fleet.faults[holder].set("");
             let (_, epoch) = fleet.other_holder_after(holder, last_epoch);
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -18,16 +18,16 @@
 /// its address. A SIGHUP does not drop the version.
 #[test]
 fn a_proposed_version_is_in_force_everywhere() {
-    let (said, heard) = channel();
+    let (attempt_sender, attempts) = channel();
     let mood = Arc::new(Mood::default());
-    let host = harness::toy_host(0, said, mood.clone());
+    let host = harness::toy_host(0, attempt_sender, mood.clone());
     let deployment = Deployment::with_hosts("rollout-all", 3, harness::listing(&[host]));
     deployment.wait_until("a first watch of each gateway", |deployment| {
         deployment.discoveries.iter().all(|own| own.watches() > 0)
     });
     let mut client = Talk::to(deployment.addresses[0].clients);
     client.ask(&read("held"));
-    heard.recv().expect("the attempt is out");
+    attempts.recv().expect("the attempt is sent");
 
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force(0..3, 1);
@@ -130,7 +130,7 @@
     own["settings"]["Safety"]["OnlyHere"] = json!(1);
     std::fs::write(&path, own.to_string()).expect("written");
     std::fs::remove_file(deployment.folder.join(format!("kept-{}", CONTROL_SERVERS + 1)))
-        .expect("it was there");
+        .expect("the file exists");
     deployment.start(CONTROL_SERVERS + 1);
     deployment.wait_until("it rejects the version", |deployment| {
         deployment.configuration_status(1)["refused"]["version"] == 1
@@ -394,7 +394,7 @@
     for damaged in [None, Some(&complete[..complete.len() - 1]), Some(b"{}"), Some(b"")] {
         deployment.kill(CONTROL_SERVERS);
         match damaged {
-            None => std::fs::remove_file(&version_file).expect("it was there"),
+            None => std::fs::remove_file(&version_file).expect("the file exists"),
             Some(bytes) => std::fs::write(&version_file, bytes).expect("written"),
         }
         deployment.start(CONTROL_SERVERS);
--- a/tests/rollout_deployment/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -234,7 +234,7 @@
             let log = log.clone();
             std::thread::spawn(move || {
                 for line in BufReader::new(output).lines().map_while(Result::ok) {
-                    log.lock().expect("its own").push(line);
+                    log.lock().expect("no panic").push(line);
                 }
             });
         };
@@ -244,14 +244,14 @@
     }
 
     pub fn signal(&self, index: usize, signal: Signal) {
-        let child = self.processes[index].child.as_ref().expect("there");
-        kill_process(Pid::from_child(child), signal).expect("its own child");
+        let child = self.processes[index].child.as_ref().expect("a running process");
+        kill_process(Pid::from_child(child), signal).expect("the signal is sent");
     }
 
     /// Whether a process has ended by itself.
     pub fn has_ended(&mut self, index: usize) -> bool {
         let child = self.processes[index].child.as_mut();
-        child.is_none_or(|child| child.try_wait().expect("its own child").is_some())
+        child.is_none_or(|child| child.try_wait().expect("a child process").is_some())
     }
 
     pub fn kill(&mut self, index: usize) {
@@ -264,26 +264,26 @@
     /// Ends a process by a signal. Returns whether its exit status was success.
     pub fn end_process(&mut self, index: usize) -> bool {
         self.signal(index, Signal::TERM);
-        self.processes[index].child.take().expect("there").wait().expect("it ends").success()
+        self.processes[index].child.take().expect("a running process").wait().expect("it ends").success()
     }
 
     /// The lines that a process has logged so far.
     pub fn log(&self, index: usize) -> Vec<String> {
-        self.processes[index].log.lock().expect("its own").clone()
+        self.processes[index].log.lock().expect("no panic").clone()
     }
 
     /// Waits until a condition holds.
-    pub fn wait_until(&self, what: &str, condition: impl Fn(&Deployment) -> bool) {
+    pub fn wait_until(&self, description: &str, condition: impl Fn(&Deployment) -> bool) {
         let began = Instant::now();
         while !condition(self) {
             if began.elapsed() > TIMEOUT {
                 for (index, process) in self.processes.iter().enumerate() {
-                    for line in process.log.lock().expect("its own").iter().rev().take(12).rev() {
+                    for line in process.log.lock().expect("no panic").iter().rev().take(12).rev() {
                         eprintln!("{index}: {line}");
                     }
                 }
                 eprintln!("{}", self.status());
-                panic!("timed out waiting for: {what}");
+                panic!("timed out waiting for: {description}");
             }
             std::thread::sleep(POLL_INTERVAL);
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -53,12 +53,12 @@
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
     half.socket.write_all(b"\0\x05\0").expect("written");
-    assert_eq!(half.answer().first().map(|frame| frame.tag), Some(b'I'), "the empty query is whole");
+    assert_eq!(half.answer().first().map(|frame| frame.tag), Some(b'I'), "the empty query is complete");
     while figure(new.admin, "responses.look.ok") < 1 {}
     let mut fresh = old.client();
     fresh.ask(&read("k"));
     assert_eq!(fresh.answer().len(), 4);
-    old.stop.write_all(&[1]).expect("told");
+    old.stop.write_all(&[1]).expect("sent");
     assert!(!old.gateway.is_finished(), "a request is still in flight");
     old.mood.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
