--- a/crates/mailbox/src/lib.rs
+++ b/crates/mailbox/src/lib.rs
@@ -6,8 +6,8 @@
 //! Two kinds of messages share one queue, so that they stay in the order in which they were sent:
 //!
 //! - requests, by [`Mailbox::try_send`]: no more than a fixed number of them are queued;
-//! - messages that the owner has requested before, by [`Mailbox::send`]: never rejected. Their number is bounded by that of
-//!   the owner's requests, and [`Mailbox::stats`] shows the most messages that were ever queued.
+//! - messages that the owner has requested before, by [`Mailbox::send`]: never rejected. Their number is bounded by that
+//!   of the owner's requests, and [`Mailbox::stats`] shows the most messages that were ever queued.
 //!
 //! An owner that is about to sleep calls [`Mailbox::prepare_sleep`]; the first message after that wakes it, later ones
 //! do not, since a wake-up is a system call.
--- a/src/bin/dunemount-benchlink.rs
+++ b/src/bin/dunemount-benchlink.rs
@@ -244,7 +244,7 @@
     }
 
     fn instance(&mut self, who: u64) -> Result<&mut Instance, String> {
-        self.instances.get_mut(&who).ok_or_else(|| format!("Who: instance {who} has not been launched"))
+        self.instances.get_mut(&who).ok_or_else(|| format!("Who: instance {who} is not running"))
     }
 
     /// Translates an event of the protocol. Returns the instance and its event, or none if the event is not for a
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -372,7 +372,8 @@
     let shown = deployment.config(&["show", "--number", &(first + 19).to_string()], "0.ini");
     assert_eq!(serde_json::from_slice::<Value>(&shown.stdout).expect("the one before"), document(19));
     assert!(!deployment.config(&["show", "--number", "1"], "0.ini").status.success(), "no longer stored");
-    // A gateway counts a version before it logs that the version is in force.
+    // A gateway counts a version before it logs that the version is in force. The configuration file that it was
+    // started with, before the first version, is not counted.
     for gateway in 0..4 {
         let versions = deployment.versions_in_force(gateway);
         assert!(versions.is_sorted_by(|a, b| a < b), "{versions:?}");
