--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -269,15 +269,15 @@
             if let Some(number) = number.filter(|number| state.record_version(*number, true)) {
                 let _ = self.reports.send(Report::VersionInForce { gateway: self.gateway, number, at });
             }
-        } else if line.contains("config: hears a control machine") {
+        } else if line.contains("config: following a control machine") {
             let server = log_value(line, "machine").and_then(self.index_parsers[1]);
             state.record_server(self.gateway, server, at, &self.reports);
         }
         let tracker = &mut state.tracker;
         let member = || log_value(line, "member").and_then(self.index_parsers[0]);
-        if line.contains("fleet: member came") {
+        if line.contains("fleet: member up") {
             member().into_iter().for_each(|other| tracker.member_joined(other, unix_ms()));
-        } else if line.contains("fleet: member went") {
+        } else if line.contains("fleet: member down") {
             member().into_iter().for_each(|other| tracker.member_left(other, None));
         } else if line.contains("configuration read anew") {
             tracker.configuration_read();
