--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,7 +1,7 @@
-//! One event loop over all sockets of a worker. It carries out what the balancer decides and decides nothing itself.
+//! The event loop over all sockets of a worker. It carries out the balancer's decisions and makes none itself.
 //!
-//! The state of connections, timers, mailboxes and processes lies in modules that know nothing of the [`Gateway`]. It
-//! drives them from one module for each concern.
+//! The state of connections, timers, mailboxes and other processes is in modules that do not use the [`Gateway`]. The
+//! methods of the [`Gateway`] that act on this state are in one module for each concern.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -13,7 +13,7 @@
 use polling::{Event, Poller};
 use slog::{error, info, Drain, Logger};
 
-// State.
+// Modules with state, which do not use the gateway.
 mod admin_session;
 mod client_admission;
 mod client_connection;
@@ -26,7 +26,7 @@
 mod timers;
 mod traffic_counts;
 
-// What drives it.
+// Modules with methods of the gateway.
 mod admin;
 mod clients;
 mod config;
@@ -65,37 +65,37 @@
 use crate::request::InFlightRequests;
 use crate::{Micros, RequestId};
 
-/// The loop has slept if it waited for so long.
-const SLEPT: Micros = Micros::millis(1);
-/// Most outputs of the balancer and clients in one iteration.
+/// The loop counts as having slept if the wait for events took at least this long.
+const MIN_SLEEP: Micros = Micros::millis(1);
+/// Largest number of balancer outputs and clients that are processed in one pass over what is pending.
 const MAX_STEPS: usize = 100_000;
 
-/// How far the process has come in its life.
+/// The phase of the process between its start and its end.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// It has got the signal to end, and still accepts clients that come meanwhile.
+    /// The process has received the shutdown signal and still accepts new clients.
     HandingOver,
-    /// It only answers what it has taken.
+    /// The process only answers the requests that it has already accepted.
     Closing,
 }
 
-/// A worker of the gateway: its sockets, and the requests that it owes an answer.
+/// A worker of the gateway: its sockets and its requests in flight.
 pub struct Gateway {
     log: Logger,
-    /// Which worker this is. The first has the listener, discovery, the admin interface and the handover socket.
+    /// Index of this worker. The first worker has the listener, discovery, the admin interface and the handover socket.
     this_worker: usize,
     workers: Arc<Workers>,
     received_messages: VecDeque<WorkerMessage>,
-    /// Requests that other workers' clients await from this one.
+    /// Requests of other workers' clients that this worker decides.
     remote_requests: BTreeMap<Owner, RequestId>,
     clock: Clock,
-    /// The time of this iteration.
+    /// The time at which this iteration began, read after the wait for events.
     now: Micros,
     poller: Arc<Poller>,
     connections: Connections,
     timers: Timers,
-    /// Clients whose next query may be looked at.
+    /// Clients whose buffered input may hold a query to process.
     ready_clients: VecDeque<ConnectionId>,
     read_buffer: Vec<u8>,
     pool: Pool<ConnectionId>,
@@ -106,32 +106,32 @@
     directory: Directory,
     metrics: Metrics,
     counts: TrafficCounts,
-    /// Of the first worker alone.
+    /// Only set on the first worker.
     signals: Option<Signals>,
-    /// The text of the configuration in force.
+    /// The text of the configuration in force; kept by the first worker only.
     config_text: String,
     admission: ClientAdmission,
     admin: AdminInterface,
     hot_restart: HotRestart,
     discovery: DiscoveryWatch,
     phase: Phase,
-    /// While the process ends: when all is answered.
+    /// Set during shutdown: the time by which all requests are answered.
     final_answers_by: Option<Micros>,
 }
 
 impl Gateway {
-    /// Where clients connect.
+    /// The address on which clients connect. None on workers without the listener.
     pub fn address(&self) -> Option<SocketAddr> {
         self.admission.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Where operators connect.
+    /// The address on which operators connect. None if there is no admin interface.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Serves with all workers, each on a thread of its own and the first on this one. One that ends before
-    /// its time ends all: half of the groups without anybody to decide for them is worse than a restart.
+    /// Runs all workers, each on its own thread and the first on the calling thread. A worker that fails ends all of
+    /// them: each group is decided by one worker, and a restart is better than a gateway that cannot serve some groups.
     pub fn run_all(gateways: Vec<Gateway>) -> io::Result<()> {
         std::thread::scope(|scope| {
             let mut gateways = gateways.into_iter();
@@ -146,19 +146,19 @@
         })
     }
 
-    /// Runs to its end; the others learn of one that comes too soon.
+    /// Runs this worker until it ends. If it fails or panics, the other workers are told to end.
     fn run_worker(mut self) -> io::Result<()> {
         let workers = self.workers.clone();
         let result = catch_unwind(AssertUnwindSafe(|| self.run()))
             .unwrap_or_else(|_| Err(io::Error::other("a worker panicked")));
         if let Err(e) = &result {
-            error!(self.log, "worker ends"; "error" => %e);
+            error!(self.log, "worker failed, ending all workers"; "error" => %e);
             workers.on_worker_death();
         }
         result
     }
 
-    /// Serves until a signal ends it and all that was taken is answered.
+    /// Serves until the shutdown signal has come and all accepted requests are answered.
     pub fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         if self.log.is_debug_enabled() {
@@ -187,13 +187,13 @@
         self.wait_for_events(events, asleep_since)?;
         self.now = self.clock.read();
         let is_listener_reported = events.iter().any(|event| event.key == poll_keys::LISTENER);
-        self.admission.observe_queue(self.now, self.now - asleep_since >= SLEPT, is_listener_reported);
+        self.admission.observe_queue(self.now, self.now - asleep_since >= MIN_SLEEP, is_listener_reported);
         self.handle_events(std::mem::take(events));
-        // What the other process has sent counts before any of the bytes just read is acted upon.
+        // Messages of the other process are applied before any of the bytes that were just read are acted upon.
         self.guard(poll_keys::SHUTDOWN, Gateway::receive_from_peers);
         self.handle_mailbox();
-        // The balancer's own timers come first: a request that ends now gets its decision, and only what the balancer
-        // leaves over falls to the backstop.
+        // The balancer's own timers come first: a request whose deadline has come gets the balancer's decision. The
+        // deadline timer of the request applies only if the balancer has made none.
         self.guard(poll_keys::SHUTDOWN, Gateway::process_pending);
         self.guard(poll_keys::SHUTDOWN, Gateway::fire_timers);
         self.guard(poll_keys::SHUTDOWN, Gateway::process_pending);
@@ -212,13 +212,13 @@
         }
     }
 
-    /// Handles what the poller reports. What hosts and discovery say reaches the balancer before the next request is
-    /// decided.
+    /// Handles the events that the poller reports. Those of clients come last, so that the balancer has received what
+    /// hosts and discovery have sent before it decides the next request.
     fn handle_events(&mut self, events: Vec<Event>) {
-        let is_of_client =
+        let is_client_event =
             |event: &Event| event.key == poll_keys::LISTENER || self.connections.is_client_at(event.key);
-        let (of_clients, others): (Vec<_>, Vec<_>) = events.into_iter().partition(is_of_client);
-        for event in others.into_iter().chain(of_clients) {
+        let (client_events, others): (Vec<_>, Vec<_>) = events.into_iter().partition(is_client_event);
+        for event in others.into_iter().chain(client_events) {
             self.guard(event.key, |gateway| gateway.handle_event(event));
         }
     }
@@ -246,7 +246,8 @@
         }
     }
 
-    /// Runs a step; a panic ends the connection that it was for and nothing else. False if there was one.
+    /// Runs a step and catches a panic, which closes the connection with this poll key and nothing else. False if the
+    /// step panicked.
     fn guard(&mut self, poll_key: usize, step: impl FnOnce(&mut Self)) -> bool {
         if catch_unwind(AssertUnwindSafe(|| step(self))).is_ok() {
             return true;
@@ -258,7 +259,7 @@
         false
     }
 
-    /// Handles what is pending until nothing is left for this iteration.
+    /// Processes clients and outputs of the balancer until none is pending, or the limit for one pass is reached.
     fn process_pending(&mut self) {
         for _ in 0..MAX_STEPS {
             if let Some(client) = self.ready_clients.pop_front() {
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Carries out the balancer's next output. False if there is none.
+    /// Carries out the next output of the balancer. False if there is none.
     fn process_output(&mut self) -> bool {
         let Some(output) = self.balancer.poll_output(self.now) else { return false };
         match output {
@@ -287,7 +288,7 @@
         true
     }
 
-    /// Carries out all that the balancer has decided.
+    /// Carries out all pending outputs of the balancer.
     fn process_outputs(&mut self) {
         while self.process_output() {}
     }
--- a/src/net/event_loop/client_admission.rs
+++ b/src/net/event_loop/client_admission.rs
@@ -1,4 +1,4 @@
-//! How many clients may connect, and what is known of those that wait in the listener's queue.
+//! The limits on clients, and what is known about the clients that wait in the listener's queue.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -13,48 +13,48 @@
 use crate::pg::codec::CancelKey;
 use crate::Micros;
 
-/// The gateway counts as crowded from this fraction of its capacity for clients on: one in so many.
-const CROWDED_FRACTION: usize = 3;
+/// The gateway is crowded if more than its capacity for clients divided by this number are open.
+const CROWDED_DIVISOR: usize = 3;
 
-/// What is left in the listener's queue.
+/// The state of the listener's queue after accepting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptQueue {
-    /// Nobody.
+    /// No client waits.
     Empty,
-    /// Perhaps more.
+    /// Clients may wait.
     MaybeMore,
-    /// Perhaps more, whom a shortage or lack of capacity keeps there.
+    /// Clients may wait, but a shortage or a lack of capacity prevents accepting them.
     Blocked,
 }
 
-/// The most that a worker takes on for clients.
+/// Limits on clients.
 #[derive(Clone, Copy)]
 pub(super) struct ClientLimits {
-    /// Most clients of all workers.
+    /// Largest number of clients of all workers.
     pub(super) clients: usize,
-    /// Most clients of all workers that are kept open though they have asked before.
+    /// Largest number of clients of all workers that have queried before and may stay open.
     pub(super) known_clients: usize,
     /// Longest message of a client, in bytes.
     pub(super) message: usize,
 }
 
-/// The listener for clients, and who may connect.
+/// The listener for clients, the limits on clients, and the state of the listener's queue.
 pub(super) struct ClientAdmission {
     pub(super) listener: Option<TcpListener>,
     pub(super) limits: ClientLimits,
-    /// Clients that were accepted and wait for a shortage to pass; counted like those that are served.
+    /// Accepted clients that could not be registered for a shortage. They count as clients of this worker.
     pub(super) unregistered: Vec<UnregisteredConnection>,
     pub(super) cancel_keys: CancelKeys,
-    /// While the process ends: when the listener is closed, whoever waits.
+    /// During shutdown: the time at which the listener is closed even if clients still wait in its queue.
     pub(super) listener_deadline: Micros,
     is_accepting: bool,
-    /// When the listener's queue was last known to be empty, and whether the poller has reported nobody since.
+    /// When the listener's queue was last known to be empty, and whether no client has been reported since.
     queue_empty_at: Micros,
     is_queue_empty: bool,
 }
 
 impl ClientAdmission {
-    /// Without a listener yet.
+    /// Creates the state without a listener; the first worker gets its listener later.
     pub(super) fn new(limits: ClientLimits, now: Micros) -> Self {
         ClientAdmission {
             listener: None,
@@ -68,17 +68,17 @@
         }
     }
 
-    /// Whether so many clients are many.
+    /// Whether the gateway is crowded with this number of clients.
     pub(super) fn is_crowded(&self, clients: usize) -> bool {
-        clients > self.limits.clients / CROWDED_FRACTION
+        clients > self.limits.clients / CROWDED_DIVISOR
     }
 
-    /// Whether the listener is watched.
+    /// Whether the poller watches the listener.
     pub(super) fn is_accepting(&self) -> bool {
         self.is_accepting
     }
 
-    /// Watches the listener, or does not while there is no capacity for clients.
+    /// Has the poller watch the listener, or not while there is no capacity for clients.
     pub(super) fn set_accepting(&mut self, poller: &Poller, accepting: bool) {
         let Some(listener) = &self.listener else { return };
         let interest = Event { key: LISTENER, readable: accepting, writable: false };
@@ -88,30 +88,30 @@
         }
     }
 
-    /// Accepts the next client of the queue.
+    /// Accepts the next client from the queue. None if this worker has no listener.
     pub(super) fn accept(&self) -> Option<io::Result<std::net::TcpStream>> {
         let listener = self.listener.as_ref()?;
         Some(listener.accept().map(|(socket, _)| socket))
     }
 
-    /// Since when a client that is accepted now may have waited.
+    /// The earliest time at which a client that is accepted now may have entered the queue.
     pub(super) fn queue_empty_at(&self) -> Micros {
         self.queue_empty_at
     }
 
-    /// The queue was found empty.
+    /// Records that the queue was found empty.
     pub(super) fn on_queue_empty(&mut self, now: Micros) {
         (self.queue_empty_at, self.is_queue_empty) = (now, true);
     }
 
-    /// Somebody may wait in the queue.
+    /// Records that clients may wait in the queue.
     pub(super) fn on_queue_unknown(&mut self) {
         self.is_queue_empty = false;
     }
 
-    /// Records when nobody waited in the listener's queue last: whoever is accepted later came after that. `has_slept`:
-    /// the loop has slept until now, and whoever has come would have woken it. `is_reported`: the poller says that
-    /// somebody waits.
+    /// Updates the time at which the listener's queue was last empty: clients accepted later arrived after it.
+    /// `has_slept`: the loop has slept until now, and an earlier client would have woken it. `is_reported`: the poller
+    /// reports that a client waits.
     pub(super) fn observe_queue(&mut self, now: Micros, has_slept: bool, is_reported: bool) {
         let Some(listener) = &self.listener else { return };
         if self.is_accepting {
@@ -126,7 +126,8 @@
     }
 }
 
-/// Makes keys for cancel requests that nobody can guess: numbers in order under a keyed hash, whose key the system draws.
+/// Issues keys for cancel requests that cannot be guessed: consecutive numbers under a keyed hash, whose key comes from
+/// the system's random numbers.
 #[derive(Default)]
 pub(super) struct CancelKeys {
     hasher: RandomState,
@@ -134,11 +135,11 @@
 }
 
 impl CancelKeys {
-    /// A new key.
+    /// Returns a key that is different for each call.
     pub(super) fn issue(&mut self) -> CancelKey {
         self.issued += 1;
         let bits = self.hasher.hash_one(self.issued);
-        // Some clients read the number as signed and take none below one.
+        // Some clients read the process number as signed and accept none below one.
         CancelKey { process: ((bits >> 32) as u32 & 0x7fff_ffff).max(1), secret: bits as u32 }
     }
 }
--- a/src/net/event_loop/client_connection.rs
+++ b/src/net/event_loop/client_connection.rs
@@ -1,39 +1,39 @@
-//! The state of a client's connection, and how long one may stay.
+//! The state of a client's connection, and the timeouts after which it is closed.
 
 use crate::pg::client::ClientProtocol;
 use crate::{Micros, RequestId};
 
-/// How long a client may take for its first query, and for the rest of a command that it has begun.
+/// How long a client may take to send its first query, and to complete a command that it has begun.
 const COMMAND_TIMEOUT: Micros = Micros::millis(2_400);
-/// How long a client may be idle, and how long while the gateway is crowded.
+/// How long a client may be idle, normally and while the gateway is crowded.
 const IDLE_TIMEOUT: Micros = Micros::millis(10_000);
 const CROWDED_IDLE_TIMEOUT: Micros = Micros::millis(2_000);
-/// How long an answer may lie unread.
+/// How long a client may read nothing of an answer.
 const UNREAD_TIMEOUT: Micros = Micros::millis(10_000);
-/// A client that has asked nothing for so long is closed before those that have.
+/// A client without a query after this time counts as silent, and is closed before clients that have queried.
 const SILENT_AFTER: Micros = Micros::millis(50);
 
-/// Where the request of a client is decided.
+/// The worker that decides the request of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestLocation {
-    /// At the worker that has the client, under this id.
+    /// The worker that has the client; the request has this id there.
     Here(RequestId),
-    /// At this other worker.
+    /// Another worker, by index.
     Worker(usize),
 }
 
-/// Why a client is closed.
+/// Why a client is closed by the sweep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionReason {
-    /// It owes the rest of a command, or its first one.
+    /// It has not completed a command, or has not sent its first one, in time.
     CommandTimeout,
-    /// It has been idle.
+    /// It has been idle for too long.
     Idle,
-    /// It does not read.
+    /// It does not read its answer.
     NotReading,
 }
 
-/// Order in which idle clients are closed: the least first.
+/// Order in which idle clients are closed: the lowest rank first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     is_active: bool,
@@ -43,23 +43,23 @@
 /// A client's connection.
 pub(super) struct ClientConnection {
     pub(super) protocol: ClientProtocol,
-    /// Where its request is decided, while one is in flight.
+    /// The worker that decides its request, while one is in flight.
     pub(super) in_flight: Option<RequestLocation>,
-    /// The owning worker of its streamed response waits for it to read on.
+    /// The owning worker waits until the client has read more of its streamed response.
     pub(super) is_stream_paused: bool,
-    /// Its bytes are not read, and a timer checks whether it has left.
+    /// Its input is not read at present, and a timer checks whether it has disconnected.
     pub(super) has_unread_check: bool,
     /// When it connected.
     pub(super) connected_at: Micros,
-    /// When bytes last came or went.
+    /// When bytes were last received from it or written to it.
     pub(super) last_used: Micros,
-    /// Since when a message of it has been incomplete.
+    /// Since when its input has ended in an incomplete message.
     pub(super) incomplete_since: Option<Micros>,
-    /// It may have waited to be accepted since then, with what is read first.
+    /// The earliest time at which it may have begun to wait to be accepted; counts as the arrival of its first bytes.
     pub(super) waiting_since: Option<Micros>,
-    /// It has asked something that could be routed.
+    /// It has sent a query that could be routed.
     pub(super) has_asked: bool,
-    /// It is closed once its last answer is written.
+    /// It is to be closed once its last answer is written.
     pub(super) is_closing: bool,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Why the client is to be closed now, if it is.
+    /// The reason to close the client now, if there is one.
     pub(super) fn eviction(&self, now: Micros, is_crowded: bool) -> Option<EvictionReason> {
         if !self.protocol.out.is_empty() && now - self.last_used >= UNREAD_TIMEOUT {
             return Some(EvictionReason::NotReading);
@@ -101,7 +101,7 @@
             || !self.has_asked && now - self.connected_at >= COMMAND_TIMEOUT
     }
 
-    /// The order in which idle clients are closed for new ones; none for one that is not idle.
+    /// The rank by which idle clients are closed for new ones. None if the client is not idle.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
         let is_silent = !self.has_asked && now - self.connected_at >= SILENT_AFTER;
         let rank = EvictionRank { is_active: !is_silent, last_used: self.last_used };
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: accepting them, what they send, and closing them. A client that does not complete its startup, its first query
-//! or a command in time gets an error and is closed; idle ones are closed for new ones.
+//! Accepts clients, processes their input and closes them. A client that does not complete its startup, its first query
+//! or a command in time gets an error and is closed. Idle clients are closed to make room for new ones.
 
 use std::io;
 use std::net::TcpStream;
@@ -16,18 +16,19 @@
 use crate::pg::client::{ClientProtocol, ClientRequest};
 use crate::Micros;
 
-/// Most connections accepted in one iteration.
+/// Largest number of connections that one call of [`Gateway::accept_clients`] accepts.
 pub(super) const MAX_ACCEPTS: usize = 16;
 
 impl Gateway {
-    /// Accepts connections, as far as there is capacity for clients.
+    /// Accepts connections while there is capacity for clients, up to [`MAX_ACCEPTS`].
     pub(super) fn accept_clients(&mut self) -> AcceptQueue {
         self.admission.on_queue_unknown();
         for accepted in 0..MAX_ACCEPTS {
             let (least_loaded, most_loaded) = (self.workers.least_loaded(), self.workers.most_loaded());
             let open = self.workers.client_count() + self.descriptors_lent();
             let is_full = open >= self.admission.limits.clients;
-            // Only of the first is it known that somebody waits: no client is closed for nobody.
+            // Only before the first accept is it known that a client waits. After that no idle client is closed, since
+            // nobody may need its place.
             if is_full && accepted > 0 {
                 return AcceptQueue::MaybeMore;
             }
@@ -45,7 +46,7 @@
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
-                    warn!(self.log, "cannot accept"; "error" => %e);
+                    warn!(self.log, "cannot accept a client, pausing"; "error" => %e);
                     self.pause_accepting();
                     return AcceptQueue::Blocked;
                 }
@@ -54,7 +55,7 @@
         AcceptQueue::MaybeMore
     }
 
-    /// Gives a client that was accepted to a worker.
+    /// Assigns an accepted client to a worker.
     fn place_client(&mut self, worker: usize, socket: TcpStream) {
         self.workers.add_client(worker);
         let waiting_since = self.admission.queue_empty_at();
@@ -67,7 +68,7 @@
 
     fn pause_accepting_when_full(&mut self, most_loaded: usize) {
         if self.workers.count() > 1 {
-            // Perhaps another worker has a client that would not be missed.
+            // Another worker may have an idle client that can be closed.
             self.workers.send(most_loaded, WorkerMessage::EvictClient);
             self.set_timer(SHORTAGE_PAUSE, Timer::ResumeAccepting);
         } else {
@@ -76,13 +77,14 @@
         self.set_accepting(false);
     }
 
-    /// Accepts nobody until a shortage may have passed.
+    /// Stops accepting for [`SHORTAGE_PAUSE`], since this machine lacks a resource.
     fn pause_accepting(&mut self) {
         self.set_accepting(false);
         self.set_timer(SHORTAGE_PAUSE, Timer::ResumeAccepting);
     }
 
-    /// Serves a client that is counted as this worker's, and may have waited in the queue since a time.
+    /// Serves an accepted client that is already counted for this worker. It may have waited in the listener's queue
+    /// since `waiting_since`.
     pub(super) fn serve_client(&mut self, socket: TcpStream, waiting_since: Micros) {
         let key = self.admission.cancel_keys.issue();
         let protocol = ClientProtocol::new(self.admission.limits.message, key);
@@ -90,10 +92,11 @@
         self.add_client(socket, ClientConnection { waiting_since: Some(waiting_since), ..client });
     }
 
-    /// Adds a client that is counted as this worker's; one that the system does not take now waits, since what it has
-    /// sent is owed its answer. Its first bytes have often come along.
+    /// Registers a client that is already counted for this worker and reads at once, since its first bytes have often
+    /// arrived already. A client that cannot be registered for a shortage is kept and retried, since what it has sent
+    /// must be answered.
     pub(super) fn add_client(&mut self, socket: TcpStream, client: ClientConnection) {
-        // Without it answers are only slower; on this kind of socket the other call does not fail.
+        // Without `nodelay` answers are only slower; `set_nonblocking` does not fail on this kind of socket.
         let _ = socket.set_nodelay(true);
         let _ = socket.set_nonblocking(true);
         match self.add_connection(socket, ConnectionKind::Client(client), false) {
@@ -106,7 +109,7 @@
             }
             Err(unregistered) => {
                 if self.admission.unregistered.is_empty() {
-                    warn!(self.log, "cannot serve a client yet"; "error" => %unregistered.error);
+                    warn!(self.log, "cannot register a client, retrying"; "error" => %unregistered.error);
                 }
                 self.pause_accepting();
                 self.admission.unregistered.push(*unregistered);
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Serves those who have waited for a shortage to pass.
+    /// Retries the clients that could not be registered for a shortage.
     pub(super) fn serve_unregistered_clients(&mut self) {
         for unregistered in std::mem::take(&mut self.admission.unregistered) {
             let UnregisteredConnection { socket, kind, .. } = unregistered;
@@ -124,21 +127,21 @@
         }
     }
 
-    /// Accepts clients from now on, unless another process takes them; or does not.
+    /// Starts or stops accepting clients. Does not start once another process accepts them.
     pub(super) fn set_accepting(&mut self, accepting: bool) {
         if self.hot_restart.successor.is_none() || !accepting {
             self.admission.set_accepting(&self.poller, accepting);
         }
     }
 
-    /// Accepts clients again, if it was paused.
+    /// Accepts clients again if accepting was paused.
     pub(super) fn resume_accepting(&mut self) {
         if !self.admission.is_accepting() {
             self.set_accepting(true);
         }
     }
 
-    /// Closes the first idle client by rank. False if there is none.
+    /// Closes the idle client that is first by eviction rank. False if no client could be closed.
     pub(super) fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
         let clients = self.connections.clients();
@@ -148,8 +151,8 @@
         ranked.into_iter().any(|(_, id)| self.close_if_idle(id))
     }
 
-    /// Closes the client that has been idle longest where too many that have asked are open: clients that never use a
-    /// connection again would keep all they may have, and those that wait get none.
+    /// Closes the client that has been idle longest if too many clients that have queried before are open. Otherwise
+    /// clients that never use their connections again could hold all the capacity, and new clients would get none.
     pub(super) fn evict_surplus_client(&mut self) {
         let most_known = self.admission.limits.known_clients;
         let most_here = most_known.div_ceil(self.workers.count());
@@ -166,7 +169,8 @@
         idle.into_iter().any(|(_, id)| self.close_if_idle(id));
     }
 
-    /// Closes clients whose commands are overdue, with an error, and those that have been idle or unread for too long.
+    /// Closes clients whose commands are overdue, with an error, and clients that have been idle or have not read their
+    /// answers for too long.
     pub(super) fn evict_overdue_clients(&mut self) {
         let is_crowded = self.admission.is_crowded(self.workers.client_count());
         let now = self.now;
@@ -192,14 +196,15 @@
         }
     }
 
-    /// Looks at a client's next queries until one is owed its answer.
+    /// Processes a client's next queries until one of them is in flight.
     pub(super) fn process_client(&mut self, id: ConnectionId) {
         if self.try_hand_over_client(id) {
             return;
         }
-        while let Some(demand) = self.connections.client(id).and_then(|client| client.protocol.next_request())
+        while let Some(request) =
+            self.connections.client(id).and_then(|client| client.protocol.next_request())
         {
-            match demand {
+            match request {
                 ClientRequest::Query(text, arrived_at) => self.handle_query(id, text, arrived_at),
                 ClientRequest::Cancel(key) => {
                     self.mark_closing(id);
--- a/src/net/event_loop/connections.rs
+++ b/src/net/event_loop/connections.rs
@@ -1,4 +1,4 @@
-//! The table of a worker's connections: their sockets, what each is for, and what the poller watches each for.
+//! The table of a worker's connections: their sockets, kinds and states, and the events that the poller watches for.
 
 use std::io;
 use std::net::TcpStream;
@@ -12,14 +12,14 @@
 use super::host_connection::HostConnection;
 use crate::pg::codec::SendBuffer;
 
-/// Identifies a connection: its index in the table, and a generation, since indices are used again.
+/// Identifies a connection: its index in the table, and a generation, since indices are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId {
     pub(super) index: usize,
     pub(super) generation: u64,
 }
 
-/// What the poller watches a connection for.
+/// The events that the poller watches for on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interest {
     pub(super) readable: bool,
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a connection is for, with its state.
+/// The kind of a connection, with its state.
 pub(super) enum ConnectionKind {
     Client(ClientConnection),
     Host(HostConnection),
@@ -40,7 +40,7 @@
     Discovery(SendBuffer),
     /// An operator's call.
     Admin(AdminSession),
-    /// A client's connection that is shut for writing: what the client still sends is discarded, so many bytes at most.
+    /// A client's connection that is shut for writing. Up to `bytes_left` more bytes from the client are discarded.
     HalfClosed {
         bytes_left: usize,
     },
@@ -54,7 +54,7 @@
     pub(super) kind: ConnectionKind,
 }
 
-/// A connection that the poller did not take.
+/// A connection that could not be registered with the poller.
 pub(super) struct UnregisteredConnection {
     pub(super) socket: TcpStream,
     pub(super) kind: ConnectionKind,
@@ -71,12 +71,12 @@
 }
 
 impl Connections {
-    /// An empty table whose connections this poller watches.
+    /// An empty table; its connections are registered with this poller.
     pub(super) fn new(poller: Arc<Poller>) -> Self {
         Connections { table: Slab::new(), poller, last_generation: 0, clients: 0, half_closed: 0 }
     }
 
-    /// Adds a connection that is to be read, and to be written as well where `writable` says so.
+    /// Adds a connection and has the poller watch it for reading, and with `writable` for writing as well.
     pub(super) fn insert(
         &mut self,
         socket: TcpStream,
@@ -98,7 +98,7 @@
         Ok(id)
     }
 
-    /// Takes a connection out of the table and of the poller.
+    /// Removes a connection from the table and from the poller.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         self.get(id)?;
         let connection = self.table.remove(id.index);
@@ -111,22 +111,22 @@
         Some(connection)
     }
 
-    /// The connection that is at an index now.
+    /// The id of the connection that has an index at present.
     pub(super) fn id_at(&self, index: usize) -> Option<ConnectionId> {
         self.table.get(index).map(|connection| ConnectionId { index, generation: connection.generation })
     }
 
-    /// An open connection.
+    /// The connection with this id, if it is still open.
     pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.table.get(id.index).filter(|connection| connection.generation == id.generation)
     }
 
-    /// An open connection.
+    /// The connection with this id, if it is still open.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.table.get_mut(id.index).filter(|connection| connection.generation == id.generation)
     }
 
-    /// The state of a client's connection.
+    /// The state of a client's connection, if it is open and a client's.
     pub(super) fn client(&mut self, id: ConnectionId) -> Option<&mut ClientConnection> {
         match &mut self.get_mut(id)?.kind {
             ConnectionKind::Client(client) => Some(client),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The state of a connection to a host.
+    /// The state of a connection to a host, if it is open and to a host.
     pub(super) fn host(&mut self, id: ConnectionId) -> Option<&mut HostConnection> {
         match &mut self.get_mut(id)?.kind {
             ConnectionKind::Host(host) => Some(host),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The state of an operator's connection.
+    /// The state of an operator's connection, if it is open and an operator's.
     pub(super) fn admin(&mut self, id: ConnectionId) -> Option<&mut AdminSession> {
         match &mut self.get_mut(id)?.kind {
             ConnectionKind::Admin(admin) => Some(admin),
@@ -204,7 +204,7 @@
         self.half_closed
     }
 
-    /// Has the poller watch a connection for this. It goes on as before where the poller fails.
+    /// Changes the events that the poller watches for on a connection. If the poller fails, they stay as they were.
     pub(super) fn set_interest(&mut self, id: ConnectionId, interest: Interest) -> io::Result<()> {
         let Some(connection) = self.table.get_mut(id.index).filter(|c| c.generation == id.generation) else {
             return Ok(());
--- a/src/net/event_loop/queries.rs
+++ b/src/net/event_loop/queries.rs
@@ -1,4 +1,4 @@
-//! Clients' queries: each is read as a statement, sent to the worker that owns its group, and taken on there.
+//! Queries of clients: each is parsed as a statement, sent to the worker that owns its group, and accepted there.
 
 use super::client_connection::RequestLocation;
 use super::connections::ConnectionId;
@@ -9,7 +9,7 @@
 use crate::pg::statement::Statement;
 use crate::{ClassId, GroupId, Micros};
 
-/// Time taken off what a client waits: for the way there and back, and for the iteration of the loop.
+/// Subtracted from the time that a client waits: allows for the network in both directions and for one loop iteration.
 const DEADLINE_MARGIN: Micros = Micros::millis(3);
 
 impl Gateway {
@@ -22,7 +22,8 @@
                 return self.deliver_answer(client, FinalAnswer::Unroutable(e.to_string()));
             }
         };
-        // Its client counts from when it sent: what the query has waited behind others of its connection is over.
+        // The client counts from when it sent the query, so time spent waiting behind other queries of the connection
+        // counts too.
         let deadline = arrived_at + (statement.wait - DEADLINE_MARGIN);
         let deadline = self.final_answers_by.map_or(deadline, |by| deadline.min(by));
         let owner = Owner { worker: self.this_worker, connection: client };
@@ -49,7 +50,7 @@
         if self.offer_request(worker, request) {
             return;
         }
-        // Its owning worker has more waiting than it can look at in time.
+        // The mailbox of the owning worker is full: the request would wait there for too long.
         self.counts.rejected += 1;
         if self.classes.id(self.now, &class).is_some() {
             self.metrics.class_mut(&class).shed += 1;
@@ -57,7 +58,7 @@
         self.deliver_answer(owner.connection, FinalAnswer::Rejected(None));
     }
 
-    /// Takes a request on for whoever asked, or answers what is wrong with it.
+    /// Accepts a request of a client of any worker, or answers with the reason why it cannot be routed.
     pub(super) fn accept_request(&mut self, owner: Owner, statement: Statement, deadline: Micros) {
         let class = match self.routable_class(&statement) {
             Ok(class) => class,
@@ -90,12 +91,12 @@
         let client_id = statement.id.clone();
         self.requests.insert(request_id, &client_id, owner, statement, deadline);
         self.set_timer(time_left, Timer::RequestDeadline(request_id));
-        // What was decided before comes first: connections to be closed before the request is sent.
+        // Earlier outputs of the balancer come first: they may close connections that this request must not use.
         self.process_outputs();
         self.carry_out(request_id, decision);
     }
 
-    /// The class of a statement that can be routed here, or why it cannot.
+    /// The class of a statement, or the reason why the statement cannot be routed here.
     fn routable_class(&self, statement: &Statement) -> Result<ClassId, Unroutable> {
         let class = self.classes.id(self.now, &statement.class).ok_or(Unroutable::UnknownClass)?;
         if !self.balancer.has_group(GroupId(statement.group)) {
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: carries out decisions on them, writes their attempts, and gives the final answers.
+//! Requests in flight: carries out the balancer's decisions, writes attempts to hosts and sends the final answers.
 
 use super::client_connection::RequestLocation;
 use super::connections::ConnectionId;
@@ -18,13 +18,13 @@
 /// The query that asks a host for its load report.
 const HEALTH_CHECK_QUERY: &str = "SHOW gauges";
 
-/// An attempt that was never made.
+/// The failure of an attempt of which nothing was sent.
 const NOT_ATTEMPTED: FailedAttempt =
     FailedAttempt { progress: AttemptProgress::NotConnected, cause: FailureCause::NotAttempted };
 
 impl Gateway {
-    /// Finishes a request with its final answer, and counts it; another process of this gateway learns first of what a
-    /// write may have committed.
+    /// Counts a request and sends its final answer. For a write, the session's commit is sent to the other process of
+    /// this gateway, if there is one, before the answer goes out.
     pub(super) fn finish_request(&mut self, request_id: RequestId, answer: FinalAnswer) {
         self.cancel_attempt(request_id);
         let Some(request) = self.remove_request(request_id) else { return };
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The commit that another process, if there is one, must hold against the session of a write that has ended here.
+    /// The commit to send to the other process after a write has ended here. None for a read, or if there is no other
+    /// process.
     fn commit_to_publish(&self, statement: &Statement) -> Option<Commit> {
         let (group, session) = (GroupId(statement.group), statement.session);
         if !statement.is_write || !self.workers.has_peer() {
@@ -50,7 +51,7 @@
         Some(Commit { group, session, position })
     }
 
-    /// Sends the other process a commit, by way of the first worker; then the answer goes out.
+    /// Sends a commit to the other process through the first worker, and then the answer to its client.
     pub(super) fn publish_commit(&mut self, commit: Commit, answer: Option<(Owner, FinalAnswer)>) {
         if self.this_worker != 0 {
             return self.workers.send(0, WorkerMessage::PublishCommit { commit, answer });
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes a request out of those in flight: whoever gets it must answer.
+    /// Removes a request from those in flight. The caller must answer it.
     pub(super) fn remove_request(
         &mut self,
         request_id: RequestId,
@@ -73,14 +74,15 @@
         Some(request)
     }
 
-    /// The client of a request has left or cancelled it: its attempt ends and no other follows. One whose response
-    /// streams already cannot be cancelled any more.
+    /// Ends a request whose client has disconnected or cancelled it: its attempt ends and no other follows. A request
+    /// whose response already streams cannot be cancelled any more.
     pub(super) fn abandon_request(&mut self, request_id: RequestId, how: Abandonment) {
         let is_cancellable = self.requests.get(request_id).is_some_and(|request| !request.is_streaming());
         if how == Abandonment::Cancelled && !is_cancellable {
             return;
         }
-        // Recorded first: what a write may have committed is known before its answer goes out.
+        // The balancer records first what a write may have committed, so that the commit is known before the answer is
+        // sent.
         if let Some(host) = self.requests.end_attempt(request_id) {
             self.release_connection(host);
         }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Cancels the query of the client with this key. False if it is not a client of this worker.
+    /// Cancels the query of the client with this key. False if this worker has no such client.
     pub(super) fn cancel_here(&mut self, key: CancelKey) -> bool {
         let found = self.connections.clients().find(|(_, client)| client.protocol.cancel_key() == Some(key));
         let Some((id, in_flight)) = found.map(|(id, client)| (id, client.in_flight)) else { return false };
@@ -114,7 +116,7 @@
         true
     }
 
-    /// A client of this worker asks for a cancel: its key may fit a client of any worker or process.
+    /// Handles a cancel request that came to this worker. The client with the key may be at any worker or process.
     pub(super) fn cancel(&mut self, key: CancelKey) {
         if self.cancel_here(key) {
             return;
@@ -125,8 +127,9 @@
         }
     }
 
-    /// Whether the client of a request has left though its end has not been read yet: it lies in the socket, perhaps
-    /// behind bytes that wait. Asked before each attempt, since in an iteration events of hosts and timers come first.
+    /// Whether the client of a request has disconnected. The end of its connection may still be unread in the socket,
+    /// perhaps behind other bytes. Checked before each attempt, since in an iteration the events of clients come after
+    /// those of hosts.
     fn has_client_left(&mut self, request_id: RequestId) -> bool {
         let Some(Owner { worker, connection }) = self.requests.get(request_id).map(|request| request.owner)
         else {
@@ -142,7 +145,7 @@
         has_left
     }
 
-    /// Sends an answer to whoever asked.
+    /// Sends an answer to the client of a request, at whichever worker it is.
     pub(super) fn send_answer(&mut self, owner: Owner, answer: FinalAnswer) {
         if owner.worker == self.this_worker {
             self.deliver_answer(owner.connection, answer);
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Gives a client of this worker its answer.
+    /// Writes an answer to a client of this worker.
     pub(super) fn deliver_answer(&mut self, id: ConnectionId, answer: FinalAnswer) {
         let now = self.now;
         let Some(client) = self.connections.client(id) else { return };
@@ -211,7 +214,7 @@
         self.start_task(id);
     }
 
-    /// Writes the query of a connection's task, if the connection is up and the choice of the host is still valid.
+    /// Writes the query for a connection's task if the connection is ready and the choice of the host is still valid.
     pub(super) fn start_task(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id).filter(|host| host.is_ready) else { return };
         match host.task {
@@ -232,8 +235,8 @@
     }
 
     fn write_attempt(&mut self, id: ConnectionId, request_id: RequestId) {
-        // Not the iteration's time: what the statement says of its deadline, and the age of the data that it may see,
-        // count from the write.
+        // Not the iteration's time: the time left that is written into the statement, and the limit on the age of its
+        // data, count from the write.
         let now = self.clock.read();
         if self.has_client_left(request_id) {
             return;
@@ -261,8 +264,8 @@
         }
     }
 
-    /// The attempt on a connection has been written to its last byte: counts it, and gives it up if the gateway was
-    /// held up for so long that its data may be too old.
+    /// Counts the attempt on a connection once its last byte is written. Ends it if so much time has passed since the
+    /// choice of the host that the data may be too old.
     pub(super) fn handle_attempt_written(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id) else { return };
         let HostTask::Attempt(request_id) = host.task else { return };
@@ -281,8 +284,8 @@
         }
     }
 
-    /// Puts a ready connection that carries nothing back into the pool; one to a host that gets nothing new is closed, so
-    /// that the host need not wait for it.
+    /// Puts a ready connection without a query in flight back into the pool. If the host gets no new requests, the
+    /// connection is closed instead, so that the host need not wait for it.
     pub(super) fn release_connection(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(host) = self.connections.host(id) else { return };
@@ -298,15 +301,15 @@
         }
     }
 
-    /// Ends a request's attempt. What has been written ends with its connection; one that is still coming up has carried
-    /// nothing and may serve another request.
+    /// Ends a request's attempt. If its query was written, the connection is closed. A connection that is still being
+    /// opened has carried nothing and may serve another request.
     pub(super) fn cancel_attempt(&mut self, request_id: RequestId) {
         if let Some(host) = self.requests.end_attempt(request_id) {
             self.release_connection(host);
         }
     }
 
-    /// An attempt has ended without a response.
+    /// Reports an attempt that has ended without a response and carries out the balancer's decision.
     pub(super) fn handle_attempt_failed(
         &mut self,
         request_id: RequestId,
@@ -318,16 +321,21 @@
         self.continue_request(request_id, decision);
     }
 
-    /// An attempt has got its response.
-    pub(super) fn handle_response(&mut self, request_id: RequestId, member: MemberId, answer: HostResponse) {
+    /// Handles the response to an attempt: answers the client or continues with another attempt.
+    pub(super) fn handle_response(
+        &mut self,
+        request_id: RequestId,
+        member: MemberId,
+        response: HostResponse,
+    ) {
         self.requests.end_attempt(request_id);
-        let (status, role) = (answer.status, answer.role);
-        let position = self.to_position(answer.position);
+        let (status, role) = (response.status, response.role);
+        let position = self.to_position(response.position);
         let outcome = AttemptOutcome::Response { status, role, position };
         let decision = self.report_outcome(request_id, member, outcome);
         if status == ResponseStatus::Served {
             self.counts.served += 1;
-            self.finish_request(request_id, FinalAnswer::Served(answer.rows));
+            self.finish_request(request_id, FinalAnswer::Served(response.rows));
         } else {
             self.continue_request(request_id, decision);
         }
@@ -343,7 +351,7 @@
         self.balancer.handle_outcome(self.now, request_id, outcome)
     }
 
-    /// Goes on with a request whose attempt has not served it.
+    /// Carries out the decision on a request whose attempt has failed. A response that streams already is aborted.
     fn continue_request(&mut self, request_id: RequestId, decision: RoutingDecision) {
         self.process_outputs();
         if self.requests.get(request_id).is_some_and(InFlightRequest::is_streaming) {
