--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -258,9 +258,9 @@
             other().into_iter().for_each(|other| progress.member_joined(other, unix_ms()));
         } else if line.contains("fleet: member went") {
             other().into_iter().for_each(|other| progress.member_left(other, None));
-        } else if line.contains("configuration read anew") {
+        } else if line.contains("configuration file reloaded") {
             progress.configuration_read();
-        } else if line.contains(" list, ") {
+        } else if line.contains(" endpoint list applied, ") {
             let version = value(line, "rev").and_then(|text| text.parse().ok());
             version.into_iter().for_each(|version| progress.list_received(version));
         } else if line.contains(" listening, ") {
--- a/src/net/event_loop/config.rs
+++ b/src/net/event_loop/config.rs
@@ -1,4 +1,4 @@
-//! What a gateway is given at its start, and what reaches it from outside while it runs.
+//! The inputs of a gateway: its configuration at the start, and the signals that it receives while it runs.
 
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -15,53 +15,54 @@
 use crate::net::discovery::EndpointList;
 use crate::settings::{SiteSettings, Zones};
 
-/// What a gateway is given at its start.
+/// The configuration of a gateway at its start.
 pub struct Config {
-    /// Where clients connect.
+    /// The address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// Where operators connect, if they may.
+    /// The address on which the gateway listens for operators. None: there is no admin interface.
     pub admin: Option<SocketAddr>,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random numbers; worker `n` uses the seed plus `n` for its decisions.
     pub seed: u64,
-    /// Most file descriptors.
+    /// Largest number of file descriptors that the process may use.
     pub max_descriptors: usize,
-    /// Most memory, in MiB.
+    /// Memory that the process may use, in MiB; limits the length of a client's message.
     pub memory_mib: usize,
-    /// The endpoint list as last known.
+    /// The endpoint list that was last known, used until discovery sends one.
     pub endpoints: EndpointList,
-    /// The settings.
+    /// The settings of the site.
     pub site: SiteSettings,
-    /// The zones that the settings name.
+    /// The zones that the settings name, with their numbers.
     pub zones: Zones,
-    /// The configuration's text, for the next process.
+    /// The text of the configuration, which is handed over to the next process.
     pub text: String,
-    /// Path of the handover socket on which this process waits for the next one.
+    /// Path of the handover socket on which this process waits for the next one. None: there is no hot restart.
     pub handover_path: Option<PathBuf>,
-    /// What the process before hands over.
+    /// The state that the previous process hands over. None: this process starts without one.
     pub predecessor: Option<HandoverState>,
-    /// Where the state of the fleet is shown, if the gateway is in one.
+    /// The status of the fleet for the admin interface, if the gateway is in a fleet.
     pub fleet: Option<SharedStatus>,
 }
 
-/// Takes a version of the configuration, or reads the file again where there is none; with the zones that are known.
+/// Parses a version of the configuration, or reads the file if there is none. Zones that are new are added to the known
+/// ones. Returns the text and the parsed configuration.
 pub type ReadConfig =
     Box<dyn FnMut(Option<&Document>, &mut Zones) -> ConfigResult<(String, LoadedConfig)> + Send>;
 
-/// What comes from outside while the gateway runs.
+/// The signals and configuration versions that the gateway receives while it runs.
 pub struct Signals {
-    /// Becomes readable when the gateway is to end.
+    /// Becomes readable when the gateway is to shut down.
     pub shutdown: UnixStream,
     /// Becomes readable when the configuration is to be read again.
     pub reload: UnixStream,
-    /// Set by the same signal, before `shutdown` becomes readable. That wakes the loop, but its write may fail; this is
-    /// looked at in each sweep.
+    /// Set by the same signal, before `shutdown` becomes readable. The write that makes it readable and wakes the loop
+    /// may fail, so each sweep checks this flag too.
     pub shutdown_requested: Arc<AtomicBool>,
-    /// The same for `reload`.
+    /// The flag for `reload`, set and checked in the same way as `shutdown_requested`.
     pub reload_requested: Arc<AtomicBool>,
-    /// Where versions of the configuration come from, if they do.
+    /// Delivers versions of the configuration, if the gateway receives them from control servers.
     pub versions: Option<VersionReceiver>,
-    /// Reads the configuration again: its text and what it says, or why it cannot be used.
+    /// Reads a new configuration. Fails if it cannot be read or is invalid.
     pub read_config: ReadConfig,
 }
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -1,4 +1,4 @@
-//! Bytes in and out of connections, what the poller watches them for, and how they are closed.
+//! Reads and writes connections, sets the events that the poller watches for, and closes connections.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
@@ -8,27 +8,27 @@
 use super::discovery_watch::CallError;
 use super::mailboxes::{Abandonment, Owner, WorkerMessage};
 use super::sockets::has_hung_up;
-use super::streaming::MAX_UNREAD;
+use super::streaming::MAX_UNREAD_BYTES;
 use super::timers::Timer;
 use super::{Gateway, Phase};
 use crate::attempt::FailureCause;
 use crate::shortage::{is_shortage, should_try_later};
 use crate::Micros;
 
-/// Most reads of one connection in one iteration.
+/// Largest number of reads from one connection at a time.
 const MAX_READS: usize = 4;
-/// How long a half-closed connection waits for its client's end, and for how many bytes of it.
+/// How long a half-closed connection waits for its client to close, and how many bytes of the client it discards.
 const HALF_CLOSED_TIMEOUT: Micros = Micros::millis(300);
 const HALF_CLOSED_BYTES: usize = 256 * 1024;
-/// Most half-closed connections at a time while clients come: their descriptors are among those kept back.
+/// Largest number of half-closed connections while clients are accepted: their descriptors come from the reserve.
 const MAX_HALF_CLOSED: usize = 6;
-/// Time between checks of a client whose bytes are not read.
+/// Time between checks whether a client has disconnected whose input is not read.
 const UNREAD_CHECK_INTERVAL: Micros = Micros::millis(50);
-/// Time until a call is made again that failed for a shortage of this machine.
+/// Time until a system call is retried that failed because this machine lacks a resource.
 pub(super) const SHORTAGE_PAUSE: Micros = Micros::millis(20);
 
 impl Gateway {
-    /// Adds a connection, and counts it among those to hosts if it is one.
+    /// Adds a connection. One to a host is counted in the pool.
     pub(super) fn add_connection(
         &mut self,
         socket: TcpStream,
@@ -43,7 +43,7 @@
         Ok(id)
     }
 
-    /// Takes a connection out of the loop.
+    /// Removes a connection from the table and from the counts of its kind.
     pub(super) fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(id)?;
         match &connection.kind {
@@ -59,9 +59,10 @@
         drop(self.remove_connection(id));
     }
 
-    /// Closes a client's connection so that its last answer arrives: a close over bytes that nobody has read resets
-    /// the connection, and what the system still held back goes with it. So it is shut for writing, and closed once
-    /// the client has closed as well, or has had its time. A request that crosses the shutdown was not taken.
+    /// Closes a client's connection so that its last answer arrives. Closing a socket with unread input resets the
+    /// connection, and the system discards output that it has not sent yet. So the connection is shut for writing, and
+    /// closed once the client has closed it as well or [`HALF_CLOSED_TIMEOUT`] is over. A request that arrives after
+    /// the shutdown is discarded: it was not accepted.
     pub(super) fn close_gracefully(&mut self, id: ConnectionId) {
         let Some(Connection { socket, .. }) = self.remove_connection(id) else { return };
         if self.phase != Phase::Closing && self.connections.half_closed_count() >= MAX_HALF_CLOSED {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Closes an idle client, unless bytes of it have come that were not read yet: those are looked at first. False if it
+    /// Closes an idle client. If it has unread input, this is read instead, and the client stays open. False if it
     /// stays.
     pub(super) fn close_if_idle(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
@@ -93,7 +94,8 @@
         true
     }
 
-    /// Checks a client that is owed an answer and whose bytes are not read: its end would not be seen among them.
+    /// Checks whether a client has disconnected that waits for an answer and whose input is not read: no read would
+    /// report the end of its connection.
     pub(super) fn check_unread_client(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Connection { interest, socket, kind: ConnectionKind::Client(client), .. } = connection else {
@@ -117,9 +119,10 @@
         }
     }
 
-    /// Has the poller watch a connection for what it needs now.
+    /// Sets the events that the poller watches for on a connection to those that the connection needs now.
     pub(super) fn update_interest(&mut self, id: ConnectionId) {
-        // What a client sends once the listener is closed is not read: it was not taken, and goes elsewhere.
+        // What a client sends once the listener is closed is not read: it is not accepted, and the client retries
+        // elsewhere.
         let is_reading_clients = self.phase != Phase::Closing;
         let Some(connection) = self.connections.get(id) else { return };
         let (readable, writable) = match &connection.kind {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Writes what waits to be written.
+    /// Writes the pending output of a connection.
     pub(super) fn write(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let out = match &mut connection.kind {
@@ -159,14 +162,14 @@
         match flushed {
             Ok(true) => self.handle_all_written(id),
             Ok(false) => self.update_interest(id),
-            // A connection that is still coming up is not writable yet.
+            // A connection that is still being opened is not writable yet.
             Err(e) if e.kind() == io::ErrorKind::NotConnected => self.update_interest(id),
             Err(_) => self.handle_connection_lost(id),
         }
     }
 
-    /// Something was written to a client, which had so many bytes unwritten before: a response that streams to it may
-    /// go on.
+    /// Handles a write to a client that had `unwritten_before` bytes of pending output. A response that streams to it
+    /// may resume.
     fn handle_client_written(&mut self, id: ConnectionId, unwritten_before: usize) {
         let now = self.now;
         let Some(client) = self.connections.client(id) else { return };
@@ -174,7 +177,7 @@
         if unwritten < unwritten_before {
             client.last_used = now;
         }
-        if unwritten >= MAX_UNREAD {
+        if unwritten >= MAX_UNREAD_BYTES {
             return;
         }
         match client.in_flight {
@@ -223,7 +226,7 @@
                 }
                 Err(e) if should_try_later(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                // A reset is no end: what had come before it may be incomplete.
+                // A reset is not an orderly end: the bytes before it may be incomplete.
                 Err(_) => {
                     self.handle_connection_lost(id);
                     break;
@@ -234,7 +237,7 @@
         self.update_interest(id);
     }
 
-    /// Takes in bytes or the end of a connection.
+    /// Handles received bytes or the end of a connection.
     fn handle_received(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -258,7 +261,7 @@
         }
     }
 
-    /// A connection has ended or is of no use any more.
+    /// Handles a connection that has ended or can no longer be used.
     pub(super) fn handle_connection_lost(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         match &mut connection.kind {
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: when it is called, what comes of it, and how endpoint lists reach all workers.
+//! The watch on discovery: makes the calls, handles their results, and distributes endpoint lists to all workers.
 
 use std::net::SocketAddr;
 use std::{error, fmt, io};
@@ -19,27 +19,27 @@
 use crate::shortage::is_shortage;
 use crate::{EndpointState, Micros, Settings};
 
-/// Failures in a row of which one is logged: one line in ten seconds at the most.
+/// One in this many failures in a row is logged, which is at most one line in ten seconds.
 const FAILURES_PER_LINE: u64 = 100;
 
-/// Why a call to discovery brought no endpoint list.
+/// The reason why a call to discovery returned no endpoint list.
 #[derive(Debug)]
 pub(super) enum CallError {
-    /// The connection could not be begun.
+    /// The connection could not be opened.
     Connect(io::Error),
-    /// It was answered with this status.
+    /// Discovery answered with this HTTP status.
     Rejected(u16),
     ConnectionEnded,
     ConnectionBroke,
     BadAnswer(AnswerError),
-    /// It was given up without an answer.
+    /// The call timed out without an answer.
     NoAnswer,
-    /// It has fallen silent, and stays out.
+    /// The call timed out without an answer, but stays open in case its answer still arrives.
     Silent,
 }
 
 impl CallError {
-    /// What the watch learns of it.
+    /// The kind of failure, which decides the backoff of the watch.
     fn failure(&self) -> CallFailure {
         match self {
             CallError::Connect(_) | CallError::Rejected(_) => CallFailure::Rejected,
@@ -76,24 +76,24 @@
     }
 }
 
-/// The watch on discovery: where it is, what is known, and the calls that are out.
+/// The watch on discovery: its address, the version that is known, and the open calls.
 pub(super) struct DiscoveryWatch {
     pub(super) address: SocketAddr,
     pub(super) watch: Watch,
     latest_call: Option<ConnectionId>,
-    /// A call that has fallen silent and stays out beside the latest one.
+    /// A call that has timed out and stays open beside the latest one, in case its answer still arrives.
     silent_call: Option<ConnectionId>,
     /// When the latest call began.
     called_at: Micros,
     /// Number of gateways that call the same discovery.
     gateways: u32,
-    /// Time after a drain is announced in which the last requests may still go there.
+    /// Time after the announcement of a drain in which the last requests may still be sent to the host.
     drain_grace: Micros,
     rng: Pcg64Mcg,
 }
 
 impl DiscoveryWatch {
-    /// A watch at this address that goes on from a version.
+    /// A watch on discovery at this address that continues from a version.
     pub(super) fn new(address: SocketAddr, version: u64, settings: &Settings, seed: u64) -> Self {
         DiscoveryWatch {
             address,
@@ -107,18 +107,18 @@
         }
     }
 
-    /// Goes on under new settings.
+    /// Applies new settings.
     pub(super) fn update_settings(&mut self, settings: &Settings) {
         (self.gateways, self.drain_grace) = (settings.gateways, settings.drain_grace);
     }
 
-    /// The latest call has failed. Returns the time until the next.
-    fn on_call_failed(&mut self, how: CallFailure, now: Micros) -> Micros {
+    /// Records that the latest call has failed. Returns the time until the next call.
+    fn on_call_failed(&mut self, failure: CallFailure, now: Micros) -> Micros {
         let (spent, draw) = (now - self.called_at, uniform(&mut self.rng));
-        self.watch.on_call_failed(how, self.gateways, self.drain_grace, spent, draw)
+        self.watch.on_call_failed(failure, self.gateways, self.drain_grace, spent, draw)
     }
 
-    /// A call is not out any more.
+    /// Forgets a call that is not open any more.
     fn forget_call(&mut self, id: ConnectionId) {
         self.latest_call = self.latest_call.filter(|call| *call != id);
         self.silent_call = self.silent_call.filter(|call| *call != id);
@@ -126,7 +126,7 @@
 }
 
 impl Gateway {
-    /// Calls discovery, unless a call is out that has not fallen silent.
+    /// Calls discovery, unless a call is open that has not timed out yet.
     pub(super) fn call_discovery(&mut self) {
         if self.discovery.latest_call.is_some() {
             return;
@@ -144,13 +144,13 @@
                 self.discovery.latest_call = Some(id);
                 self.set_timer(timeout, Timer::DiscoveryTimeout(id));
             }
-            // Nothing was asked, and nothing is wrong with discovery.
+            // Nothing was sent, and the failure is not discovery's.
             Err(e) if is_shortage(&e) => self.set_timer(SHORTAGE_PAUSE, Timer::DiscoveryRetry),
             Err(e) => self.schedule_next_call(CallError::Connect(e)),
         }
     }
 
-    /// Takes in what discovery sends.
+    /// Handles bytes from discovery, or the end of the connection.
     pub(super) fn handle_discovery_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
         let is_late = self.discovery.silent_call == Some(id);
         let answer = if is_late {
@@ -174,7 +174,8 @@
         }
     }
 
-    /// A call has failed, and what it was to bring may be lost. The failure of one that fell silent was recorded then.
+    /// Handles a failed call, whose endpoint list may be lost. The failure of a silent call was already recorded when
+    /// it timed out.
     pub(super) fn handle_discovery_lost(&mut self, id: ConnectionId, why: CallError) {
         let is_late = self.discovery.silent_call == Some(id);
         self.end_call(id);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A call has timed out. It stays out as the silent one while the next call goes, or is given up.
+    /// Handles the timeout of a call. It either stays open as the silent one beside the next call, or is given up.
     pub(super) fn handle_discovery_timeout(&mut self, id: ConnectionId) {
         if self.discovery.latest_call != Some(id) {
             return;
@@ -202,12 +203,12 @@
         }
     }
 
-    /// Another call follows after a backoff.
+    /// Records a failure and schedules the next call after a backoff.
     fn schedule_next_call(&mut self, why: CallError) {
         let backoff = self.discovery.on_call_failed(why.failure(), self.now);
         let failures = self.discovery.watch.failures();
         if failures % FAILURES_PER_LINE == 1 {
-            warn!(self.log, "discovery failed"; "why" => %why, "in a row" => failures);
+            warn!(self.log, "discovery call failed, retrying"; "why" => %why, "in a row" => failures);
         }
         self.set_timer(backoff, Timer::DiscoveryRetry);
     }
@@ -222,8 +223,8 @@
         out.into_iter().flatten().for_each(|id| self.close(id));
     }
 
-    /// Discovery may have moved: the watch goes on there at once, with the full list, since versions of the one need mean
-    /// nothing to the other.
+    /// Moves the watch to this address and calls at once. It asks for the full list, since versions of one discovery
+    /// need not mean anything to another.
     pub(super) fn move_discovery_watch(&mut self, address: SocketAddr) {
         self.discovery.address = address;
         self.discovery.watch = Watch::from_version(None);
@@ -231,23 +232,23 @@
         self.call_discovery();
     }
 
-    /// Takes an endpoint list in, on all workers.
+    /// Applies an endpoint list on all workers.
     pub(super) fn distribute_endpoints(&mut self, listing: EndpointList, is_initial: bool) {
         let message = || WorkerMessage::Endpoints { listing: Box::new(listing.clone()), is_initial };
         self.workers.send_to_others(self.this_worker, message);
         self.update_endpoints(listing, is_initial);
     }
 
-    /// Takes an endpoint list in. Names and addresses are the same on all workers; each takes the members of its own
-    /// groups, and removes those that have moved to a group of another.
+    /// Applies an endpoint list on this worker. Names and addresses are the same on all workers. Each worker takes only
+    /// the members of its own groups, and removes members that have moved to a group of another worker.
     pub(super) fn update_endpoints(&mut self, listing: EndpointList, is_initial: bool) {
         let (version, is_full) = (listing.rev, listing.all);
         let (mut endpoints, unreadable) = self.directory.update(listing, &self.clock);
         if unreadable > 0 {
-            warn!(self.log, "lines of the list cannot be read"; "rev" => version, "lines" => unreadable);
+            warn!(self.log, "skipped unreadable entries of the endpoint list"; "rev" => version, "lines" => unreadable);
         }
         if self.this_worker == 0 && (!endpoints.is_empty() || is_initial) {
-            info!(self.log, "list"; "rev" => version, "whole" => is_full, "hosts" => endpoints.len());
+            info!(self.log, "endpoint list applied"; "rev" => version, "whole" => is_full, "hosts" => endpoints.len());
         }
         let (workers, this_worker, balancer) = (&self.workers, self.this_worker, &self.balancer);
         endpoints.retain_mut(|endpoint| {
--- a/src/net/event_loop/host_connection.rs
+++ b/src/net/event_loop/host_connection.rs
@@ -4,7 +4,7 @@
 use crate::pg::host::HostProtocol;
 use crate::{MemberId, Micros, RequestId};
 
-/// What a connection to a host is used for at present.
+/// The present use of a connection to a host.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum HostTask {
     None,
@@ -18,13 +18,13 @@
     IdleTimeout,
     /// Idle connections to this host may be broken.
     Distrusted,
-    /// Another connection needs its descriptor.
+    /// A new connection needs its descriptor.
     CapacityNeeded,
-    /// Bytes or an end have come while it was idle.
+    /// Bytes or the end of the connection arrived while it was idle.
     UnexpectedInput,
-    /// The host gets nothing new.
+    /// The host gets no new requests.
     NotRoutable,
-    /// It carries a request whose response nobody waits for.
+    /// Its query is in flight, and the response is not needed any more.
     ResponseNotAwaited,
     /// Its attempt or health check has failed.
     Failed(FailureCause),
@@ -34,21 +34,21 @@
 pub(super) struct HostConnection {
     pub(super) protocol: HostProtocol,
     pub(super) member: MemberId,
-    /// The host has accepted the session.
+    /// The host has accepted the session, so that queries can be sent.
     pub(super) is_ready: bool,
-    /// The attempt on it is counted among those written in full.
+    /// The present attempt has been counted as fully written.
     pub(super) is_attempt_counted: bool,
-    /// Not read, since the client that its response streams to has enough unread.
+    /// It is not read, since the client that its response streams to has too many unread bytes.
     pub(super) is_reading_paused: bool,
-    /// When the attempt on it ends at the latest.
+    /// When the present attempt times out.
     pub(super) attempt_deadline: Micros,
-    /// When bytes last came.
+    /// When bytes were last received.
     pub(super) last_received: Micros,
     pub(super) task: HostTask,
 }
 
 impl HostConnection {
-    /// A connection to a member that is being opened.
+    /// The state of a connection to a member that is being opened.
     pub(super) fn new(member: MemberId, now: Micros) -> Self {
         HostConnection {
             protocol: HostProtocol::default(),
--- a/src/net/event_loop/hosts.rs
+++ b/src/net/event_loop/hosts.rs
@@ -1,4 +1,4 @@
-//! Connections to database hosts, what hosts send, and health checks.
+//! Opens connections to database hosts, handles their responses, and makes health checks.
 
 use std::io;
 
@@ -19,7 +19,7 @@
 const HEALTH_CHECK_TIMEOUT: Micros = Micros::millis(250);
 
 impl Gateway {
-    /// Begins to connect to a member, which has its time for it.
+    /// Begins to connect to a member, and sets the timer by which the session must be accepted.
     pub(super) fn connect(&mut self, member: MemberId) -> Result<ConnectionId, FailureCause> {
         let address = self.directory.address(member).ok_or(FailureCause::NotAttempted)?;
         if !self.pool.has_capacity() {
@@ -54,8 +54,8 @@
         }
     }
 
-    /// An idle connection to the member on which nothing has come. What lies unread there is no response to the next
-    /// request, and must not be taken for it.
+    /// An idle connection to the member without unread input. Unread input would be mistaken for the response to the
+    /// next request, so a connection with any is closed.
     fn take_idle_connection(&mut self, member: MemberId) -> Option<ConnectionId> {
         while let Some(id) = self.pool.take(self.now, member) {
             let connection = self.connections.get(id);
@@ -69,7 +69,7 @@
         None
     }
 
-    /// Handles what has come on a connection to a host.
+    /// Handles the bytes that were received on a connection to a host.
     pub(super) fn process_host(&mut self, id: ConnectionId) {
         while let Some(event) = self.connections.host(id).and_then(|host| host.protocol.next_event()) {
             self.handle_host_event(id, event);
@@ -88,14 +88,14 @@
             HostEvent::StartupRejected(code) => self.handle_session_rejected(id, &code),
             HostEvent::StreamingStarted => match task {
                 HostTask::Attempt(request_id) => self.start_streaming(request_id),
-                // No load report is that long.
+                // A load report is too short to be streamed.
                 _ => self.handle_host_lost(id, FailureCause::MalformedResponse),
             },
-            HostEvent::Response(answer) => {
+            HostEvent::Response(response) => {
                 self.release_connection(id);
                 match task {
-                    HostTask::Attempt(request_id) => self.handle_response(request_id, member, answer),
-                    HostTask::HealthCheck => self.handle_health_response(member, answer),
+                    HostTask::Attempt(request_id) => self.handle_response(request_id, member, response),
+                    HostTask::HealthCheck => self.handle_health_response(member, response),
                     HostTask::None => {}
                 }
             }
@@ -106,18 +106,18 @@
         }
     }
 
-    /// A host has rejected the session.
+    /// Handles a host's refusal of the session, with its error code.
     fn handle_session_rejected(&mut self, id: ConnectionId, code: &str) {
         let Some(host) = self.connections.host(id) else { return };
         let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
         self.close(id);
-        debug!(self.log, "host turned a connection away"; "host" => self.directory.name(member), "code" => code);
+        debug!(self.log, "host refused the session"; "host" => self.directory.name(member), "code" => code);
         let is_rejection = is_rejection(code);
         let status = if is_rejection { ResponseStatus::Rejected } else { ResponseStatus::Failed };
-        let answer = HostResponse::empty(status);
+        let response = HostResponse::empty(status);
         match task {
             HostTask::Attempt(request_id) if is_rejection => {
-                self.handle_response(request_id, member, answer);
+                self.handle_response(request_id, member, response);
             }
             HostTask::Attempt(request_id) => {
                 self.requests.end_attempt(request_id);
@@ -125,44 +125,44 @@
                 let failed = FailedAttempt { progress: AttemptProgress::NotConnected, cause };
                 self.handle_attempt_failed(request_id, member, failed);
             }
-            HostTask::HealthCheck => self.handle_health_response(member, answer),
+            HostTask::HealthCheck => self.handle_health_response(member, response),
             HostTask::None => {}
         }
     }
 
     fn log_protocol_violation(&mut self, member: MemberId) {
         self.counts.malformed += 1;
-        // Once between two log lines on the traffic, so that these lines do not crowd out all others.
+        // Logged once between two `traffic` lines, so that these lines do not crowd out all others.
         if self.counts.malformed == 1 {
-            warn!(self.log, "host breaks the protocol"; "host" => self.directory.name(member));
+            warn!(self.log, "host violated the protocol"; "host" => self.directory.name(member));
         }
     }
 
-    /// A connection to a host has ended, or is given up for this cause.
+    /// Handles a connection to a host that has ended, or that is given up for this cause.
     pub(super) fn handle_host_lost(&mut self, id: ConnectionId, cause: FailureCause) {
         let Some(host) = self.connections.host(id) else { return };
         let (member, task) = (host.member, std::mem::replace(&mut host.task, HostTask::None));
         let (progress, is_ready) = (host.protocol.attempt_progress(), host.is_ready);
-        let answer = host.protocol.handle_end();
+        let response = host.protocol.handle_end();
         if cause != FailureCause::ConnectionLost {
             self.log_host_closed(id, CloseReason::Failed(cause));
         }
         self.close(id);
         let failed = FailedAttempt { progress, cause };
-        match (task, answer) {
-            // Whoever it was dialled for did not wait for it to fail, but the balancer must learn of it.
+        match (task, response) {
+            // The request for which it was opened has ended, but the balancer must know that connecting has failed.
             (HostTask::None, _) if !is_ready && cause == FailureCause::ConnectionLost => {
                 self.health_checked(member, AttemptOutcome::NoResponse(failed));
             }
             (HostTask::None, _) => {}
-            (HostTask::Attempt(request_id), Some(answer)) => {
-                self.handle_response(request_id, member, answer);
+            (HostTask::Attempt(request_id), Some(response)) => {
+                self.handle_response(request_id, member, response);
             }
             (HostTask::Attempt(request_id), None) => {
                 self.requests.end_attempt(request_id);
                 self.handle_attempt_failed(request_id, member, failed);
             }
-            (HostTask::HealthCheck, Some(answer)) => self.handle_health_response(member, answer),
+            (HostTask::HealthCheck, Some(response)) => self.handle_health_response(member, response),
             (HostTask::HealthCheck, None) => self.health_checked(member, AttemptOutcome::NoResponse(failed)),
         }
     }
@@ -184,17 +184,17 @@
         }
     }
 
-    fn handle_health_response(&mut self, member: MemberId, answer: HostResponse) {
-        let (role, position) = load_report::parse(&answer.value.unwrap_or_default());
+    fn handle_health_response(&mut self, member: MemberId, response: HostResponse) {
+        let (role, position) = load_report::parse(&response.value.unwrap_or_default());
         let position = self.to_position(position);
-        self.health_checked(member, AttemptOutcome::Response { status: answer.status, role, position });
+        self.health_checked(member, AttemptOutcome::Response { status: response.status, role, position });
     }
 
     fn health_checked(&mut self, member: MemberId, outcome: AttemptOutcome) {
         self.balancer.health_checked(self.now, member, outcome);
     }
 
-    /// A position that a host has reported; whether it can be is for the balancer to decide.
+    /// Converts a position that a host has reported. The balancer decides whether it is plausible.
     pub(super) fn to_position(&self, unix_ms: Option<f64>) -> Option<Micros> {
         unix_ms.map(|ms| self.clock.at_unix_ms(ms))
     }
--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -1,4 +1,5 @@
-//! New configurations while the gateway runs: at a signal from the file, and from the control machines as versions.
+//! Applies new configurations while the gateway runs: from the file after a signal, and versions from the control
+//! servers.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -19,23 +20,24 @@
 use crate::text_file::LineError;
 use crate::Micros;
 
-/// How long a configuration that cannot be read at this moment is read again, and the time between two attempts: it must be
-/// in force 4 s after the signal.
-const RELOAD_PATIENCE: Duration = Duration::from_secs(3);
+/// How long reading a configuration is retried after transient errors, and the time between two attempts: the
+/// configuration must be in force 4 s after the signal.
+const RELOAD_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 const RELOAD_RETRY_INTERVAL: Micros = Micros::millis(50);
 
 impl Gateway {
-    /// Reads the configuration again and takes all of it that may change, or nothing. Clients, attempts and all that is
-    /// known of the hosts stay.
+    /// Reads the configuration file again and applies all settings in it that may change, or none. Clients, attempts
+    /// and the state of the hosts are kept.
     pub(super) fn handle_reload_signal(&mut self) {
         let mut bytes = [0; 16];
         let Some(signals) = &mut self.signals else { return };
         signals.reload_requested.store(false, Ordering::SeqCst);
         let _ = signals.reload.read(&mut bytes);
-        self.reload(Instant::now() + RELOAD_PATIENCE);
+        self.reload(Instant::now() + RELOAD_RETRY_TIMEOUT);
     }
 
-    /// Reads the configuration again, and once more until this moment as long as the file cannot be read.
+    /// Reads the configuration file again and applies it. While the file cannot be read for a transient error, it is
+    /// retried until `until`.
     pub(super) fn reload(&mut self, until: Instant) {
         match self.apply_config(None) {
             Ok(discovery) => self.move_discovery_watch(discovery),
@@ -43,13 +45,14 @@
                 self.set_timer(RELOAD_RETRY_INTERVAL, Timer::ReloadRetry(until));
             }
             Err(why) => {
-                warn!(self.log, "new configuration not usable, the old one stays"; "why" => %why);
+                warn!(self.log, "new configuration rejected, keeping the previous one"; "why" => %why);
             }
         }
     }
 
-    /// Takes a version of the configuration as [`Gateway::reload`] takes a file, and answers what became of it. A watch on
-    /// a discovery that stays where it is goes on: at each version of all gateways it would ask for the full list.
+    /// Applies a version of the configuration as [`Gateway::reload`] applies the file, and answers with the result. If
+    /// discovery's address stays the same, so does the watch: otherwise all gateways would ask for the full list at
+    /// each version.
     pub(super) fn handle_config_version(&mut self) {
         let versions = self.signals.as_mut().and_then(|signals| signals.versions.as_mut());
         let Some(offer) = versions.and_then(VersionReceiver::try_receive) else { return };
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Puts a version, or the file as it is now, in force. Returns where discovery is from now on.
+    /// Applies a version, or the file as it is now. Returns the address of discovery from now on.
     fn apply_config(&mut self, version: Option<&Document>) -> ConfigResult<SocketAddr> {
         let mut zones = self.directory.zones().clone();
         let Some(signals) = &mut self.signals else {
@@ -73,9 +76,9 @@
         let (text, config) = (signals.read_config)(version, &mut zones).inspect_err(|why| {
             self.metrics.config_rejected += u64::from(!why.error.is_transient());
         })?;
-        let what =
-            if version.is_some() { "configuration's version taken" } else { "configuration read anew" };
-        info!(self.log, "{}", what; "discovery" => %config.discovery, "classes" => config.settings.class_names.len());
+        let event =
+            if version.is_some() { "configuration version applied" } else { "configuration file reloaded" };
+        info!(self.log, "{}", event; "discovery" => %config.discovery, "classes" => config.settings.class_names.len());
         let message = || WorkerMessage::Settings(Box::new(config.settings.clone()), zones.clone());
         self.workers.send_to_others(self.this_worker, message);
         self.directory.set_zones(zones);
@@ -85,7 +88,7 @@
         Ok(config.discovery)
     }
 
-    /// Goes on under new settings.
+    /// Applies new settings on this worker.
     pub(super) fn apply_site(&mut self, site: SiteSettings) {
         self.connect_timeout = connect_timeout(&site);
         let SiteSettings { router: mut settings, class_names, .. } = site;
--- a/src/net/event_loop/streaming.rs
+++ b/src/net/event_loop/streaming.rs
@@ -1,4 +1,4 @@
-//! Long values: they are streamed from host to client as they come, and the host waits for a client that reads slowly.
+//! Streams long values from host to client as they arrive. A host is not read while its client reads too slowly.
 
 use super::connections::ConnectionId;
 use super::host_connection::HostTask;
@@ -6,18 +6,18 @@
 use super::Gateway;
 use crate::RequestId;
 
-/// A host is not read while the client that its response streams to has so many bytes unread.
-pub(super) const MAX_UNREAD: usize = 64 * 1024;
+/// A host is not read while the client that its response streams to has this many bytes of pending output.
+pub(super) const MAX_UNREAD_BYTES: usize = 64 * 1024;
 
 impl Gateway {
-    /// The response of a request's attempt begins to stream: the request belongs to its client from here on.
+    /// Handles the start of a streamed response. From here on the request can neither be retried nor cancelled.
     pub(super) fn start_streaming(&mut self, request_id: RequestId) {
         if self.balancer.start_streaming(self.now, request_id) {
             self.requests.start_streaming(request_id);
         }
     }
 
-    /// Forwards what has come of a response that streams.
+    /// Forwards the bytes of a streamed response that have been received.
     pub(super) fn forward_stream(&mut self, id: ConnectionId) {
         let Some(host) = self.connections.host(id) else { return };
         let HostTask::Attempt(request_id) = host.task else { return };
@@ -34,7 +34,7 @@
         } else {
             let chunk = WorkerMessage::Chunk { from: self.this_worker, client: owner.connection, bytes };
             self.workers.send(owner.worker, chunk);
-            // One chunk at a time: the mailbox holds no more of a value than that.
+            // One chunk at a time, which limits the bytes of a value in the mailbox.
             true
         };
         if is_paused {
@@ -49,15 +49,15 @@
         }
     }
 
-    /// Writes a chunk of a streamed response to its client. True if it has enough unread now.
+    /// Writes a chunk of a streamed response to its client. True if the client has too many unread bytes after it.
     fn write_chunk(&mut self, client: ConnectionId, bytes: &[u8]) -> bool {
         let Some(connection) = self.connections.client(client) else { return false };
         connection.protocol.out.bytes.extend_from_slice(bytes);
         self.write(client);
-        self.connections.client(client).is_some_and(|client| client.protocol.out.len() >= MAX_UNREAD)
+        self.connections.client(client).is_some_and(|client| client.protocol.out.len() >= MAX_UNREAD_BYTES)
     }
 
-    /// A chunk of a streamed response has come from its owning worker, which waits for a reply before it sends the next.
+    /// Handles a chunk of a streamed response from the owning worker, which waits for a reply before it sends the next.
     pub(super) fn handle_chunk(&mut self, from: usize, client: ConnectionId, bytes: &[u8]) {
         let is_full = self.write_chunk(client, bytes);
         let Some(connection) = self.connections.client(client) else { return };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The client of a streamed response has read on: its host is read on as well.
+    /// Resumes reading from a host after the client of its streamed response has read enough.
     pub(super) fn resume_streaming(&mut self, request_id: RequestId) {
         let now = self.now;
         let Some(id) = self.requests.get(request_id).and_then(crate::request::InFlightRequest::attempt)
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A streamed response cannot be finished: its client learns so by the end of the connection.
+    /// Ends a request whose streamed response cannot be finished. Closing the connection tells the client.
     pub(super) fn abort_streaming(&mut self, request_id: RequestId) {
         let Some(request) = self.remove_request(request_id) else { return };
         self.counts.failed += 1;
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -79,7 +79,7 @@
 
     // The own file names another discovery: by it the gateway would go back.
     deployment.signal(CONTROL_SERVERS, Signal::HUP);
-    deployment.wait_until_logged(CONTROL_SERVERS, "configuration read anew");
+    deployment.wait_until_logged(CONTROL_SERVERS, "configuration file reloaded");
     deployment.wait_until("a SIGHUP asks for the whole list, as ever", |_| moved.full_list_requests() == 4);
     assert_eq!(deployment.configuration_status(0)["version"], 3);
     assert_eq!(applied(&deployment), Some(4));
