--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -1,4 +1,5 @@
-//! How a gateway ends: it hands its clients over or accepts for a while, answers what it has taken, and closes.
+//! Shutdown: the gateway hands its clients over or accepts new ones for a while, answers all accepted requests, and
+//! closes.
 
 use std::io::Read;
 use std::sync::atomic::Ordering;
@@ -16,12 +17,12 @@
 use crate::balancer::RoutingDecision;
 use crate::{Micros, RequestId};
 
-/// How long the loop goes on accepting after SIGTERM: new connections may arrive for up to 0.4 s.
-const HANDOVER_TIME: Micros = Micros::millis(500);
-/// How much longer the listener is kept where its queue cannot be emptied for a shortage.
-const QUEUE_PATIENCE: Micros = Micros::millis(1_000);
-/// After SIGTERM the process may be killed once the longest deadline, or this where that is longer, and 0.7 s are over:
-/// all is answered a little before.
+/// How long the loop continues to accept after SIGTERM: new connections may arrive for up to 0.4 s.
+const HANDOVER_DURATION: Micros = Micros::millis(500);
+/// How much longer the listener stays open while a shortage prevents accepting all clients in its queue.
+const MAX_QUEUE_DELAY: Micros = Micros::millis(1_000);
+/// After SIGTERM the process may be killed after the longest deadline, of which at most `MAX_COUNTED_DEADLINE` counts,
+/// plus 0.7 s. All requests are answered a little before that.
 const MAX_COUNTED_DEADLINE: Micros = Micros::millis(3_000);
 const FINAL_ANSWERS_AFTER: Micros = Micros::millis(600);
 
@@ -34,17 +35,17 @@
         if self.phase != Phase::Serving {
             return;
         }
-        info!(self.log, "signal to end, handing over"; "owed" => self.requests.len());
+        info!(self.log, "shutdown signal received, handing over"; "owed" => self.requests.len());
         self.phase = Phase::HandingOver;
         let longest = self.balancer.longest_deadline().min(MAX_COUNTED_DEADLINE);
         self.answer_all_by(self.now + longest + FINAL_ANSWERS_AFTER);
-        // A next process has the listener: no new connections are waited for.
-        let wait = if self.hot_restart.successor.is_some() { Micros(0) } else { HANDOVER_TIME };
-        self.admission.listener_deadline = self.now + wait + QUEUE_PATIENCE;
+        // If the next process has the listener, this one waits for no new connections.
+        let wait = if self.hot_restart.successor.is_some() { Micros(0) } else { HANDOVER_DURATION };
+        self.admission.listener_deadline = self.now + wait + MAX_QUEUE_DELAY;
         self.set_timer(wait, Timer::HandoverEnd);
     }
 
-    /// Looks for signals that did not wake the loop.
+    /// Handles signals that did not wake the loop.
     pub(super) fn check_missed_signals(&mut self) {
         let Some(signals) = &self.signals else { return };
         let is_shutdown_requested = signals.shutdown_requested.load(Ordering::SeqCst);
@@ -57,13 +58,13 @@
         }
     }
 
-    /// Nothing that is taken is answered later than this.
+    /// Sets the time by which all accepted requests are answered.
     pub(super) fn answer_all_by(&mut self, deadline: Micros) {
         self.final_answers_by = Some(deadline);
         self.set_timer(deadline - self.now, Timer::FinalAnswers);
     }
 
-    /// The process may be killed soon: whoever still waits is answered now.
+    /// Fails all requests that are still waiting, since the process may be killed soon.
     pub(super) fn give_final_answers(&mut self) {
         let waiting: Vec<RequestId> = self.requests.waiting().collect();
         for request_id in waiting {
@@ -72,13 +73,13 @@
         }
     }
 
-    /// The handover is over: takes what has arrived, then closes the listener and idle clients.
+    /// Ends the handover: accepts the clients that wait in the queue, then closes the listener and idle clients.
     pub(super) fn close_listener(&mut self) {
-        let is_queue_own = self.hot_restart.successor.is_none()
+        let owns_queue = self.hot_restart.successor.is_none()
             && self.this_worker == 0
             && self.admission.listener.is_some();
-        let left = if is_queue_own { self.empty_accept_queue() } else { AcceptQueue::Empty };
-        // Clients are not left in the queue for a shortage, nor while others that leave free capacity.
+        let left = if owns_queue { self.empty_accept_queue() } else { AcceptQueue::Empty };
+        // While a shortage or a lack of capacity keeps clients in the queue, the listener stays open, up to a deadline.
         if left == AcceptQueue::Blocked && self.now < self.admission.listener_deadline {
             self.set_timer(SHORTAGE_PAUSE, Timer::HandoverEnd);
         } else if let Some(listener) = self.admission.listener.take() {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Accepts to the end of the queue; not of those that come meanwhile, without end.
+    /// Accepts the clients in the queue. The number of rounds is limited, since new clients may keep arriving.
     fn empty_accept_queue(&mut self) -> AcceptQueue {
         let rounds = (BACKLOG as usize).div_ceil(MAX_ACCEPTS) + 1;
         let left = (0..rounds).map(|_| self.accept_clients()).find(|left| *left != AcceptQueue::MaybeMore);
--- a/src/net/event_loop/sockets.rs
+++ b/src/net/event_loop/sockets.rs
@@ -1,4 +1,4 @@
-//! What the event loop asks of sockets beside reading and writing.
+//! Socket operations of the event loop other than reading and writing.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,10 +9,10 @@
 
 use crate::shortage::should_try_later;
 
-/// Most connections that the system keeps for a listener.
+/// Largest number of connections that the system queues for a listener.
 pub(super) const BACKLOG: i32 = 1024;
 
-/// Listens; with `shared` the next process may listen on the same address.
+/// Opens a listener on an address. With `shared`, the next process may listen on the same address.
 pub(super) fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -23,12 +23,12 @@
     Ok(socket.into())
 }
 
-/// Whether something waits to be read, or somebody to be accepted.
+/// Whether bytes can be read, or a connection accepted, without waiting.
 pub(super) fn is_readable(source: &impl AsFd) -> bool {
     has_event(PollFd::new(source, PollFlags::IN))
 }
 
-/// Whether the other side has closed, though bytes before its end may still wait to be read.
+/// Whether the peer has closed the connection, even if bytes that it sent before are still unread.
 pub(super) fn has_hung_up(socket: &TcpStream) -> bool {
     match socket.peek(&mut [0]) {
         Ok(0) => true,
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -1,4 +1,4 @@
-//! How a gateway starts: its listeners, one worker after the other, and what it takes over from the process before.
+//! Start of a gateway: opens its listeners, builds its workers, and restores the state of the previous process.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -36,36 +36,36 @@
 use crate::shortage::{is_shortage, retry, START_RETRY_TIMEOUT};
 use crate::Micros;
 
-/// Descriptors kept back: standard streams, poller, signals, listeners, discovery, operators, half-closed connections,
-/// and some to spare.
+/// Descriptors reserved for standard streams, poller, signals, listeners, discovery, operators, half-closed
+/// connections, and some to spare.
 const DESCRIPTOR_RESERVE: usize = 44;
-/// And for each worker after the first: its poller.
+/// Descriptors reserved for each worker after the first, for its poller.
 const WORKER_RESERVE: usize = 4;
-/// Least descriptors for each worker.
+/// Smallest number of descriptors for each worker, whatever the limit is.
 const MIN_WORKER_DESCRIPTORS: usize = 8;
-/// Connections to hosts may take one in so many of the other descriptors.
-const HOST_FRACTION: usize = 3;
-/// Clients that have asked before may keep open one in so many of all descriptors. For requests, clients hold a third of
-/// the descriptors among them: while they keep idle ones, new ones must find capacity.
-const KNOWN_CLIENT_FRACTION: usize = 4;
-/// One message of a client may take one in so many of all bytes of memory: any number of clients may send the most that
-/// they may. And the longest such message, however much memory there is.
-const MESSAGE_FRACTION: usize = 256;
-const MAX_MESSAGE: usize = 8 * 1024 * 1024;
-/// Bytes read from a connection at a time.
-const READ_BUFFER: usize = 16 * 1024;
-/// Least time for a connection to a host to come up.
+/// Connections to hosts may use the unreserved descriptors divided by this number.
+const HOST_DIVISOR: usize = 3;
+/// Clients that have queried before may keep all descriptors divided by this number open. Clients with requests hold a
+/// third of the descriptors; while clients keep idle connections, there must be capacity for new ones.
+const KNOWN_CLIENT_DIVISOR: usize = 4;
+/// A message of a client may be as long as the memory divided by this number, since many clients may send messages of
+/// the greatest length at once; and at most `MAX_MESSAGE_BYTES` long, however much memory there is.
+const MESSAGE_DIVISOR: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
+/// Largest number of bytes that one read from a connection returns.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Shortest connect timeout, whatever the settings say.
 const MIN_CONNECT_TIMEOUT: Micros = Micros::millis(10);
 
-/// What the process before hands over, but for its listener and its clock.
+/// The state of the previous process, apart from its listener and its clock.
 struct Predecessor {
     socket: HandoverSocket,
     snapshot: GatewaySnapshot,
-    /// By how much its clock may differ from this process's.
+    /// Upper bound of the difference between its clock and this process's.
     clock_error: Micros,
 }
 
-/// The most that each worker takes on.
+/// The limits of a worker.
 #[derive(Clone, Copy)]
 struct Limits {
     hosts: usize,
@@ -76,20 +76,20 @@
     fn of(config: &Config, workers: usize) -> Self {
         let reserve = DESCRIPTOR_RESERVE + WORKER_RESERVE * (workers - 1);
         let budget = config.max_descriptors.saturating_sub(reserve).max(MIN_WORKER_DESCRIPTORS * workers);
-        let hosts = budget / HOST_FRACTION;
+        let hosts = budget / HOST_DIVISOR;
         let clients = budget - hosts;
         let memory = config.memory_mib.saturating_mul(1024 * 1024);
         let clients = ClientLimits {
             clients,
-            known_clients: (config.max_descriptors / KNOWN_CLIENT_FRACTION).clamp(2, clients),
-            message: (memory / MESSAGE_FRACTION).clamp(codec::MAX_MESSAGE, MAX_MESSAGE),
+            known_clients: (config.max_descriptors / KNOWN_CLIENT_DIVISOR).clamp(2, clients),
+            message: (memory / MESSAGE_DIVISOR).clamp(codec::MAX_MESSAGE, MAX_MESSAGE_BYTES),
         };
         Limits { hosts: hosts / workers, clients }
     }
 }
 
-/// What all workers are built from.
-struct Parts<'a> {
+/// Builds the workers of a gateway.
+struct WorkerBuilder<'a> {
     config: &'a Config,
     limits: Limits,
     workers: Arc<Workers>,
@@ -98,13 +98,13 @@
 }
 
 impl Gateway {
-    /// Opens the listener, with one worker.
+    /// Opens a gateway with one worker.
     pub fn open(config: Config, signals: Signals, log: Logger) -> io::Result<Gateway> {
         let gateways = Gateway::open_all(config, signals, log, 1)?;
         gateways.into_iter().next().ok_or_else(|| io::ErrorKind::InvalidInput.into())
     }
 
-    /// Opens the listener, with so many workers. Each is to run on a thread of its own.
+    /// Opens a gateway with this number of workers. Each must run on its own thread.
     pub fn open_all(
         mut config: Config,
         signals: Signals,
@@ -112,7 +112,7 @@
         count: usize,
     ) -> io::Result<Vec<Gateway>> {
         let sources = Sources::open(&mut config, &signals, count)?;
-        let parts = Parts {
+        let builder = WorkerBuilder {
             limits: Limits::of(&config, count),
             config: &config,
             workers: Arc::new(Workers::new(&sources.pollers)),
@@ -121,7 +121,7 @@
         };
         let pollers = sources.pollers.iter().enumerate();
         let mut gateways: Vec<Gateway> =
-            pollers.map(|(worker, poller)| parts.build(worker, poller.clone())).collect();
+            pollers.map(|(worker, poller)| builder.build(worker, poller.clone())).collect();
         let Some(first) = gateways.first_mut() else { return Err(io::ErrorKind::InvalidInput.into()) };
         if count == 1 {
             first.log = log;
@@ -139,12 +139,12 @@
                 first.restore_down();
             }
         }
-        begin_all(&mut gateways);
+        start_all(&mut gateways);
         Ok(gateways)
     }
 }
 
-/// What the workers wait for and read from at their start.
+/// The event sources of the workers, and the clock and state that they start with.
 struct Sources {
     /// One for each worker.
     pollers: Vec<Arc<Poller>>,
@@ -155,33 +155,33 @@
 }
 
 impl Sources {
-    /// Opens the pollers and the listeners, or takes over the listener of the process before. What fails for a shortage of
-    /// this machine is tried again for a while.
+    /// Opens the pollers and the listeners, or takes over the listener of the previous process. Calls that fail for a
+    /// shortage of this machine are retried until [`START_RETRY_TIMEOUT`] is over.
     fn open(config: &mut Config, signals: &Signals, workers: usize) -> io::Result<Self> {
         let until = Instant::now() + START_RETRY_TIMEOUT;
-        // A signal to end is not kept waiting by a shortage.
-        let passes = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
+        // A shutdown signal ends the retries.
+        let is_retryable = |error: &io::Error| is_shortage(error) && !is_readable(&signals.shutdown);
         let pollers: Vec<_> = (0..workers)
-            .map(|_| retry(until, passes, Poller::new).map(Arc::new))
+            .map(|_| retry(until, is_retryable, Poller::new).map(Arc::new))
             .collect::<io::Result<_>>()?;
-        let listen = |address, shared| retry(until, passes, || listen(address, shared));
+        let listen = |address, shared| retry(until, is_retryable, || listen(address, shared));
         let (predecessor, listener, clock) = match config.predecessor.take() {
             Some(state) => take_over(state),
             None => (None, listen(config.listen, true)?, Clock::start()),
         };
         let admin = config.admin.map(|address| listen(address, false)).transpose()?;
         if let Some(first) = pollers.first() {
-            let retried = |add: &mut dyn FnMut() -> io::Result<()>| retry(until, passes, add);
+            let retried = |add: &mut dyn FnMut() -> io::Result<()>| retry(until, is_retryable, add);
             watch_sources(first, &listener, admin.as_ref(), signals, retried)?;
         }
         Ok(Sources { pollers, listener, admin, clock, predecessor })
     }
 }
 
-impl Parts<'_> {
-    /// A worker without listeners.
+impl WorkerBuilder<'_> {
+    /// Builds a worker without listeners.
     fn build(&self, worker: usize, poller: Arc<Poller>) -> Gateway {
-        let Parts { config, limits, clock, .. } = self;
+        let WorkerBuilder { config, limits, clock, .. } = self;
         let (site, settings) = (&config.site, &config.site.router);
         let discovery = DiscoveryWatch::new(config.discovery, config.endpoints.rev, settings, config.seed);
         let now = clock.read();
@@ -197,7 +197,7 @@
             poller,
             timers: Timers::default(),
             ready_clients: VecDeque::new(),
-            read_buffer: vec![0; READ_BUFFER],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             pool: Pool::new(limits.hosts, settings.connection_idle_timeout),
             requests: InFlightRequests::default(),
             balancer: Balancer::new(settings.clone(), config.seed.wrapping_add(worker as u64)),
@@ -225,7 +225,7 @@
     classes
 }
 
-/// Metrics that show each class from the start.
+/// Metrics in which each class has an entry from the start, also without requests.
 fn initial_metrics(site: &SiteSettings) -> Metrics {
     let mut metrics = Metrics::default();
     for class in &site.class_names {
@@ -234,12 +234,12 @@
     metrics
 }
 
-/// How long a connection to a host may take to come up.
+/// The time within which a host must accept a new session.
 pub(super) fn connect_timeout(site: &SiteSettings) -> Micros {
     site.connect_timeout.max(MIN_CONNECT_TIMEOUT)
 }
 
-/// Takes over from the process before: its listener, and a clock that goes on with its own.
+/// Takes over the listener of the previous process and continues its clock.
 fn take_over(state: HandoverState) -> (Option<Predecessor>, TcpListener, Clock) {
     let HandoverState { socket, snapshot, listener, requested_at } = state;
     let (clock, clock_error) =
@@ -271,7 +271,7 @@
     Ok(())
 }
 
-/// Restores on all workers what the process before knew, and has the first take its place.
+/// Restores the state of the previous process on all workers, and has the first worker take its place.
 fn restore_all(gateways: &mut [Gateway], predecessor: Predecessor) {
     let Predecessor { socket, snapshot, clock_error } = predecessor;
     for worker in gateways.iter_mut() {
@@ -280,8 +280,8 @@
     gateways[0].take_place_of(socket, snapshot);
 }
 
-/// Has the first worker wait for the next process and call discovery, and all sweep.
-fn begin_all(gateways: &mut [Gateway]) {
+/// Has the first worker listen for the next process and call discovery, and starts the sweeps of all workers.
+fn start_all(gateways: &mut [Gateway]) {
     gateways[0].listen_for_successor();
     gateways[0].call_discovery();
     for worker in gateways {
--- a/src/net/event_loop/sweep.rs
+++ b/src/net/event_loop/sweep.rs
@@ -1,4 +1,4 @@
-//! What happens when a timer fires, and the sweep over all connections that comes with one of them.
+//! Handles timers that fire, among them the periodic sweep over all connections.
 
 use slog::warn;
 
@@ -11,8 +11,8 @@
 use crate::balancer::RoutingDecision;
 use crate::{Micros, RequestId};
 
-/// A response that has begun and brings nothing for so long does not end; one that streams is waited for longer, since
-/// nobody else can give the rest.
+/// A response that has begun counts as broken if no bytes arrive for this long. A streamed one is waited for longer,
+/// since no other host can send the rest of it.
 const RESPONSE_STALL: Micros = Micros::millis(250);
 const STREAM_STALL: Micros = Micros::millis(10_000);
 /// Time between sweeps.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The backstop: the balancer should have decided before.
+    /// Fails a request whose deadline has passed although the balancer should have decided before.
     fn handle_request_deadline(&mut self, request_id: RequestId) {
         if self.requests.get(request_id).is_some_and(|request| !request.is_streaming()) {
             warn!(self.log, "request overdue");
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whether a response has begun on a connection and brings nothing more.
+/// Whether a response has begun on a connection and no more bytes of it arrive.
 fn is_stalled(host: &HostConnection, now: Micros) -> bool {
     let stall = if host.protocol.is_streaming() { STREAM_STALL } else { RESPONSE_STALL };
     host.protocol.has_partial_response() && !host.is_reading_paused && now - host.last_received >= stall
--- a/src/net/event_loop/timers.rs
+++ b/src/net/event_loop/timers.rs
@@ -6,42 +6,42 @@
 use super::connections::ConnectionId;
 use crate::{Micros, RequestId};
 
-/// What is done when a timer fires.
+/// The action of a timer.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
-    /// The connection to a host must be up.
+    /// The host must have accepted the session by now.
     ConnectTimeout(ConnectionId),
-    /// The attempt's time is over.
+    /// The attempt has timed out.
     AttemptTimeout(RequestId, ConnectionId),
-    /// The client gives up: if it is still owed its answer, it gets it now.
+    /// The request's deadline has come: a client that has no answer yet gets an error.
     RequestDeadline(RequestId),
-    /// The health check's time is over.
+    /// The health check has timed out.
     HealthCheckTimeout(ConnectionId),
-    /// Discovery should have answered.
+    /// The call to discovery has timed out.
     DiscoveryTimeout(ConnectionId),
-    /// Discovery is called again.
+    /// Calls discovery again.
     DiscoveryRetry,
-    /// Accepting goes on, and clients that were accepted in a shortage are served.
+    /// Resumes accepting clients, and registers those that could not be registered for a shortage.
     ResumeAccepting,
-    /// The configuration that could not be read is read again, up to this moment.
+    /// Reads the configuration file again; it is retried up to this moment.
     ReloadRetry(Instant),
-    /// Accepting operators' connections goes on.
+    /// Resumes accepting operators' connections.
     ResumeAdminAccepting,
-    /// The poller is asked again to watch a connection.
+    /// Retries changing the events that the poller watches for on a connection.
     UpdateInterest(ConnectionId),
-    /// The sweep over all connections.
+    /// Runs the sweep over all connections.
     Sweep,
-    /// A client that is not read, since it has sent more than is taken, may have left.
+    /// Checks whether a client has disconnected that is not read, since it has sent more than is buffered.
     UnreadCheck(ConnectionId),
-    /// A half-closed connection has had its time.
+    /// The half-closed connection has timed out.
     HalfClosedTimeout(ConnectionId),
-    /// After SIGTERM: whoever still waits is answered now.
+    /// After SIGTERM: answers all requests that are still waiting.
     FinalAnswers,
-    /// After SIGTERM: the handover is over.
+    /// After SIGTERM: ends the handover and closes the listener.
     HandoverEnd,
 }
 
-/// What is to happen when.
+/// The pending timers, ordered by the time at which they are due.
 #[derive(Default)]
 pub(super) struct Timers {
     queue: BTreeMap<(Micros, u64), Timer>,
@@ -49,13 +49,13 @@
 }
 
 impl Timers {
-    /// Sets a timer; those of one moment fire in the order in which they were set.
+    /// Sets a timer. Timers with the same time fire in the order in which they were set.
     pub(super) fn set(&mut self, at: Micros, timer: Timer) {
         self.last_number += 1;
         self.queue.insert((at, self.last_number), timer);
     }
 
-    /// Takes out the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.queue.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
