--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -1,5 +1,6 @@
-//! Operators: their listener, their calls, and the hosts that they take down. Their connections have descriptors of their
-//! own, so that neither clients nor operators keep each other out; those without a complete call are closed first.
+//! The admin interface: accepts operators' connections, answers their calls, and sets hosts administratively down.
+//! Descriptors for these connections are reserved, so that clients and operators cannot keep each other out.
+//! If too many operators are connected, a connection that already has its answer is closed first.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -20,21 +21,21 @@
 use crate::admin::request::{AdminRequest, HttpStatus};
 use crate::fleet::status::SharedStatus;
 
-/// Most operators' connections at a time.
+/// Largest number of operators' connections at a time.
 const MAX_CONNECTIONS: usize = 12;
 
-/// The operators' listener, and what their orders have changed.
+/// The listener of the admin interface, and the state that operators have set.
 #[derive(Default)]
 pub(super) struct AdminInterface {
     pub(super) listener: Option<TcpListener>,
     /// Names of the hosts that are administratively down.
     pub(super) down: BTreeSet<String>,
-    /// What is known of the fleet, if this gateway is in one.
+    /// The status of the fleet, if this gateway is in one.
     pub(super) fleet: Option<SharedStatus>,
 }
 
 impl Gateway {
-    /// Accepts operators' connections. A call that has come along is answered at once.
+    /// Accepts operators' connections. A call that has arrived with its connection is answered at once.
     pub(super) fn accept_admins(&mut self) {
         while let Some(accepted) = self.admin.listener.as_ref().map(TcpListener::accept) {
             let socket = match accepted {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Goes on accepting operators' connections, or pauses: while the system lacks something, whoever waits would wake the
-    /// loop without end.
+    /// Resumes or pauses accepting operators' connections. While a shortage prevents accepting, a waiting connection
+    /// would otherwise wake the loop again and again.
     pub(super) fn set_admin_accepting(&mut self, accepting: bool) {
         let Some(listener) = &self.admin.listener else { return };
         let interest = Event { key: ADMIN_LISTENER, readable: accepting, writable: false };
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Closes one connection where the most are open: first one that has its answer, then the one that has had an
-    /// incomplete call for longest.
+    /// Closes one connection if the limit is reached: first one that has its answer, then the one whose call has been
+    /// incomplete for longest.
     fn evict_surplus_admin(&mut self) {
         if self.connections.admins().count() < MAX_CONNECTIONS {
             return;
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes in bytes of an operator, or its end: one that got its answer has read it, one that did not will get none.
+    /// Handles bytes from an operator, or the end of the connection. At its end the connection is closed unless an
+    /// answer is still being written.
     pub(super) fn handle_admin_bytes(&mut self, id: ConnectionId, bytes: &[u8], has_ended: bool) {
         let Some(admin) = self.connections.admin(id) else { return };
         if has_ended && admin.protocol.out.is_empty() {
@@ -109,8 +111,8 @@
             }
             AdminRequest::Readiness => self.reply(id, HttpStatus::ServiceUnavailable, "ending\n"),
             AdminRequest::Stats => self.collect_metrics(id),
-            AdminRequest::SetDown(name) => self.order_down(id, &name, true),
-            AdminRequest::SetUp(name) => self.order_down(id, &name, false),
+            AdminRequest::SetDown(name) => self.set_down_on_all_workers(id, &name, true),
+            AdminRequest::SetUp(name) => self.set_down_on_all_workers(id, &name, false),
             AdminRequest::Fleet => self.reply_fleet(id),
         }
     }
@@ -135,7 +137,7 @@
         self.add_metrics(id, &own);
     }
 
-    /// Adds one worker's metrics for a call. It is answered once all have come.
+    /// Adds one worker's metrics for a call, which is answered once all workers have sent theirs.
     pub(super) fn add_metrics(&mut self, id: ConnectionId, metrics: &Metrics) {
         let Some(admin) = self.connections.admin(id) else { return };
         admin.metrics.add(metrics);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The metrics as they stand.
+    /// The present metrics of this worker.
     pub(super) fn current_metrics(&mut self) -> Metrics {
         self.metrics.active = self.requests.len();
         let endpoints = self.balancer.endpoint_counts();
@@ -153,13 +155,15 @@
         self.metrics.clone()
     }
 
-    /// Operators take a host down, or put it back. They get the confirmation once that holds on every worker.
-    fn order_down(&mut self, id: ConnectionId, name: &str, down: bool) {
+    /// Sets a host administratively down, or up again, on all workers. The operator gets the confirmation once every
+    /// worker has applied it.
+    fn set_down_on_all_workers(&mut self, id: ConnectionId, name: &str, down: bool) {
         if self.directory.member(name).is_none() {
-            warn!(self.log, "operators name a host that nobody has"; "host" => name);
+            warn!(self.log, "unknown host in an operator's call"; "host" => name);
             return self.reply(id, HttpStatus::NotFound, "no such database host\n");
         }
-        info!(self.log, "{}", if down { "host put down by hand" } else { "host put back up" }; "host" => name);
+        info!(self.log, "{}", if down { "host administratively down" } else { "host administratively up" };
+            "host" => name);
         let workers = self.workers.count();
         if let Some(admin) = self.connections.admin(id) {
             (admin.awaited_workers, admin.confirmation) = (workers, if down { "down\n" } else { "up\n" });
@@ -172,14 +176,14 @@
         self.handle_set_down_done(id);
     }
 
-    /// A host is administratively down on this worker from now on, or up again. Its idle connections are closed.
+    /// Sets a host administratively down on this worker, or up again. Its idle connections are closed.
     pub(super) fn set_down(&mut self, name: &str, down: bool) {
         let member = self.directory.assign_id(name);
         self.balancer.set_administratively_down(self.now, member, down);
         self.process_outputs();
     }
 
-    /// An order holds on one more worker.
+    /// Records that one more worker has applied a call's change; the last one's reply leads to the confirmation.
     pub(super) fn handle_set_down_done(&mut self, id: ConnectionId) {
         let Some(admin) = self.connections.admin(id) else { return };
         if admin.on_worker_reply() {
@@ -188,18 +192,18 @@
         }
     }
 
-    /// Stores the names of the hosts that are down in a file beside the handover socket, for a start without a process
-    /// to take over from: they stay down until the order to put them back.
+    /// Records that a host is down or up, and stores the names of all hosts that are down in a file beside the handover
+    /// socket. After a start without a previous process they stay down until an operator sets them up again.
     pub(super) fn store_down(&mut self, name: &str, down: bool) {
         let is_changed =
             if down { self.admin.down.insert(name.to_string()) } else { self.admin.down.remove(name) };
         let Some(path) = self.hot_restart.path.as_ref().filter(|_| is_changed) else { return };
         if let Err(e) = write_down_file(path, &self.admin.down) {
-            warn!(self.log, "hosts put down by hand cannot be kept in a file"; "error" => %e);
+            warn!(self.log, "cannot store the administratively down hosts"; "error" => %e);
         }
     }
 
-    /// Takes down the hosts that were so when the process before ended.
+    /// Restores the state of the hosts that were administratively down when the previous process ended.
     pub(super) fn restore_down(&mut self) {
         let Some(path) = self.hot_restart.path.as_ref().map(|path| path.with_extension("down")) else {
             return;
@@ -208,7 +212,7 @@
         let down = match serde_json::from_slice::<BTreeSet<String>>(&text) {
             Ok(down) => down,
             Err(e) => {
-                warn!(self.log, "hosts put down by hand cannot be read"; "error" => %e);
+                warn!(self.log, "cannot read the stored administratively down hosts"; "error" => %e);
                 return;
             }
         };
@@ -218,7 +222,7 @@
             self.workers.send_to_others(self.this_worker, message);
         }
         if !down.is_empty() {
-            info!(self.log, "hosts still down by hand"; "hosts" => down.len());
+            info!(self.log, "restored the administratively down hosts"; "hosts" => down.len());
         }
         self.admin.down = down;
     }
@@ -232,7 +236,7 @@
         }
     }
 
-    /// The answer is written: the operator sees its end, and closes when it has read it.
+    /// Shuts a connection for writing once the answer is written. The operator closes it after reading the answer.
     pub(super) fn handle_admin_answered(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(id) {
             let _ = connection.socket.shutdown(Shutdown::Write);
@@ -240,7 +244,7 @@
     }
 }
 
-/// Replaces the file beside the handover socket that names the hosts that are down.
+/// Replaces the file beside the handover socket with the names of the hosts that are down.
 fn write_down_file(socket_path: &Path, down: &BTreeSet<String>) -> io::Result<()> {
     let new = socket_path.with_extension("new");
     std::fs::write(&new, serde_json::to_vec(down)?)?;
--- a/src/net/event_loop/admin_session.rs
+++ b/src/net/event_loop/admin_session.rs
@@ -4,24 +4,24 @@
 use crate::admin::metrics::Metrics;
 use crate::Micros;
 
-/// How long an operator may take for a complete call, and how long for reading the answer.
+/// How long an operator may take to send a complete call, and to read the answer.
 const CALL_TIMEOUT: Micros = Micros::millis(5_000);
 const READ_TIMEOUT: Micros = Micros::millis(1_000);
 
 /// An operator's connection.
 pub(super) struct AdminSession {
     pub(super) protocol: AdminConnection,
-    /// When it connected, or when it got its answer.
+    /// When it connected, or when its answer was ready to be sent.
     pub(super) since: Micros,
-    /// Workers whose reply the answer waits for, and the metrics that have come so far.
+    /// Number of workers whose replies are still missing, and the sum of the metrics received so far.
     pub(super) awaited_workers: usize,
     pub(super) metrics: Metrics,
-    /// What an order is answered with once it holds on every worker.
+    /// The answer to a change of a host's administrative state, sent once every worker has applied it.
     pub(super) confirmation: &'static str,
 }
 
 impl AdminSession {
-    /// An operator that has just connected.
+    /// The state of a connection that has just been accepted.
     pub(super) fn new(now: Micros) -> Self {
         AdminSession {
             protocol: AdminConnection::default(),
@@ -38,7 +38,7 @@
         now - self.since >= timeout
     }
 
-    /// One worker has replied. True once all have.
+    /// Records a worker's reply. True once all workers have replied.
     pub(super) fn on_worker_reply(&mut self) -> bool {
         self.awaited_workers = self.awaited_workers.saturating_sub(1);
         self.awaited_workers == 0
--- a/src/net/event_loop/decision_log.rs
+++ b/src/net/event_loop/decision_log.rs
@@ -1,5 +1,5 @@
-//! The log of decisions: what they rested on, why a request was given up and why a connection to a host was closed. Lines
-//! on single requests are of level debug.
+//! The log of decisions: the data that they were based on, why a request was given up, and why a connection to a host
+//! was closed. Lines about single requests have level debug.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 use crate::{AttemptStatus, GroupId, MemberId, Micros, RequestId};
 
 impl Gateway {
-    /// Writes a notice of the balancer.
+    /// Logs a notice of the balancer.
     pub(super) fn log_notice(&self, notice: Notice) {
         match notice {
             Notice::LogTime { group, stepped, evidence, bounds } => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An attempt's last byte has been written.
+    /// Logs that the last byte of an attempt has been written, and what the choice of its host was based on.
     pub(super) fn log_attempt(&self, request_id: RequestId, member: MemberId) {
         if !self.log.is_debug_enabled() {
             return;
@@ -55,22 +55,23 @@
             "dated_ms_ago" => evidence.map(|evidence| self.ms_ago(evidence.received)));
     }
 
-    /// An attempt has ended.
+    /// Logs the end of an attempt.
     pub(super) fn log_attempt_end(&self, request_id: RequestId, member: MemberId, outcome: &AttemptOutcome) {
         let (id, host) = (self.client_id(request_id), self.directory.name(member));
         match outcome {
             AttemptOutcome::Response { status, role, position } => {
-                debug!(self.log, "attempt answered"; "id" => id, "host" => host, "said" => status_name(*status),
-                    "role" => role_name(*role), "position_ms" => self.unix_ms(*position));
+                debug!(self.log, "attempt received a response"; "id" => id, "host" => host,
+                    "said" => status_name(*status), "role" => role_name(*role),
+                    "position_ms" => self.unix_ms(*position));
             }
             AttemptOutcome::NoResponse(failed) => {
-                debug!(self.log, "attempt broke"; "id" => id, "host" => host,
+                debug!(self.log, "attempt failed"; "id" => id, "host" => host,
                     "reach" => progress_name(failed.progress), "cause" => cause_name(failed.cause));
             }
         }
     }
 
-    /// A connection to a host is closed by this gateway.
+    /// Logs that this gateway closes a connection to a host.
     pub(super) fn log_host_closed(&self, id: ConnectionId, why: CloseReason) {
         debug!(self.log, "connection to a host closed"; "connection" => id.index, "why" => close_reason_name(why));
     }
@@ -88,7 +89,7 @@
     }
 }
 
-/// What a response is called in the log.
+/// The name of a response status in the log.
 fn status_name(status: ResponseStatus) -> &'static str {
     match status {
         ResponseStatus::Served => "Served",
@@ -98,7 +99,7 @@
     }
 }
 
-/// What the progress of a failed attempt is called in the log.
+/// The name of a failed attempt's progress in the log.
 fn progress_name(progress: AttemptProgress) -> &'static str {
     match progress {
         AttemptProgress::NotConnected => "NotConnected",
@@ -107,7 +108,7 @@
     }
 }
 
-/// What the cause of a failed attempt is called in the log.
+/// The name of a failed attempt's cause in the log.
 fn cause_name(cause: FailureCause) -> &'static str {
     match cause {
         FailureCause::ConnectionLost => "Lost",
@@ -118,7 +119,7 @@
     }
 }
 
-/// What the reason is called in the log for which a connection to a host was closed.
+/// The text in the log for the reason why a connection to a host was closed.
 fn close_reason_name(why: CloseReason) -> &'static str {
     match why {
         CloseReason::IdleTimeout => "idle for too long",
@@ -135,7 +136,7 @@
     }
 }
 
-/// An attempt's status under the name that it has in the log.
+/// Formats an attempt's status under its name in the log.
 struct LoggedStatus(AttemptStatus);
 
 impl fmt::Debug for LoggedStatus {
@@ -144,7 +145,7 @@
     }
 }
 
-/// What an attempt's status is called in the log.
+/// The name of an attempt's status in the log.
 fn attempt_status_name(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Ok => "Ok",
@@ -161,7 +162,7 @@
     }
 }
 
-/// What the source of a believed position is called in the log.
+/// The name in the log of the source of a host's assumed position.
 fn source_name(source: PositionSource) -> String {
     match source {
         PositionSource::Unknown => "Nobody".to_string(),
@@ -170,7 +171,7 @@
     }
 }
 
-/// What the reason is called in the log for which a request was given up.
+/// The name in the log of the reason why a request was given up.
 fn give_up_name(why: GiveUp) -> &'static str {
     match why {
         GiveUp::NoTime => "NoTime",
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restart: the next process of this gateway takes over what this one knows, its listener and its clients, and this
-//! one did so from the process before.
+//! Hot restart: hands this process's state, listener and clients over to the next process of this gateway, and takes
+//! those of the previous process over.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -21,7 +21,7 @@
 use crate::{ClassId, Micros};
 
 impl Gateway {
-    /// Waits for the next process, where there is a path for it.
+    /// Listens on the handover socket for the next process, if a path for it is configured.
     pub(super) fn listen_for_successor(&mut self) {
         let Some(path) = &self.hot_restart.path else { return };
         let listener = handover_socket::listen(path).and_then(|listener| {
@@ -30,48 +30,49 @@
         });
         match listener {
             Ok(listener) => self.hot_restart.listener = Some(listener),
-            Err(e) => warn!(self.log, "no upgrade without a stop: cannot wait for it"; "error" => %e),
+            Err(e) => warn!(self.log, "hot restart: cannot listen for the next process"; "error" => %e),
         }
     }
 
-    /// The next process has connected: it gets the snapshot of all workers and a copy of the listener.
+    /// Accepts the next process's connection and collects the snapshots of all workers for it.
     pub(super) fn accept_successor(&mut self) {
         let Some(Ok(socket)) = self.hot_restart.listener.as_ref().map(HandoverSocket::accept) else { return };
-        // One at a time: another that connects meanwhile starts alone.
+        // One process at a time: another that connects meanwhile is refused and starts without this one's state.
         if self.hot_restart.pending_snapshot.is_some() {
             return;
         }
-        let known = self.worker_snapshot();
+        let merged = self.worker_snapshot();
         let awaited_workers = self.workers.count() - 1;
         self.workers.set_has_peer(true);
         self.hot_restart.pending_snapshot =
-            Some(PendingSnapshot { socket, awaited_workers, known, followed_by: Vec::new() });
+            Some(PendingSnapshot { socket, awaited_workers, merged, followed_by: Vec::new() });
         self.workers.send_to_others(self.this_worker, || WorkerMessage::CollectSnapshot);
         self.send_complete_snapshot();
     }
 
-    /// What this worker knows.
+    /// The snapshot of this worker: the state of its balancer, and its requests in flight.
     pub(super) fn worker_snapshot(&self) -> WorkerSnapshot {
         let in_flight = self.requests.client_ids().map(|(id, deadline)| (id.to_string(), deadline));
         WorkerSnapshot { balancer: self.balancer.snapshot(), in_flight: in_flight.collect() }
     }
 
-    /// One more worker has sent what it knows.
+    /// Adds the snapshot of one more worker to the pending one.
     pub(super) fn add_worker_snapshot(&mut self, snapshot: WorkerSnapshot) {
         let Some(pending) = &mut self.hot_restart.pending_snapshot else { return };
         pending.add(snapshot);
         self.send_complete_snapshot();
     }
 
-    /// Sends the snapshot once all workers have sent theirs, and then the commits since.
+    /// Once all workers have sent their snapshots, sends the complete one with a copy of the listener, and then the
+    /// commits that were made meanwhile.
     fn send_complete_snapshot(&mut self) {
         let pending = self.hot_restart.pending_snapshot.take_if(|pending| pending.awaited_workers == 0);
-        let Some(PendingSnapshot { socket, known, followed_by, .. }) = pending else { return };
+        let Some(PendingSnapshot { socket, merged, followed_by, .. }) = pending else { return };
         let listener = self.admission.listener.as_ref().and_then(|listener| listener.try_clone().ok());
         let Some(listener) = listener else { return self.update_has_peer() };
-        info!(self.log, "upgrade: state handed over"; "clients" => self.workers.client_count(),
-            "owed" => known.in_flight.len());
-        let snapshot = self.process_snapshot(known);
+        info!(self.log, "hot restart: state handed over"; "clients" => self.workers.client_count(),
+            "owed" => merged.in_flight.len());
+        let snapshot = self.process_snapshot(merged);
         if let Some(peer) = self.add_peer(socket, true, 0, false) {
             self.send_to_peer(peer, &Message::Snapshot(Box::new(snapshot)), Some(listener.into()));
             for message in followed_by {
@@ -81,8 +82,8 @@
         self.update_has_peer();
     }
 
-    /// What this process knows, of which the workers know this.
-    fn process_snapshot(&self, known: WorkerSnapshot) -> GatewaySnapshot {
+    /// The snapshot of this process, from the merged snapshots of its workers.
+    fn process_snapshot(&self, merged: WorkerSnapshot) -> GatewaySnapshot {
         GatewaySnapshot {
             position_reference: self.clock.reference(),
             clock_reading: Some(self.clock.reading()),
@@ -91,38 +92,38 @@
             list_revision: self.discovery.watch.version(),
             directory: self.directory.clone(),
             class_ids: self.classes.names().map(|(name, id)| (name.clone(), id)).collect(),
-            balancer: known.balancer,
+            balancer: merged.balancer,
             administratively_down: self.admin.down.clone(),
-            in_flight: known.in_flight,
+            in_flight: merged.in_flight,
             open_clients: self.workers.client_count(),
             accepts_cancel: true,
         }
     }
 
-    /// Lets all workers know whether there is another process.
+    /// Updates the flag by which all workers know whether there is another process.
     fn update_has_peer(&self) {
         self.workers.set_has_peer(self.hot_restart.has_peer());
     }
 
-    /// Adds another process. None if the poller does not take its socket.
+    /// Adds another process. None if its socket cannot be registered with the poller.
     fn add_peer(
         &mut self,
         socket: HandoverSocket,
         is_successor: bool,
         held_clients: usize,
-        understands_cancel: bool,
+        supports_cancel: bool,
     ) -> Option<usize> {
         let index = self.hot_restart.peers.vacant_key();
         let event = Event::readable(FIRST_PEER + index);
         self.poller.add_with_mode(&socket, event, PollMode::Level).ok()?;
-        let peer = Peer { socket, is_successor, held_clients, understands_cancel, is_write_watched: false };
+        let peer = Peer { socket, is_successor, held_clients, supports_cancel, is_write_watched: false };
         Some(self.hot_restart.peers.insert(peer))
     }
 
-    /// Restores what the process before knew of this worker's groups.
+    /// Restores the previous process's state of this worker's groups.
     pub(super) fn restore(&mut self, snapshot: &GatewaySnapshot, clock_error: Micros) {
         let mut directory = snapshot.directory.clone();
-        // Zones that only the new settings name have got their numbers by now.
+        // These zones already include numbers for the zones that only the new settings name.
         directory.set_zones(self.directory.zones().clone());
         self.directory = directory;
         let previous_class = |class: ClassId| {
@@ -135,13 +136,13 @@
         self.requests.add_at_other_process(snapshot.in_flight.iter().cloned());
     }
 
-    /// Takes the place of the process before, which goes on with its requests: this one takes clients from now on, and
-    /// says so.
+    /// Takes the place of the previous process, which finishes its own requests. This one accepts clients from now on,
+    /// and reports that it is ready.
     pub(super) fn take_place_of(&mut self, socket: HandoverSocket, snapshot: GatewaySnapshot) {
         self.admin.down = snapshot.administratively_down;
         self.discovery.address = snapshot.discovery;
         self.discovery.watch = Watch::from_version(snapshot.list_revision);
-        info!(self.log, "upgrade: state taken over"; "clients" => snapshot.open_clients,
+        info!(self.log, "hot restart: state taken over"; "clients" => snapshot.open_clients,
             "rev" => snapshot.list_revision.unwrap_or(0));
         self.workers.set_has_peer(true);
         if let Some(peer) = self.add_peer(socket, false, snapshot.open_clients, snapshot.accepts_cancel) {
@@ -150,14 +151,15 @@
         self.divide_host_connections();
     }
 
-    /// While there are two processes, each has its fraction of the connections to hosts that both may have.
+    /// Divides the connections to hosts equally among the processes.
     fn divide_host_connections(&mut self) {
         let processes = self.hot_restart.process_count();
         self.workers.send_to_others(self.this_worker, || WorkerMessage::ShareHostConnections(processes));
         self.share_host_connections(processes);
     }
 
-    /// Shares this worker's connections to hosts with so many processes.
+    /// Limits this worker's connections to hosts to its share with this number of processes, and closes idle ones above
+    /// it.
     pub(super) fn share_host_connections(&mut self, processes: usize) {
         self.pool.share(processes);
         while !self.pool.has_capacity() {
@@ -166,14 +168,14 @@
         }
     }
 
-    /// Clients that this process has no capacity for because of another.
+    /// Number of descriptors for clients that this process leaves to other processes.
     pub(super) fn descriptors_lent(&self) -> usize {
         self.hot_restart.descriptors_of_peers().min(self.admission.limits.clients / 2)
     }
 
-    fn send_to_peer(&mut self, index: usize, message: &Message, with: Option<OwnedFd>) {
+    fn send_to_peer(&mut self, index: usize, message: &Message, descriptor: Option<OwnedFd>) {
         let Some(peer) = self.hot_restart.peers.get_mut(index) else { return };
-        let sent = peer.socket.send(message, with);
+        let sent = peer.socket.send(message, descriptor);
         self.handle_peer_sent(index, sent);
     }
 
@@ -185,7 +187,8 @@
         }
     }
 
-    /// After something was sent to a peer: has the poller watch its socket for what it needs, or gives it up.
+    /// Handles the result of sending to a peer: updates the events that the poller watches for, or removes the peer
+    /// after an error.
     fn handle_peer_sent(&mut self, index: usize, sent: io::Result<()>) {
         let watched = sent.and_then(|()| self.watch_peer(index));
         if let Err(e) = watched {
@@ -203,7 +206,7 @@
         self.poller.modify_with_mode(&peer.socket, interest, PollMode::Level)
     }
 
-    /// Sends a peer what waited for its socket.
+    /// Sends a peer the messages that were waiting until its socket is writable.
     pub(super) fn flush_peer(&mut self, index: usize) {
         if let Some(peer) = self.hot_restart.peers.get_mut(index) {
             let sent = peer.socket.flush();
@@ -211,11 +214,12 @@
         }
     }
 
-    /// A peer has ended, or breaks the protocol. If it was to take the clients, this process goes on.
+    /// Removes a peer that has ended or violates the protocol. If it was the next process, this one accepts clients
+    /// again.
     fn remove_peer(&mut self, index: usize, why: &io::Error) {
         let Some(peer) = self.hot_restart.peers.try_remove(index) else { return };
         let _ = self.poller.delete(&peer.socket);
-        info!(self.log, "upgrade: the other process is gone"; "followed" => peer.is_successor, "why" => %why);
+        info!(self.log, "hot restart: the other process is gone"; "followed" => peer.is_successor, "why" => %why);
         self.update_has_peer();
         if self.hot_restart.successor == Some(index) {
             self.hot_restart.successor = None;
@@ -228,27 +232,27 @@
         self.divide_host_connections();
     }
 
-    /// Receives from all peers, so that nothing is decided before what the other process has sent.
+    /// Receives and handles the messages of all peers, so that later decisions take them into account.
     pub(super) fn receive_from_peers(&mut self) {
         for index in self.hot_restart.peer_indices() {
             while let Some(peer) = self.hot_restart.peers.get_mut(index) {
                 match peer.socket.receive() {
                     Ok(None) => break,
-                    Ok(Some((message, with))) => self.handle_peer_message(index, message, with),
+                    Ok(Some((message, descriptor))) => self.handle_peer_message(index, message, descriptor),
                     Err(e) => self.remove_peer(index, &e),
                 }
             }
         }
     }
 
-    fn handle_peer_message(&mut self, index: usize, message: Message, with: Option<OwnedFd>) {
+    fn handle_peer_message(&mut self, index: usize, message: Message, descriptor: Option<OwnedFd>) {
         match message {
             Message::Ready => self.handle_successor_ready(index),
             Message::Client { greeted, has_queried, bytes, key, arrivals } => {
                 if let Some(peer) = self.hot_restart.peers.get_mut(index) {
                     peer.held_clients = peer.held_clients.saturating_sub(1);
                 }
-                if let Some(socket) = with {
+                if let Some(socket) = descriptor {
                     let state = ProtocolHandover { key, greeted, bytes, arrivals };
                     let client = ClientHandover { socket: socket.into(), has_asked: has_queried, state };
                     self.adopt_client(client);
@@ -268,13 +272,13 @@
                     self.workers.send_to_others(self.this_worker, || WorkerMessage::Cancel(key));
                 }
             }
-            Message::Snapshot(_) => warn!(self.log, "upgrade: a state snapshot out of place"),
+            Message::Snapshot(_) => warn!(self.log, "hot restart: ignored an unexpected state snapshot"),
         }
     }
 
-    /// The next process takes clients from now on.
+    /// Handles the next process's report that it accepts clients from now on.
     fn handle_successor_ready(&mut self, index: usize) {
-        info!(self.log, "upgrade: the next process takes clients"; "clients" => self.connections.client_count());
+        info!(self.log, "hot restart: the next process accepts clients"; "clients" => self.connections.client_count());
         self.hot_restart.successor = Some(index);
         self.workers.set_has_successor(true);
         self.set_accepting(false);
@@ -303,7 +307,7 @@
         self.send_to_peers(Some(index), &Message::SetDown { host, down });
     }
 
-    /// Serves a client that the process before has handed over.
+    /// Serves a client that the previous process has handed over, or one that could not be handed over.
     fn adopt_client(&mut self, ClientHandover { socket, has_asked, state }: ClientHandover) {
         let protocol = ClientProtocol::resume(self.admission.limits.message, state, self.now);
         let client = ClientConnection { has_asked, ..ClientConnection::new(protocol, self.now) };
@@ -311,7 +315,7 @@
         self.add_client(socket, client);
     }
 
-    /// Hands a client over to the next process, if it is owed nothing. False if it stays.
+    /// Hands a client over to the next process if it waits for no answer. False if it stays.
     pub(super) fn try_hand_over_client(&mut self, id: ConnectionId) -> bool {
         if !self.workers.has_successor() {
             return false;
@@ -322,7 +326,7 @@
         }
         let has_asked = client.has_asked;
         let Some(state) = client.protocol.to_handover() else { return false };
-        // Counted until it is on the handover socket: the first worker does not end before.
+        // Counted for the first worker until it is sent, so that the first worker does not end before.
         self.workers.add_client(0);
         let Some(connection) = self.remove_connection(id) else {
             self.workers.remove_client(0);
@@ -337,7 +341,7 @@
         true
     }
 
-    /// Sends a client to the next process; if that has died the client stays here.
+    /// Sends a client to the next process. If that process has ended, the client stays here.
     pub(super) fn send_client(&mut self, client: ClientHandover) {
         match self.hot_restart.successor {
             Some(successor) => {
@@ -349,19 +353,19 @@
         self.workers.remove_client(0);
     }
 
-    /// Hands over all clients that are owed nothing, and says how many are left.
+    /// Hands over all clients that wait for no answer, and reports how many are left.
     pub(super) fn hand_over_clients(&mut self) {
         let ids: Vec<ConnectionId> = self.connections.iter().map(|(id, _)| id).collect();
         for id in ids {
             self.try_hand_over_client(id);
         }
         if let Some(successor) = self.hot_restart.successor {
-            let holding = Message::RemainingClients { clients: self.workers.client_count() };
-            self.send_to_peer(successor, &holding, None);
+            let remaining = Message::RemainingClients { clients: self.workers.client_count() };
+            self.send_to_peer(successor, &remaining, None);
         }
     }
 
-    /// Sends the other process a session's commit, before its client learns of it.
+    /// Sends the other process a session's commit, before the client gets its answer.
     pub(super) fn send_commit_to_peers(&mut self, commit: Commit) {
         let message = commit.to_message();
         self.send_to_peers(None, &message);
@@ -370,14 +374,14 @@
         }
     }
 
-    /// Sends the other process a cancel that fits nobody here.
+    /// Sends the other process a cancel request whose client is not at this process.
     pub(super) fn send_cancel_to_peers(&mut self, key: CancelKey) {
-        for index in self.hot_restart.peers_that_cancel() {
+        for index in self.hot_restart.peers_with_cancel() {
             self.send_to_peer(index, &Message::Cancel(key), None);
         }
     }
 
-    /// Sends the other process an operators' order on a host, before they get the confirmation.
+    /// Sends the other process an operator's change of a host's administrative state, before the confirmation is sent.
     pub(super) fn send_down_to_peers(&mut self, host: &str, down: bool) {
         self.send_to_peers(None, &Message::SetDown { host: host.to_string(), down });
     }
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -1,8 +1,8 @@
-//! Several workers as one gateway: the messages between them, each worker's mailbox, and what all of them share.
+//! The messages between the workers of a gateway, each worker's mailbox, and the state that all workers share.
 //!
 //! Each group has one owning worker, which alone decides for it and holds its connections to hosts; each client has one
-//! front worker, which may be another. A request is offered, and rejected where the mailbox is full; messages that
-//! the receiver waits for are always taken.
+//! front worker, which may be another. A request is rejected if the mailbox of its worker is full. All other messages
+//! are always accepted, since their receivers depend on them.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -22,11 +22,11 @@
 use crate::settings::{SiteSettings, Zones};
 use crate::{GroupId, Micros, SessionKey};
 
-/// Most requests that lie in one worker's mailbox: some milliseconds of its work, so that one that finds it full
-/// would have waited too long.
-const MAX_OFFERED: usize = 1024;
+/// Largest number of requests in one worker's mailbox: some milliseconds of its work. A further request would have to
+/// wait too long.
+const MAX_QUEUED_REQUESTS: usize = 1024;
 
-/// A client's connection and the worker that has it.
+/// The client of a request: its connection and the worker that has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Owner {
     pub(super) worker: usize,
@@ -36,26 +36,26 @@
 /// How a client abandons its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Abandonment {
-    /// It has closed its connection: nobody waits for an answer.
+    /// It has closed its connection and needs no answer.
     Disconnected,
-    /// It has cancelled the request, and waits for the answer that says so.
+    /// It has cancelled the request and waits for the answer that confirms it.
     Cancelled,
 }
 
-/// A final answer.
+/// The final answer to a client's request.
 pub(super) enum FinalAnswer {
-    /// The host's rows.
+    /// The rows of the host's response, encoded for the client.
     Served(Vec<u8>),
-    /// Rejected, and when to retry if there is advice.
+    /// Rejected, with the time after which to retry if one is known.
     Rejected(Option<Micros>),
     Failed,
     /// Its client has cancelled it.
     Cancelled,
-    /// It was never taken on: what is wrong with it.
+    /// It was never accepted, for this reason.
     Unroutable(String),
 }
 
-/// A session's commit.
+/// A commit of a session: the log position that its later reads must not be behind.
 #[derive(Clone, Copy)]
 pub(super) struct Commit {
     pub(super) group: GroupId,
@@ -67,7 +67,7 @@
 pub(super) struct RequestMessage {
     pub(super) owner: Owner,
     pub(super) statement: Box<Statement>,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub(super) deadline: Micros,
 }
 
@@ -78,68 +78,69 @@
     pub(super) state: ProtocolHandover,
 }
 
-/// What one worker knows, for the next process.
+/// One worker's part of the snapshot for the next process.
 pub(super) struct WorkerSnapshot {
     pub(super) balancer: balancer::Snapshot,
-    /// Client ids of the requests in flight, and when each ends at the latest.
+    /// The clients' ids of the requests in flight, with their deadlines.
     pub(super) in_flight: Vec<(String, Micros)>,
 }
 
-/// A message from one worker to another. The front worker has the client, the owning worker decides, the first worker
-/// has the listener, discovery, the admin interface and the handover socket.
+/// A message from one worker to another. The front worker has the client, the owning worker decides for the group, and
+/// the first worker has the listener, discovery, the admin interface and the handover socket.
 pub(super) enum WorkerMessage {
-    /// To a front worker: a client to serve, and since when it may have waited to be accepted.
+    /// To a front worker: a client to serve, and the earliest time at which it may have begun to wait to be accepted.
     Client { socket: TcpStream, waiting_since: Micros },
-    /// To an owning worker: a request.
+    /// To an owning worker: a request to decide.
     Request(RequestMessage),
-    /// To the first worker: a request for an owning worker, which must not overtake what the other process has sent.
+    /// To the first worker: a request for an owning worker. It must not overtake messages of the other process.
     RelayRequest { worker: usize, request: RequestMessage },
     /// To an owning worker: the client has abandoned its request.
     Abandon(Owner, Abandonment),
-    /// To the first worker: the same of a request that may have gone past it.
+    /// To the first worker: the client has abandoned a request that may have been relayed by the first worker.
     RelayAbandon { worker: usize, owner: Owner, how: Abandonment },
-    /// To all: the query of the client with this key is to be cancelled, wherever that client is.
+    /// To all: cancel the query of the client with this key, at whichever worker it is.
     Cancel(CancelKey),
-    /// To an owning worker: the client of a streamed response has read on.
+    /// To an owning worker: the client of a streamed response is ready for more of it.
     ResumeStreaming(Owner),
-    /// To a front worker: the final answer.
+    /// To a front worker: the final answer to a client's request.
     Answer(ConnectionId, FinalAnswer),
     /// To a front worker: a chunk of a streamed response; the next one follows once it is written.
     Chunk { from: usize, client: ConnectionId, bytes: Vec<u8> },
-    /// To a front worker: the streamed response cannot be finished; its client learns so by the end of the connection.
+    /// To a front worker: close the connection of a client whose streamed response cannot be finished.
     AbortResponse(ConnectionId),
-    /// To all: an endpoint list, or the one known at the start.
+    /// To all: an endpoint list; `is_initial` for the one that was known at the start.
     Endpoints { listing: Box<EndpointList>, is_initial: bool },
     /// To all: new settings.
     Settings(Box<SiteSettings>, Zones),
-    /// To all: operators take a host down, or put it back; the call that waits for it, if one does.
+    /// To all: an operator sets a host administratively down, or up again; `call` waits for all workers' replies.
     SetDown { host: String, down: bool, call: Option<ConnectionId> },
-    /// To the first worker: that holds here, for this call.
+    /// To the first worker: this worker has applied the `SetDown` of this call.
     SetDownDone(ConnectionId),
-    /// To all: this call asks for the metrics.
+    /// To all: send the metrics for this call.
     CollectMetrics(ConnectionId),
-    /// To the first worker: the metrics of one worker, for this call.
+    /// To the first worker: one worker's metrics for this call.
     Metrics(ConnectionId, Box<Metrics>),
-    /// To the first worker: a commit that the other process learns of before its answer, if one is owed, goes out.
+    /// To the first worker: a commit to send to the other process, before the answer, if there is one, goes out.
     PublishCommit { commit: Commit, answer: Option<(Owner, FinalAnswer)> },
-    /// To an owning worker: a commit at the other process.
+    /// To an owning worker: a commit that the other process has reported.
     RecordCommit(Commit),
-    /// To all: a snapshot is asked for.
+    /// To all: send a snapshot for the next process.
     CollectSnapshot,
     /// To the first worker: one worker's snapshot.
     Snapshot(Box<WorkerSnapshot>),
-    /// To the first worker: a client for the next process.
+    /// To the first worker: a client to hand over to the next process.
     HandOverClient(Box<ClientHandover>),
-    /// To all: connections to hosts are shared with so many processes.
+    /// To all: the number of processes that share the connections to hosts.
     ShareHostConnections(usize),
-    /// To a front worker: an idle client is to be closed for a new one.
+    /// To a front worker: close an idle client to make room for a new one.
     EvictClient,
-    /// To all: the listener is closed, and all is to be answered by this time.
+    /// To all: the listener is closed, and all requests must be answered by this time.
     Shutdown(Micros),
 }
 
 impl WorkerMessage {
-    /// Who waits for what the message brings to this worker.
+    /// The client that the message is about, whose connection is closed if handling the message panics. `this_worker`
+    /// is the receiver.
     pub(super) fn owner(&self, this_worker: usize) -> Option<Owner> {
         match self {
             WorkerMessage::Request(request) | WorkerMessage::RelayRequest { request, .. } => {
@@ -155,33 +156,33 @@
     }
 }
 
-/// Ends a worker's sleep.
+/// Wakes a worker that sleeps in its poller.
 struct PollerWaker(Arc<Poller>);
 
 impl Wake for PollerWaker {
     fn wake(&self) {
-        // It fails only where the poller is broken, which its own worker notices as well.
+        // This fails only if the poller is broken, which its own worker detects too.
         let _ = self.0.notify();
     }
 }
 
-/// The workers of one gateway and what they share.
+/// The mailboxes of all workers of a gateway, and the state that they share.
 pub(super) struct Workers {
     mailboxes: Vec<Mailbox<WorkerMessage, PollerWaker>>,
-    /// Clients of each worker, those on their way to it included.
+    /// Number of clients of each worker, including those that are on their way to it.
     client_counts: Vec<AtomicUsize>,
-    /// A worker has died: none goes on with only some of the groups.
+    /// A worker has failed. All others end, since a gateway must not serve only some of the groups.
     has_dead_worker: AtomicBool,
     /// There is another process of this gateway.
     has_peer: AtomicBool,
-    /// The other process is the one that takes the clients.
+    /// The other process is the next one, which takes over the clients.
     has_successor: AtomicBool,
 }
 
 impl Workers {
-    /// Workers that sleep in these pollers, one each.
+    /// Creates the mailboxes of workers that sleep in these pollers, one poller each.
     pub(super) fn new(pollers: &[Arc<Poller>]) -> Workers {
-        let mailbox = |poller: &Arc<Poller>| Mailbox::new(MAX_OFFERED, PollerWaker(poller.clone()));
+        let mailbox = |poller: &Arc<Poller>| Mailbox::new(MAX_QUEUED_REQUESTS, PollerWaker(poller.clone()));
         Workers {
             mailboxes: pollers.iter().map(mailbox).collect(),
             client_counts: pollers.iter().map(|_| AtomicUsize::new(0)).collect(),
@@ -201,17 +202,17 @@
         (group.0 % self.mailboxes.len() as u64) as usize
     }
 
-    /// Counts a client as a worker's.
+    /// Adds one client to a worker's count.
     pub(super) fn add_client(&self, worker: usize) {
         self.client_counts[worker].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A client is not a worker's any more.
+    /// Subtracts one client from a worker's count.
     pub(super) fn remove_client(&self, worker: usize) {
         self.client_counts[worker].fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Clients of all workers.
+    /// Number of clients of all workers.
     pub(super) fn client_count(&self) -> usize {
         self.client_counts.iter().map(|count| count.load(Ordering::Relaxed)).sum()
     }
@@ -230,40 +231,40 @@
         self.client_counts[worker].load(Ordering::Relaxed)
     }
 
-    /// Sends a worker what it is owed.
+    /// Sends a worker a message, which is accepted even if its mailbox is full.
     pub(super) fn send(&self, to: usize, message: WorkerMessage) {
         self.mailboxes[to].send(message);
     }
 
-    /// Sends all but one worker what they are owed.
+    /// Sends a message to all workers except this one, even if their mailboxes are full.
     pub(super) fn send_to_others(&self, this_worker: usize, message: impl Fn() -> WorkerMessage) {
         for worker in (0..self.count()).filter(|worker| *worker != this_worker) {
             self.send(worker, message());
         }
     }
 
-    /// Offers a worker a request. False if too many lie in its mailbox.
+    /// Sends a worker a message unless its mailbox is full. Returns false if it is.
     #[must_use]
     pub(super) fn try_send(&self, to: usize, message: WorkerMessage) -> bool {
         self.mailboxes[to].try_send(message).is_ok()
     }
 
-    /// Moves all messages to a worker to the end of a queue.
+    /// Moves all messages in a worker's mailbox to the end of a queue.
     pub(super) fn receive(&self, worker: usize, into: &mut VecDeque<WorkerMessage>) {
         self.mailboxes[worker].drain_into(into);
     }
 
-    /// Whether a worker may sleep: nothing lies in its mailbox.
+    /// Prepares a worker for sleep. False if its mailbox holds messages, so that it must not sleep.
     pub(super) fn may_sleep(&self, worker: usize) -> bool {
         self.count() == 1 || self.mailboxes[worker].prepare_sleep()
     }
 
-    /// Whether a worker has died.
+    /// Whether a worker has failed.
     pub(super) fn has_dead_worker(&self) -> bool {
         self.has_dead_worker.load(Ordering::SeqCst)
     }
 
-    /// A worker has died: the others end as well.
+    /// Records that a worker has failed, and wakes the others so that they end.
     pub(super) fn on_worker_death(&self) {
         self.has_dead_worker.store(true, Ordering::SeqCst);
         self.mailboxes.iter().for_each(|mailbox| mailbox.send(WorkerMessage::Shutdown(Micros(0))));
@@ -278,7 +279,7 @@
         self.has_peer.store(has_peer, Ordering::SeqCst);
     }
 
-    /// Whether the other process is the one that takes the clients.
+    /// Whether the other process is the next one and takes over the clients.
     pub(super) fn has_successor(&self) -> bool {
         self.has_successor.load(Ordering::SeqCst)
     }
--- a/src/net/event_loop/peers.rs
+++ b/src/net/event_loop/peers.rs
@@ -1,4 +1,4 @@
-//! The other processes of this gateway during a hot restart: the one before and the one after.
+//! The state of a hot restart: the connections to the previous and the next process of this gateway.
 
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -10,59 +10,60 @@
 use crate::hot_restart::message::Message;
 use crate::pg::client::ProtocolHandover;
 
-/// Descriptors that the other process takes for itself while there are two.
+/// Descriptors that another process needs for itself, apart from its clients.
 const PEER_RESERVE: usize = 24;
 
 /// Another process of this gateway.
 pub(super) struct Peer {
     pub(super) socket: HandoverSocket,
-    /// It is the one after this.
+    /// It is the next process, not the previous one.
     pub(super) is_successor: bool,
-    /// Clients that the process before still holds.
+    /// Number of clients that the previous process has not handed over yet.
     pub(super) held_clients: usize,
-    /// It understands cancel messages.
-    pub(super) understands_cancel: bool,
-    /// The poller says when the socket can be written.
+    /// It supports cancel messages.
+    pub(super) supports_cancel: bool,
+    /// The poller watches its socket for writing.
     pub(super) is_write_watched: bool,
 }
 
-/// The snapshot for a process that has connected, until all workers have sent theirs.
+/// The snapshot for the next process while the snapshots of some workers are still missing.
 pub(super) struct PendingSnapshot {
     pub(super) socket: HandoverSocket,
     pub(super) awaited_workers: usize,
-    pub(super) known: WorkerSnapshot,
-    /// What is sent behind the snapshot.
+    /// The snapshots of the workers that have replied, merged.
+    pub(super) merged: WorkerSnapshot,
+    /// Messages to send after the snapshot.
     pub(super) followed_by: Vec<Message>,
 }
 
 impl PendingSnapshot {
-    /// Adds one more worker's snapshot.
+    /// Adds the snapshot of one more worker.
     pub(super) fn add(&mut self, snapshot: WorkerSnapshot) {
-        self.known.balancer.merge(snapshot.balancer);
-        self.known.in_flight.extend(snapshot.in_flight);
+        self.merged.balancer.merge(snapshot.balancer);
+        self.merged.in_flight.extend(snapshot.in_flight);
         self.awaited_workers = self.awaited_workers.saturating_sub(1);
     }
 }
 
-/// The processes of this gateway before and after this one.
+/// The previous and the next process of this gateway, and the handover socket.
 #[derive(Default)]
 pub(super) struct HotRestart {
-    /// Where this process waits for the next one, and the socket on which it does.
+    /// Path of the handover socket on which this process waits for the next one, and its listener.
     pub(super) path: Option<PathBuf>,
     pub(super) listener: Option<OwnedFd>,
     pub(super) peers: Slab<Peer>,
-    /// The peer that takes the clients.
+    /// Index of the peer that takes over the clients, once it has reported that it is ready.
     pub(super) successor: Option<usize>,
     pub(super) pending_snapshot: Option<PendingSnapshot>,
 }
 
 impl HotRestart {
-    /// Descriptors that other processes hold of those that clients may take.
+    /// Number of descriptors that this process leaves to other processes out of those for clients.
     pub(super) fn descriptors_of_peers(&self) -> usize {
         self.peers.iter().map(|(_, peer)| peer.held_clients + PEER_RESERVE).sum()
     }
 
-    /// Number of processes, this one included, that share connections to hosts.
+    /// Number of processes that share the connections to hosts, including this one.
     pub(super) fn process_count(&self) -> usize {
         if self.peers.is_empty() {
             1
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether there is another process, or one is about to get its snapshot.
+    /// Whether there is another process, or one that waits for its snapshot.
     pub(super) fn has_peer(&self) -> bool {
         !self.peers.is_empty() || self.pending_snapshot.is_some()
     }
@@ -81,27 +82,27 @@
         self.peers.iter().map(|(index, _)| index).collect()
     }
 
-    /// The indices of those peers that understand cancel messages.
-    pub(super) fn peers_that_cancel(&self) -> Vec<usize> {
-        let understanding = self.peers.iter().filter(|(_, peer)| peer.understands_cancel);
-        understanding.map(|(index, _)| index).collect()
+    /// The indices of the peers that support cancel messages.
+    pub(super) fn peers_with_cancel(&self) -> Vec<usize> {
+        let supporting = self.peers.iter().filter(|(_, peer)| peer.supports_cancel);
+        supporting.map(|(index, _)| index).collect()
     }
 
-    /// Whether something is still on its way to another process.
+    /// Whether messages to another process are still unsent.
     pub(super) fn has_unsent(&self) -> bool {
         self.peers.iter().any(|(_, peer)| peer.socket.has_pending_output())
     }
 }
 
 impl Commit {
-    /// As it is sent to another process.
+    /// The message that sends this commit to another process.
     pub(super) fn to_message(self) -> Message {
         Message::Commit { group: self.group, session: self.session, commit: self.position }
     }
 }
 
 impl ClientHandover {
-    /// As it is sent to another process: the message, and the socket that goes along.
+    /// The message that sends this client to another process, and the socket to pass with it.
     pub(super) fn into_message(self) -> (Message, OwnedFd) {
         let ProtocolHandover { key, greeted, bytes, arrivals } = self.state;
         let message = Message::Client { greeted, has_queried: self.has_asked, bytes, key, arrivals };
--- a/src/net/event_loop/traffic_counts.rs
+++ b/src/net/event_loop/traffic_counts.rs
@@ -1,11 +1,11 @@
-//! Counts of what has happened since the last log line on the traffic.
+//! Counts of events since the last `traffic` log line.
 
 use slog::{info, Logger};
 
-/// Sweeps between two log lines.
+/// Number of sweeps between two `traffic` log lines.
 const SWEEPS_PER_LINE: u64 = 40;
 
-/// What happened since the last log line.
+/// Counts of events since the last `traffic` log line.
 #[derive(Default)]
 pub(super) struct TrafficCounts {
     pub(super) received: u64,
@@ -22,7 +22,7 @@
     sweeps: u64,
 }
 
-/// What is open at the moment.
+/// The numbers of requests and connections that are open at present.
 pub(super) struct OpenCounts {
     pub(super) requests: usize,
     pub(super) clients: usize,
@@ -30,7 +30,7 @@
 }
 
 impl TrafficCounts {
-    /// A sweep has ended. The counts are written and begin anew after every so many of them.
+    /// Counts a sweep. After every [`SWEEPS_PER_LINE`] sweeps, logs the counts and resets them.
     pub(super) fn on_sweep(&mut self, log: &Logger, open: &OpenCounts) {
         self.sweeps += 1;
         if self.sweeps % SWEEPS_PER_LINE != 0 {
--- a/src/net/event_loop/worker_messages.rs
+++ b/src/net/event_loop/worker_messages.rs
@@ -1,4 +1,4 @@
-//! What a worker does with the messages of others, and by which way it sends its own.
+//! Handles the messages of other workers, and sends requests to the worker that owns their group.
 
 use super::connections::ConnectionId;
 use super::mailboxes::{Abandonment, Commit, FinalAnswer, Owner, RequestMessage, WorkerMessage};
@@ -7,11 +7,11 @@
 use crate::settings::{SiteSettings, Zones};
 use crate::Micros;
 
-/// A poll key that is no connection's, for steps that are not about one.
+/// A poll key of no connection, for steps that are not about one.
 const NO_CONNECTION: usize = usize::MAX;
 
 impl Gateway {
-    /// Handles what other workers have sent. A panic ends the connection that the message was about.
+    /// Handles the messages in this worker's mailbox. A panic closes the connection that the message was about.
     pub(super) fn handle_mailbox(&mut self) {
         if self.workers.count() == 1 {
             return;
@@ -19,7 +19,7 @@
         let mut messages = std::mem::take(&mut self.received_messages);
         self.workers.receive(self.this_worker, &mut messages);
         if self.this_worker == 0 {
-            // What the other process had sent before any of these requests came counts for them.
+            // Messages that the other process sent before these requests arrived must be applied first.
             self.guard(NO_CONNECTION, Gateway::receive_from_peers);
         }
         while let Some(message) = messages.pop_front() {
@@ -72,7 +72,7 @@
         self.accept_request(request.owner, *request.statement, request.deadline);
     }
 
-    /// A request has come past what the other process had sent, and goes on to its owning worker.
+    /// Relays a request to its owning worker, now that earlier messages of the other process have been applied.
     fn relay_request(&mut self, worker: usize, request: RequestMessage) {
         let owner = request.owner;
         if worker == self.this_worker {
@@ -142,17 +142,18 @@
         }
     }
 
-    /// Whether a request of this worker's clients is decided on the spot.
+    /// Whether a request of this worker's clients for a group of `worker` is decided here without a message.
     pub(super) fn decides_directly(&self, worker: usize) -> bool {
         worker == self.this_worker && !self.is_relayed()
     }
 
-    /// Whether requests of this worker go by way of the first worker, since there is another process.
+    /// Whether requests of this worker are relayed by the first worker, since there is another process.
     fn is_relayed(&self) -> bool {
         self.this_worker != 0 && self.workers.has_peer()
     }
 
-    /// Sends an owning worker that a client abandons its request, by the way that this took: it must not be overtaken.
+    /// Tells an owning worker that a client abandons its request. The message takes the same way as the request, which
+    /// it must not overtake.
     pub(super) fn send_abandon(&self, worker: usize, client: ConnectionId, how: Abandonment) {
         let owner = Owner { worker: self.this_worker, connection: client };
         if self.is_relayed() {
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Offers a request to its owning worker, by way of the first worker where there is another process. False if too
-    /// many lie there already.
+    /// Offers a request to its owning worker, through the first worker if there is another process. False if the
+    /// mailbox is full.
     #[must_use]
     pub(super) fn offer_request(&self, worker: usize, request: RequestMessage) -> bool {
         if self.is_relayed() {
