--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -90,7 +90,7 @@
     /// Requests of other workers' clients that this worker decides.
     remote_requests: BTreeMap<Owner, RequestId>,
     clock: Clock,
-    /// The time at which this iteration began, read after the wait for events.
+    /// The time of this iteration, read after the wait for events.
     now: Micros,
     poller: Arc<Poller>,
     connections: Connections,
--- a/src/net/event_loop/client_admission.rs
+++ b/src/net/event_loop/client_admission.rs
@@ -13,7 +13,7 @@
 use crate::pg::codec::CancelKey;
 use crate::Micros;
 
-/// The gateway is crowded if more than its capacity for clients divided by this number are open.
+/// The gateway is crowded if more clients are connected than its capacity for clients divided by this number.
 const CROWDED_DIVISOR: usize = 3;
 
 /// The state of the listener's queue after accepting.
@@ -42,7 +42,7 @@
 pub(super) struct ClientAdmission {
     pub(super) listener: Option<TcpListener>,
     pub(super) limits: ClientLimits,
-    /// Accepted clients that could not be registered for a shortage. They count as clients of this worker.
+    /// Accepted clients that could not be registered because of a shortage. They count as clients of this worker.
     pub(super) unregistered: Vec<UnregisteredConnection>,
     pub(super) cancel_keys: CancelKeys,
     /// During shutdown: the time at which the listener is closed even if clients still wait in its queue.
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -93,8 +93,8 @@
     }
 
     /// Registers a client that is already counted for this worker and reads at once, since its first bytes have often
-    /// arrived already. A client that cannot be registered for a shortage is kept and retried, since what it has sent
-    /// must be answered.
+    /// arrived already. A client that cannot be registered because of a shortage is kept and retried, since what it has
+    /// sent must be answered.
     pub(super) fn add_client(&mut self, socket: TcpStream, client: ClientConnection) {
         // Without `nodelay` answers are only slower; `set_nonblocking` does not fail on this kind of socket.
         let _ = socket.set_nodelay(true);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Retries the clients that could not be registered for a shortage.
+    /// Retries the clients that could not be registered because of a shortage.
     pub(super) fn serve_unregistered_clients(&mut self) {
         for unregistered in std::mem::take(&mut self.admission.unregistered) {
             let UnregisteredConnection { socket, kind, .. } = unregistered;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Starts or stops accepting clients. Does not start once another process accepts them.
+    /// Starts or stops accepting clients. Does not start again once the next process accepts them.
     pub(super) fn set_accepting(&mut self, accepting: bool) {
         if self.hot_restart.successor.is_none() || !accepting {
             self.admission.set_accepting(&self.poller, accepting);
@@ -154,13 +154,13 @@
     /// Closes the client that has been idle longest if too many clients that have queried before are open. Otherwise
     /// clients that never use their connections again could hold all the capacity, and new clients would get none.
     pub(super) fn evict_surplus_client(&mut self) {
-        let most_known = self.admission.limits.known_clients;
-        let most_here = most_known.div_ceil(self.workers.count());
-        if self.workers.client_count() <= most_known || self.connections.client_count() <= most_here {
+        let max_known = self.admission.limits.known_clients;
+        let max_here = max_known.div_ceil(self.workers.count());
+        if self.workers.client_count() <= max_known || self.connections.client_count() <= max_here {
             return;
         }
         let known: Vec<_> = self.connections.clients().filter(|(_, client)| client.has_asked).collect();
-        if known.len() <= most_here {
+        if known.len() <= max_here {
             return;
         }
         let idle = known.into_iter().filter(|(_, client)| client.protocol.is_idle());
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -215,7 +215,7 @@
     }
 
     /// Removes a peer that has ended or violates the protocol. If it was the next process, this one accepts clients
-    /// again.
+    /// again, unless it is shutting down.
     fn remove_peer(&mut self, index: usize, why: &io::Error) {
         let Some(peer) = self.hot_restart.peers.try_remove(index) else { return };
         let _ = self.poller.delete(&peer.socket);
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -45,8 +45,8 @@
 const MIN_WORKER_DESCRIPTORS: usize = 8;
 /// Connections to hosts may use the unreserved descriptors divided by this number.
 const HOST_DIVISOR: usize = 3;
-/// Clients that have queried before may keep all descriptors divided by this number open. Clients with requests hold a
-/// third of the descriptors; while clients keep idle connections, there must be capacity for new ones.
+/// Clients that have queried before may hold as many descriptors as all descriptors divided by this number. Clients
+/// with requests hold a third of the descriptors; while clients keep idle connections, there must be capacity for new ones.
 const KNOWN_CLIENT_DIVISOR: usize = 4;
 /// A message of a client may be as long as the memory divided by this number, since many clients may send messages of
 /// the greatest length at once; and at most `MAX_MESSAGE_BYTES` long, however much memory there is.
@@ -155,8 +155,8 @@
 }
 
 impl Sources {
-    /// Opens the pollers and the listeners, or takes over the listener of the previous process. Calls that fail for a
-    /// shortage of this machine are retried until [`START_RETRY_TIMEOUT`] is over.
+    /// Opens the pollers and the listeners, or takes over the listener of the previous process. Calls that fail
+    /// because of a shortage of this machine are retried until [`START_RETRY_TIMEOUT`] is over.
     fn open(config: &mut Config, signals: &Signals, workers: usize) -> io::Result<Self> {
         let until = Instant::now() + START_RETRY_TIMEOUT;
         // A shutdown signal ends the retries.
--- a/src/net/event_loop/timers.rs
+++ b/src/net/event_loop/timers.rs
@@ -21,7 +21,7 @@
     DiscoveryTimeout(ConnectionId),
     /// Calls discovery again.
     DiscoveryRetry,
-    /// Resumes accepting clients, and registers those that could not be registered for a shortage.
+    /// Resumes accepting clients, and registers those that could not be registered because of a shortage.
     ResumeAccepting,
     /// Reads the configuration file again; it is retried up to this moment.
     ReloadRetry(Instant),
