--- a/src/net/event_loop/client_connection.rs
+++ b/src/net/event_loop/client_connection.rs
@@ -58,7 +58,7 @@
     /// The earliest time at which it may have begun to wait to be accepted; counts as the arrival of its first bytes.
     pub(super) waiting_since: Option<Micros>,
     /// It has sent a query that could be routed.
-    pub(super) has_asked: bool,
+    pub(super) has_queried: bool,
     /// It is to be closed once its last answer is written.
     pub(super) is_closing: bool,
 }
@@ -75,7 +75,7 @@
             last_used: now,
             incomplete_since: None,
             waiting_since: None,
-            has_asked: false,
+            has_queried: false,
             is_closing: false,
         }
     }
@@ -98,12 +98,12 @@
 
     fn is_command_overdue(&self, now: Micros) -> bool {
         self.incomplete_since.is_some_and(|since| now - since >= COMMAND_TIMEOUT)
-            || !self.has_asked && now - self.connected_at >= COMMAND_TIMEOUT
+            || !self.has_queried && now - self.connected_at >= COMMAND_TIMEOUT
     }
 
     /// The rank by which idle clients are closed for new ones. None if the client is not idle.
     pub(super) fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
-        let is_silent = !self.has_asked && now - self.connected_at >= SILENT_AFTER;
+        let is_silent = !self.has_queried && now - self.connected_at >= SILENT_AFTER;
         let rank = EvictionRank { is_active: !is_silent, last_used: self.last_used };
         self.protocol.is_idle().then_some(rank)
     }
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -159,7 +159,7 @@
         if self.workers.client_count() <= max_known || self.connections.client_count() <= max_here {
             return;
         }
-        let known: Vec<_> = self.connections.clients().filter(|(_, client)| client.has_asked).collect();
+        let known: Vec<_> = self.connections.clients().filter(|(_, client)| client.has_queried).collect();
         if known.len() <= max_here {
             return;
         }
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -254,7 +254,7 @@
                 }
                 if let Some(socket) = descriptor {
                     let state = ProtocolHandover { key, greeted, bytes, arrivals };
-                    let client = ClientHandover { socket: socket.into(), has_asked: has_queried, state };
+                    let client = ClientHandover { socket: socket.into(), has_queried, state };
                     self.adopt_client(client);
                 }
             }
@@ -308,9 +308,9 @@
     }
 
     /// Serves a client that the previous process has handed over, or one that could not be handed over.
-    fn adopt_client(&mut self, ClientHandover { socket, has_asked, state }: ClientHandover) {
+    fn adopt_client(&mut self, ClientHandover { socket, has_queried, state }: ClientHandover) {
         let protocol = ClientProtocol::resume(self.admission.limits.message, state, self.now);
-        let client = ClientConnection { has_asked, ..ClientConnection::new(protocol, self.now) };
+        let client = ClientConnection { has_queried, ..ClientConnection::new(protocol, self.now) };
         self.workers.add_client(self.this_worker);
         self.add_client(socket, client);
     }
@@ -324,7 +324,7 @@
         if client.in_flight.is_some() || client.is_closing {
             return false;
         }
-        let has_asked = client.has_asked;
+        let has_queried = client.has_queried;
         let Some(state) = client.protocol.to_handover() else { return false };
         // Counted for the first worker until it is sent, so that the first worker does not end before.
         self.workers.add_client(0);
@@ -332,7 +332,7 @@
             self.workers.remove_client(0);
             return true;
         };
-        let client = ClientHandover { socket: connection.socket, has_asked, state };
+        let client = ClientHandover { socket: connection.socket, has_queried, state };
         if self.this_worker == 0 {
             self.send_client(client);
         } else {
--- a/src/net/event_loop/mailboxes.rs
+++ b/src/net/event_loop/mailboxes.rs
@@ -74,7 +74,7 @@
 /// A client on its way to the next process.
 pub(super) struct ClientHandover {
     pub(super) socket: TcpStream,
-    pub(super) has_asked: bool,
+    pub(super) has_queried: bool,
     pub(super) state: ProtocolHandover,
 }
 
--- a/src/net/event_loop/peers.rs
+++ b/src/net/event_loop/peers.rs
@@ -105,7 +105,7 @@
     /// The message that sends this client to another process, and the socket to pass with it.
     pub(super) fn into_message(self) -> (Message, OwnedFd) {
         let ProtocolHandover { key, greeted, bytes, arrivals } = self.state;
-        let message = Message::Client { greeted, has_queried: self.has_asked, bytes, key, arrivals };
+        let message = Message::Client { greeted, has_queried: self.has_queried, bytes, key, arrivals };
         (message, self.socket.into())
     }
 }
--- a/src/net/event_loop/queries.rs
+++ b/src/net/event_loop/queries.rs
@@ -44,7 +44,7 @@
     ) {
         let class = statement.class.clone();
         if let Some(client) = self.connections.client(owner.connection) {
-            (client.in_flight, client.has_asked) = (Some(RequestLocation::Worker(worker)), true);
+            (client.in_flight, client.has_queried) = (Some(RequestLocation::Worker(worker)), true);
         }
         let request = RequestMessage { owner, statement: Box::new(statement), deadline };
         if self.offer_request(worker, request) {
@@ -85,7 +85,7 @@
         if owner.worker != self.this_worker {
             self.remote_requests.insert(owner, request_id);
         } else if let Some(client) = self.connections.client(owner.connection) {
-            client.has_asked = true;
+            client.has_queried = true;
             client.in_flight = Some(RequestLocation::Here(request_id));
         }
         let client_id = statement.id.clone();
