--- a/src/net/event_loop/reload.rs
+++ b/src/net/event_loop/reload.rs
@@ -36,8 +36,8 @@
         self.reload(Instant::now() + RELOAD_RETRY_TIMEOUT);
     }
 
-    /// Reads the configuration file again and applies it. While the file cannot be read because of a transient error, it
-    /// is retried until `until`.
+    /// Reads the configuration file again and applies it. While the file cannot be read because of a transient error,
+    /// reading is retried until `until`.
     pub(super) fn reload(&mut self, until: Instant) {
         match self.apply_config(None) {
             Ok(discovery) => self.move_discovery_watch(discovery),
