--- a/crates/loadtest/src/scale/real.rs
+++ b/crates/loadtest/src/scale/real.rs
@@ -279,9 +279,9 @@
             member().into_iter().for_each(|other| tracker.member_joined(other, unix_ms()));
         } else if line.contains("fleet: member down") {
             member().into_iter().for_each(|other| tracker.member_left(other, None));
-        } else if line.contains("configuration read anew") {
+        } else if line.contains("configuration file reloaded") {
             tracker.configuration_read();
-        } else if line.contains(" list, ") {
+        } else if line.contains(" endpoint list applied, ") {
             let version = log_value(line, "rev").and_then(|text| text.parse().ok());
             version.into_iter().for_each(|version| tracker.list_received(version));
         } else if line.contains(" listening, ") {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -80,7 +80,7 @@
 
     // The gateway's own file names another discovery: if it applied that file alone, it would go back to it.
     deployment.signal(CONTROL_SERVERS, Signal::HUP);
-    deployment.wait_until_logged(CONTROL_SERVERS, "configuration read anew");
+    deployment.wait_until_logged(CONTROL_SERVERS, "configuration file reloaded");
     deployment.wait_until("a SIGHUP requests the full list", |_| moved.full_list_requests() == 4);
     assert_eq!(deployment.configuration_status(0)["version"], 3);
     assert_eq!(applied(&deployment), Some(4));
