--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -112,7 +112,7 @@
     for talk in [&mut first, &mut second] {
         talk.ask(&read("torn"));
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     for talk in [&mut first, &mut second] {
         assert!(talk.answer().iter().all(|frame| frame.tag != b'C' && frame.tag != b'Z'));
     }
@@ -161,7 +161,7 @@
         held += u32::from(harness.heard.recv().expect("heard").contains("'held'"));
     }
     std::io::Write::write_all(&mut harness.stop, &[1]).expect("told");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     for talk in &mut clients {
         assert_eq!(talk.answer().len(), 4);
         assert!(talk.answer().is_empty(), "then the connection ends");
@@ -181,7 +181,7 @@
         talk.ask(&text);
         assert_eq!(talk.code(), "08P01");
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(clients[0].answer().len(), 4);
     assert!(name() > 0);
     harness.end();
@@ -238,7 +238,7 @@
         }
         std::io::Write::write_all(&mut old.stop, &[1]).expect("told");
         assert!(!old.gateway.is_finished(), "it still owes an answer");
-        old.mood.released.store(true, Ordering::SeqCst);
+        old.host_controls.released.store(true, Ordering::SeqCst);
         assert_eq!(held.answer().len(), 4);
         old.gateway.join().expect("it ends by itself");
         for talk in clients.iter_mut().chain([&mut held]) {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -381,7 +381,7 @@
     assert_bytes("answer-id-in-use-v1.bin", &ask(&mut harness.client(), &held));
     cancel(harness.address, key);
     assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     harness.end();
 }
 
@@ -454,7 +454,7 @@
     let shutting_down =
         std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|response| !response.contains("200 OK"));
     assert_bytes("admin-ending-v1.txt", shutting_down.expect("another status").as_bytes());
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     harness.gateway.join().expect("the gateway ends");
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -64,7 +64,7 @@
     // Beyond the client's time, and beyond the pause at which a short answer counts as spoilt.
     std::thread::sleep(std::time::Duration::from_millis(800));
     assert_eq!(figure(harness.admin, "active"), 1);
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     client.inbox.push(&first);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
@@ -84,7 +84,7 @@
     client.ask(&read("torn"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     let mut rest = Vec::new();
     let _ = client.socket.read_to_end(&mut rest);
     assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than the half");
@@ -124,7 +124,7 @@
     harness.heard.recv().expect("the attempt is out");
     second.ask(&text);
     assert_eq!(second.code(), "08P01");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().len(), 4);
     second.ask(&text);
     assert_eq!(second.answer().len(), 4, "it is free again");
@@ -182,7 +182,7 @@
     assert_eq!(idle.answer().len(), 0, "an idle client is closed in the end");
     assert!(TcpStream::connect(harness.address).is_err(), "the listener is closed");
     assert!(!harness.gateway.is_finished(), "it still owes an answer");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.gateway.join().expect("it ends by itself");
 }
@@ -297,7 +297,7 @@
         assert!(asked.starts_with("GET /catalog/members?index=9&wait="), "{asked}");
         old = watch;
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.end();
 }
@@ -372,7 +372,7 @@
     let mut harness = Harness::start(200);
     let text = harness.with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
     harness.retune(&text);
-    harness.mood.mute.store(true, Ordering::SeqCst);
+    harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
     let mut client = harness.client();
     let id = harness::name();
     client.ask(&format!("SELECT doc FROM items WHERE id = 'a' /* id={id},c=look,d=80,cluster=1 */"));
@@ -393,7 +393,7 @@
 fn nothing_is_written_on_a_connection_that_comes_up_after_the_word_of_a_drain() {
     for state in ["Terminating", "Gone"] {
         let harness = Harness::start(200);
-        harness.mood.mute.store(true, Ordering::SeqCst);
+        harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
         let mut client = harness.client();
         client.ask(&write("k").replace("d=30000", "d=2000"));
         assert_eq!(harness.heard.recv().expect("a dial"), "dialled");
@@ -409,7 +409,7 @@
         harness::tell(&mut call, &list);
         // The next call shows that the list was taken.
         let (_watch, _) = harness.discovery.accept().expect("the next call");
-        harness.mood.mute.store(false, Ordering::SeqCst);
+        harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
         assert!(harness.heard.try_iter().all(|said| said == "dialled"), "a statement was written");
         harness.end();
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -82,38 +82,38 @@
 
 /// What the test and its hosts share.
 #[derive(Default)]
-pub struct Mood {
-    pub broke: AtomicBool,
+pub struct HostControls {
+    pub fault_injected: AtomicBool,
     pub released: AtomicBool,
     /// Hosts take connections and say nothing, as behind a cut line.
-    pub mute: AtomicBool,
+    pub unresponsive: AtomicBool,
 }
 
 /// A toy host that tells the test each statement it gets. What it does hangs on the quoted key.
-pub fn toy_host(index: u8, heard: Sender<String>, mood: Arc<Mood>) -> SocketAddr {
+pub fn toy_host(index: u8, heard: Sender<String>, host_controls: Arc<HostControls>) -> SocketAddr {
     let listener = local();
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
-            let (heard, mood) = (heard.clone(), mood.clone());
-            std::thread::spawn(move || host_session(index, socket, &mood, &heard));
+            let (heard, host_controls) = (heard.clone(), host_controls.clone());
+            std::thread::spawn(move || host_session(index, socket, &host_controls, &heard));
         }
     });
     address
 }
 
-fn host_session(index: u8, mut socket: TcpStream, mood: &Mood, heard: &Sender<String>) {
+fn host_session(index: u8, mut socket: TcpStream, host_controls: &HostControls, heard: &Sender<String>) {
     let mut inbox = ReceiveBuffer::default();
     let mut bytes = [0; 4096];
     while inbox.next_startup_packet().expect("a startup").is_none() {
         let count = socket.read(&mut bytes).unwrap_or(0);
         inbox.push(&bytes[..count]);
     }
-    if mood.mute.load(Ordering::SeqCst) {
+    if host_controls.unresponsive.load(Ordering::SeqCst) {
         let _ = heard.send("dialled".to_string());
         // Until the test lets it speak, or the gateway gives it up.
         socket.set_nonblocking(true).expect("a socket");
-        while mood.mute.load(Ordering::SeqCst) {
+        while host_controls.unresponsive.load(Ordering::SeqCst) {
             if socket.peek(&mut bytes).is_ok_and(|count| count == 0) {
                 return;
             }
@@ -134,11 +134,12 @@
             let _ = heard.send("ended".to_string());
             return;
         }
-        let spoilt = text.contains("'first-spoilt'") && !mood.broke.swap(true, Ordering::SeqCst);
-        if text.contains("'first-breaks'") && !mood.broke.swap(true, Ordering::SeqCst) {
+        let spoilt =
+            text.contains("'first-spoilt'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst);
+        if text.contains("'first-breaks'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst) {
             return;
         }
-        while text.contains("'held'") && !mood.released.load(Ordering::SeqCst) {
+        while text.contains("'held'") && !host_controls.released.load(Ordering::SeqCst) {
             std::thread::yield_now();
         }
         out.clear();
@@ -162,7 +163,7 @@
                 let (half, rest) = row.split_at(row.len() / 2);
                 out.extend_from_slice(half);
                 let _ = socket.write_all(&out);
-                while !mood.released.load(Ordering::SeqCst) {
+                while !host_controls.released.load(Ordering::SeqCst) {
                     std::thread::yield_now();
                 }
                 if text.contains("'torn'") {
@@ -206,7 +207,7 @@
     pub gateway: JoinHandle<()>,
     pub heard: Receiver<String>,
     pub discovery: TcpListener,
-    pub mood: Arc<Mood>,
+    pub host_controls: Arc<HostControls>,
 }
 
 impl Harness {
@@ -232,9 +233,10 @@
         cores: usize,
     ) -> Harness {
         let (sender, heard) = channel();
-        let mood = Arc::new(Mood::default());
-        let hosts: Vec<_> = (0..3).map(|index| toy_host(index, sender.clone(), mood.clone())).collect();
-        Harness::open(limit, line, inherited, cores, listing(&hosts), heard, mood)
+        let host_controls = Arc::new(HostControls::default());
+        let hosts: Vec<_> =
+            (0..3).map(|index| toy_host(index, sender.clone(), host_controls.clone())).collect();
+        Harness::open(limit, line, inherited, cores, listing(&hosts), heard, host_controls)
     }
 
     /// A gateway of so many workers that knows the hosts of this list, which are the test's own.
@@ -249,7 +251,7 @@
         cores: usize,
         known: Value,
         heard: Receiver<String>,
-        mood: Arc<Mood>,
+        host_controls: Arc<HostControls>,
     ) -> Harness {
         let discovery = local();
         let (stop, end) = UnixStream::pair().expect("a pair");
@@ -293,7 +295,7 @@
         let address = workers[0].address().expect("it listens");
         let admin = workers[0].admin_address().expect("it has a door");
         let gateway = std::thread::spawn(move || Gateway::run_all(workers).expect("it runs"));
-        Harness { address, admin, stop, reload, file, text, gateway, heard, discovery, mood }
+        Harness { address, admin, stop, reload, file, text, gateway, heard, discovery, host_controls }
     }
 
     pub fn client(&self) -> Talk {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -97,7 +97,7 @@
         assert_eq!(figure(harness.admin, name), value, "{name}");
     }
     assert!(figure(harness.admin, "responses.store.tries") >= 2);
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
     harness.end();
 }
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -191,7 +191,7 @@
             assert_eq!(idle.answer().len(), 4);
         }
         std::thread::sleep(RESPONSE_DELAY);
-        old.mood.released.store(true, Ordering::SeqCst);
+        old.host_controls.released.store(true, Ordering::SeqCst);
         for client in &mut clients {
             assert_eq!(client.answer().len(), 4, "the slow statement");
             expect_late_rejected_and_last_served(client);
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -91,7 +91,7 @@
         client.ask(&text);
         assert_eq!(client.answer().len(), frames, "{text}");
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4, "by the settings of the class at its arrival");
     for (name, value) in [("glance.ok", 1), ("look.ok", 2), ("look.tries", 3), ("store.ok", 0)] {
         assert_eq!(figure(harness.admin, &format!("responses.{name}")), value, "{name}");
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -10,7 +10,7 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use harness::{figure, read, Mood, Talk};
+use harness::{figure, read, HostControls, Talk};
 use rollout_deployment::{document, Deployment, Discovery, CONTROL_SERVERS};
 
 /// Guards the distribution of a version: proposed once, it is in force at all gateways, which the command and the admin
@@ -19,8 +19,8 @@
 #[test]
 fn a_proposed_version_is_in_force_everywhere() {
     let (said, heard) = channel();
-    let mood = Arc::new(Mood::default());
-    let host = harness::toy_host(0, said, mood.clone());
+    let host_controls = Arc::new(HostControls::default());
+    let host = harness::toy_host(0, said, host_controls.clone());
     let deployment = Deployment::with_hosts("rollout-all", 3, harness::listing(&[host]));
     deployment.wait_until("a first watch of each gateway", |deployment| {
         deployment.discoveries.iter().all(|own| own.watches() > 0)
@@ -84,7 +84,7 @@
     assert_eq!(deployment.configuration_status(0)["version"], 3);
     assert_eq!(applied(&deployment), Some(4));
 
-    mood.released.store(true, Ordering::SeqCst);
+    host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4, "the request has been answered, on the same connection");
     client.ask(&read("after"));
     assert_eq!(client.answer().len(), 4);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -58,7 +58,7 @@
     assert_eq!(fresh.answer().len(), 4);
     old.stop.write_all(&[1]).expect("told");
     assert!(!old.gateway.is_finished(), "it still owes an answer");
-    old.mood.released.store(true, Ordering::SeqCst);
+    old.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     old.gateway.join().expect("it ends by itself");
     busy.ask(&read("k"));
@@ -88,7 +88,7 @@
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
     assert_eq!(figure(new.admin, "responses.look.errors"), 1);
-    old.mood.released.store(true, Ordering::SeqCst);
+    old.host_controls.released.store(true, Ordering::SeqCst);
     old.end();
     new.end();
 }
