--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -136,13 +136,13 @@
         .collect();
     let mut silent = 0;
     while silent < 2 {
-        silent += u32::from(harness.heard.recv().expect("heard").contains("'silent'"));
+        silent += u32::from(harness.host_events.recv().expect("heard").contains("'silent'"));
     }
     assert_eq!(figure(harness.admin, "active"), 2);
     drop(clients);
     let mut ended = 0;
     while ended < 2 {
-        ended += u32::from(harness.heard.recv().expect("heard") == "ended");
+        ended += u32::from(harness.host_events.recv().expect("heard") == "ended");
     }
     while figure(harness.admin, "active") > 0 {}
     harness.end();
@@ -158,7 +158,7 @@
     }
     let mut held = 0;
     while held < 4 {
-        held += u32::from(harness.heard.recv().expect("heard").contains("'held'"));
+        held += u32::from(harness.host_events.recv().expect("heard").contains("'held'"));
     }
     std::io::Write::write_all(&mut harness.stop, &[1]).expect("told");
     harness.host_controls.released.store(true, Ordering::SeqCst);
@@ -176,7 +176,7 @@
     let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
     let text = read("held");
     clients[0].ask(&text);
-    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    while !harness.host_events.recv().expect("heard").contains("'held'") {}
     for talk in &mut clients[1..] {
         talk.ask(&text);
         assert_eq!(talk.code(), "08P01");
@@ -225,7 +225,7 @@
         // One that is owed its answer stays until it has it.
         let mut held = old.client();
         held.ask(&read("held"));
-        while !old.heard.recv().expect("heard").contains("'held'") {}
+        while !old.host_events.recv().expect("heard").contains("'held'") {}
         let inherited = handover_socket::take_over(&at, Duration::from_secs(60)).expect("handed over");
         let new = Harness::with_cores(300, Some(at.clone()), Some(inherited), after);
         assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -377,7 +377,7 @@
     let (mut client, key) = with_key(&harness);
     let held = read("held");
     client.ask(&held);
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     assert_bytes("answer-id-in-use-v1.bin", &ask(&mut harness.client(), &held));
     cancel(harness.address, key);
     assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
@@ -449,7 +449,7 @@
 
     let mut client = harness.client();
     client.ask(&read("held"));
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     harness.stop.write_all(&[1]).expect("written");
     let shutting_down =
         std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|response| !response.contains("200 OK"));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -30,7 +30,7 @@
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
         assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(length));
-        let heard = harness.heard.recv().expect("heard");
+        let heard = harness.host_events.recv().expect("heard");
         let (before, after) = text.split_once("d=30000").expect("a wait");
         assert!(heard.starts_with(before) && heard.ends_with(after), "{heard}");
     }
@@ -121,7 +121,7 @@
     let (mut first, mut second) = (harness.client(), harness.client());
     let text = read("held");
     first.ask(&text);
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     second.ask(&text);
     assert_eq!(second.code(), "08P01");
     harness.host_controls.released.store(true, Ordering::SeqCst);
@@ -165,9 +165,9 @@
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("silent"));
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     drop(client);
-    assert_eq!(harness.heard.recv().expect("the host sees the end"), "ended");
+    assert_eq!(harness.host_events.recv().expect("the host sees the end"), "ended");
     harness.end();
 }
 
@@ -177,7 +177,7 @@
     let mut harness = Harness::start(200);
     let (mut busy, mut idle) = (harness.client(), harness.client());
     busy.ask(&read("held"));
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     harness.stop.write_all(&[1]).expect("told");
     assert_eq!(idle.answer().len(), 0, "an idle client is closed in the end");
     assert!(TcpStream::connect(harness.address).is_err(), "the listener is closed");
@@ -282,7 +282,7 @@
     let (mut old, _) = called(&harness.discovery);
     let mut busy = harness.client();
     busy.ask(&read("held"));
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     harness.retune("");
     let moved = local();
     for _ in 0..2 {
@@ -396,7 +396,7 @@
         harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
         let mut client = harness.client();
         client.ask(&write("k").replace("d=30000", "d=2000"));
-        assert_eq!(harness.heard.recv().expect("a dial"), "dialled");
+        assert_eq!(harness.host_events.recv().expect("a dial"), "dialled");
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut list: Value =
@@ -411,7 +411,7 @@
         let (_watch, _) = harness.discovery.accept().expect("the next call");
         harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
-        assert!(harness.heard.try_iter().all(|said| said == "dialled"), "a statement was written");
+        assert!(harness.host_events.try_iter().all(|said| said == "dialled"), "a statement was written");
         harness.end();
     }
 }
@@ -489,7 +489,7 @@
     for (text, most) in [(read("a"), 4_100), (write("b"), 30_000)] {
         client.ask(&text);
         assert_eq!(client.answer().last().map(|frame| frame.tag), Some(b'Z'));
-        let heard = harness.heard.recv().expect("a statement");
+        let heard = harness.host_events.recv().expect("a statement");
         let told = heard.split_once(",d=").and_then(|(_, rest)| rest.split(',').next()).expect("a wait");
         let told: u64 = told.parse().expect("a number");
         assert!(told <= most && told * 2 > most, "told {told}");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -90,19 +90,24 @@
 }
 
 /// A toy host that tells the test each statement it gets. What it does hangs on the quoted key.
-pub fn toy_host(index: u8, heard: Sender<String>, host_controls: Arc<HostControls>) -> SocketAddr {
+pub fn toy_host(index: u8, host_events: Sender<String>, host_controls: Arc<HostControls>) -> SocketAddr {
     let listener = local();
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
-            let (heard, host_controls) = (heard.clone(), host_controls.clone());
-            std::thread::spawn(move || host_session(index, socket, &host_controls, &heard));
+            let (host_events, host_controls) = (host_events.clone(), host_controls.clone());
+            std::thread::spawn(move || host_session(index, socket, &host_controls, &host_events));
         }
     });
     address
 }
 
-fn host_session(index: u8, mut socket: TcpStream, host_controls: &HostControls, heard: &Sender<String>) {
+fn host_session(
+    index: u8,
+    mut socket: TcpStream,
+    host_controls: &HostControls,
+    host_events: &Sender<String>,
+) {
     let mut inbox = ReceiveBuffer::default();
     let mut bytes = [0; 4096];
     while inbox.next_startup_packet().expect("a startup").is_none() {
@@ -110,7 +115,7 @@
         inbox.push(&bytes[..count]);
     }
     if host_controls.unresponsive.load(Ordering::SeqCst) {
-        let _ = heard.send("dialled".to_string());
+        let _ = host_events.send("dialled".to_string());
         // Until the test lets it speak, or the gateway gives it up.
         socket.set_nonblocking(true).expect("a socket");
         while host_controls.unresponsive.load(Ordering::SeqCst) {
@@ -127,11 +132,11 @@
     while socket.write_all(&out).is_ok() {
         let Some(query) = next_frame(&mut socket, &mut inbox) else { return };
         let text = String::from_utf8_lossy(&query.body).trim_end_matches('\0').to_string();
-        let _ = heard.send(text.clone());
+        let _ = host_events.send(text.clone());
         if text.contains("'silent'") {
             // Until the gateway ends the connection.
             assert_eq!(socket.read(&mut bytes).unwrap_or(0), 0);
-            let _ = heard.send("ended".to_string());
+            let _ = host_events.send("ended".to_string());
             return;
         }
         let spoilt =
@@ -205,7 +210,7 @@
     /// The text that it held at the start.
     pub text: String,
     pub gateway: JoinHandle<()>,
-    pub heard: Receiver<String>,
+    pub host_events: Receiver<String>,
     pub discovery: TcpListener,
     pub host_controls: Arc<HostControls>,
 }
@@ -232,11 +237,11 @@
         inherited: Option<HandoverState>,
         cores: usize,
     ) -> Harness {
-        let (sender, heard) = channel();
+        let (sender, host_events) = channel();
         let host_controls = Arc::new(HostControls::default());
         let hosts: Vec<_> =
             (0..3).map(|index| toy_host(index, sender.clone(), host_controls.clone())).collect();
-        Harness::open(limit, line, inherited, cores, listing(&hosts), heard, host_controls)
+        Harness::open(limit, line, inherited, cores, listing(&hosts), host_events, host_controls)
     }
 
     /// A gateway of so many workers that knows the hosts of this list, which are the test's own.
@@ -250,7 +255,7 @@
         inherited: Option<HandoverState>,
         cores: usize,
         known: Value,
-        heard: Receiver<String>,
+        host_events: Receiver<String>,
         host_controls: Arc<HostControls>,
     ) -> Harness {
         let discovery = local();
@@ -295,7 +300,7 @@
         let address = workers[0].address().expect("it listens");
         let admin = workers[0].admin_address().expect("it has a door");
         let gateway = std::thread::spawn(move || Gateway::run_all(workers).expect("it runs"));
-        Harness { address, admin, stop, reload, file, text, gateway, heard, discovery, host_controls }
+        Harness { address, admin, stop, reload, file, text, gateway, host_events, discovery, host_controls }
     }
 
     pub fn client(&self) -> Talk {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -82,7 +82,7 @@
         assert_eq!(client.answer().len(), messages);
     }
     client.ask(&read("held"));
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     for (name, value) in [
         ("responses.look.ok", 1),
         ("responses.look.tries", 2),
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -110,7 +110,10 @@
             assert!(["53300", "58000"].contains(&code.as_str()), "{code}");
             expect_late_rejected_and_last_served(client);
         }
-        assert!(harness.heard.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
+        assert!(
+            harness.host_events.try_iter().all(|text| !text.contains("'late'")),
+            "a late statement was sent"
+        );
         harness.end();
     }
 }
@@ -179,7 +182,7 @@
         let mut clients: Vec<Talk> = (0..cores).map(|_| old.client()).collect();
         for client in &mut clients {
             client.socket.write_all(&pipeline("held")).expect("written");
-            while !old.heard.recv().expect("a query").contains("'held'") {}
+            while !old.host_events.recv().expect("a query").contains("'held'") {}
         }
         let timeout = Duration::from_secs(60);
         let inherited = handover_socket::take_over(&path, timeout).expect("handed over");
@@ -201,7 +204,7 @@
             assert_eq!(figure(new.admin, &format!("responses.{class}.shed")), cores as u64, "{class}");
         }
         assert_eq!(figure(new.admin, "responses.look.ok"), 1 + cores as u64);
-        assert!(old.heard.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
+        assert!(old.host_events.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
         old.end();
         new.end();
     }
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -70,7 +70,7 @@
     let mut harness = Harness::start(200);
     let mut busy = harness.client();
     busy.ask(&read("held"));
-    while !harness.heard.recv().expect("heard").contains("'held'") {}
+    while !harness.host_events.recv().expect("heard").contains("'held'") {}
     let mut config: Value = serde_json::from_str(&harness.text).expect("json");
     let classes = &mut config["settings"]["Classes"];
     // The first class is renamed, its old name now stands for a write that is not idempotent, and the second class is
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -44,7 +44,7 @@
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
     busy.ask(&read("held"));
-    while !old.heard.recv().expect("heard").contains("'held'") {}
+    while !old.host_events.recv().expect("heard").contains("'held'") {}
     half.socket.write_all(b"Q\0\0").expect("written");
     let new = follow(&at);
     assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
@@ -75,7 +75,7 @@
     let old = Harness::beside(200, Some(at.clone()), None);
     let (mut client, key) = with_key(&old);
     client.ask(&read("held"));
-    while !old.heard.recv().expect("heard").contains("'held'") {}
+    while !old.host_events.recv().expect("heard").contains("'held'") {}
     let new = follow(&at);
     // The old process has heard that the next one takes clients: it accepts nobody any more.
     while !get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 ") {}
@@ -83,7 +83,7 @@
     assert_eq!(client.code(), "57014");
     assert_eq!(figure(old.admin, "responses.look.errors"), 1);
     client.ask(&read("silent"));
-    while !old.heard.recv().expect("heard").contains("'silent'") {}
+    while !old.host_events.recv().expect("heard").contains("'silent'") {}
     while figure(new.admin, "active") < 1 {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
