--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,7 +8,7 @@
 
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
-use harness::{figure, listens, listing, read, tell, write, Talk};
+use harness::{answer_discovery, figure, listens, listing, read, write, Talk};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
@@ -316,7 +316,7 @@
             // An answer to the call that was given up, with an older list, is nobody's.
             let _ = late.write_all(body(&listing(&[primary.address(), replica.address()])).as_bytes());
         }
-        tell(&mut next, &list);
+        answer_discovery(&mut next, &list);
         // The call after it goes on from there: the list has been taken in.
         let (_watch, asked) = call(&harness.discovery);
         assert!(asked.contains("index=9&wait="), "{way}: {asked}");
@@ -360,18 +360,18 @@
         list["rev"] = json!(9);
         let left = match first {
             "the silent one" => {
-                tell(&mut silent, &list);
+                answer_discovery(&mut silent, &list);
                 &mut next
             }
             "the next" => {
-                tell(&mut next, &list);
+                answer_discovery(&mut next, &list);
                 &mut silent
             }
             _ => {
-                tell(&mut silent, &listing(&[host.address()]));
+                answer_discovery(&mut silent, &listing(&[host.address()]));
                 assert!(ended(&mut silent), "{first}: of no use any more");
                 assert!(open(&next));
-                tell(&mut next, &list);
+                answer_discovery(&mut next, &list);
                 &mut silent
             }
         };
@@ -383,7 +383,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"rev\":20,\"all\":true,\"targets\":[]}",
         );
         list["rev"] = json!(10);
-        tell(&mut after, &list);
+        answer_discovery(&mut after, &list);
         let (_watch, asked) = call(&harness.discovery);
         assert!(asked.contains("index=10&wait="), "{first}: {asked}");
         harness.end();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -406,7 +406,7 @@
             target["state"] = json!(state);
         }
         list["all"] = json!(false);
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         // The next call shows that the list was taken.
         let (_watch, _) = harness.discovery.accept().expect("the next call");
         harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
@@ -431,7 +431,7 @@
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         list["rev"] = json!(9);
         list["targets"][0]["endpoint"] = json!(slow.local_addr().expect("bound").to_string());
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         let (mut call, _) = harness.discovery.accept().expect("the next call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut client = harness.client();
@@ -455,7 +455,7 @@
         inbox.push(&begun);
         list["rev"] = json!(10);
         list["targets"][0]["state"] = json!("Terminating");
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         let (_watch, _) = harness.discovery.accept().expect("the next call shows that the list was taken");
         let query = harness::next_frame(&mut host, &mut inbox).expect("the whole request");
         assert!(query.body.len() > WHOLE);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -52,7 +52,7 @@
 }
 
 /// Answers a call to discovery with a list.
-pub fn tell(call: &mut TcpStream, list: &Value) {
+pub fn answer_discovery(call: &mut TcpStream, list: &Value) {
     let body = list.to_string();
     write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).expect("written");
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -12,7 +12,7 @@
 use dunemount::pg::codec;
 use harness::process::{Process, PAUSE};
 use harness::stage::{answer, call, Host};
-use harness::{figure, listens, listing, local, read, tell, Talk};
+use harness::{answer_discovery, figure, listens, listing, local, read, Talk};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -46,7 +46,7 @@
     let (mut watch, _) = call(&discovery);
     let mut list = listing(&[new.address()]);
     (list["rev"], list["targets"][0]["uid"]) = (json!(9), json!("s-new"));
-    tell(&mut watch, &list);
+    answer_discovery(&mut watch, &list);
     let (_watch, asked) = call(&discovery);
     assert!(asked.contains("index=9&wait="), "{asked}");
     let mut client = gateway.client();
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -245,7 +245,7 @@
     let watch = include_str!("fixtures/discovery-watch-v1.http");
     let mut call = expect(read_request(&harness.discovery), &watch.replace("index=41", "index=4"));
     let listing: Value = json!({"rev": 41, "all": false, "targets": []});
-    harness::tell(&mut call, &listing);
+    harness::answer_discovery(&mut call, &listing);
     let _watching = expect(read_request(&harness.discovery), watch);
     let text = harness.text.clone();
     harness.retune(&text);
