--- a/tests/data_age.rs
+++ b/tests/data_age.rs
@@ -13,7 +13,7 @@
 
 use harness::family::{ask, write, Conduct, Family, Read, STANDING};
 use harness::process::{Faults, Process, Start};
-use harness::{local, settings};
+use harness::{bind_loopback, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -103,7 +103,7 @@
 
 impl<'f> Stand<'f> {
     fn of(test: &str, families: &[&'f Family], cores: usize) -> Stand<'f> {
-        let discovery = local();
+        let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
         let start = Start { settings: bounded(true), cores, ..Start::usual(test, 300, place) };
         Stand::with(start, discovery, families)
@@ -118,7 +118,7 @@
 
     /// Another process takes over from this one.
     fn hot_restart(&mut self) {
-        let door = local();
+        let door = bind_loopback();
         let admin = door.local_addr().expect("bound");
         drop(door);
         let mut next = self.start.spawn_at(self.process.address, admin, &listing(&self.families));
@@ -351,7 +351,7 @@
 fn replicas_serve_while_the_primary_goes_on() {
     for clients_mark_retries in [true, false] {
         let family = Family::following(LAG);
-        let discovery = local();
+        let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
         let start = Start { settings: bounded(clients_mark_retries), ..Start::usual("age-live", 300, place) };
         let stand = Stand::with(start, discovery, &[&family]);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
-use harness::{figure, listing, local, read, settings, write, Harness, Talk};
+use harness::{bind_loopback, figure, listing, read, settings, write, Harness, Talk};
 use serde_json::{json, Value};
 
 /// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
@@ -284,7 +284,7 @@
     busy.ask(&read("held"));
     harness.host_events.recv().expect("the attempt is out");
     harness.retune("");
-    let moved = local();
+    let moved = bind_loopback();
     for _ in 0..2 {
         let address = moved.local_addr().expect("bound").to_string();
         harness.retune(&harness.with("/discovery", Some(json!(address))));
@@ -424,7 +424,7 @@
     for read_first in [0, 1, 4, 5, 4_096, WHOLE / 2, WHOLE] {
         let harness = Harness::start(200);
         // A primary of the test's own, which reads no further than it is told.
-        let slow = local();
+        let slow = bind_loopback();
         let mut list: Value =
             serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
         let (mut call, _) = harness.discovery.accept().expect("a call");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -57,7 +57,7 @@
     write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).expect("written");
 }
 
-pub fn local() -> TcpListener {
+pub fn bind_loopback() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
@@ -91,7 +91,7 @@
 
 /// A toy host that tells the test each statement it gets. What it does hangs on the quoted key.
 pub fn toy_host(index: u8, host_events: Sender<String>, host_controls: Arc<HostControls>) -> SocketAddr {
-    let listener = local();
+    let listener = bind_loopback();
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -258,7 +258,7 @@
         host_events: Receiver<String>,
         host_controls: Arc<HostControls>,
     ) -> Harness {
-        let discovery = local();
+        let discovery = bind_loopback();
         let (stop, end) = UnixStream::pair().expect("a pair");
         let (reload, anew) = UnixStream::pair().expect("a pair");
         let (file, read) = sync_channel(0);
--- a/tests/harness/stage.rs
+++ b/tests/harness/stage.rs
@@ -7,7 +7,7 @@
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use socket2::SockRef;
 
-use super::{listing, local, next_frame, Harness, Talk};
+use super::{bind_loopback, listing, next_frame, Harness, Talk};
 
 /// A host whose every step the test decides.
 pub struct Host {
@@ -22,7 +22,7 @@
 
 impl Host {
     pub fn new() -> Host {
-        Host { listener: local() }
+        Host { listener: bind_loopback() }
     }
 
     pub fn address(&self) -> SocketAddr {
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -12,7 +12,7 @@
 use dunemount::pg::codec;
 use harness::process::{Process, PAUSE};
 use harness::stage::{answer, call, Host};
-use harness::{answer_discovery, figure, listens, listing, local, read, Talk};
+use harness::{answer_discovery, bind_loopback, figure, listens, listing, read, Talk};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -20,7 +20,7 @@
 /// listens there is not taken for the process, and one that ends for it is started anew.
 #[test]
 fn a_port_that_somebody_else_has_is_not_taken_for_a_process_that_is_up() {
-    let (other, door) = (local(), local());
+    let (other, door) = (bind_loopback(), bind_loopback());
     let (address, admin) = (other.local_addr().expect("bound"), door.local_addr().expect("bound"));
     drop(door);
     let known = listing(&[Host::new().address()]);
@@ -33,7 +33,7 @@
 /// list is taken in, the host that it names can be dialled, and a new client gets in and is served.
 #[test]
 fn idle_clients_that_fill_the_descriptors_leave_discovery_and_hosts_theirs() {
-    let (old, new, door) = (Host::new(), Host::new(), local());
+    let (old, new, door) = (Host::new(), Host::new(), bind_loopback());
     let place = door.local_addr().expect("bound");
     drop(door);
     let gateway = Process::start("filled", 80, place, listing(&[old.address()]));
@@ -64,7 +64,7 @@
 /// and says nothing on it, answer their first empty query all the same.
 #[test]
 fn processes_that_start_at_once_are_ready_whatever_is_silent() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let silent: Vec<_> = (0..12)
         .map(|index| {
@@ -97,7 +97,7 @@
 /// be through with it by another client that is served after it.
 #[test]
 fn a_client_that_is_gone_when_its_request_is_read_begins_no_attempt() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("left", 200, place, listing(&[host.address()]));
     let mut whole = Vec::new();
@@ -146,7 +146,7 @@
 /// a connection to the host is open already: nothing is written on it.
 #[test]
 fn a_request_with_its_clients_end_behind_it_is_not_written_on_an_open_connection() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("gone", 200, place, listing(&[host.address()]));
     let mut gone = gateway.client();
@@ -172,7 +172,7 @@
 /// and each of them is answered.
 #[test]
 fn a_request_that_crosses_the_making_of_room_is_served() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("room", 60, place, listing(&[host.address()]));
     // As many as there is room for: 60 less those kept back, less a third of the rest for hosts.
@@ -192,7 +192,7 @@
 /// request owed; the request is answered, and the process ends by itself and in order.
 #[test]
 fn signals_that_come_all_at_once_end_the_process_in_order() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let mut gateway = Process::start("signals", 200, place, listing(&[host.address()]));
     let mut client = gateway.client();
@@ -220,7 +220,7 @@
 /// has taken nobody.
 #[test]
 fn a_word_to_end_at_the_start_ends_it() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let folder = std::env::temp_dir().join(format!("dunemount-early-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -243,7 +243,7 @@
 /// far more time, at a host that hangs, has its final answer by then, and so has one whose client reads on until the kill.
 #[test]
 fn whoever_has_more_time_than_the_process_is_answered_before_the_kill() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let mut gateway = Process::start("kill", 200, place, listing(&[host.address()]));
     let mut clients: Vec<Talk> = (0..2).map(|_| gateway.client()).collect();
@@ -273,7 +273,7 @@
 #[test]
 fn a_request_that_waits_to_be_accepted_has_less_time_left() {
     const WAIT: Duration = Duration::from_millis(800);
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     // 60 less those kept back, less a third of the rest for hosts: 11 clients, 5 connections to hosts.
     let gateway = Process::start("queue", 60, place, listing(&[host.address()]));
--- a/tests/rollout_deployment/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -31,7 +31,7 @@
 
 impl Discovery {
     pub fn start() -> Discovery {
-        let listener = harness::local();
+        let listener = harness::bind_loopback();
         let address = listener.local_addr().expect("bound");
         let discovery = Discovery { address, full_list_requests: Arc::default(), watches: Arc::default() };
         let (full_lists, watches) = (discovery.full_list_requests.clone(), discovery.watches.clone());
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -8,7 +8,7 @@
 
 use harness::process::{Faults, Process, Start, PAUSE};
 use harness::stage::{answer, Host};
-use harness::{figure, listens, listing, local, read, Talk};
+use harness::{bind_loopback, figure, listens, listing, read, Talk};
 use rustix::process::Signal;
 
 /// Time for which calls fail: a while in the life of a process.
@@ -25,7 +25,7 @@
 
 /// A start whose processes meet faults that the test names, and the discovery that it is told.
 fn start(test: &str) -> (Start, Faults, TcpListener) {
-    let discovery = local();
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
     let mut start = Start::usual(test, 200, place);
     let faults = Faults::none_yet(&start.folder());
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -17,7 +17,7 @@
 use dunemount::pg::codec::{self, ReceiveBuffer};
 use harness::process::{Faults, Start};
 use harness::stage::{answer, Host, Link};
-use harness::{listing, local, next_frame, settings};
+use harness::{bind_loopback, listing, next_frame, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -329,7 +329,7 @@
     let crowded = seed % 4 == 3;
     let record = Arc::new(Record::default());
     let hosts: Vec<SocketAddr> = (0..3).map(|index| host(&record, index == 0, seed * 8 + index)).collect();
-    let discovery = local();
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
     let mut start = Start::usual(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
     start.settings = settings();
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 
 use harness::process::{Faults, Process, Start, PAUSE};
 use harness::stage::{Host, Link};
-use harness::{listing, local, name, settings};
+use harness::{bind_loopback, listing, name, settings};
 use serde_json::{json, Value};
 
 /// How old the data of a bounded read may be.
@@ -86,7 +86,7 @@
     family: &Family,
     probing: bool,
 ) -> (Start, Faults, Process, std::net::TcpListener) {
-    let discovery = local();
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
     let mut start = Start { settings: bounded(probing), ..Start::usual(test, 200, place) };
     let faults = Faults::none_yet(&start.folder());
@@ -161,7 +161,7 @@
         let (start, faults, mut old, discovery) = gateway("clock-next", 0, &family, true);
         until_replicas_serve(&old, &family);
         faults.set(&format!("clock {step}\n"));
-        let door = local();
+        let door = bind_loopback();
         let admin = door.local_addr().expect("bound");
         drop(door);
         let mut next = start.spawn_at(old.address, admin, &listing(&family.endpoints));
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -12,12 +12,12 @@
 use dunemount::pg::host::HostProtocol;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
-use harness::{listing, local, Harness};
+use harness::{bind_loopback, listing, Harness};
 use serde_json::{json, Value};
 
 /// Starts a database host that sends each message to the test as received, and an empty one when a connection ends.
 fn recording_host(received: Sender<Vec<u8>>) -> SocketAddr {
-    let listener = local();
+    let listener = bind_loopback();
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
