--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use dunemount::hot_restart::handover_socket;
-use harness::{figure, get, name, order, read, write, Harness, Talk};
+use harness::{figure, get, name, order, read, write, ClientConnection, Harness};
 
 /// The value of an answer's row.
-fn value(talk: &mut Talk) -> Vec<u8> {
+fn value(talk: &mut ClientConnection) -> Vec<u8> {
     let answer = talk.answer();
     let row = answer.iter().find(|frame| frame.tag == b'D').expect("served");
     row.body[6..].to_vec()
@@ -28,7 +28,7 @@
 fn a_session_reads_its_write_at_another_worker() {
     for cores in [2, 4] {
         let harness = Harness::with_workers(300, cores);
-        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         // Roles and positions are learned from answers.
         let mut away = 0;
         for round in 0..60 {
@@ -55,7 +55,7 @@
 fn orders_hold_and_figures_add_up_on_all_workers() {
     for cores in [2, 3, 4] {
         let harness = Harness::with_workers(300, cores);
-        let mut clients: Vec<Talk> = (0..2 * cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..2 * cores).map(|_| harness.client()).collect();
         for talk in &mut clients {
             for _ in 0..5 {
                 talk.ask(&read("k"));
@@ -91,7 +91,7 @@
 #[test]
 fn long_values_pass_between_workers() {
     let harness = Harness::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
     for _ in 0..4 {
         for talk in &mut clients {
             talk.ask(&read("huge"));
@@ -127,7 +127,7 @@
 #[test]
 fn a_client_that_leaves_ends_its_attempt_at_another_worker() {
     let harness = Harness::with_workers(300, 2);
-    let clients: Vec<Talk> = (0..2)
+    let clients: Vec<ClientConnection> = (0..2)
         .map(|_| {
             let mut talk = harness.client();
             talk.ask(&read("silent"));
@@ -152,7 +152,7 @@
 #[test]
 fn all_workers_answer_what_they_owe_before_the_end() {
     let mut harness = Harness::with_workers(300, 4);
-    let mut clients: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..4).map(|_| harness.client()).collect();
     for talk in &mut clients {
         talk.ask(&read("held"));
     }
@@ -173,7 +173,7 @@
 #[test]
 fn a_name_is_open_once_over_all_workers() {
     let harness = Harness::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
     let text = read("held");
     clients[0].ask(&text);
     while !harness.host_events.recv().expect("heard").contains("'held'") {}
@@ -192,7 +192,7 @@
 #[test]
 fn new_settings_reach_all_workers() {
     let mut harness = Harness::with_workers(300, 3);
-    let mut clients: Vec<Talk> = (0..3).map(|_| harness.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
     let new = harness.text.replace("\"look\"", "\"glance\"");
     harness.retune(&new);
     while figure(harness.admin, "config_applied") < 1 {}
@@ -214,7 +214,7 @@
         let name = format!("dunemount-cores-{before}-{after}-{}.line", std::process::id());
         let at: PathBuf = std::env::temp_dir().join(name);
         let mut old = Harness::with_cores(300, Some(at.clone()), None, before);
-        let mut clients: Vec<Talk> = (0..4).map(|_| old.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..4).map(|_| old.client()).collect();
         for (number, talk) in clients.iter_mut().enumerate() {
             talk.ask(&own(&format!("who-fresh-{number}")));
             value(talk);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,12 +8,12 @@
 
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
-use harness::{answer_discovery, figure, listens, listing, read, write, Talk};
+use harness::{answer_discovery, figure, listens, listing, read, write, ClientConnection};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
 /// Whether the client's end has reached the gateway's machine: it acknowledges it, whoever reads it.
-fn leave(talk: Talk) {
+fn leave(talk: ClientConnection) {
     talk.socket.shutdown(Shutdown::Both).expect("a socket");
 }
 
@@ -148,7 +148,7 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a socket");
     socket.connect(&harness.address.into()).expect("accepted");
-    let mut client = Talk { socket: socket.into(), inbox: ReceiveBuffer::default() };
+    let mut client = ClientConnection { socket: socket.into(), inbox: ReceiveBuffer::default() };
     let mut hello = Vec::new();
     codec::write_startup_packet(&mut hello, "app", "shop");
     client.socket.write_all(&hello).expect("written");
@@ -455,7 +455,7 @@
 fn floods_and_slow_clients_keep_nobody_from_being_served() {
     let host = Host::new();
     let harness = gateway(&[&host], 1);
-    let mut floods: Vec<Talk> = (0..4).map(|_| harness.client()).collect();
+    let mut floods: Vec<ClientConnection> = (0..4).map(|_| harness.client()).collect();
     let mut flood = Vec::new();
     codec::write_query(&mut flood, &"y".repeat(64 * 1024));
     let mut held = Vec::new();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -25,7 +25,7 @@
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
-use harness::{call, get, order, read, write, Harness, Talk};
+use harness::{call, get, order, read, write, ClientConnection, Harness};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
 
@@ -334,7 +334,7 @@
 }
 
 /// Sends a statement and returns the bytes of its answer.
-fn ask(client: &mut Talk, text: &str) -> Vec<u8> {
+fn ask(client: &mut ClientConnection, text: &str) -> Vec<u8> {
     client.ask(text);
     answer_bytes(&mut client.socket)
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
-use harness::{bind_loopback, figure, listing, read, settings, write, Harness, Talk};
+use harness::{bind_loopback, figure, listing, read, settings, write, ClientConnection, Harness};
 use serde_json::{json, Value};
 
 /// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
@@ -192,7 +192,7 @@
 #[test]
 fn clients_that_asked_once_make_room() {
     let harness = Harness::start(80);
-    let mut held: Vec<Talk> = Vec::new();
+    let mut held: Vec<ClientConnection> = Vec::new();
     for _ in 0..21 {
         let mut client = harness.client();
         client.ask(&read("k"));
@@ -211,7 +211,7 @@
 #[test]
 fn idle_clients_make_room_for_new_ones() {
     let harness = Harness::start(50);
-    let mut held: Vec<Talk> = (0..20).map(|_| harness.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..20).map(|_| harness.client()).collect();
     let mut last = held.pop().expect("a client");
     last.ask(&read("k"));
     assert_eq!(last.answer().last().map(|frame| frame.tag), Some(b'Z'));
--- a/tests/harness/family.rs
+++ b/tests/harness/family.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 use super::stage::{answer_with, Host, Link};
-use super::{name, Talk};
+use super::{name, ClientConnection};
 
 /// Hosts of a family; the first is the primary at first.
 const HOSTS: usize = 3;
@@ -275,7 +275,7 @@
 }
 
 /// Asks a read of this class; none if it is refused or fails, or the connection ends.
-pub fn ask(client: &mut Talk, class: &str, group: usize) -> Option<Read> {
+pub fn ask(client: &mut ClientConnection, class: &str, group: usize) -> Option<Read> {
     let id = name().to_string();
     client
         .ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={id},c={class},d=1000,cluster={group} */"));
@@ -288,7 +288,7 @@
 }
 
 /// Asks a write with this key, marked as a repeat or not, whatever becomes of it.
-pub fn write(client: &mut Talk, key: u64, repeat: bool, group: usize) {
+pub fn write(client: &mut ClientConnection, key: u64, repeat: bool, group: usize) {
     let (id, mark) = (name(), if repeat { ",r=1" } else { "" });
     client.ask(&format!(
         "INSERT INTO items (id, doc) VALUES ('w', '\\x9f') RETURNING doc /* id={id},c=store,d=1000,k={key}{mark},cluster={group} */"
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -303,8 +303,8 @@
         Harness { address, admin, stop, reload, file, text, gateway, host_events, discovery, host_controls }
     }
 
-    pub fn client(&self) -> Talk {
-        Talk::to(self.address)
+    pub fn client(&self) -> ClientConnection {
+        ClientConnection::open(self.address)
     }
 
     /// Replaces the configuration file and sends the signal, as operators do.
@@ -332,19 +332,19 @@
     }
 }
 
-pub struct Talk {
+pub struct ClientConnection {
     pub socket: TcpStream,
     pub inbox: ReceiveBuffer,
 }
 
-impl Talk {
+impl ClientConnection {
     /// A client that a gateway has let in.
-    pub fn to(address: SocketAddr) -> Talk {
+    pub fn open(address: SocketAddr) -> ClientConnection {
         let mut socket = TcpStream::connect(address).expect("accepted");
         let mut hello = Vec::new();
         codec::write_startup_packet(&mut hello, "app", "shop");
         socket.write_all(&hello).expect("written");
-        let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
+        let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
         assert_eq!(talk.answer().pop().map(|frame| frame.tag), Some(b'Z'));
         talk
     }
--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::{settings, Talk};
+use super::{settings, ClientConnection};
 
 /// Time between two looks at something that is waited for.
 pub const PAUSE: Duration = Duration::from_millis(2);
@@ -224,10 +224,10 @@
     }
 
     /// A client that has been greeted; one that was closed unheard, as to make room, comes again.
-    pub fn client(&self) -> Talk {
+    pub fn client(&self) -> ClientConnection {
         loop {
             let socket = TcpStream::connect(self.address).expect("it listens");
-            let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
+            let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
             let mut hello = Vec::new();
             codec::write_startup_packet(&mut hello, "app", "shop");
             talk.socket.write_all(&hello).expect("written");
@@ -238,9 +238,9 @@
     }
 
     /// A client that has sent its greeting and an empty query, and has read nothing yet.
-    pub fn greeting_unread(&self) -> Talk {
+    pub fn greeting_unread(&self) -> ClientConnection {
         let socket = TcpStream::connect(self.address).expect("accepted by the system");
-        let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
+        let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
         let mut hello = Vec::new();
         codec::write_startup_packet(&mut hello, "app", "shop");
         codec::write_query(&mut hello, "");
--- a/tests/harness/stage.rs
+++ b/tests/harness/stage.rs
@@ -7,7 +7,7 @@
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use socket2::SockRef;
 
-use super::{bind_loopback, listing, next_frame, Harness, Talk};
+use super::{bind_loopback, listing, next_frame, ClientConnection, Harness};
 
 /// A host whose every step the test decides.
 pub struct Host {
@@ -104,12 +104,12 @@
 }
 
 /// Reads the greeting of a new client and gives its key.
-pub fn with_key(harness: &Harness) -> (Talk, CancelKey) {
+pub fn with_key(harness: &Harness) -> (ClientConnection, CancelKey) {
     let mut socket = TcpStream::connect(harness.address).expect("accepted");
     let mut hello = Vec::new();
     codec::write_startup_packet(&mut hello, "app", "shop");
     socket.write_all(&hello).expect("written");
-    let mut talk = Talk { socket, inbox: ReceiveBuffer::default() };
+    let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
     let greeting = talk.answer();
     let key = greeting.iter().find(|frame| frame.tag == b'K').expect("a key");
     let word = |at: usize| u32::from_be_bytes(key.body[at..at + 4].try_into().expect("four bytes"));
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -12,7 +12,7 @@
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
 use harness::stage::{answer, gateway, Host};
-use harness::{figure, get, name, read, Harness, Talk};
+use harness::{figure, get, name, read, ClientConnection, Harness};
 
 /// The comment field with the deadline of the late statements, in milliseconds.
 const SHORT_DEADLINE: &str = "d=100";
@@ -50,7 +50,7 @@
 }
 
 /// Reads the rejections of the late statements and the answer to the last one.
-fn expect_late_rejected_and_last_served(client: &mut Talk) {
+fn expect_late_rejected_and_last_served(client: &mut ClientConnection) {
     for class in CLASSES {
         assert_eq!(client.code(), "53300", "{class}");
     }
@@ -66,7 +66,7 @@
         let host = Host::new();
         let harness = gateway(&[&host], cores);
         // Clients are distributed in turn: each worker has one, and one of the workers routes the group.
-        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         let mut connection = None;
         for client in &mut clients {
             client.socket.write_all(&pipeline("slow")).expect("written");
@@ -98,7 +98,7 @@
 fn statements_behind_one_that_times_out_are_rejected_unsent() {
     for cores in [1, 2] {
         let harness = Harness::with_workers(200, cores);
-        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         for client in &mut clients {
             let first = read("silent").replace("d=30000", "d=700");
             let all = [first].into_iter().chain(CLASSES.map(late)).chain([read("last")]);
@@ -179,7 +179,7 @@
             std::env::temp_dir().join(format!("dunemount-pipelining-{cores}-{}.line", std::process::id()));
         let old = Harness::with_cores(200, Some(path.clone()), None, cores);
         let mut idle = old.client();
-        let mut clients: Vec<Talk> = (0..cores).map(|_| old.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| old.client()).collect();
         for client in &mut clients {
             client.socket.write_all(&pipeline("held")).expect("written");
             while !old.host_events.recv().expect("a query").contains("'held'") {}
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -12,7 +12,7 @@
 use dunemount::pg::codec;
 use harness::process::{Process, PAUSE};
 use harness::stage::{answer, call, Host};
-use harness::{answer_discovery, bind_loopback, figure, listens, listing, read, Talk};
+use harness::{answer_discovery, bind_loopback, figure, listens, listing, read, ClientConnection};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -176,7 +176,7 @@
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("room", 60, place, listing(&[host.address()]));
     // As many as there is room for: 60 less those kept back, less a third of the rest for hosts.
-    let mut held: Vec<Talk> = (0..11).map(|_| gateway.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..11).map(|_| gateway.client()).collect();
     gateway.signal(Signal::STOP);
     let newcomer = TcpStream::connect(gateway.address).expect("accepted by the system");
     for talk in &mut held {
@@ -246,7 +246,7 @@
     let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let mut gateway = Process::start("kill", 200, place, listing(&[host.address()]));
-    let mut clients: Vec<Talk> = (0..2).map(|_| gateway.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..2).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.ask(&read("k"));
     }
@@ -277,7 +277,7 @@
     let place = discovery.local_addr().expect("bound");
     // 60 less those kept back, less a third of the rest for hosts: 11 clients, 5 connections to hosts.
     let gateway = Process::start("queue", 60, place, listing(&[host.address()]));
-    let mut held: Vec<Talk> = (0..11).map(|_| gateway.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..11).map(|_| gateway.client()).collect();
     // A command that has begun keeps its place.
     held.iter_mut().for_each(|talk| talk.socket.write_all(b"Q\0").expect("written"));
     while figure(gateway.admin, "active") > 0 {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -10,7 +10,7 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use harness::{figure, read, HostControls, Talk};
+use harness::{figure, read, ClientConnection, HostControls};
 use rollout_deployment::{document, Deployment, Discovery, CONTROL_SERVERS};
 
 /// Guards the distribution of a version: proposed once, it is in force at all gateways, which the command and the admin
@@ -25,7 +25,7 @@
     deployment.wait_until("a first watch of each gateway", |deployment| {
         deployment.discoveries.iter().all(|own| own.watches() > 0)
     });
-    let mut client = Talk::to(deployment.addresses[0].clients);
+    let mut client = ClientConnection::open(deployment.addresses[0].clients);
     client.ask(&read("held"));
     heard.recv().expect("the attempt is out");
 
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -8,7 +8,7 @@
 
 use harness::process::{Faults, Process, Start, PAUSE};
 use harness::stage::{answer, Host};
-use harness::{bind_loopback, figure, listens, listing, read, Talk};
+use harness::{bind_loopback, figure, listens, listing, read, ClientConnection};
 use rustix::process::Signal;
 
 /// Time for which calls fail: a while in the life of a process.
@@ -34,7 +34,7 @@
 }
 
 /// Serves one request of a client.
-fn serve(client: &mut Talk, host: &Host) {
+fn serve(client: &mut ClientConnection, host: &Host) {
     client.ask(&read("k"));
     let mut link = host.welcomed();
     link.asked().expect("an attempt");
@@ -88,7 +88,7 @@
                 std::thread::spawn({
                     let address = process.address;
                     move || {
-                        let mut client = Talk::to(address);
+                        let mut client = ClientConnection::open(address);
                         client.ask("");
                         client.answer().len()
                     }
@@ -141,7 +141,7 @@
     let mut first = process.client();
     faults.set(&format!("accept4 {ENFILE} 1\n"));
     process.signal(Signal::TERM);
-    let waiting: Vec<Talk> = (0..5).map(|_| process.greeting_unread()).collect();
+    let waiting: Vec<ClientConnection> = (0..5).map(|_| process.greeting_unread()).collect();
     // The listener closes half a second after the word to end: the shortage lasts beyond that.
     std::thread::sleep(Duration::from_millis(520));
     faults.set("");
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -75,7 +75,7 @@
 }
 
 /// One bounded read, served.
-fn ask(client: &mut harness::Talk) {
+fn ask(client: &mut harness::ClientConnection) {
     client.ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */", name()));
     assert_eq!(client.answer().len(), 4, "served");
 }
