--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -213,7 +213,7 @@
     for (before, after) in [(1, 4), (4, 2), (3, 3)] {
         let name = format!("dunemount-cores-{before}-{after}-{}.line", std::process::id());
         let at: PathBuf = std::env::temp_dir().join(name);
-        let mut old = Harness::with_cores(300, Some(at.clone()), None, before);
+        let mut old = Harness::with_workers_and_handover(300, Some(at.clone()), None, before);
         let mut clients: Vec<ClientConnection> = (0..4).map(|_| old.client()).collect();
         for (number, talk) in clients.iter_mut().enumerate() {
             talk.ask(&own(&format!("who-fresh-{number}")));
@@ -227,7 +227,7 @@
         held.ask(&read("held"));
         while !old.host_events.recv().expect("heard").contains("'held'") {}
         let inherited = handover_socket::take_over(&at, Duration::from_secs(60)).expect("handed over");
-        let new = Harness::with_cores(300, Some(at.clone()), Some(inherited), after);
+        let new = Harness::with_workers_and_handover(300, Some(at.clone()), Some(inherited), after);
         assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
         for round in 0..200 {
             let talk = &mut clients[round % 4];
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -217,21 +217,21 @@
 
 impl Harness {
     pub fn start(limit: usize) -> Harness {
-        Harness::beside(limit, None, None)
+        Harness::with_handover(limit, None, None)
     }
 
     /// A gateway that waits at this path for the one that follows, and may follow one itself.
-    pub fn beside(limit: usize, line: Option<PathBuf>, inherited: Option<HandoverState>) -> Harness {
-        Harness::with_cores(limit, line, inherited, 1)
+    pub fn with_handover(limit: usize, line: Option<PathBuf>, inherited: Option<HandoverState>) -> Harness {
+        Harness::with_workers_and_handover(limit, line, inherited, 1)
     }
 
     /// A gateway of so many workers.
     pub fn with_workers(limit: usize, cores: usize) -> Harness {
-        Harness::with_cores(limit, None, None, cores)
+        Harness::with_workers_and_handover(limit, None, None, cores)
     }
 
     /// A gateway of so many workers that waits at this path, and may follow another.
-    pub fn with_cores(
+    pub fn with_workers_and_handover(
         limit: usize,
         line: Option<PathBuf>,
         inherited: Option<HandoverState>,
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -177,7 +177,7 @@
     for cores in [1, 2] {
         let path =
             std::env::temp_dir().join(format!("dunemount-pipelining-{cores}-{}.line", std::process::id()));
-        let old = Harness::with_cores(200, Some(path.clone()), None, cores);
+        let old = Harness::with_workers_and_handover(200, Some(path.clone()), None, cores);
         let mut idle = old.client();
         let mut clients: Vec<ClientConnection> = (0..cores).map(|_| old.client()).collect();
         for client in &mut clients {
@@ -186,7 +186,7 @@
         }
         let timeout = Duration::from_secs(60);
         let inherited = handover_socket::take_over(&path, timeout).expect("handed over");
-        let new = Harness::with_cores(200, Some(path), Some(inherited), cores);
+        let new = Harness::with_workers_and_handover(200, Some(path), Some(inherited), cores);
         assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         // Once the new process serves the idle client, the old process hands its clients over.
         while figure(new.admin, "responses.look.ok") < 1 {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -26,7 +26,7 @@
 }
 
 fn follow(path: &Path) -> Harness {
-    Harness::beside(
+    Harness::with_handover(
         200,
         Some(path.to_path_buf()),
         Some(handover_socket::take_over(path, LONG).expect("handed over")),
@@ -39,7 +39,7 @@
 #[test]
 fn clients_go_over_to_the_next_process() {
     let at = path("clients");
-    let mut old = Harness::beside(200, Some(at.clone()), None);
+    let mut old = Harness::with_handover(200, Some(at.clone()), None);
     let (mut idle, mut half, mut busy) = (old.client(), old.client(), old.client());
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
@@ -72,7 +72,7 @@
 #[test]
 fn a_cancel_finds_its_request_on_both_sides_of_an_upgrade() {
     let at = path("cancels");
-    let old = Harness::beside(200, Some(at.clone()), None);
+    let old = Harness::with_handover(200, Some(at.clone()), None);
     let (mut client, key) = with_key(&old);
     client.ask(&read("held"));
     while !old.host_events.recv().expect("heard").contains("'held'") {}
@@ -98,7 +98,7 @@
 #[test]
 fn a_next_process_that_dies_at_any_message_costs_nobody() {
     let at = path("dying");
-    let old = Harness::beside(200, Some(at.clone()), None);
+    let old = Harness::with_handover(200, Some(at.clone()), None);
     let mut client = old.client();
     for message in 0..3 {
         let stand_in = match message {
@@ -138,7 +138,7 @@
 #[test]
 fn bans_hold_at_both_processes() {
     let at = path("bans");
-    let old = Harness::beside(200, Some(at.clone()), None);
+    let old = Harness::with_handover(200, Some(at.clone()), None);
     assert!(order(old.admin, "down", "s-1"));
     let new = follow(&at);
     assert_eq!(figure(new.admin, "pool_ejected"), 1);
@@ -149,11 +149,11 @@
     assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
     new.end();
     // Nobody is left to take over from, and what is still down stays down.
-    let alone = Harness::beside(200, Some(at.clone()), None);
+    let alone = Harness::with_handover(200, Some(at.clone()), None);
     assert_eq!(figure(alone.admin, "pool_ejected"), 1);
     assert!(order(alone.admin, "up", "s-2"));
     alone.end();
-    let after = Harness::beside(200, Some(at.clone()), None);
+    let after = Harness::with_handover(200, Some(at.clone()), None);
     assert_eq!(figure(after.admin, "pool_ejected"), 0);
     after.end();
     std::fs::remove_file(at.with_extension("down")).expect("removed");
@@ -164,7 +164,7 @@
 #[test]
 fn a_process_that_follows_may_fail_and_another_come() {
     let at = path("row");
-    let first = Harness::beside(200, Some(at.clone()), None);
+    let first = Harness::with_handover(200, Some(at.clone()), None);
     let failed = handover_socket::take_over(&at, LONG).expect("handed over");
     drop(failed);
     let second = follow(&at);
@@ -175,7 +175,7 @@
     assert_eq!(client.answer().len(), 4);
     let third = loop {
         match handover_socket::take_over(&at, LONG) {
-            Ok(inherited) => break Harness::beside(200, Some(at.clone()), Some(inherited)),
+            Ok(inherited) => break Harness::with_handover(200, Some(at.clone()), Some(inherited)),
             Err(_) => std::thread::yield_now(),
         }
     };
