--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -194,7 +194,7 @@
     let mut harness = Harness::with_workers(300, 3);
     let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
     let new = harness.text.replace("\"look\"", "\"glance\"");
-    harness.retune(&new);
+    harness.reload_config(&new);
     while figure(harness.admin, "config_applied") < 1 {}
     for talk in &mut clients {
         talk.ask(&read("k").replace("c=look", "c=glance"));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -283,11 +283,11 @@
     let mut busy = harness.client();
     busy.ask(&read("held"));
     harness.host_events.recv().expect("the attempt is out");
-    harness.retune("");
+    harness.reload_config("");
     let moved = bind_loopback();
     for _ in 0..2 {
         let address = moved.local_addr().expect("bound").to_string();
-        harness.retune(&harness.with("/discovery", Some(json!(address))));
+        harness.reload_config(&harness.config_with("/discovery", Some(json!(address))));
         let (mut call, asked) = called(&moved);
         assert!(asked.starts_with("GET /catalog/members HTTP"), "the whole list, without a wait: {asked}");
         assert_eq!(old.read(&mut [0; 8]).unwrap_or(0), 0, "the old watch is closed");
@@ -370,8 +370,8 @@
 #[test]
 fn a_dial_that_nobody_waits_for_any_more_still_ejects() {
     let mut harness = Harness::start(200);
-    let text = harness.with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
-    harness.retune(&text);
+    let text = harness.config_with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
+    harness.reload_config(&text);
     harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
     let mut client = harness.client();
     let id = harness::name();
@@ -483,8 +483,8 @@
 #[test]
 fn a_host_is_told_by_when_a_read_is_too_late() {
     let mut harness = Harness::start(200);
-    let text = harness.with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
-    harness.retune(&text);
+    let text = harness.config_with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
+    harness.reload_config(&text);
     let mut client = harness.client();
     for (text, most) in [(read("a"), 4_100), (write("b"), 30_000)] {
         client.ask(&text);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -308,13 +308,13 @@
     }
 
     /// Replaces the configuration file and sends the signal, as operators do.
-    pub fn retune(&mut self, text: &str) {
+    pub fn reload_config(&mut self, text: &str) {
         self.reload.write_all(&[1]).expect("told");
         self.file.send(text.to_string()).expect("read");
     }
 
     /// The configuration at the start with a value in it replaced, or dropped.
-    pub fn with(&self, pointer: &str, value: Option<Value>) -> String {
+    pub fn config_with(&self, pointer: &str, value: Option<Value>) -> String {
         let mut config: Value = serde_json::from_str(&self.text).expect("as it was written");
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
         match (config.pointer_mut(parent).expect("a place"), value) {
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -23,14 +23,14 @@
         String::new(),
         full_text[..full_text.len() / 2].to_string(),
         "[]".to_string(),
-        harness.with("/settings", None),
-        harness.with("/listen", None),
-        harness.with("/known", None),
-        harness.with("/limits/memory_mb", None),
-        harness.with("/settings/Permissions/MaxRetryAfterMs", None),
-        harness.with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
-        harness.with("/settings/Classes", Some(json!([]))),
-        harness.with("/discovery", Some(json!("nowhere"))),
+        harness.config_with("/settings", None),
+        harness.config_with("/listen", None),
+        harness.config_with("/known", None),
+        harness.config_with("/limits/memory_mb", None),
+        harness.config_with("/settings/Permissions/MaxRetryAfterMs", None),
+        harness.config_with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
+        harness.config_with("/settings/Classes", Some(json!([]))),
+        harness.config_with("/discovery", Some(json!("nowhere"))),
     ]
     .into_iter()
     .chain(
@@ -44,14 +44,14 @@
                     "/settings/Classes/0/DeadlineMs",
                     "/settings/Classes/1/AimMs",
                 ]
-                .map(|at| harness.with(at, bad.clone()))
+                .map(|at| harness.config_with(at, bad.clone()))
             }),
     )
     .collect();
     let count = broken.len() as u64;
     for text in broken {
         // A class that only the broken file has shows whether a part of it took effect.
-        harness.retune(&text.replace("\"look\"", "\"glance\""));
+        harness.reload_config(&text.replace("\"look\"", "\"glance\""));
     }
     while figure(harness.admin, "config_rejected") < count {}
     assert_eq!(figure(harness.admin, "config_applied"), 0);
@@ -78,7 +78,7 @@
     classes[0]["Name"] = json!("glance");
     classes[1] = json!({"Name": "look", "AimMs": 30000.0, "DeadlineMs": 30000.0, "Value": 1.0,
         "Effect": "non_idempotent"});
-    harness.retune(&config.to_string());
+    harness.reload_config(&config.to_string());
     while figure(harness.admin, "config_applied") < 1 {}
     let mut client = harness.client();
     for (text, frames) in [
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -168,7 +168,7 @@
     assert_eq!(next(), b"");
 
     let (_first_call, _socket) = read_request(&harness.discovery);
-    harness.retune(&harness.with("/settings/Permissions/Probing", Some(json!(true))));
+    harness.reload_config(&harness.config_with("/settings/Permissions/Probing", Some(json!(true))));
     assert_eq!(next(), include_bytes!("fixtures/host-startup-v1.bin"));
     let health_check = next();
     assert_eq!(query_text(&health_check), "SHOW gauges");
@@ -248,7 +248,7 @@
     harness::answer_discovery(&mut call, &listing);
     let _watching = expect(read_request(&harness.discovery), watch);
     let text = harness.text.clone();
-    harness.retune(&text);
+    harness.reload_config(&text);
     let poll = include_str!("fixtures/discovery-poll-v1.http");
     expect(read_request(&harness.discovery), poll);
     harness.end();
