--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dunemount::hot_restart::handover_socket;
-use harness::{figure, get, name, order, read, write, ClientConnection, Harness};
+use harness::{get, metric, name, order, read, write, ClientConnection, Harness};
 
 /// The value of an answer's row.
 fn value(talk: &mut ClientConnection) -> Vec<u8> {
@@ -63,18 +63,18 @@
             }
         }
         let asked = 10 * cores as u64;
-        assert_eq!(figure(harness.admin, "responses.look.ok"), asked);
-        assert_eq!(figure(harness.admin, "responses.look.tries"), asked);
-        assert_eq!((figure(harness.admin, "active"), figure(harness.admin, "pool_size")), (0, 3));
+        assert_eq!(metric(harness.admin, "responses.look.ok"), asked);
+        assert_eq!(metric(harness.admin, "responses.look.tries"), asked);
+        assert_eq!((metric(harness.admin, "active"), metric(harness.admin, "pool_size")), (0, 3));
         for (down, host) in ["s-0", "s-1", "s-2"].into_iter().enumerate() {
             assert!(order(harness.admin, "down", host));
-            assert_eq!(figure(harness.admin, "pool_ejected"), down as u64 + 1);
+            assert_eq!(metric(harness.admin, "pool_ejected"), down as u64 + 1);
         }
         for talk in &mut clients {
             talk.ask(&read("k").replace("d=30000", "d=40"));
             assert_eq!(talk.code(), "53300", "all hosts are down");
         }
-        assert_eq!(figure(harness.admin, "responses.look.tries"), asked, "nothing went to a host");
+        assert_eq!(metric(harness.admin, "responses.look.tries"), asked, "nothing went to a host");
         assert!(order(harness.admin, "up", "s-1"));
         for talk in &mut clients {
             talk.ask(&read("k"));
@@ -138,13 +138,13 @@
     while silent < 2 {
         silent += u32::from(harness.host_events.recv().expect("heard").contains("'silent'"));
     }
-    assert_eq!(figure(harness.admin, "active"), 2);
+    assert_eq!(metric(harness.admin, "active"), 2);
     drop(clients);
     let mut ended = 0;
     while ended < 2 {
         ended += u32::from(harness.host_events.recv().expect("heard") == "ended");
     }
-    while figure(harness.admin, "active") > 0 {}
+    while metric(harness.admin, "active") > 0 {}
     harness.end();
 }
 
@@ -195,7 +195,7 @@
     let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
     let new = harness.text.replace("\"look\"", "\"glance\"");
     harness.reload_config(&new);
-    while figure(harness.admin, "config_applied") < 1 {}
+    while metric(harness.admin, "config_applied") < 1 {}
     for talk in &mut clients {
         talk.ask(&read("k").replace("c=look", "c=glance"));
         assert_eq!(talk.answer().len(), 4);
@@ -228,7 +228,7 @@
         while !old.host_events.recv().expect("heard").contains("'held'") {}
         let inherited = handover_socket::take_over(&at, Duration::from_secs(60)).expect("handed over");
         let new = Harness::with_workers_and_handover(300, Some(at.clone()), Some(inherited), after);
-        assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
+        assert_eq!((metric(new.admin, "pool_ejected"), metric(new.admin, "pool_size")), (1, 3));
         for round in 0..200 {
             let talk = &mut clients[round % 4];
             talk.ask(&own(&format!("who-{}", (round + round / 4) % 4)));
@@ -245,7 +245,7 @@
             talk.ask(&read("k"));
             assert_eq!(talk.answer().len(), 4);
         }
-        assert_eq!(figure(new.admin, "responses.look.ok"), 5);
+        assert_eq!(metric(new.admin, "responses.look.ok"), 5);
         new.end();
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,7 +8,7 @@
 
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
-use harness::{answer_discovery, figure, listens, listing, read, write, ClientConnection};
+use harness::{answer_discovery, listens, listing, metric, read, write, ClientConnection};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
@@ -29,7 +29,7 @@
         let mut link = host.dialled();
         leave(client);
         // Another worker has to be told; this one sees for itself, with the greeting in the same turn.
-        while cores > 1 && figure(harness.admin, "active") > 0 {}
+        while cores > 1 && metric(harness.admin, "active") > 0 {}
         link.greet();
         let mut other = harness.client();
         other.ask(&read("here"));
@@ -71,7 +71,7 @@
     assert_eq!(other.answer().len(), 4);
     // It was the client's end, not that of its time, that ended the request: nobody is told of it.
     assert_eq!(
-        figure(harness.admin, "responses.look.errors") + figure(harness.admin, "responses.look.shed"),
+        metric(harness.admin, "responses.look.errors") + metric(harness.admin, "responses.look.shed"),
         0
     );
     harness.end();
@@ -105,8 +105,8 @@
             link.say(&answer("master", None));
             assert_eq!(talk.answer().len(), 4);
         }
-        assert_eq!(figure(harness.admin, "responses.look.errors"), 1);
-        assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
+        assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
+        assert_eq!(metric(harness.admin, "responses.look.ok"), 2);
         harness.end();
     }
 }
@@ -260,7 +260,7 @@
         link.say(&whole);
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at} {reset}");
-        assert_eq!(figure(harness.admin, "responses.look.ok"), 1);
+        assert_eq!(metric(harness.admin, "responses.look.ok"), 1);
         harness.end();
     };
     // A gateway each, and some side by side: each takes its time to hand over at its end.
@@ -445,7 +445,7 @@
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
-    assert_eq!(figure(harness.admin, "responses.look.ok"), 1);
+    assert_eq!(metric(harness.admin, "responses.look.ok"), 1);
     harness.end();
 }
 
@@ -486,7 +486,7 @@
         link.say(&answer("master", None));
         assert_eq!(talk.answer().len(), 4);
     }
-    assert_eq!(figure(harness.admin, "active"), 4, "the floods' own requests are still out");
+    assert_eq!(metric(harness.admin, "active"), 4, "the floods' own requests are still out");
     drop(floods);
     drop(held);
     harness.end();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -217,7 +217,7 @@
     let file = path.with_extension("down");
     std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
     let harness = Harness::with_handover(200, Some(path.clone()), None);
-    assert_eq!(harness::figure(harness.admin, "pool_ejected"), 2, "they are down from the start");
+    assert_eq!(harness::metric(harness.admin, "pool_ejected"), 2, "they are down from the start");
     assert!(order(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-one-v1.json", &std::fs::read(&file).expect("a file"));
     assert!(order(harness.admin, "down", "s-2"));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
-use harness::{bind_loopback, figure, listing, read, settings, write, ClientConnection, Harness};
+use harness::{bind_loopback, listing, metric, read, settings, write, ClientConnection, Harness};
 use serde_json::{json, Value};
 
 /// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
@@ -63,7 +63,7 @@
     assert_eq!(first[0], b'T');
     // Beyond the client's time, and beyond the pause at which a short answer counts as spoilt.
     std::thread::sleep(std::time::Duration::from_millis(800));
-    assert_eq!(figure(harness.admin, "active"), 1);
+    assert_eq!(metric(harness.admin, "active"), 1);
     harness.host_controls.released.store(true, Ordering::SeqCst);
     client.inbox.push(&first);
     let answer = client.answer();
@@ -71,7 +71,7 @@
     assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(1 << 20));
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
-    assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
+    assert_eq!(metric(harness.admin, "responses.look.ok"), 2);
     harness.end();
 }
 
@@ -88,7 +88,7 @@
     let mut rest = Vec::new();
     let _ = client.socket.read_to_end(&mut rest);
     assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than the half");
-    assert_eq!(figure(harness.admin, "responses.look.errors"), 1);
+    assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
     harness.end();
 }
 
@@ -378,12 +378,12 @@
     client.ask(&format!("SELECT doc FROM items WHERE id = 'a' /* id={id},c=look,d=80,cluster=1 */"));
     assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused in time");
     for _ in 0..1_000 {
-        if figure(harness.admin, "pool_ejected") > 0 {
+        if metric(harness.admin, "pool_ejected") > 0 {
             break;
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    assert!(figure(harness.admin, "pool_ejected") > 0, "the module heard of it");
+    assert!(metric(harness.admin, "pool_ejected") > 0, "the module heard of it");
     harness.end();
 }
 
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -396,7 +396,7 @@
     call(door, &(head + id)).starts_with("HTTP/1.1 200 ")
 }
 
-pub fn figure(door: SocketAddr, name: &str) -> u64 {
+pub fn metric(door: SocketAddr, name: &str) -> u64 {
     let said = get(door, "/ops/stats");
     let line = said.lines().find_map(|line| line.strip_prefix(&format!("gw.{name}:")));
     let (value, _kind) = line.and_then(|line| line.split_once('|')).expect("the figure");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 use dunemount::admin::connection::AdminConnection;
 use dunemount::admin::metrics::Metrics;
 use dunemount::admin::request::{AdminRequest, HttpStatus};
-use harness::{figure, get, order, read, write, Harness};
+use harness::{get, metric, order, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -94,9 +94,9 @@
         ("pool_ejected", 0),
         ("config_applied", 0),
     ] {
-        assert_eq!(figure(harness.admin, name), value, "{name}");
+        assert_eq!(metric(harness.admin, name), value, "{name}");
     }
-    assert!(figure(harness.admin, "responses.store.tries") >= 2);
+    assert!(metric(harness.admin, "responses.store.tries") >= 2);
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
     harness.end();
@@ -128,15 +128,15 @@
     assert!(!order(harness.admin, "down", "s-9") && !order(harness.admin, "up", ""));
     for _ in 0..2 {
         assert!(order(harness.admin, "down", "s-0"));
-        assert_eq!(figure(harness.admin, "pool_ejected"), 1);
+        assert_eq!(metric(harness.admin, "pool_ejected"), 1);
     }
-    assert_eq!(figure(harness.admin, "pool_size"), 3);
+    assert_eq!(metric(harness.admin, "pool_size"), 3);
     for _ in 0..20 {
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4);
     }
     assert!(order(harness.admin, "up", "s-0"));
-    assert_eq!(figure(harness.admin, "pool_ejected"), 0);
+    assert_eq!(metric(harness.admin, "pool_ejected"), 0);
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
     harness.end();
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -12,7 +12,7 @@
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
 use harness::stage::{answer, gateway, Host};
-use harness::{figure, get, name, read, ClientConnection, Harness};
+use harness::{get, metric, name, read, ClientConnection, Harness};
 
 /// The comment field with the deadline of the late statements, in milliseconds.
 const SHORT_DEADLINE: &str = "d=100";
@@ -85,10 +85,10 @@
         for class in CLASSES {
             let served = if class == "look" { 2 * clients } else { 0 };
             let metrics = ["shed", "ok", "tries", "errors"]
-                .map(|kind| figure(harness.admin, &format!("responses.{class}.{kind}")));
+                .map(|kind| metric(harness.admin, &format!("responses.{class}.{kind}")));
             assert_eq!(metrics, [clients, served, served, 0], "{class}, {cores} cores");
         }
-        assert_eq!(figure(harness.admin, "active"), 0);
+        assert_eq!(metric(harness.admin, "active"), 0);
         harness.end();
     }
 }
@@ -189,7 +189,7 @@
         let new = Harness::with_workers_and_handover(200, Some(path), Some(inherited), cores);
         assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         // Once the new process serves the idle client, the old process hands its clients over.
-        while figure(new.admin, "responses.look.ok") < 1 {
+        while metric(new.admin, "responses.look.ok") < 1 {
             idle.ask(&read("k"));
             assert_eq!(idle.answer().len(), 4);
         }
@@ -200,10 +200,10 @@
             expect_late_rejected_and_last_served(client);
         }
         for class in CLASSES {
-            assert_eq!(figure(old.admin, &format!("responses.{class}.shed")), 0, "{class}");
-            assert_eq!(figure(new.admin, &format!("responses.{class}.shed")), cores as u64, "{class}");
+            assert_eq!(metric(old.admin, &format!("responses.{class}.shed")), 0, "{class}");
+            assert_eq!(metric(new.admin, &format!("responses.{class}.shed")), cores as u64, "{class}");
         }
-        assert_eq!(figure(new.admin, "responses.look.ok"), 1 + cores as u64);
+        assert_eq!(metric(new.admin, "responses.look.ok"), 1 + cores as u64);
         assert!(old.host_events.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
         old.end();
         new.end();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -12,7 +12,7 @@
 use dunemount::pg::codec;
 use harness::process::{Process, PAUSE};
 use harness::stage::{answer, call, Host};
-use harness::{answer_discovery, bind_loopback, figure, listens, listing, read, ClientConnection};
+use harness::{answer_discovery, bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -41,7 +41,7 @@
     // More than there are descriptors: some are let in, some wait in the system's queue.
     let idle: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(gateway.address).expect("accepted by the system")).collect();
-    assert!(figure(gateway.admin, "pool_size") == 1, "the door answers beside them");
+    assert!(metric(gateway.admin, "pool_size") == 1, "the door answers beside them");
     let discovery = TcpListener::bind(place).expect("its old address");
     let (mut watch, _) = call(&discovery);
     let mut list = listing(&[new.address()]);
@@ -129,7 +129,7 @@
     link.say(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
     drop(link);
-    assert_eq!(figure(gateway.admin, "responses.look.tries"), 1);
+    assert_eq!(metric(gateway.admin, "responses.look.tries"), 1);
 }
 
 /// Whether the other side's system has the end that this socket has sent, read or not: `FIN_WAIT2` in `/proc/net/tcp`.
@@ -165,7 +165,7 @@
     assert!(link.asked().expect("an attempt").contains("'here'"));
     link.say(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
-    assert_eq!(figure(gateway.admin, "responses.look.tries"), 2);
+    assert_eq!(metric(gateway.admin, "responses.look.tries"), 2);
 }
 
 /// Guards requests that cross the making of room: they lie unread in the sockets of idle clients when a new one comes,
@@ -280,7 +280,7 @@
     let mut held: Vec<ClientConnection> = (0..11).map(|_| gateway.client()).collect();
     // A command that has begun keeps its place.
     held.iter_mut().for_each(|talk| talk.socket.write_all(b"Q\0").expect("written"));
-    while figure(gateway.admin, "active") > 0 {
+    while metric(gateway.admin, "active") > 0 {
         std::thread::sleep(PAUSE);
     }
     let mut waiting = TcpStream::connect(gateway.address).expect("accepted by the system");
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -7,7 +7,7 @@
 
 use dunemount::classes::Classes;
 use dunemount::{Class, ClassId, Consistency, Idempotency, Micros};
-use harness::{figure, read, write, Harness};
+use harness::{metric, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -53,8 +53,8 @@
         // A class that only the broken file has shows whether a part of it took effect.
         harness.reload_config(&text.replace("\"look\"", "\"glance\""));
     }
-    while figure(harness.admin, "config_rejected") < count {}
-    assert_eq!(figure(harness.admin, "config_applied"), 0);
+    while metric(harness.admin, "config_rejected") < count {}
+    assert_eq!(metric(harness.admin, "config_applied"), 0);
     let mut client = harness.client();
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
@@ -79,7 +79,7 @@
     classes[1] = json!({"Name": "look", "AimMs": 30000.0, "DeadlineMs": 30000.0, "Value": 1.0,
         "Effect": "non_idempotent"});
     harness.reload_config(&config.to_string());
-    while figure(harness.admin, "config_applied") < 1 {}
+    while metric(harness.admin, "config_applied") < 1 {}
     let mut client = harness.client();
     for (text, frames) in [
         (read("k").replace("c=look", "c=glance"), 4),
@@ -94,7 +94,7 @@
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4, "by the settings of the class at its arrival");
     for (name, value) in [("glance.ok", 1), ("look.ok", 2), ("look.tries", 3), ("store.ok", 0)] {
-        assert_eq!(figure(harness.admin, &format!("responses.{name}")), value, "{name}");
+        assert_eq!(metric(harness.admin, &format!("responses.{name}")), value, "{name}");
     }
     harness.end();
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -10,7 +10,7 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use harness::{figure, read, ClientConnection, HostControls};
+use harness::{metric, read, ClientConnection, HostControls};
 use rollout_deployment::{document, Deployment, Discovery, CONTROL_SERVERS};
 
 /// Guards the distribution of a version: proposed once, it is in force at all gateways, which the command and the admin
@@ -50,7 +50,7 @@
         own.contains("configuration: version 1 (") && own.contains("in force, heard from c-")
     });
     let applied = |deployment: &Deployment| {
-        (0..3).map(|gateway| figure(deployment.addresses[gateway].admin, "config_applied")).max()
+        (0..3).map(|gateway| metric(deployment.addresses[gateway].admin, "config_applied")).max()
     };
     assert_eq!(applied(&deployment), Some(1));
     // What a gateway asks of discovery it asks one after the other: whoever watches on has not asked for the list before.
@@ -120,7 +120,7 @@
     assert!(why.contains("settings.Permissions.RetryAfter: missing") && why.contains(".json:"), "{why}");
     assert_eq!(deployment.status()["newest"]["version"], 1);
     assert!((0..2).all(|gateway| deployment.configuration_status(gateway)["version"] == 1));
-    assert!((0..2).all(|gateway| figure(deployment.addresses[gateway].admin, "config_rejected") == 0));
+    assert!((0..2).all(|gateway| metric(deployment.addresses[gateway].admin, "config_rejected") == 0));
 
     // This gateway's own file has a key that no version has: a new one of that shape is in force there first.
     deployment.kill(CONTROL_SERVERS + 1);
@@ -143,7 +143,7 @@
     let (table, own) = (deployment.status_table(), deployment.fleet_status(1));
     assert!(table.contains("refused: settings.Safety.OnlyHere: missing"), "{table}");
     assert!(own.contains("no version in force") && own.contains("refused: version 1 ("), "{own}");
-    assert_eq!(figure(deployment.addresses[1].admin, "config_rejected"), 1);
+    assert_eq!(metric(deployment.addresses[1].admin, "config_rejected"), 1);
     assert_eq!(deployment.propose(&document(3)), Ok(2));
     deployment.wait_until_in_force([0], 2);
     let mut with = document(4);
@@ -322,7 +322,7 @@
     );
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force([0], 1);
-    assert_eq!(figure(deployment.addresses[1].admin, "config_applied"), 0);
+    assert_eq!(metric(deployment.addresses[1].admin, "config_applied"), 0);
     deployment.end();
 }
 
@@ -374,7 +374,7 @@
     for gateway in 0..4 {
         let versions = deployment.versions_in_force(gateway);
         assert!(versions.is_sorted_by(|a, b| a < b), "{versions:?}");
-        assert_eq!(figure(deployment.addresses[gateway].admin, "config_applied"), versions.len() as u64);
+        assert_eq!(metric(deployment.addresses[gateway].admin, "config_applied"), versions.len() as u64);
     }
     deployment.end();
 }
@@ -435,7 +435,7 @@
     (0..CONTROL_SERVERS).for_each(|server| deployment.kill(server));
     assert!(deployment.end_process(CONTROL_SERVERS), "it ends in good order");
     deployment.wait_until_in_force([next], 2);
-    assert_eq!(figure(deployment.addresses[next].admin, "config_applied"), 1);
+    assert_eq!(metric(deployment.addresses[next].admin, "config_applied"), 1);
     (0..CONTROL_SERVERS).for_each(|server| deployment.start(server));
     assert_eq!(deployment.propose_until_accepted(&document(3)), 3);
     deployment.wait_until_in_force([next], 3);
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -8,7 +8,7 @@
 
 use harness::process::{Faults, Process, Start, PAUSE};
 use harness::stage::{answer, Host};
-use harness::{bind_loopback, figure, listens, listing, read, ClientConnection};
+use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 
 /// Time for which calls fail: a while in the life of a process.
@@ -127,7 +127,7 @@
             ));
             assert_eq!(client.code(), "53300", "{call} {error}");
         }
-        assert_eq!(figure(process.admin, "pool_ejected"), 0, "{call} {error}: {}", process.log());
+        assert_eq!(metric(process.admin, "pool_ejected"), 0, "{call} {error}: {}", process.log());
         faults.set("");
     }
 }
@@ -166,9 +166,9 @@
     faults.set(&format!("write {ENOSPC} 1 /log\n"));
     // Each reload logs a line.
     let reload = |process: &Process, times: u64| {
-        let before = figure(process.admin, "config_applied");
+        let before = metric(process.admin, "config_applied");
         process.signal(Signal::HUP);
-        while figure(process.admin, "config_applied") < before + times {
+        while metric(process.admin, "config_applied") < before + times {
             std::thread::sleep(PAUSE);
         }
     };
@@ -191,7 +191,7 @@
     let process = start.up(&listing(&[host.address()]));
     faults.set(&format!("accept4 {EMFILE} 1\n"));
     let admin = process.admin;
-    let call = std::thread::spawn(move || figure(admin, "pool_size"));
+    let call = std::thread::spawn(move || metric(admin, "pool_size"));
     std::thread::sleep(WHILE);
     faults.set("");
     assert_eq!(call.join().expect("answered"), 1);
@@ -221,7 +221,7 @@
     process.signal(Signal::HUP);
     std::thread::sleep(WHILE);
     faults.set("");
-    while figure(process.admin, "config_applied") == 0 {
+    while metric(process.admin, "config_applied") == 0 {
         std::thread::sleep(PAUSE);
     }
     faults.set(&format!("send {ENOBUFS} 1\n"));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,7 +15,7 @@
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
-use harness::{figure, get, order, read, write, Harness};
+use harness::{get, metric, order, read, write, Harness};
 
 /// However busy the machine, a peer in the same process answers within this.
 const LONG: Duration = Duration::from_secs(60);
@@ -52,7 +52,7 @@
     assert_eq!(idle.answer().len(), 4);
     half.socket.write_all(b"\0\x05\0").expect("written");
     assert_eq!(half.answer().first().map(|frame| frame.tag), Some(b'I'), "the empty query is whole");
-    while figure(new.admin, "responses.look.ok") < 1 {}
+    while metric(new.admin, "responses.look.ok") < 1 {}
     let mut fresh = old.client();
     fresh.ask(&read("k"));
     assert_eq!(fresh.answer().len(), 4);
@@ -63,7 +63,7 @@
     old.gateway.join().expect("it ends by itself");
     busy.ask(&read("k"));
     assert_eq!(busy.answer().len(), 4, "it has gone over as well");
-    assert_eq!(figure(new.admin, "responses.look.ok"), 3);
+    assert_eq!(metric(new.admin, "responses.look.ok"), 3);
     new.end();
 }
 
@@ -81,13 +81,13 @@
     while !get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 ") {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
-    assert_eq!(figure(old.admin, "responses.look.errors"), 1);
+    assert_eq!(metric(old.admin, "responses.look.errors"), 1);
     client.ask(&read("silent"));
     while !old.host_events.recv().expect("heard").contains("'silent'") {}
-    while figure(new.admin, "active") < 1 {}
+    while metric(new.admin, "active") < 1 {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
-    assert_eq!(figure(new.admin, "responses.look.errors"), 1);
+    assert_eq!(metric(new.admin, "responses.look.errors"), 1);
     old.host_controls.released.store(true, Ordering::SeqCst);
     old.end();
     new.end();
@@ -141,20 +141,20 @@
     let old = Harness::with_handover(200, Some(at.clone()), None);
     assert!(order(old.admin, "down", "s-1"));
     let new = follow(&at);
-    assert_eq!(figure(new.admin, "pool_ejected"), 1);
+    assert_eq!(metric(new.admin, "pool_ejected"), 1);
     assert!(order(old.admin, "down", "s-2"));
-    while figure(new.admin, "pool_ejected") != 2 {}
+    while metric(new.admin, "pool_ejected") != 2 {}
     old.end();
     assert!(order(new.admin, "up", "s-1"));
-    assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
+    assert_eq!((metric(new.admin, "pool_ejected"), metric(new.admin, "pool_size")), (1, 3));
     new.end();
     // Nobody is left to take over from, and what is still down stays down.
     let alone = Harness::with_handover(200, Some(at.clone()), None);
-    assert_eq!(figure(alone.admin, "pool_ejected"), 1);
+    assert_eq!(metric(alone.admin, "pool_ejected"), 1);
     assert!(order(alone.admin, "up", "s-2"));
     alone.end();
     let after = Harness::with_handover(200, Some(at.clone()), None);
-    assert_eq!(figure(after.admin, "pool_ejected"), 0);
+    assert_eq!(metric(after.admin, "pool_ejected"), 0);
     after.end();
     std::fs::remove_file(at.with_extension("down")).expect("removed");
 }
