--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dunemount::hot_restart::handover_socket;
-use harness::{get, metric, name, order, read, write, ClientConnection, Harness};
+use harness::{get, metric, name, read, set_host_state, write, ClientConnection, Harness};
 
 /// The value of an answer's row.
 fn value(talk: &mut ClientConnection) -> Vec<u8> {
@@ -67,7 +67,7 @@
         assert_eq!(metric(harness.admin, "responses.look.tries"), asked);
         assert_eq!((metric(harness.admin, "active"), metric(harness.admin, "pool_size")), (0, 3));
         for (down, host) in ["s-0", "s-1", "s-2"].into_iter().enumerate() {
-            assert!(order(harness.admin, "down", host));
+            assert!(set_host_state(harness.admin, "down", host));
             assert_eq!(metric(harness.admin, "pool_ejected"), down as u64 + 1);
         }
         for talk in &mut clients {
@@ -75,12 +75,12 @@
             assert_eq!(talk.code(), "53300", "all hosts are down");
         }
         assert_eq!(metric(harness.admin, "responses.look.tries"), asked, "nothing went to a host");
-        assert!(order(harness.admin, "up", "s-1"));
+        assert!(set_host_state(harness.admin, "up", "s-1"));
         for talk in &mut clients {
             talk.ask(&read("k"));
             assert_eq!(talk.answer().len(), 4);
         }
-        assert!(!order(harness.admin, "down", "nobody"));
+        assert!(!set_host_state(harness.admin, "down", "nobody"));
         assert!(get(harness.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         harness.end();
     }
@@ -221,7 +221,7 @@
             talk.ask(&write(&format!("who-{number}")));
             assert_eq!(value(talk), [0]);
         }
-        assert!(order(old.admin, "down", "s-2"));
+        assert!(set_host_state(old.admin, "down", "s-2"));
         // One that is owed its answer stays until it has it.
         let mut held = old.client();
         held.ask(&read("held"));
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -25,7 +25,7 @@
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
-use harness::{call, get, order, read, write, ClientConnection, Harness};
+use harness::{call, get, read, set_host_state, write, ClientConnection, Harness};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
 
@@ -218,11 +218,11 @@
     std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
     let harness = Harness::with_handover(200, Some(path.clone()), None);
     assert_eq!(harness::metric(harness.admin, "pool_ejected"), 2, "they are down from the start");
-    assert!(order(harness.admin, "up", "s-2"));
+    assert!(set_host_state(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-one-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(harness.admin, "down", "s-2"));
+    assert!(set_host_state(harness.admin, "down", "s-2"));
     assert_bytes("hosts-down-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(harness.admin, "up", "s-0") && order(harness.admin, "up", "s-2"));
+    assert!(set_host_state(harness.admin, "up", "s-0") && set_host_state(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-none-v1.json", &std::fs::read(&file).expect("a file"));
     harness.end();
     std::fs::remove_file(file).expect("removed");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -389,7 +389,7 @@
 }
 
 /// Whether the door says yes to a word on a host.
-pub fn order(door: SocketAddr, word: &str, id: &str) -> bool {
+pub fn set_host_state(door: SocketAddr, word: &str, id: &str) -> bool {
     let length = id.len();
     let head =
         format!("POST /ops/database-hosts/{word} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 use dunemount::admin::connection::AdminConnection;
 use dunemount::admin::metrics::Metrics;
 use dunemount::admin::request::{AdminRequest, HttpStatus};
-use harness::{get, metric, order, read, write, Harness};
+use harness::{get, metric, read, set_host_state, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -125,9 +125,9 @@
 fn hosts_are_set_down_and_up_by_name() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    assert!(!order(harness.admin, "down", "s-9") && !order(harness.admin, "up", ""));
+    assert!(!set_host_state(harness.admin, "down", "s-9") && !set_host_state(harness.admin, "up", ""));
     for _ in 0..2 {
-        assert!(order(harness.admin, "down", "s-0"));
+        assert!(set_host_state(harness.admin, "down", "s-0"));
         assert_eq!(metric(harness.admin, "pool_ejected"), 1);
     }
     assert_eq!(metric(harness.admin, "pool_size"), 3);
@@ -135,7 +135,7 @@
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4);
     }
-    assert!(order(harness.admin, "up", "s-0"));
+    assert!(set_host_state(harness.admin, "up", "s-0"));
     assert_eq!(metric(harness.admin, "pool_ejected"), 0);
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,7 +15,7 @@
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
 use harness::stage::{cancel, with_key};
-use harness::{get, metric, order, read, write, Harness};
+use harness::{get, metric, read, set_host_state, write, Harness};
 
 /// However busy the machine, a peer in the same process answers within this.
 const LONG: Duration = Duration::from_secs(60);
@@ -139,19 +139,19 @@
 fn bans_hold_at_both_processes() {
     let at = path("bans");
     let old = Harness::with_handover(200, Some(at.clone()), None);
-    assert!(order(old.admin, "down", "s-1"));
+    assert!(set_host_state(old.admin, "down", "s-1"));
     let new = follow(&at);
     assert_eq!(metric(new.admin, "pool_ejected"), 1);
-    assert!(order(old.admin, "down", "s-2"));
+    assert!(set_host_state(old.admin, "down", "s-2"));
     while metric(new.admin, "pool_ejected") != 2 {}
     old.end();
-    assert!(order(new.admin, "up", "s-1"));
+    assert!(set_host_state(new.admin, "up", "s-1"));
     assert_eq!((metric(new.admin, "pool_ejected"), metric(new.admin, "pool_size")), (1, 3));
     new.end();
     // Nobody is left to take over from, and what is still down stays down.
     let alone = Harness::with_handover(200, Some(at.clone()), None);
     assert_eq!(metric(alone.admin, "pool_ejected"), 1);
-    assert!(order(alone.admin, "up", "s-2"));
+    assert!(set_host_state(alone.admin, "up", "s-2"));
     alone.end();
     let after = Harness::with_handover(200, Some(at.clone()), None);
     assert_eq!(metric(after.admin, "pool_ejected"), 0);
