--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dunemount::hot_restart::handover_socket;
-use harness::{get, metric, name, read, set_host_state, write, ClientConnection, Harness};
+use harness::{get, metric, next_request_id, read, set_host_state, write, ClientConnection, Harness};
 
 /// The value of an answer's row.
 fn value(talk: &mut ClientConnection) -> Vec<u8> {
@@ -183,7 +183,7 @@
     }
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(clients[0].answer().len(), 4);
-    assert!(name() > 0);
+    assert!(next_request_id() > 0);
     harness.end();
 }
 
--- a/tests/data_age.rs
+++ b/tests/data_age.rs
@@ -150,12 +150,12 @@
 
     fn client(&self, kinds: &[&'static str], pause: Duration, end: Instant, seed: u64) -> Vec<Read> {
         let (mut client, mut dice) = (self.process.client(), Dice::of(seed));
-        let (mut reads, mut next, mut key) = (Vec::new(), Instant::now(), harness::name() as u64);
+        let (mut reads, mut next, mut key) = (Vec::new(), Instant::now(), harness::next_request_id() as u64);
         loop {
             let group = dice.one_of(&self.families).group;
             match dice.one_of(kinds) {
                 "store" => {
-                    key = harness::name() as u64;
+                    key = harness::next_request_id() as u64;
                     write(&mut client, key, false, group);
                 }
                 "again" => write(&mut client, key, true, group),
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -374,7 +374,7 @@
     harness.reload_config(&text);
     harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
     let mut client = harness.client();
-    let id = harness::name();
+    let id = harness::next_request_id();
     client.ask(&format!("SELECT doc FROM items WHERE id = 'a' /* id={id},c=look,d=80,cluster=1 */"));
     assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused in time");
     for _ in 0..1_000 {
--- a/tests/harness/family.rs
+++ b/tests/harness/family.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 use super::stage::{answer_with, Host, Link};
-use super::{name, ClientConnection};
+use super::{next_request_id, ClientConnection};
 
 /// Hosts of a family; the first is the primary at first.
 const HOSTS: usize = 3;
@@ -276,7 +276,7 @@
 
 /// Asks a read of this class; none if it is refused or fails, or the connection ends.
 pub fn ask(client: &mut ClientConnection, class: &str, group: usize) -> Option<Read> {
-    let id = name().to_string();
+    let id = next_request_id().to_string();
     client
         .ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={id},c={class},d=1000,cluster={group} */"));
     let answer = client.answer();
@@ -289,7 +289,7 @@
 
 /// Asks a write with this key, marked as a repeat or not, whatever becomes of it.
 pub fn write(client: &mut ClientConnection, key: u64, repeat: bool, group: usize) {
-    let (id, mark) = (name(), if repeat { ",r=1" } else { "" });
+    let (id, mark) = (next_request_id(), if repeat { ",r=1" } else { "" });
     client.ask(&format!(
         "INSERT INTO items (id, doc) VALUES ('w', '\\x9f') RETURNING doc /* id={id},c=store,d=1000,k={key}{mark},cluster={group} */"
     ));
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -404,17 +404,17 @@
 }
 
 /// A name for each request, as clients give them.
-pub fn name() -> usize {
+pub fn next_request_id() -> usize {
     static NAMES: AtomicUsize = AtomicUsize::new(0);
     NAMES.fetch_add(1, Ordering::SeqCst)
 }
 
 pub fn read(key: &str) -> String {
-    let id = name();
+    let id = next_request_id();
     format!("SELECT doc FROM items WHERE id = '{key}' /* id={id},c=look,d=30000,cluster=1 */")
 }
 
 pub fn write(key: &str) -> String {
-    let id = name();
+    let id = next_request_id();
     format!("INSERT INTO items (id, doc) VALUES ('{key}', '\\x9f') RETURNING doc /* id={id},c=store,d=30000,k=77,cluster=1 */")
 }
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -12,7 +12,7 @@
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
 use harness::stage::{answer, gateway, Host};
-use harness::{get, metric, name, read, ClientConnection, Harness};
+use harness::{get, metric, next_request_id, read, ClientConnection, Harness};
 
 /// The comment field with the deadline of the late statements, in milliseconds.
 const SHORT_DEADLINE: &str = "d=100";
@@ -23,7 +23,7 @@
 
 /// A statement of this class with a short deadline.
 fn late(class: &str) -> String {
-    let id = name();
+    let id = next_request_id();
     match class {
         "look" | "own" => {
             format!(
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -123,7 +123,7 @@
         for _ in 0..6 {
             client.ask(&format!(
                 "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=40,cluster=1 */",
-                harness::name()
+                harness::next_request_id()
             ));
             assert_eq!(client.code(), "53300", "{call} {error}");
         }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 
 use harness::process::{Faults, Process, Start, PAUSE};
 use harness::stage::{Host, Link};
-use harness::{bind_loopback, listing, name, settings};
+use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
 
 /// How old the data of a bounded read may be.
@@ -76,7 +76,10 @@
 
 /// One bounded read, served.
 fn ask(client: &mut harness::ClientConnection) {
-    client.ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */", name()));
+    client.ask(&format!(
+        "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */",
+        next_request_id()
+    ));
     assert_eq!(client.answer().len(), 4, "served");
 }
 
