--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -7,7 +7,9 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
-use harness::stage::{answer, call, cancel, gateway, with_key, Host, Link};
+use harness::scripted::{
+    accept_discovery_call, answer, cancel, start_gateway, with_key, Host, HostConnection,
+};
 use harness::{answer_discovery, listens, listing, metric, read, write, ClientConnection};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -23,10 +25,10 @@
 fn a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on() {
     for cores in [1, 2] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         let mut client = harness.client();
         client.ask(&read("gone"));
-        let mut link = host.dialled();
+        let mut link = host.accept_startup();
         leave(client);
         // Another worker has to be told; this one sees for itself, with the greeting in the same turn.
         while cores > 1 && metric(harness.admin, "active") > 0 {}
@@ -34,13 +36,13 @@
         let mut other = harness.client();
         other.ask(&read("here"));
         let mut next = link;
-        let mut asked = next.asked();
+        let mut asked = next.next_statement();
         if asked.is_none() {
-            next = host.welcomed();
-            asked = next.asked();
+            next = host.accept_ready();
+            asked = next.next_statement();
         }
         assert!(asked.as_ref().is_some_and(|text| text.contains("'here'")), "{asked:?}, {cores} cores");
-        next.say(&answer("master", None));
+        next.send(&answer("master", None));
         assert_eq!(other.answer().len(), 4);
         harness.end();
     }
@@ -51,23 +53,23 @@
 #[test]
 fn a_client_that_leaves_behind_unread_bytes_is_not_tried_again() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     client.ask(&read("gone"));
-    let mut link = host.welcomed();
-    assert!(link.asked().expect("an attempt").contains("'gone'"));
+    let mut link = host.accept_ready();
+    assert!(link.next_statement().expect("an attempt").contains("'gone'"));
     // More than is held, so that the rest is not read; the end lies behind it in the gateway's socket.
     let mut flood = Vec::new();
     codec::write_query(&mut flood, &"y".repeat(80_000));
     client.socket.write_all(&flood.repeat(3)).expect("written");
     leave(client);
     // The attempt is called off at the sight of the end: the host sees its connection end before it has said a word.
-    assert_eq!(link.asked(), None);
+    assert_eq!(link.next_statement(), None);
     let mut other = harness.client();
     other.ask(&read("here"));
-    let mut next = host.welcomed();
-    assert!(next.asked().expect("an attempt").contains("'here'"));
-    next.say(&answer("master", None));
+    let mut next = host.accept_ready();
+    assert!(next.next_statement().expect("an attempt").contains("'here'"));
+    next.send(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
     // It was the client's end, not that of its time, that ended the request: nobody is told of it.
     assert_eq!(
@@ -84,25 +86,25 @@
 fn a_cancel_ends_the_request_that_it_names_and_no_other() {
     for cores in [1, 2, 3] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         let ((mut client, key), (mut other, second)) = (with_key(&harness), with_key(&harness));
         assert_ne!(key, second);
         client.ask(&read("cancelled"));
-        let mut link = host.welcomed();
-        assert!(link.asked().expect("an attempt").contains("'cancelled'"));
+        let mut link = host.accept_ready();
+        assert!(link.next_statement().expect("an attempt").contains("'cancelled'"));
         for wrong in [CancelKey { secret: !key.secret, ..key }, CancelKey::default(), second] {
             cancel(harness.address, wrong);
         }
         cancel(harness.address, key);
         assert_eq!(client.code(), "57014", "{cores} cores");
-        assert_eq!(link.asked(), None, "the host sees the end of the attempt");
+        assert_eq!(link.next_statement(), None, "the host sees the end of the attempt");
         // After the answer it names nothing any more: the next request is served.
         cancel(harness.address, key);
         for talk in [&mut client, &mut other] {
             talk.ask(&read("next"));
-            let mut link = host.welcomed();
-            assert!(link.asked().expect("an attempt").contains("'next'"));
-            link.say(&answer("master", None));
+            let mut link = host.accept_ready();
+            assert!(link.next_statement().expect("an attempt").contains("'next'"));
+            link.send(&answer("master", None));
             assert_eq!(talk.answer().len(), 4);
         }
         assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
@@ -116,10 +118,10 @@
 #[test]
 fn a_cancel_while_the_connection_comes_up_leaves_nothing_to_write() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let (mut client, key) = with_key(&harness);
     client.ask(&write("cancelled"));
-    let mut link = host.dialled();
+    let mut link = host.accept_startup();
     for bytes in [
         &[0, 0, 0, 8, 4, 210, 22, 46][..],
         &[0, 0, 0, 20, 4, 210, 22, 46, 1, 1, 1, 1, 2, 2, 2, 2, 3, 3, 3, 3],
@@ -132,7 +134,7 @@
     assert_eq!(client.code(), "57014");
     link.greet();
     client.ask(&read("next"));
-    let asked = link.asked().or_else(|| host.welcomed().asked()).expect("an attempt");
+    let asked = link.next_statement().or_else(|| host.accept_ready().next_statement()).expect("an attempt");
     assert!(asked.contains("'next'"), "{asked}");
     drop(link);
     drop(harness);
@@ -143,7 +145,7 @@
 #[test]
 fn the_last_answer_arrives_whole_though_the_client_sent_on() {
     let host = Host::new();
-    let mut harness = gateway(&[&host], 1);
+    let mut harness = start_gateway(&[&host], 1);
     // A client that holds little and reads late: most of the answer is still with the gateway's system at the close.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a socket");
@@ -154,8 +156,8 @@
     client.socket.write_all(&hello).expect("written");
     assert_eq!(client.answer().pop().map(|frame| frame.tag), Some(b'Z'));
     client.ask(&read("large"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     harness.stop.write_all(&[1]).expect("told");
     // Once the listener is closed nothing more is read of clients.
     while listens(harness.address) {
@@ -174,14 +176,14 @@
     );
     codec::write_message(&mut out, b'C', b"SELECT 1\0");
     codec::write_ready_for_query(&mut out);
-    link.say(&out);
+    link.send(&out);
     harness.gateway.join().expect("it ends by itself");
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
     // What crossed the close was not taken: the end comes in order, and no attempt was made of it.
     assert_eq!(client.answer().len(), 0);
-    assert!(link.asked().is_none_or(|text| !text.contains("too-late")));
+    assert!(link.next_statement().is_none_or(|text| !text.contains("too-late")));
 }
 
 /// Guards against a process that serves until it is killed: a client that has its next request always there is
@@ -189,11 +191,11 @@
 #[test]
 fn a_client_that_keeps_sending_does_not_hold_the_end_up() {
     let host = Host::new();
-    let mut harness = gateway(&[&host], 1);
+    let mut harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     client.ask(&read("first"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     harness.stop.write_all(&[1]).expect("told");
     harness.stop.write_all(&[1]).expect("twice");
     while listens(harness.address) {
@@ -208,7 +210,7 @@
         );
         while sender.write_all(&bytes).is_ok() {}
     });
-    link.say(&answer("master", None));
+    link.send(&answer("master", None));
     harness.gateway.join().expect("it ends by itself");
     assert_eq!(client.answer().len(), 4);
     more.join().expect("its connection has ended");
@@ -219,18 +221,18 @@
 #[test]
 fn a_session_whose_writes_answer_is_reset_reads_at_the_primary() {
     let (primary, replica) = (Host::new(), Host::new());
-    let harness = gateway(&[&primary, &replica], 1);
+    let harness = start_gateway(&[&primary, &replica], 1);
     let mut client = harness.client();
     client.ask(&write("clerk").replace("c=store", "c=once"));
-    let mut link = primary.welcomed();
-    link.asked().expect("the write");
+    let mut link = primary.accept_ready();
+    link.next_statement().expect("the write");
     // It has committed; the answer is lost with the connection.
     link.reset();
     assert_eq!(client.code(), "58000");
     client.ask(&read("clerk").replace("c=look", "c=own"));
-    let mut link = primary.welcomed();
-    assert!(link.asked().expect("the read").contains("'clerk'"));
-    link.say(&answer("master", None));
+    let mut link = primary.accept_ready();
+    assert!(link.next_statement().expect("the read").contains("'clerk'"));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     harness.end();
 }
@@ -245,19 +247,19 @@
     let cuts: Vec<(usize, bool)> = (0..told).flat_map(|at| [(at, false), (at, true)]).collect();
     let break_off = |at: usize, reset: bool| {
         let (primary, replica) = (Host::new(), Host::new());
-        let harness = gateway(&[&primary, &replica], 1);
+        let harness = start_gateway(&[&primary, &replica], 1);
         let mut client = harness.client();
         client.ask(&read("broken"));
-        let mut link = replica.welcomed();
-        link.asked().expect("an attempt");
-        link.say(&whole[..at]);
+        let mut link = replica.accept_ready();
+        link.next_statement().expect("an attempt");
+        link.send(&whole[..at]);
         match reset {
             true => link.reset(),
             false => drop(link),
         }
-        let mut link = primary.welcomed();
-        link.asked().expect("a second attempt");
-        link.say(&whole);
+        let mut link = primary.accept_ready();
+        link.next_statement().expect("a second attempt");
+        link.send(&whole);
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at} {reset}");
         assert_eq!(metric(harness.admin, "responses.look.ok"), 1);
@@ -287,15 +289,18 @@
     let body = |list: &Value| format!("HTTP/1.1 200 OK\r\n\r\n{list}");
     for way in ["silent", "late", "reset", "cut", "unsaid", "refused"] {
         let (primary, replica) = (Host::new(), Host::new());
-        let harness = gateway(&[&primary, &replica], 1);
+        let harness = start_gateway(&[&primary, &replica], 1);
         let list = draining(&[primary.address(), replica.address()], 9);
-        let (mut watch, asked) = call(&harness.discovery);
+        let (mut watch, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         match way {
             "silent" | "late" => {}
             "reset" => {
-                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }
-                    .reset();
+                HostConnection {
+                    socket: watch.try_clone().expect("a socket"),
+                    inbox: ReceiveBuffer::default(),
+                }
+                .reset();
             }
             "cut" => watch
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":9,")
@@ -303,14 +308,17 @@
             "unsaid" => {
                 let text = body(&list);
                 watch.write_all(&text.as_bytes()[..text.len() - 1]).expect("written");
-                Link { socket: watch.try_clone().expect("a socket"), inbox: ReceiveBuffer::default() }
-                    .reset();
+                HostConnection {
+                    socket: watch.try_clone().expect("a socket"),
+                    inbox: ReceiveBuffer::default(),
+                }
+                .reset();
             }
             _ => watch.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("written"),
         }
         let kept = ["silent", "late"].contains(&way).then(|| watch.try_clone().expect("a socket"));
         drop(watch);
-        let (mut next, asked) = call(&harness.discovery);
+        let (mut next, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.starts_with("GET /catalog/members"), "{way}: {asked}");
         if let Some(mut late) = kept.filter(|_| way == "late") {
             // An answer to the call that was given up, with an older list, is nobody's.
@@ -318,13 +326,13 @@
         }
         answer_discovery(&mut next, &list);
         // The call after it goes on from there: the list has been taken in.
-        let (_watch, asked) = call(&harness.discovery);
+        let (_watch, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=9&wait="), "{way}: {asked}");
         let mut client = harness.client();
         client.ask(&read("k"));
-        let mut link = primary.welcomed();
-        assert!(link.asked().expect("an attempt").contains("'k'"), "{way}");
-        link.say(&answer("master", None));
+        let mut link = primary.accept_ready();
+        assert!(link.next_statement().expect("an attempt").contains("'k'"), "{way}");
+        link.send(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "{way}");
         replica.listener.set_nonblocking(true).expect("a socket");
         assert!(replica.listener.accept().is_err(), "{way}: nothing goes to the host that drains");
@@ -346,13 +354,13 @@
     };
     for first in ["the silent one", "the next", "the silent one without news"] {
         let host = Host::new();
-        let harness = gateway(&[&host], 1);
-        let (mut oldest, asked) = call(&harness.discovery);
+        let harness = start_gateway(&[&host], 1);
+        let (mut oldest, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
-        let (mut silent, asked) = call(&harness.discovery);
+        let (mut silent, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         assert!(open(&oldest), "the silent watch stays out");
-        let (mut next, asked) = call(&harness.discovery);
+        let (mut next, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=4&wait="), "{asked}");
         assert!(ended(&mut oldest), "two are out at most");
         assert!(open(&silent));
@@ -375,7 +383,7 @@
                 &mut silent
             }
         };
-        let (mut after, asked) = call(&harness.discovery);
+        let (mut after, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=9&wait="), "{first}: {asked}");
         assert!(ended(left), "{first}: the other is let go");
         // What the one that was let go says now is nobody's.
@@ -384,7 +392,7 @@
         );
         list["rev"] = json!(10);
         answer_discovery(&mut after, &list);
-        let (_watch, asked) = call(&harness.discovery);
+        let (_watch, asked) = accept_discovery_call(&harness.discovery);
         assert!(asked.contains("index=10&wait="), "{first}: {asked}");
         harness.end();
     }
@@ -398,20 +406,20 @@
     let told = whole.len() - 6 - (5 + "part\0master\0".len());
     for (at, second) in [(1, true), (40, true), (told - 1, true), (told, false)] {
         let (primary, replica) = (Host::new(), Host::new());
-        let harness = gateway(&[&primary, &replica], 1);
+        let harness = start_gateway(&[&primary, &replica], 1);
         let mut client = harness.client();
         client.ask(&read("endless"));
-        let mut link = replica.welcomed();
-        link.asked().expect("an attempt");
-        link.say(&whole[..at]);
+        let mut link = replica.accept_ready();
+        link.next_statement().expect("an attempt");
+        link.send(&whole[..at]);
         if second {
-            let mut next = primary.welcomed();
-            next.asked().expect("a second attempt");
-            next.say(&whole);
+            let mut next = primary.accept_ready();
+            next.next_statement().expect("a second attempt");
+            next.send(&whole);
         }
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at}");
-        assert_eq!(link.asked(), None, "its connection is of no use any more");
+        assert_eq!(link.next_statement(), None, "its connection is of no use any more");
         harness.end();
     }
 }
@@ -420,11 +428,11 @@
 #[test]
 fn a_cancel_does_not_cut_an_answer_that_flows() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let (mut client, key) = with_key(&harness);
     client.ask(&read("long"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     let value = vec![7; 200_000];
     let mut out = Vec::new();
     codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
@@ -436,12 +444,12 @@
     codec::write_message(&mut out, b'C', b"SELECT 1\0");
     codec::write_ready_for_query(&mut out);
     let (half, rest) = out.split_at(100_000);
-    link.say(half);
+    link.send(half);
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("its first part");
     client.inbox.push(&first);
     cancel(harness.address, key);
-    link.say(rest);
+    link.send(rest);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
@@ -454,15 +462,15 @@
 #[test]
 fn floods_and_slow_clients_keep_nobody_from_being_served() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let mut floods: Vec<ClientConnection> = (0..4).map(|_| harness.client()).collect();
     let mut flood = Vec::new();
     codec::write_query(&mut flood, &"y".repeat(64 * 1024));
     let mut held = Vec::new();
     for talk in &mut floods {
         talk.ask(&read("flood"));
-        let mut link = host.welcomed();
-        assert!(link.asked().expect("an attempt").contains("'flood'"));
+        let mut link = host.accept_ready();
+        assert!(link.next_statement().expect("an attempt").contains("'flood'"));
         held.push(link);
         talk.socket.set_nonblocking(true).expect("a socket");
         let mut sent = 0;
@@ -477,13 +485,13 @@
     for byte in bytes {
         slow.socket.write_all(&[byte]).expect("written");
     }
-    let mut link = host.welcomed();
+    let mut link = host.accept_ready();
     for (talk, name) in [(&mut slow, "slow"), (&mut harness.client(), "quick")] {
         if name == "quick" {
             talk.ask(&read(name));
         }
-        assert!(link.asked().expect("an attempt").contains(name));
-        link.say(&answer("master", None));
+        assert!(link.next_statement().expect("an attempt").contains(name));
+        link.send(&answer("master", None));
         assert_eq!(talk.answer().len(), 4);
     }
     assert_eq!(metric(harness.admin, "active"), 4, "the floods' own requests are still out");
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -24,7 +24,7 @@
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
-use harness::stage::{cancel, with_key};
+use harness::scripted::{cancel, with_key};
 use harness::{call, get, read, set_host_state, write, ClientConnection, Harness};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
--- a/tests/harness/family.rs
+++ b/tests/harness/family.rs
@@ -10,7 +10,7 @@
 use dunemount::pg::codec;
 use serde_json::{json, Value};
 
-use super::stage::{answer_with, Host, Link};
+use super::scripted::{answer_with, Host, HostConnection};
 use super::{next_request_id, ClientConnection};
 
 /// Hosts of a family; the first is the primary at first.
@@ -110,8 +110,8 @@
         }
     }
 
-    fn serve(&self, mut link: Link, host: usize, port: u16) {
-        while let Some(asked) = link.asked() {
+    fn serve(&self, mut link: HostConnection, host: usize, port: u16) {
+        while let Some(asked) = link.next_statement() {
             let Word { claims, position, conduct } = self.word(host);
             self.note_deposed(port, claims || asked.starts_with("SHOW"));
             let (role, told) = (if claims { "master" } else { "replica" }, position / 1_000);
@@ -119,7 +119,7 @@
             let code = match conduct {
                 _ if asked.starts_with("SHOW") => {
                     let report = format!("x0={:.3},x1={}", told as f64 / 1_000.0, u8::from(claims));
-                    link.say(&answer_with(report.as_bytes(), role, None));
+                    link.send(&answer_with(report.as_bytes(), role, None));
                     continue;
                 }
                 Some(Conduct::Hangs) => continue,
@@ -133,10 +133,10 @@
             let code = code.or((writes && commit.is_none()).then_some("25006"));
             let told = commit.map_or(told, |commit| commit / 1_000);
             match code {
-                Some(code) => link.say(&refusal(code, role, told)),
+                Some(code) => link.send(&refusal(code, role, told)),
                 None => {
                     let value = format!("{role} {port} {position}");
-                    link.say(&answer_with(value.as_bytes(), role, Some(told)));
+                    link.send(&answer_with(value.as_bytes(), role, Some(told)));
                 }
             }
         }
@@ -188,7 +188,7 @@
         let address = host.address();
         let shared = shared.clone();
         std::thread::spawn(move || loop {
-            let link = host.welcomed();
+            let link = host.accept_ready();
             let shared = shared.clone();
             std::thread::spawn(move || shared.serve(link, index, address.port()));
         });
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod family;
 pub mod process;
-pub mod stage;
+pub mod scripted;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/harness/stage.rs
+++ b/tests/harness/scripted.rs
@@ -15,7 +15,7 @@
 }
 
 /// A connection of the gateway to such a host.
-pub struct Link {
+pub struct HostConnection {
     pub socket: TcpStream,
     pub inbox: ReceiveBuffer,
 }
@@ -30,25 +30,25 @@
     }
 
     /// The gateway's next connection, not greeted yet.
-    pub fn dialled(&self) -> Link {
+    pub fn accept_startup(&self) -> HostConnection {
         let (mut socket, _) = self.listener.accept().expect("dialled");
         let (mut inbox, mut bytes) = (ReceiveBuffer::default(), [0; 4096]);
         while inbox.next_startup_packet().expect("a startup").is_none() {
             let count = socket.read(&mut bytes).expect("a startup");
             inbox.push(&bytes[..count]);
         }
-        Link { socket, inbox }
+        HostConnection { socket, inbox }
     }
 
-    pub fn welcomed(&self) -> Link {
-        let mut link = self.dialled();
+    pub fn accept_ready(&self) -> HostConnection {
+        let mut link = self.accept_startup();
         link.greet();
         link
     }
 }
 
 /// A gateway of so many workers with these hosts, the first of them the primary.
-pub fn gateway(hosts: &[&Host], cores: usize) -> Harness {
+pub fn start_gateway(hosts: &[&Host], cores: usize) -> Harness {
     let endpoints: Vec<SocketAddr> = hosts.iter().map(|host| host.address()).collect();
     Harness::with_list(200, cores, listing(&endpoints))
 }
@@ -72,7 +72,7 @@
     out
 }
 
-impl Link {
+impl HostConnection {
     pub fn greet(&mut self) {
         let mut out = Vec::new();
         codec::write_message(&mut out, b'R', &[0; 4]);
@@ -81,12 +81,12 @@
     }
 
     /// The next statement, or `None` if the gateway has ended the connection.
-    pub fn asked(&mut self) -> Option<String> {
+    pub fn next_statement(&mut self) -> Option<String> {
         let frame = next_frame(&mut self.socket, &mut self.inbox)?;
         Some(String::from_utf8_lossy(&frame.body).trim_end_matches('\0').to_string())
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         self.socket.write_all(bytes).expect("written");
     }
 
@@ -96,7 +96,7 @@
 }
 
 /// The next call to discovery, and its text.
-pub fn call(discovery: &TcpListener) -> (TcpStream, String) {
+pub fn accept_discovery_call(discovery: &TcpListener) -> (TcpStream, String) {
     let (mut socket, _) = discovery.accept().expect("a call");
     let mut bytes = [0; 4096];
     let count = socket.read(&mut bytes).expect("a request");
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -11,7 +11,7 @@
 
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use harness::stage::{answer, gateway, Host};
+use harness::scripted::{answer, start_gateway, Host};
 use harness::{get, metric, next_request_id, read, ClientConnection, Harness};
 
 /// The comment field with the deadline of the late statements, in milliseconds.
@@ -64,20 +64,20 @@
 fn a_statement_whose_deadline_passes_behind_another_is_rejected_unsent() {
     for cores in [1, 2, 3] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         // Clients are distributed in turn: each worker has one, and one of the workers routes the group.
         let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         let mut connection = None;
         for client in &mut clients {
             client.socket.write_all(&pipeline("slow")).expect("written");
-            let mut host_connection = connection.take().unwrap_or_else(|| host.welcomed());
-            assert!(host_connection.asked().expect("an attempt").contains("'slow'"));
+            let mut host_connection = connection.take().unwrap_or_else(|| host.accept_ready());
+            assert!(host_connection.next_statement().expect("an attempt").contains("'slow'"));
             std::thread::sleep(RESPONSE_DELAY);
-            host_connection.say(&answer("master", None));
+            host_connection.send(&answer("master", None));
             assert_eq!(client.answer().len(), 4, "the slow statement");
-            let asked = host_connection.asked().expect("an attempt");
+            let asked = host_connection.next_statement().expect("an attempt");
             assert!(asked.contains("'last'"), "{asked}, {cores} cores");
-            host_connection.say(&answer("master", None));
+            host_connection.send(&answer("master", None));
             expect_late_rejected_and_last_served(client);
             connection = Some(host_connection);
         }
@@ -122,18 +122,18 @@
 #[test]
 fn a_statement_that_was_sent_byte_by_byte_is_rejected_unsent() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     for byte in pipeline("slow") {
         client.socket.write_all(&[byte]).expect("written");
     }
-    let mut connection = host.welcomed();
-    assert!(connection.asked().expect("an attempt").contains("'slow'"));
+    let mut connection = host.accept_ready();
+    assert!(connection.next_statement().expect("an attempt").contains("'slow'"));
     std::thread::sleep(RESPONSE_DELAY);
-    connection.say(&answer("master", None));
+    connection.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4, "the slow statement");
-    assert!(connection.asked().expect("an attempt").contains("'last'"));
-    connection.say(&answer("master", None));
+    assert!(connection.next_statement().expect("an attempt").contains("'last'"));
+    connection.send(&answer("master", None));
     expect_late_rejected_and_last_served(&mut client);
     harness.end();
 }
@@ -144,17 +144,17 @@
 fn a_client_beyond_the_input_limit_is_answered_in_order() {
     for cores in [1, 2] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         let mut client = harness.client();
         let invalid_statements = 8;
         let all = [read("slow")].into_iter().chain(CLASSES.map(late));
         let all = all.chain((0..invalid_statements).map(|_| "x".repeat(100_000))).chain([read("last")]);
         let (bytes, mut socket) = (encode_queries(all), client.socket.try_clone().expect("a socket"));
         let writer = std::thread::spawn(move || socket.write_all(&bytes).expect("written"));
-        let mut connection = host.welcomed();
-        assert!(connection.asked().expect("an attempt").contains("'slow'"));
+        let mut connection = host.accept_ready();
+        assert!(connection.next_statement().expect("an attempt").contains("'slow'"));
         std::thread::sleep(RESPONSE_DELAY);
-        connection.say(&answer("master", None));
+        connection.send(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "the slow statement");
         for class in CLASSES {
             assert_eq!(client.code(), "53300", "{class}");
@@ -162,8 +162,8 @@
         for _ in 0..invalid_statements {
             assert_eq!(client.code(), "08P01");
         }
-        assert!(connection.asked().expect("an attempt").contains("'last'"));
-        connection.say(&answer("master", None));
+        assert!(connection.next_statement().expect("an attempt").contains("'last'"));
+        connection.send(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "the last statement");
         writer.join().expect("all bytes are written");
         harness.end();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -11,7 +11,7 @@
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
 use harness::process::{Process, PAUSE};
-use harness::stage::{answer, call, Host};
+use harness::scripted::{accept_discovery_call, answer, Host};
 use harness::{answer_discovery, bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 use serde_json::json;
@@ -43,17 +43,17 @@
         (0..120).map(|_| TcpStream::connect(gateway.address).expect("accepted by the system")).collect();
     assert!(metric(gateway.admin, "pool_size") == 1, "the door answers beside them");
     let discovery = TcpListener::bind(place).expect("its old address");
-    let (mut watch, _) = call(&discovery);
+    let (mut watch, _) = accept_discovery_call(&discovery);
     let mut list = listing(&[new.address()]);
     (list["rev"], list["targets"][0]["uid"]) = (json!(9), json!("s-new"));
     answer_discovery(&mut watch, &list);
-    let (_watch, asked) = call(&discovery);
+    let (_watch, asked) = accept_discovery_call(&discovery);
     assert!(asked.contains("index=9&wait="), "{asked}");
     let mut client = gateway.client();
     client.ask(&read("k"));
-    let mut link = new.welcomed();
-    assert!(link.asked().expect("an attempt").contains("'k'"));
-    link.say(&answer("master", None));
+    let mut link = new.accept_ready();
+    assert!(link.next_statement().expect("an attempt").contains("'k'"));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     let log = gateway.log();
     assert!(!log.contains("cannot accept") && !log.contains("no descriptors left for hosts"), "{log}");
@@ -123,10 +123,10 @@
     }
     let mut other = gateway.client();
     other.ask(&read("here"));
-    let mut link = host.welcomed();
-    let asked = link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    let asked = link.next_statement().expect("an attempt");
     assert!(asked.contains("'here'"), "{asked}");
-    link.say(&answer("master", None));
+    link.send(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
     drop(link);
     assert_eq!(metric(gateway.admin, "responses.look.tries"), 1);
@@ -151,9 +151,9 @@
     let gateway = Process::start("gone", 200, place, listing(&[host.address()]));
     let mut gone = gateway.client();
     gone.ask(&read("before"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
-    link.say(&answer("master", None));
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
+    link.send(&answer("master", None));
     assert_eq!(gone.answer().len(), 4);
     gateway.signal(Signal::STOP);
     gone.ask(&read("gone"));
@@ -162,8 +162,8 @@
     assert_eq!(gone.socket.read(&mut [0; 64]).unwrap_or(0), 0, "it is through with it");
     let mut client = gateway.client();
     client.ask(&read("here"));
-    assert!(link.asked().expect("an attempt").contains("'here'"));
-    link.say(&answer("master", None));
+    assert!(link.next_statement().expect("an attempt").contains("'here'"));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     assert_eq!(metric(gateway.admin, "responses.look.tries"), 2);
 }
@@ -197,8 +197,8 @@
     let mut gateway = Process::start("signals", 200, place, listing(&[host.address()]));
     let mut client = gateway.client();
     client.ask(&read("k"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     gateway.signal(Signal::STOP);
     for signal in [Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
         gateway.signal(signal);
@@ -210,7 +210,7 @@
     }
     gateway.signal(Signal::TERM);
     gateway.signal(Signal::HUP);
-    link.say(&answer("master", None));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     assert_eq!(client.answer().len(), 0);
     assert!(gateway.child.wait().expect("it ends").success());
@@ -250,14 +250,14 @@
     for client in &mut clients {
         client.ask(&read("k"));
     }
-    let mut links: Vec<_> = clients.iter().map(|_| host.welcomed()).collect();
-    links.iter_mut().for_each(|link| drop(link.asked().expect("an attempt")));
+    let mut links: Vec<_> = clients.iter().map(|_| host.accept_ready()).collect();
+    links.iter_mut().for_each(|link| drop(link.next_statement().expect("an attempt")));
     gateway.signal(Signal::TERM);
     // One more comes right before the listener closes.
     let mut late = gateway.client();
     late.ask(&read("late"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     clients.push(late);
     std::thread::sleep(Duration::from_millis(3_700));
     let _ = gateway.child.kill();
@@ -291,8 +291,8 @@
     waiting.write_all(&bytes).expect("written");
     std::thread::sleep(WAIT);
     drop(held);
-    let mut link = host.welcomed();
-    let asked = link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    let asked = link.next_statement().expect("an attempt");
     let told: u64 = asked
         .split(",d=")
         .nth(1)
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use harness::process::{Faults, Process, Start, PAUSE};
-use harness::stage::{answer, Host};
+use harness::scripted::{answer, Host};
 use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 
@@ -36,9 +36,9 @@
 /// Serves one request of a client.
 fn serve(client: &mut ClientConnection, host: &Host) {
     client.ask(&read("k"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
-    link.say(&answer("master", None));
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4, "served");
 }
 
@@ -78,9 +78,9 @@
         // The connection to the host is there already.
         let mut first = process.client();
         first.ask(&read("k"));
-        let mut link = host.welcomed();
-        link.asked().expect("an attempt");
-        link.say(&answer("master", None));
+        let mut link = host.accept_ready();
+        link.next_statement().expect("an attempt");
+        link.send(&answer("master", None));
         assert_eq!(first.answer().len(), 4);
         faults.set(&format!("{call} {error} 1\n"));
         let clients: Vec<_> = (0..3)
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -16,7 +16,7 @@
 
 use dunemount::pg::codec::{self, ReceiveBuffer};
 use harness::process::{Faults, Start};
-use harness::stage::{answer, Host, Link};
+use harness::scripted::{answer, Host, HostConnection};
 use harness::{bind_loopback, listing, next_frame, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -126,7 +126,7 @@
             let Ok((socket, _)) = host.listener.accept() else { return };
             let record = record.clone();
             std::thread::spawn(move || {
-                let mut link = Link { socket, inbox: ReceiveBuffer::default() };
+                let mut link = HostConnection { socket, inbox: ReceiveBuffer::default() };
                 let mut bytes = [0; 4096];
                 while matches!(link.inbox.next_startup_packet(), Ok(None)) {
                     match link.socket.read(&mut bytes) {
@@ -146,11 +146,11 @@
     address
 }
 
-fn serve(mut link: Link, record: &Record, primary: bool, dice: &mut Dice) {
-    while let Some(statement) = link.asked() {
+fn serve(mut link: HostConnection, record: &Record, primary: bool, dice: &mut Dice) {
+    while let Some(statement) = link.next_statement() {
         let at = Instant::now();
         if !statement.contains("/*") {
-            let probe = harness::stage::answer_with(b"x1=0", "replica", None);
+            let probe = harness::scripted::answer_with(b"x1=0", "replica", None);
             if link.socket.write_all(&probe).is_err() {
                 return;
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -14,7 +14,7 @@
 use dunemount::pg::codec::CancelKey;
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
-use harness::stage::{cancel, with_key};
+use harness::scripted::{cancel, with_key};
 use harness::{get, metric, read, set_host_state, write, Harness};
 
 /// However busy the machine, a peer in the same process answers within this.
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -9,7 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use harness::process::{Faults, Process, Start, PAUSE};
-use harness::stage::{Host, Link};
+use harness::scripted::{Host, HostConnection};
 use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
 
@@ -38,24 +38,24 @@
         let address = host.address();
         let (lag_ms, served) = (lag_ms.clone(), served.clone());
         std::thread::spawn(move || loop {
-            let link = host.welcomed();
+            let link = host.accept_ready();
             let (lag_ms, served) = (lag_ms.clone(), served.clone());
             std::thread::spawn(move || Family::session(link, index, &lag_ms, &served));
         });
         address
     }
 
-    fn session(mut link: Link, index: usize, lag_ms: &AtomicU64, served: &[AtomicU64; 3]) {
-        while let Some(asked) = link.asked() {
+    fn session(mut link: HostConnection, index: usize, lag_ms: &AtomicU64, served: &[AtomicU64; 3]) {
+        while let Some(asked) = link.next_statement() {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
             let lag = if index == 0 { 0 } else { lag_ms.load(Ordering::SeqCst) };
             let role = if index == 0 { "master" } else { "replica" };
             if asked.starts_with("SHOW") {
                 let report = format!("x0={:.3},x1={}", (now - lag) as f64 / 1000.0, u8::from(index == 0));
-                link.say(&harness::stage::answer_with(report.as_bytes(), role, Some(now - lag)));
+                link.send(&harness::scripted::answer_with(report.as_bytes(), role, Some(now - lag)));
             } else {
                 served[index].fetch_add(1, Ordering::SeqCst);
-                link.say(&harness::stage::answer(role, Some(now - lag)));
+                link.send(&harness::scripted::answer(role, Some(now - lag)));
             }
         }
     }
