--- a/tests/data_age.rs
+++ b/tests/data_age.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use harness::family::{ask, write, Conduct, Family, Read, STANDING};
-use harness::process::{Faults, Process, Start};
+use harness::process::{Faults, Process, ProcessOptions};
 use harness::{bind_loopback, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -94,7 +94,7 @@
 
 /// A gateway in front of some families, with a record of what it writes to hosts.
 struct Stand<'f> {
-    start: Start,
+    start: ProcessOptions,
     process: Process,
     faults: Faults,
     families: Vec<&'f Family>,
@@ -105,14 +105,18 @@
     fn of(test: &str, families: &[&'f Family], cores: usize) -> Stand<'f> {
         let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
-        let start = Start { settings: bounded(true), cores, ..Start::usual(test, 300, place) };
+        let start = ProcessOptions {
+            settings: bounded(true),
+            cores,
+            ..ProcessOptions::with_defaults(test, 300, place)
+        };
         Stand::with(start, discovery, families)
     }
 
-    fn with(mut start: Start, discovery: TcpListener, families: &[&'f Family]) -> Stand<'f> {
-        let faults = Faults::none_yet(&start.folder());
+    fn with(mut start: ProcessOptions, discovery: TcpListener, families: &[&'f Family]) -> Stand<'f> {
+        let faults = Faults::none(&start.folder());
         start.faults = Some(faults.clone());
-        let process = start.up(&listing(families));
+        let process = start.start(&listing(families));
         Stand { start, process, faults, families: families.to_vec(), _discovery: discovery }
     }
 
@@ -122,7 +126,7 @@
         let admin = door.local_addr().expect("bound");
         drop(door);
         let mut next = self.start.spawn_at(self.process.address, admin, &listing(&self.families));
-        assert!(next.comes_up());
+        assert!(next.wait_until_listening());
         self.process.signal(Signal::TERM);
         // Their folder is one; the process that goes on removes it.
         self.process.folder = PathBuf::new();
@@ -353,7 +357,10 @@
         let family = Family::following(LAG);
         let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
-        let start = Start { settings: bounded(clients_mark_retries), ..Start::usual("age-live", 300, place) };
+        let start = ProcessOptions {
+            settings: bounded(clients_mark_retries),
+            ..ProcessOptions::with_defaults("age-live", 300, place)
+        };
         let stand = Stand::with(start, discovery, &[&family]);
         let reads = stand.load(400.0, Duration::from_millis(1_500));
         let by_replicas = reads.iter().filter(|read| read.by_replica).count();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -76,9 +76,8 @@
         fleet.admin_addresses =
             admin_listeners.iter().map(|listener| listener.local_addr().expect("bound")).collect();
         drop((sockets, admin_listeners));
-        fleet.faults = (0..count)
-            .map(|index| Faults::none_yet(&fleet.directory.join(format!("faults-{index}"))))
-            .collect();
+        fleet.faults =
+            (0..count).map(|index| Faults::none(&fleet.directory.join(format!("faults-{index}")))).collect();
         for index in 0..count {
             if index < 3 {
                 assert!(fleet.command(index, &["fleet", "found"]).status().expect("it runs").success());
--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -33,7 +33,7 @@
     }
 
     /// None yet, in this folder.
-    pub fn none_yet(folder: &Path) -> Faults {
+    pub fn none(folder: &Path) -> Faults {
         let faults = Faults::at(folder);
         faults.set("");
         faults
@@ -110,7 +110,7 @@
 
 /// What a process is started with beside its ports and its list.
 #[derive(Clone)]
-pub struct Start {
+pub struct ProcessOptions {
     /// The gateway's name.
     pub name: String,
     /// Most descriptors, by its settings and by the system.
@@ -122,10 +122,17 @@
     pub faults: Option<Faults>,
 }
 
-impl Start {
+impl ProcessOptions {
     /// The usual settings, and no faults.
-    pub fn usual(name: &str, sockets: usize, discovery: SocketAddr) -> Start {
-        Start { name: name.to_string(), sockets, discovery, settings: settings(), cores: 1, faults: None }
+    pub fn with_defaults(name: &str, sockets: usize, discovery: SocketAddr) -> ProcessOptions {
+        ProcessOptions {
+            name: name.to_string(),
+            sockets,
+            discovery,
+            settings: settings(),
+            cores: 1,
+            faults: None,
+        }
     }
 
     /// The folder that all processes of this name share.
@@ -136,10 +143,10 @@
     }
 
     /// Starts a process on ports that are free now, and waits until it listens.
-    pub fn up(&self, known: &Value) -> Process {
+    pub fn start(&self, known: &Value) -> Process {
         loop {
             let mut process = self.spawn(known);
-            if process.comes_up() {
+            if process.wait_until_listening() {
                 return process;
             }
         }
@@ -185,12 +192,12 @@
 impl Process {
     /// Starts one that may hold so many descriptors, by its settings and by the system, and waits until it listens.
     pub fn start(name: &str, sockets: usize, discovery: SocketAddr, known: Value) -> Process {
-        Start::usual(name, sockets, discovery).up(&known)
+        ProcessOptions::with_defaults(name, sockets, discovery).start(&known)
     }
 
     /// Starts one on ports that are free now.
     pub fn spawn(name: &str, sockets: usize, discovery: SocketAddr, known: &Value) -> Process {
-        Start::usual(name, sockets, discovery).spawn(known)
+        ProcessOptions::with_defaults(name, sockets, discovery).spawn(known)
     }
 
     /// Starts one on these ports.
@@ -202,12 +209,12 @@
         discovery: SocketAddr,
         known: &Value,
     ) -> Process {
-        Start::usual(name, sockets, discovery).spawn_at(address, admin, known)
+        ProcessOptions::with_defaults(name, sockets, discovery).spawn_at(address, admin, known)
     }
 
     /// Waits until it says itself that it listens. False if it has ended instead: its ports were free when they were
     /// chosen, and somebody else may have taken one since. That somebody listens there says nothing of who does.
-    pub fn comes_up(&mut self) -> bool {
+    pub fn wait_until_listening(&mut self) -> bool {
         loop {
             if self.log().contains("listening") {
                 return true;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -26,7 +26,7 @@
     let known = listing(&[Host::new().address()]);
     let mut process = Process::spawn_at(address, admin, "taken", 200, address, &known);
     assert!(listens(address), "somebody does");
-    assert!(!process.comes_up(), "{}", process.log());
+    assert!(!process.wait_until_listening(), "{}", process.log());
 }
 
 /// Guards a discovery that is down while idle clients fill all descriptors that clients may have: when it returns the
@@ -78,7 +78,7 @@
     let mut gateways: Vec<Process> =
         (0..12).map(|index| Process::spawn(&format!("start{index}"), 200, place, &known)).collect();
     for (index, line) in silent.iter().enumerate() {
-        while !gateways[index].comes_up() {
+        while !gateways[index].wait_until_listening() {
             // It starts once more, in the folder where its line is.
             gateways[index].folder = PathBuf::new();
             gateways[index] = Process::spawn(&format!("start{index}"), 200, place, &known);
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use harness::process::{Faults, Process, Start, PAUSE};
+use harness::process::{Faults, Process, ProcessOptions, PAUSE};
 use harness::scripted::{answer, Host};
 use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
@@ -24,11 +24,11 @@
 const ENOBUFS: i32 = 105;
 
 /// A start whose processes meet faults that the test names, and the discovery that it is told.
-fn start(test: &str) -> (Start, Faults, TcpListener) {
+fn start(test: &str) -> (ProcessOptions, Faults, TcpListener) {
     let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start::usual(test, 200, place);
-    let faults = Faults::none_yet(&start.folder());
+    let mut start = ProcessOptions::with_defaults(test, 200, place);
+    let faults = Faults::none(&start.folder());
     start.faults = Some(faults.clone());
     (start, faults, discovery)
 }
@@ -63,7 +63,7 @@
         std::thread::sleep(WHILE);
         assert!(process.child.try_wait().expect("its own child").is_none(), "{call} {error}: it has ended");
         faults.set("");
-        assert!(process.comes_up(), "{call} {error}: {}", process.log());
+        assert!(process.wait_until_listening(), "{call} {error}: {}", process.log());
         serve(&mut process.client(), &host);
     }
 }
@@ -74,7 +74,7 @@
     for (call, error) in [("epoll_add", ENOMEM), ("epoll_add", ENOSPC), ("setsockopt", ENOMEM)] {
         let (start, faults, _discovery) = start("short-client");
         let host = Host::new();
-        let process = start.up(&listing(&[host.address()]));
+        let process = start.start(&listing(&[host.address()]));
         // The connection to the host is there already.
         let mut first = process.client();
         first.ask(&read("k"));
@@ -117,7 +117,7 @@
     for (call, error) in failing {
         let (start, faults, _discovery) = start("short-dial");
         let hosts = [Host::new(), Host::new()];
-        let process = start.up(&listing(&[hosts[0].address(), hosts[1].address()]));
+        let process = start.start(&listing(&[hosts[0].address(), hosts[1].address()]));
         let mut client = process.client();
         faults.set(&format!("{call} {error} 1\n"));
         for _ in 0..6 {
@@ -137,7 +137,7 @@
 fn an_end_that_meets_a_shortage_leaves_nobody_in_the_queue() {
     let (start, faults, _discovery) = start("short-end");
     let host = Host::new();
-    let mut process = start.up(&listing(&[host.address()]));
+    let mut process = start.start(&listing(&[host.address()]));
     let mut first = process.client();
     faults.set(&format!("accept4 {ENFILE} 1\n"));
     process.signal(Signal::TERM);
@@ -160,7 +160,7 @@
 fn a_log_that_cannot_be_written_for_a_while_goes_on() {
     let (start, faults, _discovery) = start("short-log");
     let host = Host::new();
-    let process = start.up(&listing(&[host.address()]));
+    let process = start.start(&listing(&[host.address()]));
     let mut client = process.client();
     serve(&mut client, &host);
     faults.set(&format!("write {ENOSPC} 1 /log\n"));
@@ -188,7 +188,7 @@
 fn an_operators_call_that_meets_a_shortage_is_answered_once_it_has_passed() {
     let (start, faults, _discovery) = start("short-admin");
     let host = Host::new();
-    let process = start.up(&listing(&[host.address()]));
+    let process = start.start(&listing(&[host.address()]));
     faults.set(&format!("accept4 {EMFILE} 1\n"));
     let admin = process.admin;
     let call = std::thread::spawn(move || metric(admin, "pool_size"));
@@ -215,7 +215,7 @@
 fn a_signal_whose_wake_up_fails_is_heard() {
     let (start, faults, _discovery) = start("short-signal");
     let host = Host::new();
-    let mut process = start.up(&listing(&[host.address()]));
+    let mut process = start.start(&listing(&[host.address()]));
     let mut client = process.client();
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::HUP);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use dunemount::pg::codec::{self, ReceiveBuffer};
-use harness::process::{Faults, Start};
+use harness::process::{Faults, ProcessOptions};
 use harness::scripted::{answer, Host, HostConnection};
 use harness::{bind_loopback, listing, next_frame, settings};
 use rand_core::{RngCore, SeedableRng};
@@ -331,7 +331,8 @@
     let hosts: Vec<SocketAddr> = (0..3).map(|index| host(&record, index == 0, seed * 8 + index)).collect();
     let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start::usual(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
+    let mut start =
+        ProcessOptions::with_defaults(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
     start.settings = settings();
     for (index, class) in start.settings["Classes"].as_array_mut().expect("classes").iter_mut().enumerate() {
         class["DeadlineMs"] = json!(LONGEST.as_millis() as u64);
@@ -340,9 +341,9 @@
             class["RepeatWindowMs"] = json!(WINDOW.as_millis() as u64);
         }
     }
-    let faults = Faults::none_yet(&start.folder());
+    let faults = Faults::none(&start.folder());
     start.faults = Some(faults.clone());
-    let mut process = start.up(&listing(&hosts));
+    let mut process = start.start(&listing(&hosts));
     if seed % 3 == 1 {
         faults.set(SHORTAGES);
     }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use harness::process::{Faults, Process, Start, PAUSE};
+use harness::process::{Faults, Process, ProcessOptions, PAUSE};
 use harness::scripted::{Host, HostConnection};
 use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
@@ -88,14 +88,15 @@
     step: i64,
     family: &Family,
     probing: bool,
-) -> (Start, Faults, Process, std::net::TcpListener) {
+) -> (ProcessOptions, Faults, Process, std::net::TcpListener) {
     let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start { settings: bounded(probing), ..Start::usual(test, 200, place) };
-    let faults = Faults::none_yet(&start.folder());
+    let mut start =
+        ProcessOptions { settings: bounded(probing), ..ProcessOptions::with_defaults(test, 200, place) };
+    let faults = Faults::none(&start.folder());
     faults.set(&format!("clock {step}\n"));
     start.faults = Some(faults.clone());
-    let process = start.up(&listing(&family.endpoints));
+    let process = start.start(&listing(&family.endpoints));
     (start, faults, process, discovery)
 }
 
@@ -168,7 +169,7 @@
         let admin = door.local_addr().expect("bound");
         drop(door);
         let mut next = start.spawn_at(old.address, admin, &listing(&family.endpoints));
-        assert!(next.comes_up());
+        assert!(next.wait_until_listening());
         // Its folder is the next one's as well.
         old.folder = std::path::PathBuf::new();
         drop(old);
