--- a/tests/data_age.rs
+++ b/tests/data_age.rs
@@ -11,8 +11,8 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use harness::family::{ask, write, Conduct, Family, Read, STANDING};
 use harness::process::{Faults, Process, ProcessOptions};
+use harness::replica_group::{ask, write, Read, ReplicaGroup, StalledBehavior, STALLED_BEHAVIORS};
 use harness::{bind_loopback, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -87,7 +87,7 @@
 }
 
 /// The list of some families.
-fn listing(families: &[&Family]) -> Value {
+fn listing(families: &[&ReplicaGroup]) -> Value {
     let lines: Vec<Value> = families.iter().flat_map(|family| family.lines()).collect();
     json!({"rev": 4, "all": true, "targets": lines})
 }
@@ -97,12 +97,12 @@
     start: ProcessOptions,
     process: Process,
     faults: Faults,
-    families: Vec<&'f Family>,
+    families: Vec<&'f ReplicaGroup>,
     _discovery: TcpListener,
 }
 
 impl<'f> Stand<'f> {
-    fn of(test: &str, families: &[&'f Family], cores: usize) -> Stand<'f> {
+    fn of(test: &str, families: &[&'f ReplicaGroup], cores: usize) -> Stand<'f> {
         let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
         let start = ProcessOptions {
@@ -113,7 +113,7 @@
         Stand::with(start, discovery, families)
     }
 
-    fn with(mut start: ProcessOptions, discovery: TcpListener, families: &[&'f Family]) -> Stand<'f> {
+    fn with(mut start: ProcessOptions, discovery: TcpListener, families: &[&'f ReplicaGroup]) -> Stand<'f> {
         let faults = Faults::none(&start.folder());
         start.faults = Some(faults.clone());
         let process = start.start(&listing(families));
@@ -196,8 +196,8 @@
 fn a_primary_that_stood_still_before_the_start_does_not_date_the_log() {
     for seed in seeds() {
         let mut dice = Dice::of(seed);
-        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STANDING));
-        let family = Family::following(LAG);
+        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STALLED_BEHAVIORS));
+        let family = ReplicaGroup::following(LAG);
         let stand = Stand::of("age-start", &[&family], 1);
         family.stand(conduct);
         std::thread::sleep(stood);
@@ -212,11 +212,11 @@
 fn a_primary_that_stands_still_does_not_pull_the_log_back() {
     for seed in seeds() {
         let mut dice = Dice::of(seed);
-        let drawn = (dice.log(&RATE), dice.one_of(&STANDING));
+        let drawn = (dice.log(&RATE), dice.one_of(&STALLED_BEHAVIORS));
         // One that serves on, and is asked often, is the one that pulls.
-        let often = (dice.log(&OFTEN), Conduct::Serves);
+        let often = (dice.log(&OFTEN), StalledBehavior::Serves);
         for (rate, conduct) in [drawn, often] {
-            let family = Family::following(LAG);
+            let family = ReplicaGroup::following(LAG);
             let stand = Stand::of("age-run", &[&family], 1);
             // Half of the reads go to the primary: its answers are many.
             let kinds = ["look", "own"];
@@ -239,9 +239,9 @@
 fn an_old_primary_beside_a_new_one_dates_no_log() {
     for seed in seeds() {
         let mut dice = Dice::of(seed);
-        let (rate, conduct) = (dice.log(&(20.0..RATE.end)), dice.one_of(&STANDING));
+        let (rate, conduct) = (dice.log(&(20.0..RATE.end)), dice.one_of(&STALLED_BEHAVIORS));
         let spans = [dice.span(&STOOD), dice.span(&STOOD), BEYOND];
-        let family = Family::following(LAG);
+        let family = ReplicaGroup::following(LAG);
         let stand = Stand::of("age-elect", &[&family], 1);
         let mut reads = if seed % 2 == 0 { stand.load(rate, BOUND) } else { vec![] };
         family.stand(conduct);
@@ -262,11 +262,11 @@
     for seed in seeds() {
         let mut dice = Dice::of(seed);
         let (rate, lag) = (dice.log(&(20.0..RATE.end)), dice.log(&NEAR_BOUND));
-        let family = Family::following(lag as u64);
+        let family = ReplicaGroup::following(lag as u64);
         let stand = Stand::of("age-hold", &[&family], 1);
         let mut reads = stand.load(400.0, BOUND);
         for _ in 0..EPISODES {
-            family.stand(Conduct::Serves);
+            family.stand(StalledBehavior::Serves);
             stand.faults.set("send hold 3\n");
             reads.extend(stand.load(rate, BOUND + STILL_BEYOND));
             stand.faults.set("");
@@ -283,12 +283,12 @@
     for seed in seeds() {
         let mut dice = Dice::of(seed);
         let (rate, lag) = (dice.log(&(20.0..RATE.end)), dice.log(&NEAR_BOUND));
-        let family = Family::following(lag as u64);
+        let family = ReplicaGroup::following(lag as u64);
         let stand = Stand::of("age-stop", &[&family], 1);
         let reads = std::thread::scope(|scope| {
             let load = scope.spawn(|| stand.load(rate, Duration::from_secs(3)));
             while !load.is_finished() {
-                family.stand(Conduct::Serves);
+                family.stand(StalledBehavior::Serves);
                 for _ in 0..STOPS {
                     std::thread::sleep(dice.span(&STOPPED));
                     stand.process.signal(Signal::STOP);
@@ -310,9 +310,9 @@
 fn a_hot_restart_while_the_primary_stands_still_makes_no_read_stale() {
     for seed in seeds() {
         let mut dice = Dice::of(seed);
-        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STANDING));
+        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STALLED_BEHAVIORS));
         let step = dice.one_of(&[0, -600, 600, -3_600_000, 3_600_000]);
-        let family = Family::following(LAG);
+        let family = ReplicaGroup::following(LAG);
         let mut stand = Stand::of("age-next", &[&family], 1);
         let mut reads = if seed % 2 == 0 { stand.load(200.0, BOUND) } else { vec![] };
         family.stand(conduct);
@@ -332,10 +332,10 @@
 fn a_family_that_stands_still_dates_no_other_on_any_worker() {
     for seed in seeds() {
         let mut dice = Dice::of(seed);
-        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STANDING));
+        let (stood, rate, conduct) = (dice.span(&STOOD), dice.log(&RATE), dice.one_of(&STALLED_BEHAVIORS));
         let cores = dice.one_of(&[1, 2, 4]);
-        let families: Vec<Family> = (1..=3).map(|group| Family::numbered(group, LAG)).collect();
-        let families: Vec<&Family> = families.iter().collect();
+        let families: Vec<ReplicaGroup> = (1..=3).map(|group| ReplicaGroup::numbered(group, LAG)).collect();
+        let families: Vec<&ReplicaGroup> = families.iter().collect();
         let stand = Stand::of("age-workers", &families, cores);
         families[0].stand(conduct);
         std::thread::sleep(stood);
@@ -354,7 +354,7 @@
 #[test]
 fn replicas_serve_while_the_primary_goes_on() {
     for clients_mark_retries in [true, false] {
-        let family = Family::following(LAG);
+        let family = ReplicaGroup::following(LAG);
         let discovery = bind_loopback();
         let place = discovery.local_addr().expect("bound");
         let start = ProcessOptions {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -2,8 +2,8 @@
 //! discovery in threads of the test. Each test file uses its part of it.
 #![allow(dead_code, reason = "each test binary uses a part of the harness")]
 
-pub mod family;
 pub mod process;
+pub mod replica_group;
 pub mod scripted;
 
 use std::io::{Read, Write};
--- a/tests/harness/family.rs
+++ b/tests/harness/replica_group.rs
@@ -26,7 +26,7 @@
 
 /// What a host does that calls itself the primary while its log stands still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum StalledBehavior {
     /// It turns everything away.
     Refuses,
     /// It serves reads from what it has, and drops writes that it has seen before.
@@ -40,8 +40,13 @@
 }
 
 /// All ways in which it stands still.
-pub const STANDING: [Conduct; 5] =
-    [Conduct::Refuses, Conduct::Serves, Conduct::Fails, Conduct::Misses, Conduct::Hangs];
+pub const STALLED_BEHAVIORS: [StalledBehavior; 5] = [
+    StalledBehavior::Refuses,
+    StalledBehavior::Serves,
+    StalledBehavior::Fails,
+    StalledBehavior::Misses,
+    StalledBehavior::Hangs,
+];
 
 #[derive(Default)]
 struct State {
@@ -50,7 +55,7 @@
     /// Where the family's log stands still while there is none.
     still_at: u64,
     /// Hosts that call themselves the primary though they are not, where each stands and what it does.
-    claims: BTreeMap<usize, (u64, Conduct)>,
+    claims: BTreeMap<usize, (u64, StalledBehavior)>,
     /// How far each host has applied the log: positions never go back.
     applied: [u64; HOSTS],
     /// Hosts that have been the primary, and when each has first answered a request as a replica since.
@@ -64,7 +69,7 @@
     claims: bool,
     position: u64,
     /// What it does instead of serving.
-    conduct: Option<Conduct>,
+    conduct: Option<StalledBehavior>,
 }
 
 struct Shared {
@@ -122,12 +127,12 @@
                     link.send(&answer_with(report.as_bytes(), role, None));
                     continue;
                 }
-                Some(Conduct::Hangs) => continue,
-                Some(Conduct::Refuses) => Some("53300"),
-                Some(Conduct::Fails) => Some("XX000"),
-                Some(Conduct::Misses) => Some("72000"),
+                Some(StalledBehavior::Hangs) => continue,
+                Some(StalledBehavior::Refuses) => Some("53300"),
+                Some(StalledBehavior::Fails) => Some("XX000"),
+                Some(StalledBehavior::Misses) => Some("72000"),
                 None if writes && !claims => Some("25006"),
-                Some(Conduct::Serves) | None => None,
+                Some(StalledBehavior::Serves) | None => None,
             };
             let commit = if writes && code.is_none() { self.commit(host, &asked) } else { None };
             let code = code.or((writes && commit.is_none()).then_some("25006"));
@@ -161,7 +166,7 @@
 }
 
 /// A primary and two replicas.
-pub struct Family {
+pub struct ReplicaGroup {
     /// The hosts' addresses, that of the first primary first.
     pub endpoints: Vec<SocketAddr>,
     /// Its number in the list.
@@ -169,18 +174,18 @@
     shared: Arc<Shared>,
 }
 
-impl Family {
+impl ReplicaGroup {
     /// A family whose replicas are so far behind, in microseconds.
-    pub fn following(lag: u64) -> Family {
-        Family::numbered(1, lag)
+    pub fn following(lag: u64) -> ReplicaGroup {
+        ReplicaGroup::numbered(1, lag)
     }
 
     /// The same with a number of its own.
-    pub fn numbered(group: usize, lag: u64) -> Family {
+    pub fn numbered(group: usize, lag: u64) -> ReplicaGroup {
         let state = Mutex::new(State { live: Some(0), ..State::default() });
         let shared = Arc::new(Shared { state, lag: AtomicU64::new(lag) });
-        let endpoints = (0..HOSTS).map(|index| Family::host(index, &shared)).collect();
-        Family { endpoints, group, shared }
+        let endpoints = (0..HOSTS).map(|index| ReplicaGroup::host(index, &shared)).collect();
+        ReplicaGroup { endpoints, group, shared }
     }
 
     fn host(index: usize, shared: &Arc<Shared>) -> SocketAddr {
@@ -206,7 +211,7 @@
     }
 
     /// The primary's log comes to a stand, and with it the family's. It goes on calling itself the primary.
-    pub fn stand(&self, conduct: Conduct) {
+    pub fn stand(&self, conduct: StalledBehavior) {
         let mut state = self.shared.state.lock().expect("whole");
         let now = unix_micros();
         if let Some(live) = state.live.take() {
@@ -263,7 +268,7 @@
         &self,
         sent: &BTreeMap<(String, u16), u64>,
         bound: Duration,
-        families: &[&Family],
+        families: &[&ReplicaGroup],
     ) -> Option<Duration> {
         let at = *sent.get(&(self.id.clone(), self.port)).filter(|_| self.by_replica)?;
         if families.iter().any(|family| family.excuses(self.port, at)) {
