--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! What tests of the whole gateway share: a gateway on loopback sockets, with toy hosts and a toy
-//! discovery in threads of the test. Each test file uses its part of it.
+//! Shared by the tests of the whole gateway: a gateway on loopback sockets, with toy hosts and a toy discovery server
+//! in threads of the test.
 #![allow(dead_code, reason = "each test binary uses a part of the harness")]
 
 pub mod process;
@@ -51,7 +51,7 @@
     json!({"rev": 4, "all": true, "targets": targets})
 }
 
-/// Answers a call to discovery with a list.
+/// Answers a call to discovery with an endpoint list.
 pub fn answer_discovery(call: &mut TcpStream, list: &Value) {
     let body = list.to_string();
     write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).expect("written");
@@ -61,7 +61,8 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// Whether somebody listens at this address. A connection to a free port of the system's own choosing may reach itself.
+/// Whether a process listens at this address. A connection to a free ephemeral port may connect to itself, which does
+/// not count.
 pub fn listens(address: SocketAddr) -> bool {
     TcpStream::connect(address).is_ok_and(|socket| socket.local_addr().is_ok_and(|own| own != address))
 }
@@ -80,16 +81,19 @@
     }
 }
 
-/// What the test and its hosts share.
+/// Switches with which a test controls its toy hosts.
 #[derive(Default)]
 pub struct HostControls {
+    /// Set once a host has injected the fault of a statement that fails at its first attempt only.
     pub fault_injected: AtomicBool,
+    /// Lets hosts answer the statements that they hold back.
     pub released: AtomicBool,
-    /// Hosts take connections and say nothing, as behind a cut line.
+    /// Hosts accept connections and send nothing, as after a network failure.
     pub unresponsive: AtomicBool,
 }
 
-/// A toy host that tells the test each statement it gets. What it does hangs on the quoted key.
+/// Starts a toy host that reports each received statement to the test. The quoted key of a statement selects its
+/// behaviour.
 pub fn toy_host(index: u8, host_events: Sender<String>, host_controls: Arc<HostControls>) -> SocketAddr {
     let listener = bind_loopback();
     let address = listener.local_addr().expect("bound");
@@ -116,7 +120,7 @@
     }
     if host_controls.unresponsive.load(Ordering::SeqCst) {
         let _ = host_events.send("dialled".to_string());
-        // Until the test lets it speak, or the gateway gives it up.
+        // Waits until the test makes the hosts respond, or the gateway closes the connection.
         socket.set_nonblocking(true).expect("a socket");
         while host_controls.unresponsive.load(Ordering::SeqCst) {
             if socket.peek(&mut bytes).is_ok_and(|count| count == 0) {
@@ -134,12 +138,12 @@
         let text = String::from_utf8_lossy(&query.body).trim_end_matches('\0').to_string();
         let _ = host_events.send(text.clone());
         if text.contains("'silent'") {
-            // Until the gateway ends the connection.
+            // Waits until the gateway closes the connection.
             assert_eq!(socket.read(&mut bytes).unwrap_or(0), 0);
             let _ = host_events.send("ended".to_string());
             return;
         }
-        let spoilt =
+        let malformed =
             text.contains("'first-spoilt'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst);
         if text.contains("'first-breaks'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst) {
             return;
@@ -152,7 +156,7 @@
             codec::write_error_response(&mut out, "ERROR", "XX000", "internal", None);
         } else {
             let value: &[u8] = match text.split('\'').nth(1) {
-                // Who it was, of a primary and two replicas that are far behind.
+                // The index of the host, in a group of a primary and two replicas that are far behind.
                 Some(key) if key.starts_with("who") => &[index],
                 Some("large") => &[7; 64 * 1024],
                 Some("huge") => &[7; 1024 * 1024],
@@ -161,7 +165,7 @@
             codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
             let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
             if text.contains("'parted'") || text.contains("'torn'") {
-                // The first half of a long row comes at once, the rest when the test says so, or never.
+                // The first half of a long row is sent immediately, the rest on release, or never.
                 let long = [&[0, 1, 0, 0x10, 0, 0][..], &[7; 1 << 20]].concat();
                 let mut row = Vec::new();
                 codec::write_message(&mut row, b'D', &long);
@@ -179,15 +183,15 @@
                 codec::write_ready_for_query(&mut out);
                 continue;
             }
-            codec::write_message(&mut out, if spoilt { b'?' } else { b'D' }, &row);
+            codec::write_message(&mut out, if malformed { b'?' } else { b'D' }, &row);
             codec::write_message(&mut out, b'C', b"SELECT 1\0");
-            let who = text.contains("'who");
+            let reports_index = text.contains("'who");
             codec::write_parameter_status(
                 &mut out,
                 "part",
-                if who && index > 0 { "replica" } else { "master" },
+                if reports_index && index > 0 { "replica" } else { "master" },
             );
-            if who {
+            if reports_index {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
                 let position = if index > 0 { now - 20_000 } else { now };
                 codec::write_parameter_status(&mut out, "caught_up_to", &position.to_string());
@@ -205,9 +209,9 @@
     pub admin: SocketAddr,
     pub stop: UnixStream,
     pub reload: UnixStream,
-    /// What the configuration file holds; a send waits until it is read.
+    /// Sends the content of the configuration file for the next reload; blocks until the gateway reads it.
     pub file: SyncSender<String>,
-    /// The text that it held at the start.
+    /// The content of the configuration file at the start.
     pub text: String,
     pub gateway: JoinHandle<()>,
     pub host_events: Receiver<String>,
@@ -220,85 +224,91 @@
         Harness::with_handover(limit, None, None)
     }
 
-    /// A gateway that waits at this path for the one that follows, and may follow one itself.
-    pub fn with_handover(limit: usize, line: Option<PathBuf>, inherited: Option<HandoverState>) -> Harness {
-        Harness::with_workers_and_handover(limit, line, inherited, 1)
+    /// Starts a gateway that listens for its successor on a handover socket at this path, and may take over from a
+    /// predecessor.
+    pub fn with_handover(
+        limit: usize,
+        handover_path: Option<PathBuf>,
+        predecessor: Option<HandoverState>,
+    ) -> Harness {
+        Harness::with_workers_and_handover(limit, handover_path, predecessor, 1)
     }
 
-    /// A gateway of so many workers.
+    /// Starts a gateway with this number of workers.
     pub fn with_workers(limit: usize, cores: usize) -> Harness {
         Harness::with_workers_and_handover(limit, None, None, cores)
     }
 
-    /// A gateway of so many workers that waits at this path, and may follow another.
+    /// Starts a gateway with this number of workers that listens on a handover socket, and may take over from a
+    /// predecessor.
     pub fn with_workers_and_handover(
         limit: usize,
-        line: Option<PathBuf>,
-        inherited: Option<HandoverState>,
+        handover_path: Option<PathBuf>,
+        predecessor: Option<HandoverState>,
         cores: usize,
     ) -> Harness {
         let (sender, host_events) = channel();
         let host_controls = Arc::new(HostControls::default());
         let hosts: Vec<_> =
             (0..3).map(|index| toy_host(index, sender.clone(), host_controls.clone())).collect();
-        Harness::open(limit, line, inherited, cores, listing(&hosts), host_events, host_controls)
+        Harness::open(limit, handover_path, predecessor, cores, listing(&hosts), host_events, host_controls)
     }
 
-    /// A gateway of so many workers that knows the hosts of this list, which are the test's own.
+    /// Starts a gateway with this number of workers and this endpoint list, whose hosts the test provides.
     pub fn with_list(limit: usize, cores: usize, known: Value) -> Harness {
         Harness::open(limit, None, None, cores, known, channel().1, Arc::default())
     }
 
     fn open(
         limit: usize,
-        line: Option<PathBuf>,
-        inherited: Option<HandoverState>,
+        handover_path: Option<PathBuf>,
+        predecessor: Option<HandoverState>,
         cores: usize,
         known: Value,
         host_events: Receiver<String>,
         host_controls: Arc<HostControls>,
     ) -> Harness {
         let discovery = bind_loopback();
-        let (stop, end) = UnixStream::pair().expect("a pair");
-        let (reload, anew) = UnixStream::pair().expect("a pair");
-        let (file, read) = sync_channel(0);
-        let (mut in_force, mut zones) = (ActiveConfig::default(), Zones::default());
+        let (stop, shutdown) = UnixStream::pair().expect("a pair");
+        let (reload, reload_receiver) = UnixStream::pair().expect("a pair");
+        let (file, file_receiver) = sync_channel(0);
+        let (mut active_config, mut zones) = (ActiveConfig::default(), Zones::default());
         let text = json!({"name": "n", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
             "discovery": discovery.local_addr().expect("bound").to_string(), "seed": "1f",
             "limits": {"sockets": limit, "memory_mb": 48}, "known": known, "settings": settings()})
         .to_string();
-        let taken = in_force.replace(text.clone(), &mut zones).expect("a configuration");
+        let active = active_config.replace(text.clone(), &mut zones).expect("a configuration");
         let config = Config {
             listen: "127.0.0.1:0".parse().expect("an address"),
             admin: Some("127.0.0.1:0".parse().expect("an address")),
-            discovery: taken.discovery,
-            seed: taken.seed,
+            discovery: active.discovery,
+            seed: active.seed,
             max_descriptors: limit,
             memory_mib: 48,
-            endpoints: taken.file.known,
-            site: taken.settings,
+            endpoints: active.file.known,
+            site: active.settings,
             zones,
             text: text.clone(),
-            handover_path: line,
-            predecessor: inherited,
+            handover_path,
+            predecessor,
             fleet: None,
         };
-        let reread = Box::new(move |_: Option<&Document>, zones: &mut Zones| {
-            let text: String = read.recv().expect("a file");
-            in_force.replace(text.clone(), zones).map(|taken| (text, taken))
+        let read_config = Box::new(move |_: Option<&Document>, zones: &mut Zones| {
+            let text: String = file_receiver.recv().expect("a file");
+            active_config.replace(text.clone(), zones).map(|active| (text, active))
         });
         let signals = Signals {
-            shutdown: end,
-            reload: anew,
+            shutdown,
+            reload: reload_receiver,
             shutdown_requested: Default::default(),
             reload_requested: Default::default(),
             versions: None,
-            read_config: reread,
+            read_config,
         };
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let workers = Gateway::open_all(config, signals, log, cores).expect("it opens");
+        let workers = Gateway::open_all(config, signals, log, cores).expect("the gateway opens");
         let address = workers[0].address().expect("it listens");
-        let admin = workers[0].admin_address().expect("it has a door");
+        let admin = workers[0].admin_address().expect("an admin interface");
         let gateway = std::thread::spawn(move || Gateway::run_all(workers).expect("it runs"));
         Harness { address, admin, stop, reload, file, text, gateway, host_events, discovery, host_controls }
     }
@@ -307,13 +317,13 @@
         ClientConnection::open(self.address)
     }
 
-    /// Replaces the configuration file and sends the signal, as operators do.
+    /// Replaces the configuration file and requests a reload, as operators do with a signal.
     pub fn reload_config(&mut self, text: &str) {
-        self.reload.write_all(&[1]).expect("told");
+        self.reload.write_all(&[1]).expect("signalled");
         self.file.send(text.to_string()).expect("read");
     }
 
-    /// The configuration at the start with a value in it replaced, or dropped.
+    /// The initial configuration with one value replaced, or removed.
     pub fn config_with(&self, pointer: &str, value: Option<Value>) -> String {
         let mut config: Value = serde_json::from_str(&self.text).expect("as it was written");
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
@@ -325,9 +335,9 @@
         config.to_string()
     }
 
-    /// Ends the gateway as a signal does, and waits for it.
+    /// Shuts the gateway down as a signal does, and waits for it to end.
     pub fn end(mut self) {
-        self.stop.write_all(&[1]).expect("told");
+        self.stop.write_all(&[1]).expect("signalled");
         self.gateway.join().expect("it ends by itself");
     }
 }
@@ -338,15 +348,15 @@
 }
 
 impl ClientConnection {
-    /// A client that a gateway has let in.
+    /// Opens a connection that the gateway admits.
     pub fn open(address: SocketAddr) -> ClientConnection {
         let mut socket = TcpStream::connect(address).expect("accepted");
-        let mut hello = Vec::new();
-        codec::write_startup_packet(&mut hello, "app", "shop");
-        socket.write_all(&hello).expect("written");
-        let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
-        assert_eq!(talk.answer().pop().map(|frame| frame.tag), Some(b'Z'));
-        talk
+        let mut startup = Vec::new();
+        codec::write_startup_packet(&mut startup, "app", "shop");
+        socket.write_all(&startup).expect("written");
+        let mut connection = ClientConnection { socket, inbox: ReceiveBuffer::default() };
+        assert_eq!(connection.answer().pop().map(|frame| frame.tag), Some(b'Z'));
+        connection
     }
 
     pub fn ask(&mut self, text: &str) {
@@ -355,7 +365,7 @@
         self.socket.write_all(&bytes).expect("written");
     }
 
-    /// The messages up to the next ReadyForQuery, that included, or to the end.
+    /// Reads the messages up to and including the next ReadyForQuery, or to the end of the connection.
     pub fn answer(&mut self) -> Vec<Message> {
         let mut frames = Vec::new();
         while let Some(frame) = next_frame(&mut self.socket, &mut self.inbox) {
@@ -375,38 +385,38 @@
     }
 }
 
-/// Sends operators' bytes to a door and reads all that it says.
-pub fn call(door: SocketAddr, text: &str) -> String {
-    let mut socket = TcpStream::connect(door).expect("accepted");
+/// Sends a request to the admin interface and reads the whole response.
+pub fn call(admin: SocketAddr, text: &str) -> String {
+    let mut socket = TcpStream::connect(admin).expect("accepted");
     socket.write_all(text.as_bytes()).expect("written");
-    let mut said = String::new();
-    socket.read_to_string(&mut said).expect("an answer, then the end");
-    said
+    let mut response = String::new();
+    socket.read_to_string(&mut response).expect("a response, then the end");
+    response
 }
 
-pub fn get(door: SocketAddr, path: &str) -> String {
-    call(door, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+pub fn get(admin: SocketAddr, path: &str) -> String {
+    call(admin, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
-/// Whether the door says yes to a word on a host.
-pub fn set_host_state(door: SocketAddr, word: &str, id: &str) -> bool {
+/// Sets a database host administratively `up` or `down`; gives whether the admin interface accepts it.
+pub fn set_host_state(admin: SocketAddr, state: &str, id: &str) -> bool {
     let length = id.len();
     let head =
-        format!("POST /ops/database-hosts/{word} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
-    call(door, &(head + id)).starts_with("HTTP/1.1 200 ")
+        format!("POST /ops/database-hosts/{state} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
+    call(admin, &(head + id)).starts_with("HTTP/1.1 200 ")
 }
 
-pub fn metric(door: SocketAddr, name: &str) -> u64 {
-    let said = get(door, "/ops/stats");
-    let line = said.lines().find_map(|line| line.strip_prefix(&format!("gw.{name}:")));
-    let (value, _kind) = line.and_then(|line| line.split_once('|')).expect("the figure");
+pub fn metric(admin: SocketAddr, name: &str) -> u64 {
+    let response = get(admin, "/ops/stats");
+    let line = response.lines().find_map(|line| line.strip_prefix(&format!("gw.{name}:")));
+    let (value, _kind) = line.and_then(|line| line.split_once('|')).expect("the metric");
     value.parse().expect("a number")
 }
 
-/// A name for each request, as clients give them.
+/// A new request id, as clients choose one for each request.
 pub fn next_request_id() -> usize {
-    static NAMES: AtomicUsize = AtomicUsize::new(0);
-    NAMES.fetch_add(1, Ordering::SeqCst)
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
+    NEXT_ID.fetch_add(1, Ordering::SeqCst)
 }
 
 pub fn read(key: &str) -> String {
--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -1,5 +1,5 @@
-//! The built program as a process of its own: its settings, its folder, its log, its signals, and the faults of the system
-//! that it meets.
+//! The built program as a separate process: its settings, folder, log and signals, and system call faults injected into
+//! it.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -16,30 +16,30 @@
 
 use super::{settings, ClientConnection};
 
-/// Time between two looks at something that is waited for.
+/// Time between two polls of a condition.
 pub const PAUSE: Duration = Duration::from_millis(2);
 
-/// Faults of the system that processes meet, as the file beside the library's source says. A test may change them while the
-/// processes run.
+/// System call faults injected into processes, in the format described beside the source of the preload library. A test
+/// may change them while the processes run.
 #[derive(Clone, Debug)]
 pub struct Faults {
     script: PathBuf,
 }
 
 impl Faults {
-    /// Those that stand in this folder.
+    /// The faults of the script in this folder.
     pub fn at(folder: &Path) -> Faults {
         Faults { script: folder.join("faults") }
     }
 
-    /// None yet, in this folder.
+    /// No faults at first, with the script in this folder.
     pub fn none(folder: &Path) -> Faults {
         let faults = Faults::at(folder);
         faults.set("");
         faults
     }
 
-    /// These from now on.
+    /// Replaces the faults by those of this script.
     pub fn set(&self, script: &str) {
         std::fs::create_dir_all(self.script.parent().expect("a folder")).expect("a folder");
         let next = self.script.with_extension("next");
@@ -47,8 +47,8 @@
         std::fs::rename(&next, &self.script).expect("in place");
     }
 
-    /// When the last byte of each statement went to a host, at the earliest: the machine's time in microseconds by the
-    /// request's id and the host's port.
+    /// The earliest time at which the last byte of each statement was written to a host: the machine's time in
+    /// microseconds by the request's id and the host's port.
     pub fn sent(&self) -> BTreeMap<(String, u16), u64> {
         let text = std::fs::read_to_string(self.sent_path()).unwrap_or_default();
         let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
@@ -64,13 +64,13 @@
         self.script.with_extension("sent")
     }
 
-    /// The command meets them.
+    /// Makes the command run with these faults.
     pub fn meet(&self, command: &mut Command) {
         command.env("LD_PRELOAD", library()).env("FAULTS", &self.script).env("SENT", self.sent_path());
     }
 }
 
-/// The library that makes calls of the system fail, built once.
+/// The preload library that makes system calls fail, built once.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -94,12 +94,12 @@
     pub address: SocketAddr,
     pub admin: SocketAddr,
     pub folder: PathBuf,
-    /// Its ports, where they were chosen for it.
+    /// Keeps its ports reserved where the harness chose them.
     reserved: Vec<Socket>,
 }
 
-/// Reserves a port of loopback: bound and not listened on, the system assigns it to nobody else, however long a process
-/// takes until it listens there; sockets that reuse addresses may be bound to it.
+/// Reserves a port of loopback: while it is bound, without a listener, the system assigns it to no other process,
+/// however long the gateway takes to listen there. Sockets that reuse addresses can still be bound to it.
 fn reserve_port() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
     socket.set_reuse_address(true).expect("an option");
@@ -108,22 +108,22 @@
     socket
 }
 
-/// What a process is started with beside its ports and its list.
+/// The options of a process, except its ports and its endpoint list.
 #[derive(Clone)]
 pub struct ProcessOptions {
     /// The gateway's name.
     pub name: String,
-    /// Most descriptors, by its settings and by the system.
+    /// Maximum number of descriptors, in its settings and as the system's limit.
     pub sockets: usize,
     pub discovery: SocketAddr,
     pub settings: Value,
-    /// Workers.
+    /// Number of workers.
     pub cores: usize,
     pub faults: Option<Faults>,
 }
 
 impl ProcessOptions {
-    /// The usual settings, and no faults.
+    /// The default settings, one worker, and no faults.
     pub fn with_defaults(name: &str, sockets: usize, discovery: SocketAddr) -> ProcessOptions {
         ProcessOptions {
             name: name.to_string(),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Starts one on ports that are free now.
+    /// Starts a process on ports that are free now.
     pub fn spawn(&self, known: &Value) -> Process {
         let reserved = [reserve_port(), reserve_port()];
         let [address, admin] = reserved
@@ -163,7 +163,7 @@
         process
     }
 
-    /// Starts one on these ports; the log of one that was started before in the same folder goes on in its own file.
+    /// Starts a process on these ports; the log of an earlier process in the same folder continues in its own file.
     pub fn spawn_at(&self, address: SocketAddr, admin: SocketAddr, known: &Value) -> Process {
         let folder = self.folder();
         let config = json!({"name": self.name, "listen": address.to_string(), "admin_addr": admin.to_string(),
@@ -185,22 +185,28 @@
         if let Some(faults) = &self.faults {
             faults.meet(&mut command);
         }
-        Process { child: command.spawn().expect("it starts"), address, admin, folder, reserved: Vec::new() }
+        Process {
+            child: command.spawn().expect("the process starts"),
+            address,
+            admin,
+            folder,
+            reserved: Vec::new(),
+        }
     }
 }
 
 impl Process {
-    /// Starts one that may hold so many descriptors, by its settings and by the system, and waits until it listens.
+    /// Starts a process with this limit of descriptors, in its settings and in the system, and waits until it listens.
     pub fn start(name: &str, sockets: usize, discovery: SocketAddr, known: Value) -> Process {
         ProcessOptions::with_defaults(name, sockets, discovery).start(&known)
     }
 
-    /// Starts one on ports that are free now.
+    /// Starts a process on ports that are free now.
     pub fn spawn(name: &str, sockets: usize, discovery: SocketAddr, known: &Value) -> Process {
         ProcessOptions::with_defaults(name, sockets, discovery).spawn(known)
     }
 
-    /// Starts one on these ports.
+    /// Starts a process on these ports.
     pub fn spawn_at(
         address: SocketAddr,
         admin: SocketAddr,
@@ -212,8 +218,9 @@
         ProcessOptions::with_defaults(name, sockets, discovery).spawn_at(address, admin, known)
     }
 
-    /// Waits until it says itself that it listens. False if it has ended instead: its ports were free when they were
-    /// chosen, and somebody else may have taken one since. That somebody listens there says nothing of who does.
+    /// Waits until its log reports that it listens. False if it has ended instead: its ports were free when they were
+    /// chosen, but another process may have taken one since. A listener on the port proves nothing: it may be that
+    /// other process.
     pub fn wait_until_listening(&mut self) -> bool {
         loop {
             if self.log().contains("listening") {
@@ -230,29 +237,30 @@
         kill_process(Pid::from_child(&self.child), signal).expect("its own child");
     }
 
-    /// A client that has been greeted; one that was closed unheard, as to make room, comes again.
+    /// Connects a client and waits for the greeting; reconnects if the gateway closes the connection first, for example
+    /// to free a descriptor.
     pub fn client(&self) -> ClientConnection {
         loop {
             let socket = TcpStream::connect(self.address).expect("it listens");
-            let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
-            let mut hello = Vec::new();
-            codec::write_startup_packet(&mut hello, "app", "shop");
-            talk.socket.write_all(&hello).expect("written");
-            if talk.answer().pop().is_some_and(|frame| frame.tag == b'Z') {
-                return talk;
+            let mut connection = ClientConnection { socket, inbox: ReceiveBuffer::default() };
+            let mut startup = Vec::new();
+            codec::write_startup_packet(&mut startup, "app", "shop");
+            connection.socket.write_all(&startup).expect("written");
+            if connection.answer().pop().is_some_and(|frame| frame.tag == b'Z') {
+                return connection;
             }
         }
     }
 
-    /// A client that has sent its greeting and an empty query, and has read nothing yet.
+    /// Connects a client that has sent its startup packet and an empty query, and has read nothing yet.
     pub fn greeting_unread(&self) -> ClientConnection {
         let socket = TcpStream::connect(self.address).expect("accepted by the system");
-        let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
-        let mut hello = Vec::new();
-        codec::write_startup_packet(&mut hello, "app", "shop");
-        codec::write_query(&mut hello, "");
-        talk.socket.write_all(&hello).expect("written");
-        talk
+        let mut connection = ClientConnection { socket, inbox: ReceiveBuffer::default() };
+        let mut startup = Vec::new();
+        codec::write_startup_packet(&mut startup, "app", "shop");
+        codec::write_query(&mut startup, "");
+        connection.socket.write_all(&startup).expect("written");
+        connection
     }
 
     pub fn log(&self) -> String {
--- a/tests/harness/scripted.rs
+++ b/tests/harness/scripted.rs
@@ -1,5 +1,4 @@
-//! Stand-ins whose every step a test decides: hosts that dial, greet and answer when they are told to, and calls to
-//! discovery.
+//! Hosts and discovery calls whose every step a test scripts: hosts accept, greet and answer when the test says so.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +8,7 @@
 
 use super::{bind_loopback, listing, next_frame, ClientConnection, Harness};
 
-/// A host whose every step the test decides.
+/// A host whose every step the test scripts.
 pub struct Host {
     pub listener: TcpListener,
 }
@@ -29,9 +28,9 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// The gateway's next connection, not greeted yet.
+    /// Accepts the gateway's next connection and reads its startup packet, without a greeting yet.
     pub fn accept_startup(&self) -> HostConnection {
-        let (mut socket, _) = self.listener.accept().expect("dialled");
+        let (mut socket, _) = self.listener.accept().expect("a connection");
         let (mut inbox, mut bytes) = (ReceiveBuffer::default(), [0; 4096]);
         while inbox.next_startup_packet().expect("a startup").is_none() {
             let count = socket.read(&mut bytes).expect("a startup");
@@ -47,7 +46,7 @@
     }
 }
 
-/// A gateway of so many workers with these hosts, the first of them the primary.
+/// Starts a gateway with this number of workers and these hosts, the first of them the primary.
 pub fn start_gateway(hosts: &[&Host], cores: usize) -> Harness {
     let endpoints: Vec<SocketAddr> = hosts.iter().map(|host| host.address()).collect();
     Harness::with_list(200, cores, listing(&endpoints))
@@ -80,7 +79,7 @@
         self.socket.write_all(&out).expect("written");
     }
 
-    /// The next statement, or `None` if the gateway has ended the connection.
+    /// Reads the next statement, or `None` if the gateway has closed the connection.
     pub fn next_statement(&mut self) -> Option<String> {
         let frame = next_frame(&mut self.socket, &mut self.inbox)?;
         Some(String::from_utf8_lossy(&frame.body).trim_end_matches('\0').to_string())
@@ -95,7 +94,7 @@
     }
 }
 
-/// The next call to discovery, and its text.
+/// Accepts the next call to discovery; gives its socket and text.
 pub fn accept_discovery_call(discovery: &TcpListener) -> (TcpStream, String) {
     let (mut socket, _) = discovery.accept().expect("a call");
     let mut bytes = [0; 4096];
@@ -103,26 +102,26 @@
     (socket, String::from_utf8_lossy(&bytes[..count]).to_string())
 }
 
-/// Reads the greeting of a new client and gives its key.
+/// Connects a new client, reads the greeting and gives the connection with its cancel key.
 pub fn with_key(harness: &Harness) -> (ClientConnection, CancelKey) {
     let mut socket = TcpStream::connect(harness.address).expect("accepted");
-    let mut hello = Vec::new();
-    codec::write_startup_packet(&mut hello, "app", "shop");
-    socket.write_all(&hello).expect("written");
-    let mut talk = ClientConnection { socket, inbox: ReceiveBuffer::default() };
-    let greeting = talk.answer();
+    let mut startup = Vec::new();
+    codec::write_startup_packet(&mut startup, "app", "shop");
+    socket.write_all(&startup).expect("written");
+    let mut connection = ClientConnection { socket, inbox: ReceiveBuffer::default() };
+    let greeting = connection.answer();
     let key = greeting.iter().find(|frame| frame.tag == b'K').expect("a key");
     let word = |at: usize| u32::from_be_bytes(key.body[at..at + 4].try_into().expect("four bytes"));
-    (talk, CancelKey { process: word(0), secret: word(4) })
+    (connection, CancelKey { process: word(0), secret: word(4) })
 }
 
-/// Sends a cancel and waits until the gateway has closed its connection: it says nothing, whatever the key.
+/// Sends a cancel request and waits until the gateway has closed its connection; it sends no answer, whatever the key.
 pub fn cancel(address: SocketAddr, key: CancelKey) {
     let mut socket = TcpStream::connect(address).expect("accepted");
     let mut bytes = Vec::new();
     codec::write_cancel_request(&mut bytes, key);
     socket.write_all(&bytes).expect("written");
-    let mut said = Vec::new();
-    socket.read_to_end(&mut said).expect("closed in order");
-    assert!(said.is_empty(), "{said:?}");
+    let mut response = Vec::new();
+    socket.read_to_end(&mut response).expect("closed in order");
+    assert!(response.is_empty(), "{response:?}");
 }
