--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -96,7 +96,7 @@
             command.env_remove(variable);
         }
         command.env_remove("TMPDIR").stdout(Stdio::piped()).stderr(Stdio::null());
-        self.faults[index].meet(&mut command);
+        self.faults[index].inject(&mut command);
         command
     }
 
--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -65,7 +65,7 @@
     }
 
     /// Makes the command run with these faults.
-    pub fn meet(&self, command: &mut Command) {
+    pub fn inject(&self, command: &mut Command) {
         command.env("LD_PRELOAD", library()).env("FAULTS", &self.script).env("SENT", self.sent_path());
     }
 }
@@ -183,7 +183,7 @@
             command.env("GW_SETTINGS", options);
         }
         if let Some(faults) = &self.faults {
-            faults.meet(&mut command);
+            faults.inject(&mut command);
         }
         Process {
             child: command.spawn().expect("the process starts"),
--- a/tests/rollout_deployment/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -201,7 +201,7 @@
             true => self.dunemount(&["fleet", "control", "--name", &format!("c-{index}")], index),
             false => self.serve(index),
         };
-        self.faults(index).meet(&mut command);
+        self.faults(index).inject(&mut command);
         self.run(index, &mut command);
     }
 
