--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written lines.
+//! The simulator adapter, run as a process on handwritten input lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
-    // A host that stops at a bad line may close its input first.
+    // An adapter that stops at an invalid line may close its input first.
     let _ = input.write_all(lines.as_bytes());
     drop(input);
     child.wait_with_output().expect("the adapter ends")
@@ -83,36 +83,36 @@
 }
 
 #[test]
-fn a_refusal_is_told_in_milliseconds() {
+fn a_rejection_gives_its_wait_in_milliseconds() {
     let batches = [
         start(),
         json!({"MomentMs": 50001.0, "news": [{"Req": {"Who": 3, "Id": "ff", "Priority": "look", "Cluster": 9,
             "TimeLeftMs": 800.0}}]}),
         json!({"MomentMs": 50150.0, "news": [{"Elapsed": {"Who": 3, "Nonce": 0}}]}),
     ];
-    let busy = replies(&batches)[2].clone();
-    let busy = find(&busy, "Busy").expect("a refusal for a group that the list does not know");
+    let reply = replies(&batches)[2].clone();
+    let busy = find(&reply, "Busy").expect("a rejection for a group that the list does not contain");
     assert!(busy["WaitMs"].as_f64().expect("advice") > 1.0);
 }
 
-/// Where only draining binds, members that an empty list leaves out are still sent to.
+/// With `DrainBindsAlone`, members that an empty list omits still get requests.
 #[test]
-fn the_reading_of_the_draining_rule_reaches_the_router() {
-    for alone in [false, true] {
+fn drain_binds_alone_reaches_the_router() {
+    for drain_binds_alone in [false, true] {
         let mut first = start();
-        first["news"][0]["Launch"]["Params"]["Safety"]["DrainBindsAlone"] = json!(alone);
+        first["news"][0]["Launch"]["Params"]["Safety"]["DrainBindsAlone"] = json!(drain_binds_alone);
         let batches = [
             first,
             json!({"MomentMs": 50001.0, "news": [{"Manifest": {"Table": 1, "NodesList": []}},
                 {"Update": {"Who": 3, "Kind": "full", "Serial": 2, "Table": 1}},
                 {"Req": {"Who": 3, "Id": "1", "Priority": "store", "Key": 5, "Cluster": 4, "TimeLeftMs": 900.0}}]}),
         ];
-        assert_eq!(find(&replies(&batches)[1], "PassOn").is_some(), alone);
+        assert_eq!(find(&replies(&batches)[1], "PassOn").is_some(), drain_binds_alone);
     }
 }
 
 #[test]
-fn idle_connections_are_closed_on_the_wire() {
+fn idle_connections_are_closed_by_an_adapter_action() {
     for idle_ms in [Some(30_000.0), None] {
         let mut first = start();
         let permissions = &mut first["news"][0]["Launch"]["Params"]["Permissions"];
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_halted_instance_is_forgotten() {
+fn a_halted_instance_is_removed() {
     let batches = [start(), json!({"MomentMs": 50001.0, "news": [{"Halt": {"Who": 3}}]})];
     replies(&batches);
     let lines = format!(
