--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,12 +1,12 @@
-//! The router where there is much of everything: families larger than one draw looks at, sessions that are
-//! passed by the thousand, families by the thousand. Steps are bounded in what they look at, not in time.
+//! The router at scale: groups larger than the sample of one choice, thousands of sessions that replicas pass at
+//! once, thousands of groups. The work of a step is bounded by the items that it examines, not by time.
 
 use std::collections::BTreeMap;
 
 use dunemount::*;
 
 const READ: ClassId = ClassId(0);
-const OWN: ClassId = ClassId(1);
+const SESSION: ClassId = ClassId(1);
 const WRITE: ClassId = ClassId(2);
 const START: Micros = Micros::millis(100_000);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Families of so many members, numbered through from 1; the first of each is its primary.
+/// Groups of equal size. Members are numbered consecutively from 1; the first of each group is its primary.
 struct Site {
     router: Router,
     now: Micros,
@@ -67,13 +67,13 @@
 }
 
 impl Site {
-    fn new(families: u64, members: u64) -> Site {
+    fn new(groups: u64, members: u64) -> Site {
         let mut site = Site { router: Router::new(settings(), 7), now: START, next: 0 };
-        let endpoints = (0..families * members).map(|place| Endpoint {
-            member: MemberId(place + 1),
-            group: GroupId(place / members),
+        let endpoints = (0..groups * members).map(|index| Endpoint {
+            member: MemberId(index + 1),
+            group: GroupId(index / members),
             weight: 1.0,
-            primary: place % members == 0,
+            primary: index % members == 0,
             ..Endpoint::default()
         });
         let endpoints = endpoints.collect();
@@ -87,8 +87,8 @@
         actions
     }
 
-    /// Lets the router sweep whenever it asked for it, up to this much later; gives the time of each step
-    /// and what it asked for.
+    /// Runs the router's timer every millisecond for this long; gives the time and the actions of each step that had
+    /// actions.
     fn run(&mut self, time: Micros) -> Vec<(Micros, Vec<Action>)> {
         let end = self.now + time;
         let mut steps = Vec::new();
@@ -102,8 +102,8 @@
         steps
     }
 
-    /// Asks, and says where the request goes if it goes anywhere; it is answered at once.
-    fn ask(
+    /// Sends a request, answers it immediately, and gives the member that it went to, if any.
+    fn send_request(
         &mut self,
         class: ClassId,
         group: u64,
@@ -134,7 +134,7 @@
         Some(sent)
     }
 
-    fn tell(&mut self, member: u64, position: Micros) {
+    fn health_checked(&mut self, member: u64, position: Micros) {
         let report = HealthReport { position: Some(position), role: None };
         self.event(Event::HealthChecked { member: MemberId(member), status: AttemptStatus::Ok, report });
     }
@@ -145,45 +145,45 @@
     }
 }
 
-/// Guards large families: a draw that looks at some members only still gives each its share, leaves the
-/// primary out, and never takes one that does not cover the read.
+/// Guards large groups: a choice that samples the members still gives each its share, leaves out the primary, and
+/// never takes a member that does not cover the read.
 #[test]
-fn a_draw_from_part_of_a_large_family_is_fair_and_fresh() {
+fn sampling_a_large_group_is_fair_and_respects_staleness() {
     let mut site = Site::new(1, 300);
     let (fresh, stale) = (site.now, Micros(site.now.0 - 5_000_000));
     for member in 2..=300 {
-        site.tell(member, if member % 3 == 0 { stale } else { fresh });
+        site.health_checked(member, if member % 3 == 0 { stale } else { fresh });
     }
     let mut shares = BTreeMap::new();
     for _ in 0..20_000 {
-        let member = site.ask(READ, 0, 1, None).expect("there is room");
+        let member = site.send_request(READ, 0, 1, None).expect("there is capacity");
         *shares.entry(member.0).or_insert(0u32) += 1;
     }
     assert!(shares.keys().all(|member| *member != 1 && member % 3 != 0), "only replicas that cover it");
-    assert_eq!(shares.len(), 199, "each of them has its part");
-    // An even share is 100; a window that always began at one place would starve most.
+    assert_eq!(shares.len(), 199, "each of them has its share");
+    // An even share is 100; a sample that always started at the same index would starve most members.
     assert!(shares.values().all(|share| (40..250).contains(share)), "{shares:?}");
 }
 
-/// Guards a large family in which no replica covers a read: the primary serves it.
+/// Guards a large group in which no replica covers a read: the primary serves it.
 #[test]
-fn the_primary_serves_where_nobody_looked_at_covers() {
+fn the_primary_serves_where_no_sampled_replica_covers_the_read() {
     let mut site = Site::new(1, 300);
-    assert_eq!(site.ask(READ, 0, 1, None), Some(MemberId(1)));
+    assert_eq!(site.send_request(READ, 0, 1, None), Some(MemberId(1)));
 }
 
-/// Guards against a step that forgets a million sessions: they go in the order of their commits, so many at a
-/// time, and until a replica that joins has passed them none of their commits is missed.
+/// Guards against a step that drops a million sessions: they are dropped in the order of their commits, a limited
+/// number per step. A replica that joins later must have passed their commits before it serves session reads.
 #[test]
-fn sessions_are_forgotten_in_bounded_steps() {
+fn sessions_are_dropped_in_bounded_steps() {
     let mut site = Site::new(1, 3);
     let commit = site.now + Micros::millis(10);
     for session in 0..5_000 {
         site.router.committed(GroupId(0), SessionKey(session), commit + Micros(session));
     }
     site.now = commit + Micros::millis(100);
-    site.tell(2, commit + Micros(4_999));
-    site.tell(3, commit + Micros(4_999));
+    site.health_checked(2, commit + Micros(4_999));
+    site.health_checked(3, commit + Micros(4_999));
     let mut left = vec![site.sessions()];
     while *left.last().expect("one") > 0 {
         site.run(Micros::millis(60));
@@ -192,75 +192,79 @@
     }
     assert!(left.windows(2).all(|two| two[0] - two[1] <= 2 * 512), "{left:?}");
     assert!(left.len() > 3, "{left:?}");
-    // A member from an older copy: forgotten commits hold it back as a whole.
+    // A member that starts from an older copy serves no session read until it has passed all dropped commits.
     let late = Endpoint { member: MemberId(4), group: GroupId(0), weight: 1.0, ..Endpoint::default() };
     site.event(Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![late] });
-    site.tell(4, commit + Micros(4_998));
+    site.health_checked(4, commit + Micros(4_998));
     for _ in 0..200 {
-        assert_ne!(site.ask(OWN, 0, 7, None), Some(MemberId(4)));
+        assert_ne!(site.send_request(SESSION, 0, 7, None), Some(MemberId(4)));
     }
-    site.tell(4, commit + Micros(4_999));
-    assert!((0..200).any(|_| site.ask(OWN, 0, 7, None) == Some(MemberId(4))));
+    site.health_checked(4, commit + Micros(4_999));
+    assert!((0..200).any(|_| site.send_request(SESSION, 0, 7, None) == Some(MemberId(4))));
 }
 
-/// Guards sessions that write to two families: what one has passed says nothing of the other, neither for
-/// the token nor for the pin.
+/// Guards sessions that write to two groups: the progress of one group's replicas must not release the token, or the
+/// pin to the primary, of the other group.
 #[test]
-fn a_session_has_a_token_in_each_family() {
+fn a_session_has_a_token_in_each_group() {
     let mut site = Site::new(2, 2);
-    assert_eq!(site.ask(WRITE, 0, 7, Some(START)), Some(MemberId(1)));
+    assert_eq!(site.send_request(WRITE, 0, 7, Some(START)), Some(MemberId(1)));
     site.now = site.now + Micros::millis(10);
     let commit = site.now;
-    assert_eq!(site.ask(WRITE, 1, 7, Some(commit)), Some(MemberId(3)));
-    site.tell(2, commit);
+    assert_eq!(site.send_request(WRITE, 1, 7, Some(commit)), Some(MemberId(3)));
+    site.health_checked(2, commit);
     site.run(Micros::millis(200));
-    assert_eq!(site.ask(OWN, 1, 7, None), Some(MemberId(3)), "its replica has not reached the write");
-    assert_eq!(site.ask(OWN, 0, 7, None), Some(MemberId(2)));
-    site.tell(4, commit);
-    assert_eq!(site.ask(OWN, 1, 7, None), Some(MemberId(4)));
+    assert_eq!(
+        site.send_request(SESSION, 1, 7, None),
+        Some(MemberId(3)),
+        "its replica has not reached the write"
+    );
+    assert_eq!(site.send_request(SESSION, 0, 7, None), Some(MemberId(2)));
+    site.health_checked(4, commit);
+    assert_eq!(site.send_request(SESSION, 1, 7, None), Some(MemberId(4)));
 }
 
-/// Guards both ways of a snapshot: a session that wrote to two families has its tokens in the next process.
+/// Guards writing and restoring a snapshot: a session that wrote to two groups keeps both tokens in the next process.
 #[test]
-fn a_snapshot_carries_the_tokens_of_all_families() {
+fn a_snapshot_contains_the_tokens_of_all_groups() {
     let mut site = Site::new(2, 2);
     let commit = site.now;
     for group in 0..2 {
         site.router.committed(GroupId(group), SessionKey(7), commit);
     }
-    let told = serde_json::to_string(&site.router.snapshot()).expect("a snapshot");
+    let serialized = serde_json::to_string(&site.router.snapshot()).expect("a snapshot");
     let mut next = Site::new(2, 2);
-    next.router.restore(serde_json::from_str(&told).expect("as it was told"), &[], Micros(0));
+    next.router.restore(serde_json::from_str(&serialized).expect("a valid snapshot"), &[], Micros(0));
     for (group, replica) in [(0, 2), (1, 4)] {
-        next.tell(replica, Micros(commit.0 - 1));
-        assert_eq!(next.ask(OWN, group, 7, None), Some(MemberId(replica - 1)));
-        next.tell(replica, commit);
-        assert_eq!(next.ask(OWN, group, 7, None), Some(MemberId(replica)));
+        next.health_checked(replica, Micros(commit.0 - 1));
+        assert_eq!(next.send_request(SESSION, group, 7, None), Some(MemberId(replica - 1)));
+        next.health_checked(replica, commit);
+        assert_eq!(next.send_request(SESSION, group, 7, None), Some(MemberId(replica)));
     }
 }
 
-/// Guards a site of so many families that a survey takes several steps: the member asked longest ago is
-/// probed first wherever it is, so that in time every family is.
+/// Guards a site with so many groups that a scan for due health checks takes several steps: the member checked longest
+/// ago is checked first wherever it is, so that every group gets its turn.
 #[test]
-fn a_survey_in_parts_reaches_every_family() {
-    let families = 500;
-    let mut site = Site::new(families, 3);
-    let mut probed = BTreeMap::new();
+fn health_checks_reach_every_group() {
+    let groups = 500;
+    let mut site = Site::new(groups, 3);
+    let mut checks = BTreeMap::new();
     for _ in 0..800 {
-        // Requests pay for probes.
+        // Requests pay for health checks.
         for _ in 0..12 {
-            site.ask(READ, site.next % families, 1, None);
+            site.send_request(READ, site.next % groups, 1, None);
         }
         for (_, actions) in site.run(Micros::millis(50)) {
             for action in actions {
                 if let Action::HealthCheck { member } = action {
-                    *probed.entry(member.0).or_insert(0u32) += 1;
+                    *checks.entry(member.0).or_insert(0u32) += 1;
                     let position = site.now;
-                    site.tell(member.0, position);
+                    site.health_checked(member.0, position);
                 }
             }
         }
     }
-    assert_eq!(probed.len() as u64, 3 * families, "every member");
-    assert!(probed.values().all(|times| *times <= 3), "none much more often than the others");
+    assert_eq!(checks.len() as u64, 3 * groups, "every member");
+    assert!(checks.values().all(|times| *times <= 3), "none much more often than the others");
 }
