--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,16 +1,18 @@
-//! What a decision costs as everything around it grows: pick, report and tick through the facade.
-//! Besides criterion's own figures each row prints the longest single step, which a mean would hide.
+//! The cost of a routing decision as the numbers of groups, members, sessions and open requests grow: pick, outcome
+//! and tick through the facade. Besides criterion's statistics, each row prints the longest single step, which a mean
+//! would hide.
 
 #![allow(missing_docs, reason = "criterion's macros write functions without any")]
 
-mod scene;
+mod workload;
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
-use scene::{Scene, Size};
+use workload::{Size, Workload};
 
-/// Requests before anything is measured: limits, positions and the queue have settled.
-const SETTLE: u64 = 10_000;
+/// Requests before the measurement, until limits, positions and the queue are in a steady state.
+const WARM_UP_REQUESTS: u64 = 10_000;
 
+/// Groups, members per group, sessions, and open requests of each row.
 const ROWS: &[(u64, u64, u64, usize)] = &[
     (2, 5, 1_000, 20),
     (2, 5, 1_000, 200),
@@ -26,20 +28,20 @@
 fn decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     group.throughput(Throughput::Elements(1)).sample_size(10);
-    for &(families, members, sessions, open) in ROWS {
-        let name = format!("{families}x{members}-sessions-{sessions}-open-{open}");
-        let mut scene = None;
+    for &(groups, members, sessions, open) in ROWS {
+        let name = format!("{groups}x{members}-sessions-{sessions}-open-{open}");
+        let mut workload = None;
         group.bench_function(&name, |bench| {
-            let scene = scene.get_or_insert_with(|| {
-                let mut scene = Scene::new(Size { families, members, sessions, open });
-                scene.play(SETTLE);
-                scene
+            let workload = workload.get_or_insert_with(|| {
+                let mut workload = Workload::new(Size { groups, members, sessions, open });
+                workload.run(WARM_UP_REQUESTS);
+                workload
             });
-            bench.iter_custom(|times| scene.play(times).total);
+            bench.iter_custom(|times| workload.run(times).total);
         });
-        // Two seconds of the module's time, so that every periodic step comes tens of times.
-        if let Some(scene) = &mut scene {
-            let cost = scene.play(20_000);
+        // Two seconds of simulated time, so that every periodic step runs tens of times.
+        if let Some(workload) = &mut workload {
+            let cost = workload.run(20_000);
             println!(
                 "{name}: {:.2} us a request, longest step {:.3} ms, {:.0}% served",
                 cost.total.as_secs_f64() * 1e6 / cost.requests as f64,
--- a/benches/workload/mod.rs
+++ b/benches/workload/mod.rs
@@ -1,5 +1,5 @@
-//! A site in the module's own time: families of members, sessions, and requests that are answered once
-//! so many have come behind them. Drives the facade and nothing below it.
+//! A workload in simulated time: groups of members, sessions, and requests that are answered after a fixed number of
+//! later requests. It drives the balancer facade only.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,22 +10,22 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One request each so often, in the module's time.
-const PACE: Micros = Micros(100);
+/// Simulated time between two requests.
+const REQUEST_INTERVAL: Micros = Micros(100);
 const START: Micros = Micros::millis(24 * 3_600_000);
 
-/// The size of a site.
+/// The size of a workload.
 #[derive(Clone, Copy)]
 pub struct Size {
-    pub families: u64,
-    /// Members of each family.
+    pub groups: u64,
+    /// Members of each group.
     pub members: u64,
     pub sessions: u64,
-    /// Requests that come between one that is sent and its answer.
+    /// Requests that arrive between the send of a request and its answer.
     pub open: usize,
 }
 
-/// What so many requests took.
+/// The time that a number of requests took in the balancer.
 #[derive(Clone, Copy, Default)]
 pub struct Cost {
     pub total: Duration,
@@ -34,13 +34,13 @@
     pub served: u64,
 }
 
-pub struct Scene {
+pub struct Workload {
     balancer: Balancer,
     size: Size,
     now: Micros,
     rng: Pcg64Mcg,
-    out: VecDeque<(RequestId, MemberId, u64)>,
-    taken: u64,
+    in_flight: VecDeque<(RequestId, MemberId, u64)>,
+    request_count: u64,
     cost: Cost,
 }
 
@@ -98,58 +98,67 @@
     }
 }
 
-impl Scene {
-    /// A site whose sessions have all written; their commits lie ahead of every replica.
-    pub fn new(size: Size) -> Scene {
+impl Workload {
+    /// A workload whose sessions have all written; no replica has reached their commits.
+    pub fn new(size: Size) -> Workload {
         let mut balancer = Balancer::new(settings(), 7);
-        let endpoint = |family: u64, place: u64| Endpoint {
-            member: MemberId(family * size.members + place + 1),
-            group: GroupId(family),
-            zone: ZoneId(place as usize % 3),
+        let endpoint = |group: u64, index: u64| Endpoint {
+            member: MemberId(group * size.members + index + 1),
+            group: GroupId(group),
+            zone: ZoneId(index as usize % 3),
             weight: 1.0,
-            primary: place == 0,
+            primary: index == 0,
             ..Endpoint::default()
         };
-        let all = (0..size.families).flat_map(|f| (0..size.members).map(move |m| endpoint(f, m)));
+        let all =
+            (0..size.groups).flat_map(|group| (0..size.members).map(move |index| endpoint(group, index)));
         balancer.update_endpoints(START, true, all.collect());
         for session in 0..size.sessions {
             let commit = START + Micros::millis(1_000_000) + Micros(session);
-            balancer.record_commit(GroupId(session % size.families), SessionKey(session), commit);
+            balancer.record_commit(GroupId(session % size.groups), SessionKey(session), commit);
         }
         let rng = Pcg64Mcg::seed_from_u64(11);
-        Scene { balancer, size, now: START, rng, out: VecDeque::new(), taken: 0, cost: Cost::default() }
+        Workload {
+            balancer,
+            size,
+            now: START,
+            rng,
+            in_flight: VecDeque::new(),
+            request_count: 0,
+            cost: Cost::default(),
+        }
     }
 
     fn timed<T>(&mut self, step: impl FnOnce(&mut Balancer) -> T) -> T {
         let from = Instant::now();
-        let done = step(&mut self.balancer);
-        let took = from.elapsed();
-        self.cost.total += took;
-        self.cost.longest = self.cost.longest.max(took);
-        done
+        let result = step(&mut self.balancer);
+        let elapsed = from.elapsed();
+        self.cost.total += elapsed;
+        self.cost.longest = self.cost.longest.max(elapsed);
+        result
     }
 
     fn draw(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
 
-    /// Plays so many requests and says what the module took for them.
-    pub fn play(&mut self, requests: u64) -> Cost {
+    /// Runs this many requests and gives the time that the balancer took for them.
+    pub fn run(&mut self, requests: u64) -> Cost {
         self.cost = Cost { requests, ..Cost::default() };
         for _ in 0..requests {
-            self.now = self.now + PACE;
-            self.taken += 1;
+            self.now = self.now + REQUEST_INTERVAL;
+            self.request_count += 1;
             let now = self.now;
-            while let Some(due) = self.timed(|b| b.poll_output(now)) {
-                match due {
+            while let Some(output) = self.timed(|b| b.poll_output(now)) {
+                match output {
                     Output::Decision(request_id, RoutingDecision::Send { member, .. }) => {
-                        self.sent(request_id, member);
+                        self.record_send(request_id, member);
                     }
                     Output::HealthCheck(member) => {
-                        let (role, position) = self.told(member);
-                        let said =
+                        let (role, position) = self.report(member);
+                        let outcome =
                             AttemptOutcome::Response { status: ResponseStatus::Served, role, position };
-                        self.timed(|b| b.health_checked(now, member, said));
+                        self.timed(|b| b.health_checked(now, member, outcome));
                     }
                     _ => {}
                 }
@@ -157,10 +166,10 @@
             let session = self.draw(self.size.sessions);
             let class = [0, 0, 0, 0, 0, 1, 1, 1, 2, 3][self.draw(10) as usize];
             let group = match class {
-                1 | 3 => session % self.size.families,
-                _ => self.draw(self.size.families),
+                1 | 3 => session % self.size.groups,
+                _ => self.draw(self.size.groups),
             };
-            let ask = RoutingRequest {
+            let request = RoutingRequest {
                 class: ClassId(class),
                 group: GroupId(group),
                 session: SessionKey(session),
@@ -168,28 +177,28 @@
                 repeat: false,
                 time_left: Micros::millis(1000),
             };
-            let (request_id, decision) = self.timed(|b| b.pick(now, ask));
+            let (request_id, decision) = self.timed(|b| b.pick(now, request));
             if let RoutingDecision::Send { member, .. } = decision {
-                self.sent(request_id, member);
+                self.record_send(request_id, member);
             }
-            let old = self.taken.saturating_sub(self.size.open as u64);
-            while self.out.front().is_some_and(|(.., sent)| *sent <= old) {
-                let Some((request_id, member, _)) = self.out.pop_front() else { break };
-                let (role, position) = self.told(member);
-                let ended = AttemptOutcome::Response { status: ResponseStatus::Served, role, position };
-                self.timed(|b| b.handle_outcome(now, request_id, ended));
+            let due = self.request_count.saturating_sub(self.size.open as u64);
+            while self.in_flight.front().is_some_and(|(.., sent)| *sent <= due) {
+                let Some((request_id, member, _)) = self.in_flight.pop_front() else { break };
+                let (role, position) = self.report(member);
+                let outcome = AttemptOutcome::Response { status: ResponseStatus::Served, role, position };
+                self.timed(|b| b.handle_outcome(now, request_id, outcome));
                 self.cost.served += 1;
             }
         }
         self.cost
     }
 
-    fn sent(&mut self, request_id: RequestId, member: MemberId) {
-        self.out.push_back((request_id, member, self.taken));
+    fn record_send(&mut self, request_id: RequestId, member: MemberId) {
+        self.in_flight.push_back((request_id, member, self.request_count));
     }
 
-    /// What a member says: the primary has everything, its replicas are a little behind.
-    fn told(&self, member: MemberId) -> (Option<Role>, Option<Micros>) {
+    /// The role and position that a member reports: replicas lag the primary by 20 ms.
+    fn report(&self, member: MemberId) -> (Option<Role>, Option<Micros>) {
         match (member.0 - 1) % self.size.members {
             0 => (Some(Role::Primary), Some(self.now)),
             _ => (Some(Role::Replica), Some(self.now - Micros::millis(20))),
