--- a/tests/harness/process.rs
+++ b/tests/harness/process.rs
@@ -17,7 +17,7 @@
 use super::{settings, ClientConnection};
 
 /// Time between two polls of a condition.
-pub const PAUSE: Duration = Duration::from_millis(2);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// System call faults injected into processes, in the format described beside the source of the preload library. A test
 /// may change them while the processes run.
@@ -229,7 +229,7 @@
             if self.child.try_wait().expect("its own child").is_some() {
                 return false;
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -10,7 +10,7 @@
 
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use harness::process::{Process, PAUSE};
+use harness::process::{Process, POLL_INTERVAL};
 use harness::scripted::{accept_discovery_call, answer, Host};
 use harness::{answer_discovery, bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
@@ -116,7 +116,7 @@
         socket.write_all(&hello).expect("written");
         socket.shutdown(Shutdown::Write).expect("a socket");
         while !is_end_acknowledged(&socket) {
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
         gateway.signal(Signal::CONT);
         let _ = socket.read_to_end(&mut Vec::new());
@@ -206,7 +206,7 @@
     gateway.signal(Signal::CONT);
     // The listener closes in the end; the answer is still owed then.
     while listens(gateway.address) {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     gateway.signal(Signal::TERM);
     gateway.signal(Signal::HUP);
@@ -231,7 +231,7 @@
         if let Ok(line) = handover_socket::HandoverSocket::accept(&before) {
             break line;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     };
     gateway.signal(Signal::TERM);
     gateway.child.wait().expect("it ends");
@@ -281,7 +281,7 @@
     // A command that has begun keeps its place.
     held.iter_mut().for_each(|talk| talk.socket.write_all(b"Q\0").expect("written"));
     while metric(gateway.admin, "active") > 0 {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let mut waiting = TcpStream::connect(gateway.address).expect("accepted by the system");
     let mut bytes = Vec::new();
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use harness::process::{Faults, Process, ProcessOptions, PAUSE};
+use harness::process::{Faults, Process, ProcessOptions, POLL_INTERVAL};
 use harness::scripted::{answer, Host};
 use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
@@ -169,7 +169,7 @@
         let before = metric(process.admin, "config_applied");
         process.signal(Signal::HUP);
         while metric(process.admin, "config_applied") < before + times {
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     };
     for _ in 0..3 {
@@ -222,7 +222,7 @@
     std::thread::sleep(WHILE);
     faults.set("");
     while metric(process.admin, "config_applied") == 0 {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::TERM);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use harness::process::{Faults, Process, ProcessOptions, PAUSE};
+use harness::process::{Faults, Process, ProcessOptions, POLL_INTERVAL};
 use harness::scripted::{Host, HostConnection};
 use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
@@ -108,7 +108,7 @@
         if family.at_replicas() > before {
             return;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     panic!("no replica has served, {}", process.log());
 }
@@ -124,7 +124,7 @@
             let mut client = process.client();
             for _ in 0..40 {
                 ask(&mut client);
-                std::thread::sleep(5 * PAUSE);
+                std::thread::sleep(5 * POLL_INTERVAL);
             }
             assert_eq!(family.at_replicas(), 0, "off by {step} ms, probes {probing}");
             if probing {
@@ -150,7 +150,7 @@
         let (mut client, before) = (process.client(), family.at_replicas());
         for _ in 0..40 {
             ask(&mut client);
-            std::thread::sleep(5 * PAUSE);
+            std::thread::sleep(5 * POLL_INTERVAL);
         }
         assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
     }
@@ -179,7 +179,7 @@
         let (mut client, before) = (next.client(), family.at_replicas());
         for _ in 0..40 {
             ask(&mut client);
-            std::thread::sleep(5 * PAUSE);
+            std::thread::sleep(5 * POLL_INTERVAL);
         }
         assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
         drop(discovery);
