--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,7 +8,7 @@
 
 use dunemount::pg::codec::{self, CancelKey, ReceiveBuffer};
 use harness::scripted::{
-    accept_discovery_call, answer, cancel, start_gateway, with_key, Host, HostConnection,
+    accept_discovery_call, answer, cancel, client_with_key, start_gateway, Host, HostConnection,
 };
 use harness::{answer_discovery, listens, listing, metric, read, write, ClientConnection};
 use serde_json::{json, Value};
@@ -87,7 +87,7 @@
     for cores in [1, 2, 3] {
         let host = Host::new();
         let harness = start_gateway(&[&host], cores);
-        let ((mut client, key), (mut other, second)) = (with_key(&harness), with_key(&harness));
+        let ((mut client, key), (mut other, second)) = (client_with_key(&harness), client_with_key(&harness));
         assert_ne!(key, second);
         client.ask(&read("cancelled"));
         let mut link = host.accept_ready();
@@ -119,7 +119,7 @@
 fn a_cancel_while_the_connection_comes_up_leaves_nothing_to_write() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
-    let (mut client, key) = with_key(&harness);
+    let (mut client, key) = client_with_key(&harness);
     client.ask(&write("cancelled"));
     let mut link = host.accept_startup();
     for bytes in [
@@ -429,7 +429,7 @@
 fn a_cancel_does_not_cut_an_answer_that_flows() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
-    let (mut client, key) = with_key(&harness);
+    let (mut client, key) = client_with_key(&harness);
     client.ask(&read("long"));
     let mut link = host.accept_ready();
     link.next_statement().expect("an attempt");
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -24,7 +24,7 @@
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
-use harness::scripted::{cancel, with_key};
+use harness::scripted::{cancel, client_with_key};
 use harness::{call, get, read, set_host_state, write, ClientConnection, Harness};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
@@ -374,7 +374,7 @@
 #[test]
 fn answers_to_requests_in_flight_keep_their_bytes() {
     let harness = Harness::start(200);
-    let (mut client, key) = with_key(&harness);
+    let (mut client, key) = client_with_key(&harness);
     let held = read("held");
     client.ask(&held);
     while !harness.host_events.recv().expect("a query").contains("'held'") {}
--- a/tests/harness/scripted.rs
+++ b/tests/harness/scripted.rs
@@ -103,7 +103,7 @@
 }
 
 /// Connects a new client, reads the greeting and gives the connection with its cancel key.
-pub fn with_key(harness: &Harness) -> (ClientConnection, CancelKey) {
+pub fn client_with_key(harness: &Harness) -> (ClientConnection, CancelKey) {
     let mut socket = TcpStream::connect(harness.address).expect("accepted");
     let mut startup = Vec::new();
     codec::write_startup_packet(&mut startup, "app", "shop");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -14,7 +14,7 @@
 use dunemount::pg::codec::CancelKey;
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
-use harness::scripted::{cancel, with_key};
+use harness::scripted::{cancel, client_with_key};
 use harness::{get, metric, read, set_host_state, write, Harness};
 
 /// However busy the machine, a peer in the same process answers within this.
@@ -73,7 +73,7 @@
 fn a_cancel_finds_its_request_on_both_sides_of_an_upgrade() {
     let at = path("cancels");
     let old = Harness::with_handover(200, Some(at.clone()), None);
-    let (mut client, key) = with_key(&old);
+    let (mut client, key) = client_with_key(&old);
     client.ask(&read("held"));
     while !old.host_events.recv().expect("heard").contains("'held'") {}
     let new = follow(&at);
