--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -195,7 +195,7 @@
 fn new_settings_reach_all_workers() {
     let mut harness = Harness::with_workers(300, 3);
     let mut clients: Vec<ClientConnection> = (0..3).map(|_| harness.client()).collect();
-    let new = harness.text.replace("\"look\"", "\"glance\"");
+    let new = harness.initial_config.replace("\"look\"", "\"glance\"");
     harness.reload_config(&new);
     while metric(harness.admin, "config_applied") < 1 {}
     for client in &mut clients {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -400,7 +400,7 @@
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut list: Value =
-            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
+            serde_json::from_str::<Value>(&harness.initial_config).expect("a configuration")["known"].take();
         list["rev"] = json!(9);
         for target in list["targets"].as_array_mut().expect("hosts") {
             target["state"] = json!(state);
@@ -426,7 +426,7 @@
         // A primary of the test's own, which reads no further than it is told.
         let slow = bind_loopback();
         let mut list: Value =
-            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
+            serde_json::from_str::<Value>(&harness.initial_config).expect("a configuration")["known"].take();
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         list["rev"] = json!(9);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -210,9 +210,9 @@
     pub stop: UnixStream,
     pub reload: UnixStream,
     /// Sends the content of the configuration file for the next reload; blocks until the gateway reads it.
-    pub file: SyncSender<String>,
+    pub config_file: SyncSender<String>,
     /// The content of the configuration file at the start.
-    pub text: String,
+    pub initial_config: String,
     pub gateway: JoinHandle<()>,
     pub host_events: Receiver<String>,
     pub discovery: TcpListener,
@@ -271,7 +271,7 @@
         let discovery = bind_loopback();
         let (stop, shutdown) = UnixStream::pair().expect("a pair");
         let (reload, reload_receiver) = UnixStream::pair().expect("a pair");
-        let (file, file_receiver) = sync_channel(0);
+        let (config_file, file_receiver) = sync_channel(0);
         let (mut active_config, mut zones) = (ActiveConfig::default(), Zones::default());
         let text = json!({"name": "n", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
             "discovery": discovery.local_addr().expect("bound").to_string(), "seed": "1f",
@@ -310,7 +310,18 @@
         let address = workers[0].address().expect("it listens");
         let admin = workers[0].admin_address().expect("an admin interface");
         let gateway = std::thread::spawn(move || Gateway::run_all(workers).expect("it runs"));
-        Harness { address, admin, stop, reload, file, text, gateway, host_events, discovery, host_controls }
+        Harness {
+            address,
+            admin,
+            stop,
+            reload,
+            config_file,
+            initial_config: text,
+            gateway,
+            host_events,
+            discovery,
+            host_controls,
+        }
     }
 
     pub fn client(&self) -> ClientConnection {
@@ -320,12 +331,12 @@
     /// Replaces the configuration file and requests a reload, as operators do with a signal.
     pub fn reload_config(&mut self, text: &str) {
         self.reload.write_all(&[1]).expect("signalled");
-        self.file.send(text.to_string()).expect("read");
+        self.config_file.send(text.to_string()).expect("read");
     }
 
     /// The initial configuration with one value replaced, or removed.
     pub fn config_with(&self, pointer: &str, value: Option<Value>) -> String {
-        let mut config: Value = serde_json::from_str(&self.text).expect("as it was written");
+        let mut config: Value = serde_json::from_str(&self.initial_config).expect("as it was written");
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
         match (config.pointer_mut(parent).expect("a place"), value) {
             (Value::Object(map), Some(value)) => drop(map.insert(key.to_string(), value)),
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_broken_file_changes_nothing() {
     let mut harness = Harness::start(200);
-    let full_text = harness.text.clone();
+    let full_text = harness.initial_config.clone();
     let removed: [Option<Value>; 1] = [None];
     let broken: Vec<String> = [
         String::new(),
@@ -71,7 +71,7 @@
     let mut busy = harness.client();
     busy.ask(&read("held"));
     while !harness.host_events.recv().expect("heard").contains("'held'") {}
-    let mut config: Value = serde_json::from_str(&harness.text).expect("json");
+    let mut config: Value = serde_json::from_str(&harness.initial_config).expect("json");
     let classes = &mut config["settings"]["Classes"];
     // The first class is renamed, its old name now stands for a write that is not idempotent, and the second class is
     // removed.
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -247,7 +247,7 @@
     let listing: Value = json!({"rev": 41, "all": false, "targets": []});
     harness::answer_discovery(&mut call, &listing);
     let _watching = expect(read_request(&harness.discovery), watch);
-    let text = harness.text.clone();
+    let text = harness.initial_config.clone();
     harness.reload_config(&text);
     let poll = include_str!("fixtures/discovery-poll-v1.http");
     expect(read_request(&harness.discovery), poll);
