--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -111,7 +111,7 @@
     let harness = Harness::with_workers(300, 2);
     let (mut first, mut second) = (harness.client(), harness.client());
     for client in [&mut first, &mut second] {
-        client.ask(&read("torn"));
+        client.ask(&read("truncated"));
     }
     harness.host_controls.released.store(true, Ordering::SeqCst);
     for client in [&mut first, &mut second] {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -57,7 +57,7 @@
 fn a_long_value_flows_and_is_not_cut_off() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("parted").replace("d=30000", "d=300"));
+    client.ask(&read("split").replace("d=30000", "d=300"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
     assert_eq!(first[0], b'T');
@@ -81,7 +81,7 @@
 fn a_long_value_that_breaks_ends_the_connection() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("torn"));
+    client.ask(&read("truncated"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
     harness.host_controls.released.store(true, Ordering::SeqCst);
@@ -137,7 +137,7 @@
 fn only_whole_answers_to_the_request_are_served() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("first-spoilt"));
+    client.ask(&read("first-malformed"));
     assert_eq!(client.answer().len(), 4);
     for _ in 0..6 {
         client.ask(&read("doubled"));
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -144,7 +144,7 @@
             return;
         }
         let malformed =
-            text.contains("'first-spoilt'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst);
+            text.contains("'first-malformed'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst);
         if text.contains("'first-breaks'") && !host_controls.fault_injected.swap(true, Ordering::SeqCst) {
             return;
         }
@@ -164,7 +164,7 @@
             };
             codec::write_message(&mut out, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
             let row = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
-            if text.contains("'parted'") || text.contains("'torn'") {
+            if text.contains("'split'") || text.contains("'truncated'") {
                 // The first half of a long row is sent immediately, the rest on release, or never.
                 let long = [&[0, 1, 0, 0x10, 0, 0][..], &[7; 1 << 20]].concat();
                 let mut row = Vec::new();
@@ -175,7 +175,7 @@
                 while !host_controls.released.load(Ordering::SeqCst) {
                     std::thread::yield_now();
                 }
-                if text.contains("'torn'") {
+                if text.contains("'truncated'") {
                     return;
                 }
                 out = rest.to_vec();
