--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -396,7 +396,7 @@
         harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
         let mut client = harness.client();
         client.ask(&write("k").replace("d=30000", "d=2000"));
-        assert_eq!(harness.host_events.recv().expect("a dial"), "dialled");
+        assert_eq!(harness.host_events.recv().expect("a dial"), "connected");
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut list: Value =
@@ -411,7 +411,7 @@
         let (_watch, _) = harness.discovery.accept().expect("the next call");
         harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
-        assert!(harness.host_events.try_iter().all(|said| said == "dialled"), "a statement was written");
+        assert!(harness.host_events.try_iter().all(|said| said == "connected"), "a statement was written");
         harness.end();
     }
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -119,7 +119,7 @@
         inbox.push(&bytes[..count]);
     }
     if host_controls.unresponsive.load(Ordering::SeqCst) {
-        let _ = host_events.send("dialled".to_string());
+        let _ = host_events.send("connected".to_string());
         // Waits until the test makes the hosts respond, or the gateway closes the connection.
         socket.set_nonblocking(true).expect("a socket");
         while host_controls.unresponsive.load(Ordering::SeqCst) {
