--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -204,6 +204,7 @@
     }
 }
 
+/// A running gateway with its discovery server and the controls of its toy hosts.
 pub struct Harness {
     pub address: SocketAddr,
     pub admin: SocketAddr,
@@ -214,6 +215,7 @@
     /// The content of the configuration file at the start.
     pub initial_config: String,
     pub gateway: JoinHandle<()>,
+    /// The statements that toy hosts receive, and `connected` and `ended` of connections without answers.
     pub host_events: Receiver<String>,
     pub discovery: TcpListener,
     pub host_controls: Arc<HostControls>,
@@ -338,10 +340,10 @@
     pub fn config_with(&self, pointer: &str, value: Option<Value>) -> String {
         let mut config: Value = serde_json::from_str(&self.initial_config).expect("as it was written");
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
-        match (config.pointer_mut(parent).expect("a place"), value) {
+        match (config.pointer_mut(parent).expect("a parent value"), value) {
             (Value::Object(map), Some(value)) => drop(map.insert(key.to_string(), value)),
             (Value::Object(map), None) => drop(map.remove(key)),
-            (place, value) => place[key.parse::<usize>().expect("an index")] = value.unwrap_or_default(),
+            (list, value) => list[key.parse::<usize>().expect("an index")] = value.unwrap_or_default(),
         }
         config.to_string()
     }
--- a/tests/harness/scripted.rs
+++ b/tests/harness/scripted.rs
@@ -111,8 +111,8 @@
     let mut connection = ClientConnection { socket, inbox: ReceiveBuffer::default() };
     let greeting = connection.answer();
     let key = greeting.iter().find(|frame| frame.tag == b'K').expect("a key");
-    let word = |at: usize| u32::from_be_bytes(key.body[at..at + 4].try_into().expect("four bytes"));
-    (connection, CancelKey { process: word(0), secret: word(4) })
+    let field = |at: usize| u32::from_be_bytes(key.body[at..at + 4].try_into().expect("four bytes"));
+    (connection, CancelKey { process: field(0), secret: field(4) })
 }
 
 /// Sends a cancel request and waits until the gateway has closed its connection; it sends no answer, whatever the key.
