--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -76,9 +76,8 @@
         fleet.admin_addresses =
             admin_listeners.iter().map(|listener| listener.local_addr().expect("bound")).collect();
         drop((sockets, admin_listeners));
-        fleet.faults = (0..count)
-            .map(|index| Faults::none_yet(&fleet.directory.join(format!("faults-{index}"))))
-            .collect();
+        fleet.faults =
+            (0..count).map(|index| Faults::none(&fleet.directory.join(format!("faults-{index}")))).collect();
         for index in 0..count {
             if index < 3 {
                 assert!(fleet.command(index, &["fleet", "found"]).status().expect("it runs").success());
@@ -97,7 +96,7 @@
             command.env_remove(variable);
         }
         command.env_remove("TMPDIR").stdout(Stdio::piped()).stderr(Stdio::null());
-        self.faults[index].meet(&mut command);
+        self.faults[index].inject(&mut command);
         command
     }
 
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -24,8 +24,8 @@
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::settings::Zones;
 use dunemount::{ClassId, GroupId, Micros, SessionKey};
-use harness::stage::{cancel, with_key};
-use harness::{call, get, order, read, write, Harness, Talk};
+use harness::scripted::{cancel, client_with_key};
+use harness::{call, get, read, set_host_state, write, ClientConnection, Harness};
 use rustix::net::{AddressFamily, RecvFlags, SocketAddrUnix, SocketType};
 use serde_json::json;
 
@@ -216,13 +216,13 @@
     let path = socket_path("down");
     let file = path.with_extension("down");
     std::fs::write(&file, fixture("hosts-down-v1.json")).expect("written");
-    let harness = Harness::beside(200, Some(path.clone()), None);
-    assert_eq!(harness::figure(harness.admin, "pool_ejected"), 2, "they are down from the start");
-    assert!(order(harness.admin, "up", "s-2"));
+    let harness = Harness::with_handover(200, Some(path.clone()), None);
+    assert_eq!(harness::metric(harness.admin, "pool_ejected"), 2, "they are down from the start");
+    assert!(set_host_state(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-one-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(harness.admin, "down", "s-2"));
+    assert!(set_host_state(harness.admin, "down", "s-2"));
     assert_bytes("hosts-down-v1.json", &std::fs::read(&file).expect("a file"));
-    assert!(order(harness.admin, "up", "s-0") && order(harness.admin, "up", "s-2"));
+    assert!(set_host_state(harness.admin, "up", "s-0") && set_host_state(harness.admin, "up", "s-2"));
     assert_bytes("hosts-down-none-v1.json", &std::fs::read(&file).expect("a file"));
     harness.end();
     std::fs::remove_file(file).expect("removed");
@@ -334,7 +334,7 @@
 }
 
 /// Sends a statement and returns the bytes of its answer.
-fn ask(client: &mut Talk, text: &str) -> Vec<u8> {
+fn ask(client: &mut ClientConnection, text: &str) -> Vec<u8> {
     client.ask(text);
     answer_bytes(&mut client.socket)
 }
@@ -374,14 +374,14 @@
 #[test]
 fn answers_to_requests_in_flight_keep_their_bytes() {
     let harness = Harness::start(200);
-    let (mut client, key) = with_key(&harness);
+    let (mut client, key) = client_with_key(&harness);
     let held = read("held");
     client.ask(&held);
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     assert_bytes("answer-id-in-use-v1.bin", &ask(&mut harness.client(), &held));
     cancel(harness.address, key);
     assert_bytes("answer-cancelled-v1.bin", &answer_bytes(&mut client.socket));
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     harness.end();
 }
 
@@ -449,12 +449,12 @@
 
     let mut client = harness.client();
     client.ask(&read("held"));
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     harness.stop.write_all(&[1]).expect("written");
     let shutting_down =
         std::iter::repeat_with(|| get(admin, "/ops/readiness")).find(|response| !response.contains("200 OK"));
     assert_bytes("admin-ending-v1.txt", shutting_down.expect("another status").as_bytes());
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     harness.gateway.join().expect("the gateway ends");
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
 use dunemount::pg::codec;
 use dunemount::settings::Zones;
 use dunemount::Micros;
-use harness::{figure, listing, local, read, settings, write, Harness, Talk};
+use harness::{bind_loopback, listing, metric, read, settings, write, ClientConnection, Harness};
 use serde_json::{json, Value};
 
 /// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
@@ -30,7 +30,7 @@
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
         assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(length));
-        let heard = harness.heard.recv().expect("heard");
+        let heard = harness.host_events.recv().expect("heard");
         let (before, after) = text.split_once("d=30000").expect("a wait");
         assert!(heard.starts_with(before) && heard.ends_with(after), "{heard}");
     }
@@ -57,21 +57,21 @@
 fn a_long_value_flows_and_is_not_cut_off() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("parted").replace("d=30000", "d=300"));
+    client.ask(&read("split").replace("d=30000", "d=300"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
     assert_eq!(first[0], b'T');
     // Beyond the client's time, and beyond the pause at which a short answer counts as spoilt.
     std::thread::sleep(std::time::Duration::from_millis(800));
-    assert_eq!(figure(harness.admin, "active"), 1);
-    harness.mood.released.store(true, Ordering::SeqCst);
+    assert_eq!(metric(harness.admin, "active"), 1);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     client.inbox.push(&first);
     let answer = client.answer();
     assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(1 << 20));
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
-    assert_eq!(figure(harness.admin, "responses.look.ok"), 2);
+    assert_eq!(metric(harness.admin, "responses.look.ok"), 2);
     harness.end();
 }
 
@@ -81,14 +81,14 @@
 fn a_long_value_that_breaks_ends_the_connection() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("torn"));
+    client.ask(&read("truncated"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     let mut rest = Vec::new();
     let _ = client.socket.read_to_end(&mut rest);
     assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than the half");
-    assert_eq!(figure(harness.admin, "responses.look.errors"), 1);
+    assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
     harness.end();
 }
 
@@ -121,10 +121,10 @@
     let (mut first, mut second) = (harness.client(), harness.client());
     let text = read("held");
     first.ask(&text);
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     second.ask(&text);
     assert_eq!(second.code(), "08P01");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().len(), 4);
     second.ask(&text);
     assert_eq!(second.answer().len(), 4, "it is free again");
@@ -137,7 +137,7 @@
 fn only_whole_answers_to_the_request_are_served() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    client.ask(&read("first-spoilt"));
+    client.ask(&read("first-malformed"));
     assert_eq!(client.answer().len(), 4);
     for _ in 0..6 {
         client.ask(&read("doubled"));
@@ -165,9 +165,9 @@
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("silent"));
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     drop(client);
-    assert_eq!(harness.heard.recv().expect("the host sees the end"), "ended");
+    assert_eq!(harness.host_events.recv().expect("the host sees the end"), "ended");
     harness.end();
 }
 
@@ -177,12 +177,12 @@
     let mut harness = Harness::start(200);
     let (mut busy, mut idle) = (harness.client(), harness.client());
     busy.ask(&read("held"));
-    harness.heard.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is out");
     harness.stop.write_all(&[1]).expect("told");
     assert_eq!(idle.answer().len(), 0, "an idle client is closed in the end");
     assert!(TcpStream::connect(harness.address).is_err(), "the listener is closed");
     assert!(!harness.gateway.is_finished(), "it still owes an answer");
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.gateway.join().expect("it ends by itself");
 }
@@ -192,7 +192,7 @@
 #[test]
 fn clients_that_asked_once_make_room() {
     let harness = Harness::start(80);
-    let mut held: Vec<Talk> = Vec::new();
+    let mut held: Vec<ClientConnection> = Vec::new();
     for _ in 0..21 {
         let mut client = harness.client();
         client.ask(&read("k"));
@@ -211,7 +211,7 @@
 #[test]
 fn idle_clients_make_room_for_new_ones() {
     let harness = Harness::start(50);
-    let mut held: Vec<Talk> = (0..20).map(|_| harness.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..20).map(|_| harness.client()).collect();
     let mut last = held.pop().expect("a client");
     last.ask(&read("k"));
     assert_eq!(last.answer().last().map(|frame| frame.tag), Some(b'Z'));
@@ -282,12 +282,12 @@
     let (mut old, _) = called(&harness.discovery);
     let mut busy = harness.client();
     busy.ask(&read("held"));
-    harness.heard.recv().expect("the attempt is out");
-    harness.retune("");
-    let moved = local();
+    harness.host_events.recv().expect("the attempt is out");
+    harness.reload_config("");
+    let moved = bind_loopback();
     for _ in 0..2 {
         let address = moved.local_addr().expect("bound").to_string();
-        harness.retune(&harness.with("/discovery", Some(json!(address))));
+        harness.reload_config(&harness.config_with("/discovery", Some(json!(address))));
         let (mut call, asked) = called(&moved);
         assert!(asked.starts_with("GET /catalog/members HTTP"), "the whole list, without a wait: {asked}");
         assert_eq!(old.read(&mut [0; 8]).unwrap_or(0), 0, "the old watch is closed");
@@ -297,7 +297,7 @@
         assert!(asked.starts_with("GET /catalog/members?index=9&wait="), "{asked}");
         old = watch;
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.end();
 }
@@ -370,20 +370,20 @@
 #[test]
 fn a_dial_that_nobody_waits_for_any_more_still_ejects() {
     let mut harness = Harness::start(200);
-    let text = harness.with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
-    harness.retune(&text);
-    harness.mood.mute.store(true, Ordering::SeqCst);
+    let text = harness.config_with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
+    harness.reload_config(&text);
+    harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
     let mut client = harness.client();
-    let id = harness::name();
+    let id = harness::next_request_id();
     client.ask(&format!("SELECT doc FROM items WHERE id = 'a' /* id={id},c=look,d=80,cluster=1 */"));
     assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused in time");
     for _ in 0..1_000 {
-        if figure(harness.admin, "pool_ejected") > 0 {
+        if metric(harness.admin, "pool_ejected") > 0 {
             break;
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    assert!(figure(harness.admin, "pool_ejected") > 0, "the module heard of it");
+    assert!(metric(harness.admin, "pool_ejected") > 0, "the module heard of it");
     harness.end();
 }
 
@@ -393,25 +393,25 @@
 fn nothing_is_written_on_a_connection_that_comes_up_after_the_word_of_a_drain() {
     for state in ["Terminating", "Gone"] {
         let harness = Harness::start(200);
-        harness.mood.mute.store(true, Ordering::SeqCst);
+        harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
         let mut client = harness.client();
         client.ask(&write("k").replace("d=30000", "d=2000"));
-        assert_eq!(harness.heard.recv().expect("a dial"), "dialled");
+        assert_eq!(harness.host_events.recv().expect("a dial"), "connected");
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut list: Value =
-            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
+            serde_json::from_str::<Value>(&harness.initial_config).expect("a configuration")["known"].take();
         list["rev"] = json!(9);
         for target in list["targets"].as_array_mut().expect("hosts") {
             target["state"] = json!(state);
         }
         list["all"] = json!(false);
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         // The next call shows that the list was taken.
         let (_watch, _) = harness.discovery.accept().expect("the next call");
-        harness.mood.mute.store(false, Ordering::SeqCst);
+        harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
-        assert!(harness.heard.try_iter().all(|said| said == "dialled"), "a statement was written");
+        assert!(harness.host_events.try_iter().all(|said| said == "connected"), "a statement was written");
         harness.end();
     }
 }
@@ -424,14 +424,14 @@
     for read_first in [0, 1, 4, 5, 4_096, WHOLE / 2, WHOLE] {
         let harness = Harness::start(200);
         // A primary of the test's own, which reads no further than it is told.
-        let slow = local();
+        let slow = bind_loopback();
         let mut list: Value =
-            serde_json::from_str::<Value>(&harness.text).expect("a configuration")["known"].take();
+            serde_json::from_str::<Value>(&harness.initial_config).expect("a configuration")["known"].take();
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         list["rev"] = json!(9);
         list["targets"][0]["endpoint"] = json!(slow.local_addr().expect("bound").to_string());
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         let (mut call, _) = harness.discovery.accept().expect("the next call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut client = harness.client();
@@ -455,7 +455,7 @@
         inbox.push(&begun);
         list["rev"] = json!(10);
         list["targets"][0]["state"] = json!("Terminating");
-        harness::tell(&mut call, &list);
+        harness::answer_discovery(&mut call, &list);
         let (_watch, _) = harness.discovery.accept().expect("the next call shows that the list was taken");
         let query = harness::next_frame(&mut host, &mut inbox).expect("the whole request");
         assert!(query.body.len() > WHOLE);
@@ -483,13 +483,13 @@
 #[test]
 fn a_host_is_told_by_when_a_read_is_too_late() {
     let mut harness = Harness::start(200);
-    let text = harness.with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
-    harness.retune(&text);
+    let text = harness.config_with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
+    harness.reload_config(&text);
     let mut client = harness.client();
     for (text, most) in [(read("a"), 4_100), (write("b"), 30_000)] {
         client.ask(&text);
         assert_eq!(client.answer().last().map(|frame| frame.tag), Some(b'Z'));
-        let heard = harness.heard.recv().expect("a statement");
+        let heard = harness.host_events.recv().expect("a statement");
         let told = heard.split_once(",d=").and_then(|(_, rest)| rest.split(',').next()).expect("a wait");
         let told: u64 = told.parse().expect("a number");
         assert!(told <= most && told * 2 > most, "told {told}");
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -10,9 +10,9 @@
 
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use harness::process::{Process, PAUSE};
-use harness::stage::{answer, call, Host};
-use harness::{figure, listens, listing, local, read, tell, Talk};
+use harness::process::{Process, POLL_INTERVAL};
+use harness::scripted::{accept_discovery_call, answer, Host};
+use harness::{answer_discovery, bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 use serde_json::json;
 
@@ -20,20 +20,20 @@
 /// listens there is not taken for the process, and one that ends for it is started anew.
 #[test]
 fn a_port_that_somebody_else_has_is_not_taken_for_a_process_that_is_up() {
-    let (other, door) = (local(), local());
+    let (other, door) = (bind_loopback(), bind_loopback());
     let (address, admin) = (other.local_addr().expect("bound"), door.local_addr().expect("bound"));
     drop(door);
     let known = listing(&[Host::new().address()]);
     let mut process = Process::spawn_at(address, admin, "taken", 200, address, &known);
     assert!(listens(address), "somebody does");
-    assert!(!process.comes_up(), "{}", process.log());
+    assert!(!process.wait_until_listening(), "{}", process.log());
 }
 
 /// Guards a discovery that is down while idle clients fill all descriptors that clients may have: when it returns the
 /// list is taken in, the host that it names can be dialled, and a new client gets in and is served.
 #[test]
 fn idle_clients_that_fill_the_descriptors_leave_discovery_and_hosts_theirs() {
-    let (old, new, door) = (Host::new(), Host::new(), local());
+    let (old, new, door) = (Host::new(), Host::new(), bind_loopback());
     let place = door.local_addr().expect("bound");
     drop(door);
     let gateway = Process::start("filled", 80, place, listing(&[old.address()]));
@@ -41,19 +41,19 @@
     // More than there are descriptors: some are let in, some wait in the system's queue.
     let idle: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(gateway.address).expect("accepted by the system")).collect();
-    assert!(figure(gateway.admin, "pool_size") == 1, "the door answers beside them");
+    assert!(metric(gateway.admin, "pool_size") == 1, "the door answers beside them");
     let discovery = TcpListener::bind(place).expect("its old address");
-    let (mut watch, _) = call(&discovery);
+    let (mut watch, _) = accept_discovery_call(&discovery);
     let mut list = listing(&[new.address()]);
     (list["rev"], list["targets"][0]["uid"]) = (json!(9), json!("s-new"));
-    tell(&mut watch, &list);
-    let (_watch, asked) = call(&discovery);
+    answer_discovery(&mut watch, &list);
+    let (_watch, asked) = accept_discovery_call(&discovery);
     assert!(asked.contains("index=9&wait="), "{asked}");
     let mut client = gateway.client();
     client.ask(&read("k"));
-    let mut link = new.welcomed();
-    assert!(link.asked().expect("an attempt").contains("'k'"));
-    link.say(&answer("master", None));
+    let mut link = new.accept_ready();
+    assert!(link.next_statement().expect("an attempt").contains("'k'"));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     let log = gateway.log();
     assert!(!log.contains("cannot accept") && !log.contains("no descriptors left for hosts"), "{log}");
@@ -64,7 +64,7 @@
 /// and says nothing on it, answer their first empty query all the same.
 #[test]
 fn processes_that_start_at_once_are_ready_whatever_is_silent() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let silent: Vec<_> = (0..12)
         .map(|index| {
@@ -78,7 +78,7 @@
     let mut gateways: Vec<Process> =
         (0..12).map(|index| Process::spawn(&format!("start{index}"), 200, place, &known)).collect();
     for (index, line) in silent.iter().enumerate() {
-        while !gateways[index].comes_up() {
+        while !gateways[index].wait_until_listening() {
             // It starts once more, in the folder where its line is.
             gateways[index].folder = PathBuf::new();
             gateways[index] = Process::spawn(&format!("start{index}"), 200, place, &known);
@@ -97,7 +97,7 @@
 /// be through with it by another client that is served after it.
 #[test]
 fn a_client_that_is_gone_when_its_request_is_read_begins_no_attempt() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("left", 200, place, listing(&[host.address()]));
     let mut whole = Vec::new();
@@ -116,20 +116,20 @@
         socket.write_all(&hello).expect("written");
         socket.shutdown(Shutdown::Write).expect("a socket");
         while !is_end_acknowledged(&socket) {
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
         gateway.signal(Signal::CONT);
         let _ = socket.read_to_end(&mut Vec::new());
     }
     let mut other = gateway.client();
     other.ask(&read("here"));
-    let mut link = host.welcomed();
-    let asked = link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    let asked = link.next_statement().expect("an attempt");
     assert!(asked.contains("'here'"), "{asked}");
-    link.say(&answer("master", None));
+    link.send(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
     drop(link);
-    assert_eq!(figure(gateway.admin, "responses.look.tries"), 1);
+    assert_eq!(metric(gateway.admin, "responses.look.tries"), 1);
 }
 
 /// Whether the other side's system has the end that this socket has sent, read or not: `FIN_WAIT2` in `/proc/net/tcp`.
@@ -146,14 +146,14 @@
 /// a connection to the host is open already: nothing is written on it.
 #[test]
 fn a_request_with_its_clients_end_behind_it_is_not_written_on_an_open_connection() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("gone", 200, place, listing(&[host.address()]));
     let mut gone = gateway.client();
     gone.ask(&read("before"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
-    link.say(&answer("master", None));
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
+    link.send(&answer("master", None));
     assert_eq!(gone.answer().len(), 4);
     gateway.signal(Signal::STOP);
     gone.ask(&read("gone"));
@@ -162,21 +162,21 @@
     assert_eq!(gone.socket.read(&mut [0; 64]).unwrap_or(0), 0, "it is through with it");
     let mut client = gateway.client();
     client.ask(&read("here"));
-    assert!(link.asked().expect("an attempt").contains("'here'"));
-    link.say(&answer("master", None));
+    assert!(link.next_statement().expect("an attempt").contains("'here'"));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
-    assert_eq!(figure(gateway.admin, "responses.look.tries"), 2);
+    assert_eq!(metric(gateway.admin, "responses.look.tries"), 2);
 }
 
 /// Guards requests that cross the making of room: they lie unread in the sockets of idle clients when a new one comes,
 /// and each of them is answered.
 #[test]
 fn a_request_that_crosses_the_making_of_room_is_served() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let gateway = Process::start("room", 60, place, listing(&[host.address()]));
     // As many as there is room for: 60 less those kept back, less a third of the rest for hosts.
-    let mut held: Vec<Talk> = (0..11).map(|_| gateway.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..11).map(|_| gateway.client()).collect();
     gateway.signal(Signal::STOP);
     let newcomer = TcpStream::connect(gateway.address).expect("accepted by the system");
     for talk in &mut held {
@@ -192,13 +192,13 @@
 /// request owed; the request is answered, and the process ends by itself and in order.
 #[test]
 fn signals_that_come_all_at_once_end_the_process_in_order() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let mut gateway = Process::start("signals", 200, place, listing(&[host.address()]));
     let mut client = gateway.client();
     client.ask(&read("k"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     gateway.signal(Signal::STOP);
     for signal in [Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
         gateway.signal(signal);
@@ -206,11 +206,11 @@
     gateway.signal(Signal::CONT);
     // The listener closes in the end; the answer is still owed then.
     while listens(gateway.address) {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     gateway.signal(Signal::TERM);
     gateway.signal(Signal::HUP);
-    link.say(&answer("master", None));
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4);
     assert_eq!(client.answer().len(), 0);
     assert!(gateway.child.wait().expect("it ends").success());
@@ -220,7 +220,7 @@
 /// has taken nobody.
 #[test]
 fn a_word_to_end_at_the_start_ends_it() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let folder = std::env::temp_dir().join(format!("dunemount-early-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -231,7 +231,7 @@
         if let Ok(line) = handover_socket::HandoverSocket::accept(&before) {
             break line;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     };
     gateway.signal(Signal::TERM);
     gateway.child.wait().expect("it ends");
@@ -243,21 +243,21 @@
 /// far more time, at a host that hangs, has its final answer by then, and so has one whose client reads on until the kill.
 #[test]
 fn whoever_has_more_time_than_the_process_is_answered_before_the_kill() {
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     let mut gateway = Process::start("kill", 200, place, listing(&[host.address()]));
-    let mut clients: Vec<Talk> = (0..2).map(|_| gateway.client()).collect();
+    let mut clients: Vec<ClientConnection> = (0..2).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.ask(&read("k"));
     }
-    let mut links: Vec<_> = clients.iter().map(|_| host.welcomed()).collect();
-    links.iter_mut().for_each(|link| drop(link.asked().expect("an attempt")));
+    let mut links: Vec<_> = clients.iter().map(|_| host.accept_ready()).collect();
+    links.iter_mut().for_each(|link| drop(link.next_statement().expect("an attempt")));
     gateway.signal(Signal::TERM);
     // One more comes right before the listener closes.
     let mut late = gateway.client();
     late.ask(&read("late"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
     clients.push(late);
     std::thread::sleep(Duration::from_millis(3_700));
     let _ = gateway.child.kill();
@@ -273,15 +273,15 @@
 #[test]
 fn a_request_that_waits_to_be_accepted_has_less_time_left() {
     const WAIT: Duration = Duration::from_millis(800);
-    let (host, discovery) = (Host::new(), local());
+    let (host, discovery) = (Host::new(), bind_loopback());
     let place = discovery.local_addr().expect("bound");
     // 60 less those kept back, less a third of the rest for hosts: 11 clients, 5 connections to hosts.
     let gateway = Process::start("queue", 60, place, listing(&[host.address()]));
-    let mut held: Vec<Talk> = (0..11).map(|_| gateway.client()).collect();
+    let mut held: Vec<ClientConnection> = (0..11).map(|_| gateway.client()).collect();
     // A command that has begun keeps its place.
     held.iter_mut().for_each(|talk| talk.socket.write_all(b"Q\0").expect("written"));
-    while figure(gateway.admin, "active") > 0 {
-        std::thread::sleep(PAUSE);
+    while metric(gateway.admin, "active") > 0 {
+        std::thread::sleep(POLL_INTERVAL);
     }
     let mut waiting = TcpStream::connect(gateway.address).expect("accepted by the system");
     let mut bytes = Vec::new();
@@ -291,8 +291,8 @@
     waiting.write_all(&bytes).expect("written");
     std::thread::sleep(WAIT);
     drop(held);
-    let mut link = host.welcomed();
-    let asked = link.asked().expect("an attempt");
+    let mut link = host.accept_ready();
+    let asked = link.next_statement().expect("an attempt");
     let told: u64 = asked
         .split(",d=")
         .nth(1)
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -7,7 +7,7 @@
 
 use dunemount::classes::Classes;
 use dunemount::{Class, ClassId, Consistency, Idempotency, Micros};
-use harness::{figure, read, write, Harness};
+use harness::{metric, read, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -17,20 +17,20 @@
 #[test]
 fn a_broken_file_changes_nothing() {
     let mut harness = Harness::start(200);
-    let full_text = harness.text.clone();
+    let full_text = harness.initial_config.clone();
     let removed: [Option<Value>; 1] = [None];
     let broken: Vec<String> = [
         String::new(),
         full_text[..full_text.len() / 2].to_string(),
         "[]".to_string(),
-        harness.with("/settings", None),
-        harness.with("/listen", None),
-        harness.with("/known", None),
-        harness.with("/limits/memory_mb", None),
-        harness.with("/settings/Permissions/MaxRetryAfterMs", None),
-        harness.with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
-        harness.with("/settings/Classes", Some(json!([]))),
-        harness.with("/discovery", Some(json!("nowhere"))),
+        harness.config_with("/settings", None),
+        harness.config_with("/listen", None),
+        harness.config_with("/known", None),
+        harness.config_with("/limits/memory_mb", None),
+        harness.config_with("/settings/Permissions/MaxRetryAfterMs", None),
+        harness.config_with("/settings/Specifics/NeedsByClass", Some(json!(["loose"]))),
+        harness.config_with("/settings/Classes", Some(json!([]))),
+        harness.config_with("/discovery", Some(json!("nowhere"))),
     ]
     .into_iter()
     .chain(
@@ -44,17 +44,17 @@
                     "/settings/Classes/0/DeadlineMs",
                     "/settings/Classes/1/AimMs",
                 ]
-                .map(|at| harness.with(at, bad.clone()))
+                .map(|at| harness.config_with(at, bad.clone()))
             }),
     )
     .collect();
     let count = broken.len() as u64;
     for text in broken {
         // A class that only the broken file has shows whether a part of it took effect.
-        harness.retune(&text.replace("\"look\"", "\"glance\""));
+        harness.reload_config(&text.replace("\"look\"", "\"glance\""));
     }
-    while figure(harness.admin, "config_rejected") < count {}
-    assert_eq!(figure(harness.admin, "config_applied"), 0);
+    while metric(harness.admin, "config_rejected") < count {}
+    assert_eq!(metric(harness.admin, "config_applied"), 0);
     let mut client = harness.client();
     client.ask(&read("k"));
     assert_eq!(client.answer().len(), 4);
@@ -70,16 +70,16 @@
     let mut harness = Harness::start(200);
     let mut busy = harness.client();
     busy.ask(&read("held"));
-    while !harness.heard.recv().expect("heard").contains("'held'") {}
-    let mut config: Value = serde_json::from_str(&harness.text).expect("json");
+    while !harness.host_events.recv().expect("heard").contains("'held'") {}
+    let mut config: Value = serde_json::from_str(&harness.initial_config).expect("json");
     let classes = &mut config["settings"]["Classes"];
     // The first class is renamed, its old name now stands for a write that is not idempotent, and the second class is
     // removed.
     classes[0]["Name"] = json!("glance");
     classes[1] = json!({"Name": "look", "AimMs": 30000.0, "DeadlineMs": 30000.0, "Value": 1.0,
         "Effect": "non_idempotent"});
-    harness.retune(&config.to_string());
-    while figure(harness.admin, "config_applied") < 1 {}
+    harness.reload_config(&config.to_string());
+    while metric(harness.admin, "config_applied") < 1 {}
     let mut client = harness.client();
     for (text, frames) in [
         (read("k").replace("c=look", "c=glance"), 4),
@@ -91,10 +91,10 @@
         client.ask(&text);
         assert_eq!(client.answer().len(), frames, "{text}");
     }
-    harness.mood.released.store(true, Ordering::SeqCst);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4, "by the settings of the class at its arrival");
     for (name, value) in [("glance.ok", 1), ("look.ok", 2), ("look.tries", 3), ("store.ok", 0)] {
-        assert_eq!(figure(harness.admin, &format!("responses.{name}")), value, "{name}");
+        assert_eq!(metric(harness.admin, &format!("responses.{name}")), value, "{name}");
     }
     harness.end();
 }
--- a/tests/rollout_deployment/mod.rs
+++ b/tests/rollout_deployment/mod.rs
@@ -31,7 +31,7 @@
 
 impl Discovery {
     pub fn start() -> Discovery {
-        let listener = harness::local();
+        let listener = harness::bind_loopback();
         let address = listener.local_addr().expect("bound");
         let discovery = Discovery { address, full_list_requests: Arc::default(), watches: Arc::default() };
         let (full_lists, watches) = (discovery.full_list_requests.clone(), discovery.watches.clone());
@@ -201,7 +201,7 @@
             true => self.dunemount(&["fleet", "control", "--name", &format!("c-{index}")], index),
             false => self.serve(index),
         };
-        self.faults(index).meet(&mut command);
+        self.faults(index).inject(&mut command);
         self.run(index, &mut command);
     }
 
--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -6,9 +6,9 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use harness::process::{Faults, Process, Start, PAUSE};
-use harness::stage::{answer, Host};
-use harness::{figure, listens, listing, local, read, Talk};
+use harness::process::{Faults, Process, ProcessOptions, POLL_INTERVAL};
+use harness::scripted::{answer, Host};
+use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 
 /// Time for which calls fail: a while in the life of a process.
@@ -24,21 +24,21 @@
 const ENOBUFS: i32 = 105;
 
 /// A start whose processes meet faults that the test names, and the discovery that it is told.
-fn start(test: &str) -> (Start, Faults, TcpListener) {
-    let discovery = local();
+fn start(test: &str) -> (ProcessOptions, Faults, TcpListener) {
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start::usual(test, 200, place);
-    let faults = Faults::none_yet(&start.folder());
+    let mut start = ProcessOptions::with_defaults(test, 200, place);
+    let faults = Faults::none(&start.folder());
     start.faults = Some(faults.clone());
     (start, faults, discovery)
 }
 
 /// Serves one request of a client.
-fn serve(client: &mut Talk, host: &Host) {
+fn serve(client: &mut ClientConnection, host: &Host) {
     client.ask(&read("k"));
-    let mut link = host.welcomed();
-    link.asked().expect("an attempt");
-    link.say(&answer("master", None));
+    let mut link = host.accept_ready();
+    link.next_statement().expect("an attempt");
+    link.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4, "served");
 }
 
@@ -63,7 +63,7 @@
         std::thread::sleep(WHILE);
         assert!(process.child.try_wait().expect("its own child").is_none(), "{call} {error}: it has ended");
         faults.set("");
-        assert!(process.comes_up(), "{call} {error}: {}", process.log());
+        assert!(process.wait_until_listening(), "{call} {error}: {}", process.log());
         serve(&mut process.client(), &host);
     }
 }
@@ -74,13 +74,13 @@
     for (call, error) in [("epoll_add", ENOMEM), ("epoll_add", ENOSPC), ("setsockopt", ENOMEM)] {
         let (start, faults, _discovery) = start("short-client");
         let host = Host::new();
-        let process = start.up(&listing(&[host.address()]));
+        let process = start.start(&listing(&[host.address()]));
         // The connection to the host is there already.
         let mut first = process.client();
         first.ask(&read("k"));
-        let mut link = host.welcomed();
-        link.asked().expect("an attempt");
-        link.say(&answer("master", None));
+        let mut link = host.accept_ready();
+        link.next_statement().expect("an attempt");
+        link.send(&answer("master", None));
         assert_eq!(first.answer().len(), 4);
         faults.set(&format!("{call} {error} 1\n"));
         let clients: Vec<_> = (0..3)
@@ -88,7 +88,7 @@
                 std::thread::spawn({
                     let address = process.address;
                     move || {
-                        let mut client = Talk::to(address);
+                        let mut client = ClientConnection::open(address);
                         client.ask("");
                         client.answer().len()
                     }
@@ -117,17 +117,17 @@
     for (call, error) in failing {
         let (start, faults, _discovery) = start("short-dial");
         let hosts = [Host::new(), Host::new()];
-        let process = start.up(&listing(&[hosts[0].address(), hosts[1].address()]));
+        let process = start.start(&listing(&[hosts[0].address(), hosts[1].address()]));
         let mut client = process.client();
         faults.set(&format!("{call} {error} 1\n"));
         for _ in 0..6 {
             client.ask(&format!(
                 "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=40,cluster=1 */",
-                harness::name()
+                harness::next_request_id()
             ));
             assert_eq!(client.code(), "53300", "{call} {error}");
         }
-        assert_eq!(figure(process.admin, "pool_ejected"), 0, "{call} {error}: {}", process.log());
+        assert_eq!(metric(process.admin, "pool_ejected"), 0, "{call} {error}: {}", process.log());
         faults.set("");
     }
 }
@@ -137,11 +137,11 @@
 fn an_end_that_meets_a_shortage_leaves_nobody_in_the_queue() {
     let (start, faults, _discovery) = start("short-end");
     let host = Host::new();
-    let mut process = start.up(&listing(&[host.address()]));
+    let mut process = start.start(&listing(&[host.address()]));
     let mut first = process.client();
     faults.set(&format!("accept4 {ENFILE} 1\n"));
     process.signal(Signal::TERM);
-    let waiting: Vec<Talk> = (0..5).map(|_| process.greeting_unread()).collect();
+    let waiting: Vec<ClientConnection> = (0..5).map(|_| process.greeting_unread()).collect();
     // The listener closes half a second after the word to end: the shortage lasts beyond that.
     std::thread::sleep(Duration::from_millis(520));
     faults.set("");
@@ -160,16 +160,16 @@
 fn a_log_that_cannot_be_written_for_a_while_goes_on() {
     let (start, faults, _discovery) = start("short-log");
     let host = Host::new();
-    let process = start.up(&listing(&[host.address()]));
+    let process = start.start(&listing(&[host.address()]));
     let mut client = process.client();
     serve(&mut client, &host);
     faults.set(&format!("write {ENOSPC} 1 /log\n"));
     // Each reload logs a line.
     let reload = |process: &Process, times: u64| {
-        let before = figure(process.admin, "config_applied");
+        let before = metric(process.admin, "config_applied");
         process.signal(Signal::HUP);
-        while figure(process.admin, "config_applied") < before + times {
-            std::thread::sleep(PAUSE);
+        while metric(process.admin, "config_applied") < before + times {
+            std::thread::sleep(POLL_INTERVAL);
         }
     };
     for _ in 0..3 {
@@ -188,10 +188,10 @@
 fn an_operators_call_that_meets_a_shortage_is_answered_once_it_has_passed() {
     let (start, faults, _discovery) = start("short-admin");
     let host = Host::new();
-    let process = start.up(&listing(&[host.address()]));
+    let process = start.start(&listing(&[host.address()]));
     faults.set(&format!("accept4 {EMFILE} 1\n"));
     let admin = process.admin;
-    let call = std::thread::spawn(move || figure(admin, "pool_size"));
+    let call = std::thread::spawn(move || metric(admin, "pool_size"));
     std::thread::sleep(WHILE);
     faults.set("");
     assert_eq!(call.join().expect("answered"), 1);
@@ -215,14 +215,14 @@
 fn a_signal_whose_wake_up_fails_is_heard() {
     let (start, faults, _discovery) = start("short-signal");
     let host = Host::new();
-    let mut process = start.up(&listing(&[host.address()]));
+    let mut process = start.start(&listing(&[host.address()]));
     let mut client = process.client();
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::HUP);
     std::thread::sleep(WHILE);
     faults.set("");
-    while figure(process.admin, "config_applied") == 0 {
-        std::thread::sleep(PAUSE);
+    while metric(process.admin, "config_applied") == 0 {
+        std::thread::sleep(POLL_INTERVAL);
     }
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::TERM);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 use dunemount::pg::codec::{self, ReceiveBuffer};
-use harness::process::{Faults, Start};
-use harness::stage::{answer, Host, Link};
-use harness::{listing, local, next_frame, settings};
+use harness::process::{Faults, ProcessOptions};
+use harness::scripted::{answer, Host, HostConnection};
+use harness::{bind_loopback, listing, next_frame, settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -126,7 +126,7 @@
             let Ok((socket, _)) = host.listener.accept() else { return };
             let record = record.clone();
             std::thread::spawn(move || {
-                let mut link = Link { socket, inbox: ReceiveBuffer::default() };
+                let mut link = HostConnection { socket, inbox: ReceiveBuffer::default() };
                 let mut bytes = [0; 4096];
                 while matches!(link.inbox.next_startup_packet(), Ok(None)) {
                     match link.socket.read(&mut bytes) {
@@ -146,11 +146,11 @@
     address
 }
 
-fn serve(mut link: Link, record: &Record, primary: bool, dice: &mut Dice) {
-    while let Some(statement) = link.asked() {
+fn serve(mut link: HostConnection, record: &Record, primary: bool, dice: &mut Dice) {
+    while let Some(statement) = link.next_statement() {
         let at = Instant::now();
         if !statement.contains("/*") {
-            let probe = harness::stage::answer_with(b"x1=0", "replica", None);
+            let probe = harness::scripted::answer_with(b"x1=0", "replica", None);
             if link.socket.write_all(&probe).is_err() {
                 return;
             }
@@ -329,9 +329,10 @@
     let crowded = seed % 4 == 3;
     let record = Arc::new(Record::default());
     let hosts: Vec<SocketAddr> = (0..3).map(|index| host(&record, index == 0, seed * 8 + index)).collect();
-    let discovery = local();
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start::usual(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
+    let mut start =
+        ProcessOptions::with_defaults(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
     start.settings = settings();
     for (index, class) in start.settings["Classes"].as_array_mut().expect("classes").iter_mut().enumerate() {
         class["DeadlineMs"] = json!(LONGEST.as_millis() as u64);
@@ -340,9 +341,9 @@
             class["RepeatWindowMs"] = json!(WINDOW.as_millis() as u64);
         }
     }
-    let faults = Faults::none_yet(&start.folder());
+    let faults = Faults::none(&start.folder());
     start.faults = Some(faults.clone());
-    let mut process = start.up(&listing(&hosts));
+    let mut process = start.start(&listing(&hosts));
     if seed % 3 == 1 {
         faults.set(SHORTAGES);
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,8 +15,8 @@
 use dunemount::pg::codec::CancelKey;
 use dunemount::pg::timed_buffer::Arrival;
 use dunemount::{GroupId, Micros, SessionKey};
-use harness::stage::{cancel, with_key};
-use harness::{figure, get, order, read, write, Harness};
+use harness::scripted::{cancel, client_with_key};
+use harness::{get, metric, read, set_host_state, write, Harness};
 
 /// Longest wait for an answer of another thread of the test, also on a busy machine.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(60);
@@ -28,7 +28,7 @@
 
 /// Starts the successor of the process that listens at a path.
 fn start_successor(path: &Path) -> Harness {
-    Harness::beside(
+    Harness::with_handover(
         200,
         Some(path.to_path_buf()),
         Some(handover_socket::take_over(path, HANDOVER_TIMEOUT).expect("handed over")),
@@ -41,12 +41,12 @@
 #[test]
 fn clients_are_handed_over_to_the_successor() {
     let path = socket_path("clients");
-    let mut old = Harness::beside(200, Some(path.clone()), None);
+    let mut old = Harness::with_handover(200, Some(path.clone()), None);
     let (mut idle, mut half, mut busy) = (old.client(), old.client(), old.client());
     idle.ask(&read("k"));
     assert_eq!(idle.answer().len(), 4);
     busy.ask(&read("held"));
-    while !old.heard.recv().expect("heard").contains("'held'") {}
+    while !old.host_events.recv().expect("heard").contains("'held'") {}
     half.socket.write_all(b"Q\0\0").expect("written");
     let new = start_successor(&path);
     assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
@@ -54,18 +54,18 @@
     assert_eq!(idle.answer().len(), 4);
     half.socket.write_all(b"\0\x05\0").expect("written");
     assert_eq!(half.answer().first().map(|frame| frame.tag), Some(b'I'), "the empty query is complete");
-    while figure(new.admin, "responses.look.ok") < 1 {}
+    while metric(new.admin, "responses.look.ok") < 1 {}
     let mut fresh = old.client();
     fresh.ask(&read("k"));
     assert_eq!(fresh.answer().len(), 4);
     old.stop.write_all(&[1]).expect("sent");
     assert!(!old.gateway.is_finished(), "a request is still in flight");
-    old.mood.released.store(true, Ordering::SeqCst);
+    old.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     old.gateway.join().expect("it ends by itself");
     busy.ask(&read("k"));
     assert_eq!(busy.answer().len(), 4, "this client has been handed over as well");
-    assert_eq!(figure(new.admin, "responses.look.ok"), 3);
+    assert_eq!(metric(new.admin, "responses.look.ok"), 3);
     new.end();
 }
 
@@ -74,23 +74,23 @@
 #[test]
 fn a_cancel_reaches_its_request_in_both_processes() {
     let path = socket_path("cancels");
-    let old = Harness::beside(200, Some(path.clone()), None);
-    let (mut client, key) = with_key(&old);
+    let old = Harness::with_handover(200, Some(path.clone()), None);
+    let (mut client, key) = client_with_key(&old);
     client.ask(&read("held"));
-    while !old.heard.recv().expect("heard").contains("'held'") {}
+    while !old.host_events.recv().expect("heard").contains("'held'") {}
     let new = start_successor(&path);
     // The previous process has received the message that the successor accepts clients, and accepts none any more.
     while !get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 ") {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
-    assert_eq!(figure(old.admin, "responses.look.errors"), 1);
+    assert_eq!(metric(old.admin, "responses.look.errors"), 1);
     client.ask(&read("silent"));
-    while !old.heard.recv().expect("heard").contains("'silent'") {}
-    while figure(new.admin, "active") < 1 {}
+    while !old.host_events.recv().expect("heard").contains("'silent'") {}
+    while metric(new.admin, "active") < 1 {}
     cancel(old.address, key);
     assert_eq!(client.code(), "57014");
-    assert_eq!(figure(new.admin, "responses.look.errors"), 1);
-    old.mood.released.store(true, Ordering::SeqCst);
+    assert_eq!(metric(new.admin, "responses.look.errors"), 1);
+    old.host_controls.released.store(true, Ordering::SeqCst);
     old.end();
     new.end();
 }
@@ -101,7 +101,7 @@
 #[test]
 fn a_successor_that_dies_at_any_message_affects_no_client() {
     let path = socket_path("dying");
-    let old = Harness::beside(200, Some(path.clone()), None);
+    let old = Harness::with_handover(200, Some(path.clone()), None);
     let mut client = old.client();
     for message in 0..3 {
         let successor = match message {
@@ -141,23 +141,23 @@
 #[test]
 fn hosts_put_down_are_down_at_both_processes() {
     let path = socket_path("bans");
-    let old = Harness::beside(200, Some(path.clone()), None);
-    assert!(order(old.admin, "down", "s-1"));
+    let old = Harness::with_handover(200, Some(path.clone()), None);
+    assert!(set_host_state(old.admin, "down", "s-1"));
     let new = start_successor(&path);
-    assert_eq!(figure(new.admin, "pool_ejected"), 1);
-    assert!(order(old.admin, "down", "s-2"));
-    while figure(new.admin, "pool_ejected") != 2 {}
+    assert_eq!(metric(new.admin, "pool_ejected"), 1);
+    assert!(set_host_state(old.admin, "down", "s-2"));
+    while metric(new.admin, "pool_ejected") != 2 {}
     old.end();
-    assert!(order(new.admin, "up", "s-1"));
-    assert_eq!((figure(new.admin, "pool_ejected"), figure(new.admin, "pool_size")), (1, 3));
+    assert!(set_host_state(new.admin, "up", "s-1"));
+    assert_eq!((metric(new.admin, "pool_ejected"), metric(new.admin, "pool_size")), (1, 3));
     new.end();
     // There is no process to take over from, and a host that was not put up again stays down.
-    let alone = Harness::beside(200, Some(path.clone()), None);
-    assert_eq!(figure(alone.admin, "pool_ejected"), 1);
-    assert!(order(alone.admin, "up", "s-2"));
+    let alone = Harness::with_handover(200, Some(path.clone()), None);
+    assert_eq!(metric(alone.admin, "pool_ejected"), 1);
+    assert!(set_host_state(alone.admin, "up", "s-2"));
     alone.end();
-    let after = Harness::beside(200, Some(path.clone()), None);
-    assert_eq!(figure(after.admin, "pool_ejected"), 0);
+    let after = Harness::with_handover(200, Some(path.clone()), None);
+    assert_eq!(metric(after.admin, "pool_ejected"), 0);
     after.end();
     std::fs::remove_file(path.with_extension("down")).expect("removed");
 }
@@ -167,7 +167,7 @@
 #[test]
 fn another_successor_takes_over_after_one_has_failed() {
     let path = socket_path("row");
-    let first = Harness::beside(200, Some(path.clone()), None);
+    let first = Harness::with_handover(200, Some(path.clone()), None);
     let failed = handover_socket::take_over(&path, HANDOVER_TIMEOUT).expect("handed over");
     drop(failed);
     let second = start_successor(&path);
@@ -178,7 +178,7 @@
     assert_eq!(client.answer().len(), 4);
     let third = loop {
         match handover_socket::take_over(&path, HANDOVER_TIMEOUT) {
-            Ok(inherited) => break Harness::beside(200, Some(path.clone()), Some(inherited)),
+            Ok(inherited) => break Harness::with_handover(200, Some(path.clone()), Some(inherited)),
             Err(_) => std::thread::yield_now(),
         }
     };
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use harness::process::{Faults, Process, Start, PAUSE};
-use harness::stage::{Host, Link};
-use harness::{listing, local, name, settings};
+use harness::process::{Faults, Process, ProcessOptions, POLL_INTERVAL};
+use harness::scripted::{Host, HostConnection};
+use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
 
 /// How old the data of a bounded read may be.
@@ -38,24 +38,24 @@
         let address = host.address();
         let (lag_ms, served) = (lag_ms.clone(), served.clone());
         std::thread::spawn(move || loop {
-            let link = host.welcomed();
+            let link = host.accept_ready();
             let (lag_ms, served) = (lag_ms.clone(), served.clone());
             std::thread::spawn(move || Family::session(link, index, &lag_ms, &served));
         });
         address
     }
 
-    fn session(mut link: Link, index: usize, lag_ms: &AtomicU64, served: &[AtomicU64; 3]) {
-        while let Some(asked) = link.asked() {
+    fn session(mut link: HostConnection, index: usize, lag_ms: &AtomicU64, served: &[AtomicU64; 3]) {
+        while let Some(asked) = link.next_statement() {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
             let lag = if index == 0 { 0 } else { lag_ms.load(Ordering::SeqCst) };
             let role = if index == 0 { "master" } else { "replica" };
             if asked.starts_with("SHOW") {
                 let report = format!("x0={:.3},x1={}", (now - lag) as f64 / 1000.0, u8::from(index == 0));
-                link.say(&harness::stage::answer_with(report.as_bytes(), role, Some(now - lag)));
+                link.send(&harness::scripted::answer_with(report.as_bytes(), role, Some(now - lag)));
             } else {
                 served[index].fetch_add(1, Ordering::SeqCst);
-                link.say(&harness::stage::answer(role, Some(now - lag)));
+                link.send(&harness::scripted::answer(role, Some(now - lag)));
             }
         }
     }
@@ -75,8 +75,11 @@
 }
 
 /// One bounded read, served.
-fn ask(client: &mut harness::Talk) {
-    client.ask(&format!("SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */", name()));
+fn ask(client: &mut harness::ClientConnection) {
+    client.ask(&format!(
+        "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */",
+        next_request_id()
+    ));
     assert_eq!(client.answer().len(), 4, "served");
 }
 
@@ -85,14 +88,15 @@
     step: i64,
     family: &Family,
     probing: bool,
-) -> (Start, Faults, Process, std::net::TcpListener) {
-    let discovery = local();
+) -> (ProcessOptions, Faults, Process, std::net::TcpListener) {
+    let discovery = bind_loopback();
     let place = discovery.local_addr().expect("bound");
-    let mut start = Start { settings: bounded(probing), ..Start::usual(test, 200, place) };
-    let faults = Faults::none_yet(&start.folder());
+    let mut start =
+        ProcessOptions { settings: bounded(probing), ..ProcessOptions::with_defaults(test, 200, place) };
+    let faults = Faults::none(&start.folder());
     faults.set(&format!("clock {step}\n"));
     start.faults = Some(faults.clone());
-    let process = start.up(&listing(&family.endpoints));
+    let process = start.start(&listing(&family.endpoints));
     (start, faults, process, discovery)
 }
 
@@ -104,7 +108,7 @@
         if family.at_replicas() > before {
             return;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     panic!("no replica has served, {}", process.log());
 }
@@ -120,7 +124,7 @@
             let mut client = process.client();
             for _ in 0..40 {
                 ask(&mut client);
-                std::thread::sleep(5 * PAUSE);
+                std::thread::sleep(5 * POLL_INTERVAL);
             }
             assert_eq!(family.at_replicas(), 0, "off by {step} ms, probes {probing}");
             if probing {
@@ -146,7 +150,7 @@
         let (mut client, before) = (process.client(), family.at_replicas());
         for _ in 0..40 {
             ask(&mut client);
-            std::thread::sleep(5 * PAUSE);
+            std::thread::sleep(5 * POLL_INTERVAL);
         }
         assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
     }
@@ -161,11 +165,11 @@
         let (start, faults, mut old, discovery) = gateway("clock-next", 0, &family, true);
         until_replicas_serve(&old, &family);
         faults.set(&format!("clock {step}\n"));
-        let door = local();
+        let door = bind_loopback();
         let admin = door.local_addr().expect("bound");
         drop(door);
         let mut next = start.spawn_at(old.address, admin, &listing(&family.endpoints));
-        assert!(next.comes_up());
+        assert!(next.wait_until_listening());
         // Its folder is the next one's as well.
         old.folder = std::path::PathBuf::new();
         drop(old);
@@ -175,7 +179,7 @@
         let (mut client, before) = (next.client(), family.at_replicas());
         for _ in 0..40 {
             ask(&mut client);
-            std::thread::sleep(5 * PAUSE);
+            std::thread::sleep(5 * POLL_INTERVAL);
         }
         assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
         drop(discovery);
--- a/tests/wire_to_hosts.rs
+++ b/tests/wire_to_hosts.rs
@@ -12,12 +12,12 @@
 use dunemount::pg::host::HostProtocol;
 use dunemount::pg::statement::Statement;
 use dunemount::Micros;
-use harness::{listing, local, Harness};
+use harness::{bind_loopback, listing, Harness};
 use serde_json::{json, Value};
 
 /// Starts a database host that sends each message to the test as received, and an empty one when a connection ends.
 fn recording_host(received: Sender<Vec<u8>>) -> SocketAddr {
-    let listener = local();
+    let listener = bind_loopback();
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -168,7 +168,7 @@
     assert_eq!(next(), b"");
 
     let (_first_call, _socket) = read_request(&harness.discovery);
-    harness.retune(&harness.with("/settings/Permissions/Probing", Some(json!(true))));
+    harness.reload_config(&harness.config_with("/settings/Permissions/Probing", Some(json!(true))));
     assert_eq!(next(), include_bytes!("fixtures/host-startup-v1.bin"));
     let health_check = next();
     assert_eq!(query_text(&health_check), "SHOW gauges");
@@ -245,10 +245,10 @@
     let watch = include_str!("fixtures/discovery-watch-v1.http");
     let mut call = expect(read_request(&harness.discovery), &watch.replace("index=41", "index=4"));
     let listing: Value = json!({"rev": 41, "all": false, "targets": []});
-    harness::tell(&mut call, &listing);
+    harness::answer_discovery(&mut call, &listing);
     let _watching = expect(read_request(&harness.discovery), watch);
-    let text = harness.text.clone();
-    harness.retune(&text);
+    let text = harness.initial_config.clone();
+    harness.reload_config(&text);
     let poll = include_str!("fixtures/discovery-poll-v1.http");
     expect(read_request(&harness.discovery), poll);
     harness.end();
