--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on loopback sockets, with toy hosts and a toy discovery in threads of the test.
+//! Tests of the whole gateway on loopback sockets, with toy hosts and a toy discovery server in threads of the test.
 
 mod harness;
 
@@ -14,8 +14,8 @@
 use harness::{bind_loopback, listing, metric, read, settings, write, ClientConnection, Harness};
 use serde_json::{json, Value};
 
-/// Guards the ordinary path: readiness, pipelining in order, large values and bytes passed on as they
-/// are, and a statement that reaches the host unchanged but for the time left.
+/// Guards the ordinary path: readiness, answers in order under pipelining, large values and values forwarded byte by
+/// byte, and a statement that reaches the host unchanged except for its remaining time.
 #[test]
 fn requests_are_served_in_order_over_both_protocols() {
     let harness = Harness::start(200);
@@ -30,14 +30,14 @@
         let answer = client.answer();
         assert_eq!(answer.iter().map(|f| f.tag).collect::<Vec<_>>(), b"TDCZ");
         assert_eq!(codec::single_column_value(&answer[1].body).map(<[u8]>::len), Some(length));
-        let heard = harness.host_events.recv().expect("heard");
-        let (before, after) = text.split_once("d=30000").expect("a wait");
-        assert!(heard.starts_with(before) && heard.ends_with(after), "{heard}");
+        let statement = harness.host_events.recv().expect("a statement");
+        let (before, after) = text.split_once("d=30000").expect("a remaining time");
+        assert!(statement.starts_with(before) && statement.ends_with(after), "{statement}");
     }
     harness.end();
 }
 
-/// Guards values far beyond 64 KiB, as some groups hold them: they are no spoilt answers.
+/// Guards values far longer than 64 KiB, as some groups hold them, against being taken for malformed answers.
 #[test]
 fn long_values_are_served() {
     let harness = Harness::start(200);
@@ -51,17 +51,17 @@
     harness.end();
 }
 
-/// Guards long values on their way: the first bytes come while the rest is still awaited, neither the
-/// client's time nor a pause of the host cuts them off, and the whole arrives as it was sent.
+/// Guards the streaming of long values: the client receives the first bytes before the host has sent the rest, neither
+/// the client's deadline nor a pause of the host cuts the value off, and it arrives complete and unchanged.
 #[test]
-fn a_long_value_flows_and_is_not_cut_off() {
+fn a_long_value_is_streamed_and_not_cut_off() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("parted").replace("d=30000", "d=300"));
     let mut first = [0; 1000];
     client.socket.read_exact(&mut first).expect("the first bytes");
     assert_eq!(first[0], b'T');
-    // Beyond the client's time, and beyond the pause at which a short answer counts as spoilt.
+    // Longer than the client's deadline, and than the pause after which a short answer counts as malformed.
     std::thread::sleep(std::time::Duration::from_millis(800));
     assert_eq!(metric(harness.admin, "active"), 1);
     harness.host_controls.released.store(true, Ordering::SeqCst);
@@ -75,10 +75,10 @@
     harness.end();
 }
 
-/// Guards a value that breaks halfway: the client is told by the end of its connection, gets no second
-/// answer, and the request counts as failed.
+/// Guards a long value that the host breaks off halfway: the gateway closes the client's connection, sends no second
+/// answer, and counts the request as failed.
 #[test]
-fn a_long_value_that_breaks_ends_the_connection() {
+fn a_long_value_that_breaks_off_closes_the_connection() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("torn"));
@@ -87,14 +87,14 @@
     harness.host_controls.released.store(true, Ordering::SeqCst);
     let mut rest = Vec::new();
     let _ = client.socket.read_to_end(&mut rest);
-    assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than the half");
+    assert!(rest.len() < 1 << 20 && rest.iter().all(|byte| *byte == 7), "no more than half of the value");
     assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
     harness.end();
 }
 
-/// Guards what a client is told of bad requests; the connection goes on.
+/// Guards the error codes for invalid, refused and failed requests, after which the connection stays usable.
 #[test]
-fn bad_requests_get_an_error_and_the_connection_goes_on() {
+fn bad_requests_get_an_error_and_the_connection_stays_usable() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     for (text, code) in [
@@ -114,27 +114,28 @@
     harness.end();
 }
 
-/// Guards the answer that another client is owed: the id of an open request is not taken twice.
+/// Guards the answer to an open request of another client: a request with the same id is rejected until that one is
+/// answered.
 #[test]
-fn an_id_is_open_once() {
+fn the_id_of_an_open_request_is_rejected() {
     let harness = Harness::start(200);
     let (mut first, mut second) = (harness.client(), harness.client());
     let text = read("held");
     first.ask(&text);
-    harness.host_events.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is in progress");
     second.ask(&text);
     assert_eq!(second.code(), "08P01");
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().len(), 4);
     second.ask(&text);
-    assert_eq!(second.answer().len(), 4, "it is free again");
+    assert_eq!(second.answer().len(), 4, "the id is free again");
     harness.end();
 }
 
-/// Guards clients against spoilt answers and against what comes behind a good one: a second copy must
+/// Guards clients against malformed answers and against unsolicited bytes after a valid answer: a duplicate answer must
 /// not be served for the next request.
 #[test]
-fn only_whole_answers_to_the_request_are_served() {
+fn only_complete_answers_to_the_request_are_served() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("first-spoilt"));
@@ -148,9 +149,9 @@
     harness.end();
 }
 
-/// Guards a request whose connection breaks after its last byte: a read goes to another host.
+/// Guards a request whose connection breaks after its last byte is written: a read is retried at another host.
 #[test]
-fn a_read_outlives_its_connection() {
+fn a_read_is_retried_when_its_connection_breaks() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("first-breaks"));
@@ -158,39 +159,39 @@
     harness.end();
 }
 
-/// Guards against work for nobody and against a leak: a client that leaves in the middle of its
-/// request takes the attempt's connection with it, and the gateway ends with nothing owed.
+/// Guards against useless work and against a leak: when a client disconnects during its request, the gateway closes the
+/// attempt's connection, and it can shut down without an open request.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_ends_its_attempt() {
     let harness = Harness::start(200);
     let mut client = harness.client();
     client.ask(&read("silent"));
-    harness.host_events.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is in progress");
     drop(client);
     assert_eq!(harness.host_events.recv().expect("the host sees the end"), "ended");
     harness.end();
 }
 
-/// Guards the hand-over: the listener closes, what was taken before is answered, then the gateway ends.
+/// Guards the shutdown: the listener closes, requests accepted before are answered, then the gateway ends.
 #[test]
-fn a_signal_lets_go_only_when_nothing_is_owed() {
+fn a_shutdown_waits_until_open_requests_are_answered() {
     let mut harness = Harness::start(200);
     let (mut busy, mut idle) = (harness.client(), harness.client());
     busy.ask(&read("held"));
-    harness.host_events.recv().expect("the attempt is out");
-    harness.stop.write_all(&[1]).expect("told");
-    assert_eq!(idle.answer().len(), 0, "an idle client is closed in the end");
+    harness.host_events.recv().expect("the attempt is in progress");
+    harness.stop.write_all(&[1]).expect("signalled");
+    assert_eq!(idle.answer().len(), 0, "an idle client is closed without an answer");
     assert!(TcpStream::connect(harness.address).is_err(), "the listener is closed");
-    assert!(!harness.gateway.is_finished(), "it still owes an answer");
+    assert!(!harness.gateway.is_finished(), "a request is still open");
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.gateway.join().expect("it ends by itself");
 }
 
-/// Guards clients that wait for a connection against those that asked once and keep theirs: of these a
-/// quarter of the descriptors stays open, and the one idle longest goes first.
+/// Guards clients that wait for a connection against idle ones that sent a request and keep their connections: idle
+/// connections keep a quarter of the descriptors, and the one that has been idle for longest is closed first.
 #[test]
-fn clients_that_asked_once_make_room() {
+fn clients_that_are_idle_after_a_request_make_room() {
     let harness = Harness::start(80);
     let mut held: Vec<ClientConnection> = Vec::new();
     for _ in 0..21 {
@@ -207,7 +208,7 @@
     harness.end();
 }
 
-/// Guards the descriptor budget: with more clients than descriptors the idle ones make room.
+/// Guards the descriptor budget: with more clients than descriptors, idle connections are closed to make room.
 #[test]
 fn idle_clients_make_room_for_new_ones() {
     let harness = Harness::start(50);
@@ -219,33 +220,33 @@
     harness.end();
 }
 
-/// Guards the descriptors against clients that connect and say nothing, or stop in the middle of a
-/// command: each is closed, and a client that asked in time stays.
+/// Guards the descriptors against clients that connect and send nothing, or stop in the middle of a command: each is
+/// closed, and a client that sent its request in time stays connected.
 #[test]
-fn clients_that_owe_a_command_are_closed() {
+fn clients_without_a_complete_command_are_closed() {
     let harness = Harness::start(200);
     let mut good = harness.client();
     let mut silent = TcpStream::connect(harness.address).expect("accepted");
-    let mut mute = harness.client();
-    let mut half = harness.client();
-    half.socket.write_all(b"Q\0\0\0").expect("written");
+    let mut without_command = harness.client();
+    let mut half_command = harness.client();
+    half_command.socket.write_all(b"Q\0\0\0").expect("written");
     good.ask(&read("k"));
     assert_eq!(good.answer().len(), 4);
-    for talk in [&mut mute, &mut half] {
-        let last = talk.answer().pop().expect("a word on it");
+    for client in [&mut without_command, &mut half_command] {
+        let last = client.answer().pop().expect("an error");
         assert_eq!((last.tag, codec::error_field(&last.body, b'C')), (b'E', Some("57014")));
     }
-    let mut said = Vec::new();
-    silent.read_to_end(&mut said).expect("closed in order");
-    assert_eq!(said.first(), Some(&b'E'));
+    let mut received = Vec::new();
+    silent.read_to_end(&mut received).expect("closed without a reset");
+    assert_eq!(received.first(), Some(&b'E'));
     good.ask(&read("k"));
     assert_eq!(good.answer().len(), 4);
     harness.end();
 }
 
-/// Guards against discovery that is silent, cut off or malformed: the last list goes on serving.
+/// Guards against discovery answers that are missing, cut off or malformed: the last list stays in use.
 #[test]
-fn broken_discovery_leaves_the_last_list() {
+fn invalid_discovery_answers_leave_the_last_list_in_use() {
     let harness = Harness::start(200);
     let mut calls = harness.discovery.incoming().flatten();
     let mut bytes = [0; 1024];
@@ -256,9 +257,9 @@
     {
         let mut call = calls.next().expect("a call");
         let count = call.read(&mut bytes).expect("a request");
-        let asked = String::from_utf8_lossy(&bytes[..count]).into_owned();
-        // A watch goes on from what is known; after two failures the whole list is asked for.
-        assert_eq!(asked.starts_with("GET /catalog/members?index=4&wait="), round < 2, "{asked}");
+        let request = String::from_utf8_lossy(&bytes[..count]).into_owned();
+        // A watch continues from the known version; after two failures the full list is requested.
+        assert_eq!(request.starts_with("GET /catalog/members?index=4&wait="), round < 2, "{request}");
         call.write_all(text.as_bytes()).expect("written");
     }
     let mut client = harness.client();
@@ -267,47 +268,47 @@
     harness.end();
 }
 
-/// Guards a new configuration under load: the watch moves to the new address at once and asks for the
-/// whole list there, the old one is let go, and what was taken before is answered. A file that cannot
-/// be used, and a signal without a change, harm nothing.
+/// Guards a reload of the configuration during a request: the watch moves to the new address immediately and requests
+/// the full list there, the old watch is closed, and requests accepted before are answered. An invalid file, and a
+/// reload without a change, have no effect.
 #[test]
 fn a_new_configuration_moves_the_watch_and_keeps_the_requests() {
     let mut harness = Harness::start(200);
     let mut bytes = [0; 1024];
-    let mut called = |from: &TcpListener| {
-        let (mut call, _) = from.accept().expect("a call");
+    let mut accept_call = |discovery: &TcpListener| {
+        let (mut call, _) = discovery.accept().expect("a call");
         let count = call.read(&mut bytes).expect("a request");
         (call, String::from_utf8_lossy(&bytes[..count]).into_owned())
     };
-    let (mut old, _) = called(&harness.discovery);
+    let (mut old_watch, _) = accept_call(&harness.discovery);
     let mut busy = harness.client();
     busy.ask(&read("held"));
-    harness.host_events.recv().expect("the attempt is out");
+    harness.host_events.recv().expect("the attempt is in progress");
     harness.reload_config("");
-    let moved = bind_loopback();
+    let new_discovery = bind_loopback();
     for _ in 0..2 {
-        let address = moved.local_addr().expect("bound").to_string();
+        let address = new_discovery.local_addr().expect("bound").to_string();
         harness.reload_config(&harness.config_with("/discovery", Some(json!(address))));
-        let (mut call, asked) = called(&moved);
-        assert!(asked.starts_with("GET /catalog/members HTTP"), "the whole list, without a wait: {asked}");
-        assert_eq!(old.read(&mut [0; 8]).unwrap_or(0), 0, "the old watch is closed");
+        let (mut call, request) = accept_call(&new_discovery);
+        assert!(request.starts_with("GET /catalog/members HTTP"), "the full list, without a wait: {request}");
+        assert_eq!(old_watch.read(&mut [0; 8]).unwrap_or(0), 0, "the old watch is closed");
         let body = r#"{"rev":9,"all":false,"targets":[]}"#;
         write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).expect("written");
-        let (watch, asked) = called(&moved);
-        assert!(asked.starts_with("GET /catalog/members?index=9&wait="), "{asked}");
-        old = watch;
+        let (watch, request) = accept_call(&new_discovery);
+        assert!(request.starts_with("GET /catalog/members?index=9&wait="), "{request}");
+        old_watch = watch;
     }
     harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(busy.answer().len(), 4);
     harness.end();
 }
 
-/// Guards the reading of discovery's answers however they are cut and framed, and that a line that
-/// cannot be read does not take the others with it.
+/// Guards the parsing of discovery's answers with a content length or in chunks, however they are split, and the valid
+/// entries of a list against an entry that cannot be read.
 #[test]
-fn listings_are_read_in_any_framing() {
+fn endpoint_lists_are_read_in_any_framing() {
     let mut body = listing(&["127.0.0.1:1".parse().expect("an address")]);
-    body["targets"].as_array_mut().expect("lines").push(json!({"uid": 5}));
+    body["targets"].as_array_mut().expect("entries").push(json!({"uid": 5}));
     let body = body.to_string();
     let (half, rest) = body.split_at(body.len() / 2);
     for answer in [
@@ -323,7 +324,7 @@
         for byte in &answer.as_bytes()[..last] {
             assert!(watch.receive(&[*byte], false).expect("no fault so far").is_none());
         }
-        let listing = watch.receive(&answer.as_bytes()[last..], false).expect("read").expect("whole");
+        let listing = watch.receive(&answer.as_bytes()[last..], false).expect("valid").expect("complete");
         let mut directory = Directory::new(Zones::default());
         let (entries, unread) = directory.update(listing, &dunemount::net::clock::Clock::start());
         assert_eq!((entries.len(), unread), (1, 1));
@@ -334,13 +335,13 @@
     assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), Some(AnswerError::TooLong));
     assert_eq!(receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"), Some(AnswerError::Body));
     assert_eq!(receive("HTTP/1.1 200"), Some(AnswerError::Head));
-    assert_eq!(receive(""), None, "an end without a word is no bad answer");
+    assert_eq!(receive(""), None, "a connection that ends without an answer is not an invalid answer");
     let _: EndpointList = serde_json::from_value(listing(&[])).expect("an empty list");
 }
 
-/// Guards the operators: a configuration that cannot be used is named in one line, and the exit tells.
+/// Guards operators' diagnostics: an invalid configuration is reported in one line, with a failure as exit status.
 #[test]
-fn a_bad_configuration_is_one_clear_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let path = std::env::temp_dir().join(format!("dunemount-config-{}.json", std::process::id()));
     let base = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
         "limits": {"sockets": 100}, "known": listing(&[]), "settings": settings()});
@@ -359,16 +360,16 @@
         std::fs::write(&path, &text).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunemount"));
         let output = command.env("GW_CONFIG", &path).output().expect("it starts");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.lines().count() == 1, "{text}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && stderr.lines().count() == 1, "{text}: {stderr}");
     }
     std::fs::remove_file(path).expect("removed");
 }
 
-/// Guards a fleet against a lost zone: a dial that fails after its request has left is told to the module
-/// all the same, and the host leaves the draw.
+/// Guards a fleet against a lost zone: a connection attempt that fails after its request has ended is still reported to
+/// the router, which ejects the host.
 #[test]
-fn a_dial_that_nobody_waits_for_any_more_still_ejects() {
+fn a_connect_that_fails_after_its_request_ended_ejects_the_host() {
     let mut harness = Harness::start(200);
     let text = harness.config_with("/settings/Permissions/ConnectTimeoutMs", Some(json!(300.0)));
     harness.reload_config(&text);
@@ -383,14 +384,14 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    assert!(metric(harness.admin, "pool_ejected") > 0, "the module heard of it");
+    assert!(metric(harness.admin, "pool_ejected") > 0, "the failure is reported to the router");
     harness.end();
 }
 
-/// Guards a drain whose word comes while a connection to that host is coming up: the request that waits for it is
-/// never written there, and its client hears of it.
+/// Guards a drain that is received while a connection to that host is being established: the request that waits for the
+/// connection is never written to it, and its client is answered with a refusal.
 #[test]
-fn nothing_is_written_on_a_connection_that_comes_up_after_the_word_of_a_drain() {
+fn nothing_is_written_on_a_connection_that_is_established_after_a_drain() {
     for state in ["Terminating", "Gone"] {
         let harness = Harness::start(200);
         harness.host_controls.unresponsive.store(true, Ordering::SeqCst);
@@ -407,58 +408,58 @@
         }
         list["all"] = json!(false);
         harness::answer_discovery(&mut call, &list);
-        // The next call shows that the list was taken.
+        // The next call shows that the list was applied.
         let (_watch, _) = harness.discovery.accept().expect("the next call");
         harness.host_controls.unresponsive.store(false, Ordering::SeqCst);
         assert!(matches!(client.code().as_str(), "53300" | "57P03"), "refused: nothing was sent");
-        assert!(harness.host_events.try_iter().all(|said| said == "dialled"), "a statement was written");
+        assert!(harness.host_events.try_iter().all(|event| event == "dialled"), "a statement was written");
         harness.end();
     }
 }
 
-/// Guards a drain whose word comes while a request is being written: what has begun to go out is finished there and
-/// answered, however much of it the host has read by then, and nothing else is written to that host.
+/// Guards a drain that is received while a request is being written: the request is written to its end and answered by
+/// that host, however much of it the host has read by then, and nothing else is written to that host.
 #[test]
-fn a_request_that_is_half_written_when_a_drain_is_told_is_finished() {
-    const WHOLE: usize = 128 << 10;
-    for read_first in [0, 1, 4, 5, 4_096, WHOLE / 2, WHOLE] {
+fn a_request_that_is_partly_written_when_its_host_drains_is_finished() {
+    const VALUE_LENGTH: usize = 128 << 10;
+    for read_first in [0, 1, 4, 5, 4_096, VALUE_LENGTH / 2, VALUE_LENGTH] {
         let harness = Harness::start(200);
-        // A primary of the test's own, which reads no further than it is told.
-        let slow = bind_loopback();
+        // The primary is a listener of the test, which controls how much of the request is read.
+        let primary = bind_loopback();
         let mut list: Value =
             serde_json::from_str::<Value>(&harness.initial_config).expect("a configuration")["known"].take();
         let (mut call, _) = harness.discovery.accept().expect("a call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         list["rev"] = json!(9);
-        list["targets"][0]["endpoint"] = json!(slow.local_addr().expect("bound").to_string());
+        list["targets"][0]["endpoint"] = json!(primary.local_addr().expect("bound").to_string());
         harness::answer_discovery(&mut call, &list);
         let (mut call, _) = harness.discovery.accept().expect("the next call");
         assert!(call.read(&mut [0; 1024]).expect("a request") > 0);
         let mut client = harness.client();
-        let long = write("k").replace("\\x9f", &format!("\\x{}", "9f".repeat(WHOLE / 2)));
-        assert!(long.len() > WHOLE, "the value is long");
+        let long = write("k").replace("\\x9f", &format!("\\x{}", "9f".repeat(VALUE_LENGTH / 2)));
+        assert!(long.len() > VALUE_LENGTH, "the value is long");
         client.ask(&long);
-        let (mut host, _) = slow.accept().expect("a dial");
+        let (mut host, _) = primary.accept().expect("a connection");
         let mut inbox = codec::ReceiveBuffer::default();
         let mut bytes = [0; 4096];
         while inbox.next_startup_packet().expect("a startup").is_none() {
             let count = host.read(&mut bytes).expect("a startup");
             inbox.push(&bytes[..count]);
         }
-        let mut welcome = Vec::new();
-        codec::write_message(&mut welcome, b'R', &[0; 4]);
-        codec::write_ready_for_query(&mut welcome);
-        host.write_all(&welcome).expect("written");
-        // The first byte shows that the request is on its way; the rest as far as this run goes.
-        let mut begun = vec![0; read_first.max(1)];
-        host.read_exact(&mut begun).expect("the request's first bytes");
-        inbox.push(&begun);
+        let mut greeting = Vec::new();
+        codec::write_message(&mut greeting, b'R', &[0; 4]);
+        codec::write_ready_for_query(&mut greeting);
+        host.write_all(&greeting).expect("written");
+        // At least one byte is read, which shows that the gateway has begun to write the request.
+        let mut first_bytes = vec![0; read_first.max(1)];
+        host.read_exact(&mut first_bytes).expect("the request's first bytes");
+        inbox.push(&first_bytes);
         list["rev"] = json!(10);
         list["targets"][0]["state"] = json!("Terminating");
         harness::answer_discovery(&mut call, &list);
-        let (_watch, _) = harness.discovery.accept().expect("the next call shows that the list was taken");
-        let query = harness::next_frame(&mut host, &mut inbox).expect("the whole request");
-        assert!(query.body.len() > WHOLE);
+        let (_watch, _) = harness.discovery.accept().expect("the next call shows that the list was applied");
+        let query = harness::next_frame(&mut host, &mut inbox).expect("the complete request");
+        assert!(query.body.len() > VALUE_LENGTH);
         let mut answer = Vec::new();
         codec::write_message(&mut answer, b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\0\0\0\0\0\0\0\x01");
         codec::write_message(&mut answer, b'D', &[0, 1, 0, 0, 0, 1, 7]);
@@ -466,41 +467,49 @@
         codec::write_parameter_status(&mut answer, "part", "master");
         codec::write_ready_for_query(&mut answer);
         host.write_all(&answer).expect("written");
-        assert_eq!(client.answer().len(), 4, "served by the host that had begun to get it");
-        // Whatever comes now goes elsewhere: this host's connection ends and none is dialled.
+        assert_eq!(client.answer().len(), 4, "served by the host that had received the first bytes");
+        // The gateway sends nothing more to this host: its connection is closed, and no new one is opened.
         host.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a socket");
-        assert_eq!(host.read(&mut bytes).ok(), Some(0), "the connection ends, long before its idle limit");
+        assert_eq!(
+            host.read(&mut bytes).ok(),
+            Some(0),
+            "the connection is closed long before its idle limit"
+        );
         client.ask(&read("any"));
         client.answer();
-        slow.set_nonblocking(true).expect("a listener");
-        assert!(slow.accept().is_err(), "nothing is dialled");
+        primary.set_nonblocking(true).expect("a listener");
+        assert!(primary.accept().is_err(), "no connection is opened");
         harness.end();
     }
 }
 
-/// Guards hosts in an overload: a read is told to be wanted until its aim, after which nobody waits for it,
-/// and not until its client's deadline, so that the host need not run what comes too late.
+/// Guards overloaded hosts against useless work: a read is forwarded with its latency objective as the remaining time
+/// instead of its client's deadline, since nobody waits for the answer after that. The host does not need to run a read
+/// that would be late.
 #[test]
-fn a_host_is_told_by_when_a_read_is_too_late() {
+fn a_read_is_forwarded_with_its_latency_objective_as_remaining_time() {
     let mut harness = Harness::start(200);
     let text = harness.config_with("/settings/Classes/0/AimMs", Some(json!(4000.0)));
     harness.reload_config(&text);
     let mut client = harness.client();
-    for (text, most) in [(read("a"), 4_100), (write("b"), 30_000)] {
+    for (text, max_ms) in [(read("a"), 4_100), (write("b"), 30_000)] {
         client.ask(&text);
         assert_eq!(client.answer().last().map(|frame| frame.tag), Some(b'Z'));
-        let heard = harness.host_events.recv().expect("a statement");
-        let told = heard.split_once(",d=").and_then(|(_, rest)| rest.split(',').next()).expect("a wait");
-        let told: u64 = told.parse().expect("a number");
-        assert!(told <= most && told * 2 > most, "told {told}");
+        let statement = harness.host_events.recv().expect("a statement");
+        let remaining_ms = statement
+            .split_once(",d=")
+            .and_then(|(_, rest)| rest.split(',').next())
+            .expect("a remaining time");
+        let remaining_ms: u64 = remaining_ms.parse().expect("a number");
+        assert!(remaining_ms <= max_ms && remaining_ms * 2 > max_ms, "forwarded with {remaining_ms} ms");
     }
     harness.end();
 }
 
-/// Guards an overbooked discovery: a call that is turned away is repeated for the changes alone, however
-/// often, and never for the whole list, which costs it many times as much.
+/// Guards an overloaded discovery server: a rejected call is retried for changes only, after any number of rejections,
+/// and never for the full list, which costs the server many times as much.
 #[test]
-fn an_overbooked_discovery_is_asked_for_changes_only() {
+fn an_overloaded_discovery_is_asked_for_changes_only() {
     let harness = Harness::start(200);
     for _ in 0..4 {
         let (mut socket, _) = harness.discovery.accept().expect("a call");
@@ -513,89 +522,92 @@
     harness.end();
 }
 
-/// Guards a discovery of fixed capacity against a fleet that starts at once: a hundred gateways, each call
-/// served in turn within 2 s or failed. With a fixed pause most never get through; with the pause of a fleet
-/// all do, soon, and a few gateways repeat at once as ever.
+/// Guards a discovery server of fixed capacity against 100 gateways that start at once; it serves calls in order, each
+/// within 2 s or not at all. With a fixed backoff most gateways are never served. With the backoff of a fleet all are
+/// served soon, and a few gateways still retry after the shortest backoff.
 #[test]
-fn a_fleet_that_starts_at_once_gets_through_to_discovery() {
-    let late = |pause: &dyn Fn(u64, f64) -> u64| {
+fn a_fleet_that_starts_at_once_is_served_by_discovery() {
+    let count_late_calls = |backoff_ms: &dyn Fn(u64, f64) -> u64| {
         let mut draws = (1..).map(|n: u64| (n * 7_919 % 1_009) as f64 / 1_009.0);
         let mut calls: Vec<(u64, u64)> = (0..100).map(|_| (0, 0)).collect();
-        let (mut free, mut late) = (0, 0);
+        let (mut server_free_at, mut late) = (0, 0);
         for _ in 0..20_000 {
             calls.sort_by(|a, b| b.cmp(a));
-            let Some((at, fails)) = calls.pop() else { break };
-            // 40 ms of work for a call, half of it also where it is turned away.
-            free = free.max(at);
-            if free - at < 2_000 {
-                free += 40;
-                late += u64::from(free > 15_000);
+            let Some((at, failures)) = calls.pop() else { break };
+            // A served call takes the server 40 ms, a rejected one half of that.
+            server_free_at = server_free_at.max(at);
+            if server_free_at - at < 2_000 {
+                server_free_at += 40;
+                late += u64::from(server_free_at > 15_000);
             } else {
-                free += 20;
-                calls.push((at + pause(fails + 1, draws.next().expect("a draw")), fails + 1));
+                server_free_at += 20;
+                calls.push((at + backoff_ms(failures + 1, draws.next().expect("a draw")), failures + 1));
             }
         }
         late + calls.len() as u64
     };
-    let longest = discovery::REJECTED_GAP;
-    let fleet = |fails, draw| discovery::backoff(fails, 100, draw, longest).0 / 1_000;
-    assert_eq!(late(&fleet), 0);
-    assert!(late(&|_, _| discovery::MIN_BACKOFF.0 / 1_000) > 20);
+    let max_backoff = discovery::REJECTED_GAP;
+    let fleet_backoff_ms = |failures, draw| discovery::backoff(failures, 100, draw, max_backoff).0 / 1_000;
+    assert_eq!(count_late_calls(&fleet_backoff_ms), 0);
+    assert!(count_late_calls(&|_, _| discovery::MIN_BACKOFF.0 / 1_000) > 20);
     for (gateways, draw) in [(0, 0.9), (1, 0.5), (3, 1.0)] {
-        assert_eq!(discovery::backoff(9, gateways, draw, longest), discovery::MIN_BACKOFF);
+        assert_eq!(discovery::backoff(9, gateways, draw, max_backoff), discovery::MIN_BACKOFF);
     }
 }
 
-/// Guards drains of which discovery has told while calls failed, whatever the fleet's size and the grace: a change
-/// counts as told 6 s after discovery had it and could be reached. Until a call has been turned away it could not. From
-/// there, or from the start of a watch that falls silent, two calls fail one way or another and the third is answered.
-/// A watch that waited for 20 s and pauses of up to 5 s after calls that were turned away broke it. Whether a call that
-/// has had its time stays out is the watch's own word.
+/// Guards drains that discovery publishes while calls fail, for any size of the fleet and any drain grace period: a
+/// change counts as known 6 s after discovery had it and was reachable. Discovery counts as unreachable until the end
+/// of a rejected call. From then, or from the start of a silent watch, two calls fail in any way and the third is
+/// answered. Watches that waited for 20 s, and backoffs of up to 5 s after rejected calls, exceeded the 6 s. `Watch`
+/// itself decides whether a call that has timed out stays open.
 #[test]
-fn a_change_is_heard_within_six_seconds_however_calls_fail() {
-    hear_in_time(Watch::timeout);
+fn a_change_is_known_within_six_seconds_however_calls_fail() {
+    assert_change_known_in_time(Watch::timeout);
 }
 
-/// Guards the same where no call is silent for longer than one behind a refusal may be: it breaks, is cut or is turned
-/// away.
+/// Guards the same where no call lasts longer than one after a rejected call may: it is lost, cut off or rejected.
 #[test]
-fn a_change_is_heard_within_six_seconds_where_calls_break() {
-    hear_in_time(|watch| watch.timeout().min(discovery::REJECTED_TIMEOUT));
+fn a_change_is_known_within_six_seconds_where_calls_break() {
+    assert_change_known_in_time(|watch| watch.timeout().min(discovery::REJECTED_TIMEOUT));
 }
 
-fn hear_in_time(longest: impl Fn(&Watch) -> Micros) {
+/// Simulates every sequence of four failed calls, each lasting a fraction of `max_duration`, and checks the time by
+/// which the call that follows each of them is answered.
+fn assert_change_known_in_time(max_duration: impl Fn(&Watch) -> Micros) {
     use discovery::{ANSWER_TIME, KNOWN_WITHIN, MIN_BACKOFF};
     let second = Micros::millis(1_000);
-    let ways = [CallFailure::Rejected, CallFailure::Lost, CallFailure::Silent];
-    let way = |row: usize, call: u32| ways[row / 3usize.pow(call) % 3];
+    let failure_kinds = [CallFailure::Rejected, CallFailure::Lost, CallFailure::Silent];
+    let planned_failure = |sequence: usize, call: u32| failure_kinds[sequence / 3usize.pow(call) % 3];
     for gateways in [0, 1, 3, 10, 100, 300, 3_000] {
         for grace in [Micros(0), second.scale(0.25), second.scale(2.0)] {
-            for row in 0..81 {
-                for part in [0.0, 0.3, 0.9, 1.0] {
+            for sequence in 0..81 {
+                for fraction in [0.0, 0.3, 0.9, 1.0] {
                     let mut watch = Watch::from_version(Some(4));
-                    // Since when a change may be owed: the start of the call before the one that failed, or the end
-                    // of one that was turned away.
-                    let (mut now, mut owed) = (Micros(0), vec![Micros(0)]);
+                    // Times since which a change may be undelivered: the start of each failed call, of which the
+                    // one before the latest counts, or the end of a rejected call.
+                    let (mut now, mut undelivered_since) = (Micros(0), vec![Micros(0)]);
                     for call in 0..4 {
-                        let (began, mut how, mut spent) = (now, way(row, call), longest(&watch).scale(part));
-                        if how == CallFailure::Silent {
-                            (spent, how) = (watch.timeout(), watch.on_timeout());
+                        let (started_at, mut failure, mut duration) =
+                            (now, planned_failure(sequence, call), max_duration(&watch).scale(fraction));
+                        if failure == CallFailure::Silent {
+                            (duration, failure) = (watch.timeout(), watch.on_timeout());
                         }
-                        now = now + spent;
-                        let backoff = watch.on_call_failed(how, gateways, grace, spent, part);
+                        now = now + duration;
+                        let backoff = watch.on_call_failed(failure, gateways, grace, duration, fraction);
                         now = now + backoff;
-                        match how {
-                            CallFailure::Lost | CallFailure::Silent => owed.push(began),
-                            CallFailure::Rejected => owed = vec![now - backoff],
+                        match failure {
+                            CallFailure::Lost | CallFailure::Silent => undelivered_since.push(started_at),
+                            CallFailure::Rejected => undelivered_since = vec![now - backoff],
                         }
-                        let from = owed[owed.len().saturating_sub(2)];
+                        let changed_at = undelivered_since[undelivered_since.len().saturating_sub(2)];
                         assert!(
-                            now + ANSWER_TIME - from <= KNOWN_WITHIN,
-                            "{gateways}, {grace:?}, {row}, {part}, {call}"
+                            now + ANSWER_TIME - changed_at <= KNOWN_WITHIN,
+                            "{gateways}, {grace:?}, {sequence}, {fraction}, {call}"
                         );
                         assert!(backoff >= MIN_BACKOFF);
-                        // An answer that was lost may have told already: the next call comes within the grace.
-                        let lost = (0..=call).any(|call| way(row, call) != CallFailure::Rejected);
+                        // A lost answer may have announced a drain: the next call starts within its grace period.
+                        let lost =
+                            (0..=call).any(|call| planned_failure(sequence, call) != CallFailure::Rejected);
                         assert!(!lost || backoff <= grace.scale(0.5).max(MIN_BACKOFF));
                     }
                 }
@@ -604,10 +616,10 @@
     }
 }
 
-/// Guards the watch of a discovery that is down for a while: calls that fall silent keep the version, so that its first
-/// word is the change and not an older whole list, and only a silence that lasts asks for the whole list.
+/// Guards the watch of a discovery server that is down for a while: silent calls keep the version, so that its first
+/// answer is the change and not an older full list. Only after many silent calls is the full list requested.
 #[test]
-fn a_silence_keeps_the_version_until_it_lasts() {
+fn silent_calls_keep_the_version_up_to_their_limit() {
     let mut watch = Watch::from_version(Some(4));
     for silent in 1..=discovery::MAX_SILENT_CALLS {
         assert!(watch.next_request("h").starts_with("GET /catalog/members?index=4&wait="), "{silent}");
@@ -615,15 +627,15 @@
         watch.on_call_failed(CallFailure::Silent, 3, Micros::millis(250), watch.timeout(), 0.5);
     }
     assert!(watch.next_request("h").starts_with("GET /catalog/members HTTP"));
-    assert_eq!(watch.on_timeout(), CallFailure::Lost, "a call for the whole list is given up");
-    // A call behind a refusal does not wait either.
+    assert_eq!(watch.on_timeout(), CallFailure::Lost, "a call for the full list is abandoned");
+    // A call after a rejected one is abandoned as well, since it does not wait for changes either.
     let mut watch = Watch::from_version(Some(4));
     watch.on_call_failed(CallFailure::Rejected, 3, Micros::millis(250), Micros(0), 0.5);
     assert_eq!(watch.on_timeout(), CallFailure::Lost);
 }
 
-/// Guards what is known against a late answer of a watch that fell silent: it counts only where it is newer, whichever
-/// way it is cut, and the answer of the call after it is read apart from it.
+/// Guards the known version against a late answer of a silent watch: its list is applied only if it is newer, wherever
+/// the answer is split, and the answer of the next call is parsed separately.
 #[test]
 fn a_late_answer_counts_only_if_it_is_newer() {
     let text = |rev: u64| {
@@ -643,27 +655,28 @@
             match watch.receive_late(&late.as_bytes()[cut..], false) {
                 Ok(Some(listing)) => assert!(newer && listing.rev == 5),
                 Err(bad) => assert!(!newer && bad == AnswerError::NotNewer),
-                Ok(None) => panic!("the answer is whole"),
+                Ok(None) => panic!("the answer is complete"),
             }
             if newer {
                 assert_eq!((watch.version(), watch.failures()), (Some(5), 0));
             } else {
-                let listing = watch.receive(&text(7).as_bytes()[30..], false).expect("read").expect("whole");
+                let listing =
+                    watch.receive(&text(7).as_bytes()[30..], false).expect("valid").expect("complete");
                 assert_eq!((listing.rev, watch.version()), (7, Some(7)));
             }
         }
     }
 }
 
-/// Guards drains that a lost answer may have told of: they are owed until a list has come, however many calls are
-/// turned away meanwhile, and after two that were lost the whole list is asked for.
+/// Guards drains that a lost answer may have announced: until a list is received, backoffs stay within the grace period
+/// of a drain, however many calls are rejected meanwhile. After two lost calls the full list is requested.
 #[test]
-fn what_a_lost_answer_told_is_owed_until_a_list_has_come() {
+fn backoffs_after_a_lost_answer_stay_within_the_drain_grace_until_a_list_is_received() {
     let second = Micros::millis(1_000);
     assert!(discovery::WATCH_WAIT < Watch::from_version(Some(4)).timeout());
     let (grace, mut watch) = (second.scale(2.0), Watch::from_version(Some(4)));
-    for how in [CallFailure::Lost, CallFailure::Rejected, CallFailure::Rejected] {
-        assert_eq!(watch.on_call_failed(how, 300, grace, Micros(0), 1.0), second);
+    for failure in [CallFailure::Lost, CallFailure::Rejected, CallFailure::Rejected] {
+        assert_eq!(watch.on_call_failed(failure, 300, grace, Micros(0), 1.0), second);
     }
     assert_eq!(watch.version(), Some(4));
     watch.on_call_failed(CallFailure::Lost, 300, grace, Micros(0), 1.0);
