--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that may cross, in both orders, over loopback sockets. Each order is forced by what a stand-in
-//! holds back: a byte, an accept, a greeting, an answer. `docs/design/crossings.md` names the owner of each outcome.
+//! Races between pairs of events, in both orders, over loopback sockets. Each order is forced by a scripted peer that
+//! withholds a byte, an accept, a greeting or an answer. `docs/design/crossings.md` names the owner of each outcome.
 
 mod harness;
 
@@ -14,56 +14,59 @@
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
-/// Whether the client's end has reached the gateway's machine: it acknowledges it, whoever reads it.
-fn leave(talk: ClientConnection) {
-    talk.socket.shutdown(Shutdown::Both).expect("a socket");
+/// Disconnects a client. Its FIN reaches the gateway's socket whether or not the gateway reads from it.
+fn disconnect(client: ClientConnection) {
+    client.socket.shutdown(Shutdown::Both).expect("a socket");
 }
 
-/// Guards hosts against work for nobody where the client leaves while its attempt's connection comes up: the greeting and the end are both
-/// there when the gateway looks, and nothing is written.
+/// Guards hosts against useless work where the client disconnects while the connection for its attempt is being
+/// established: the host's greeting and the client's FIN are both there at the next poll, and no statement is written.
 #[test]
-fn a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on() {
+fn a_request_whose_client_disconnects_before_the_greeting_is_not_forwarded() {
     for cores in [1, 2] {
         let host = Host::new();
         let harness = start_gateway(&[&host], cores);
         let mut client = harness.client();
         client.ask(&read("gone"));
         let mut link = host.accept_startup();
-        leave(client);
-        // Another worker has to be told; this one sees for itself, with the greeting in the same turn.
+        disconnect(client);
+        // With one worker, the same poll reports the FIN and the greeting. A second worker must be notified first.
         while cores > 1 && metric(harness.admin, "active") > 0 {}
         link.greet();
         let mut other = harness.client();
         other.ask(&read("here"));
         let mut next = link;
-        let mut asked = next.next_statement();
-        if asked.is_none() {
+        let mut statement = next.next_statement();
+        if statement.is_none() {
             next = host.accept_ready();
-            asked = next.next_statement();
+            statement = next.next_statement();
         }
-        assert!(asked.as_ref().is_some_and(|text| text.contains("'here'")), "{asked:?}, {cores} cores");
+        assert!(
+            statement.as_ref().is_some_and(|text| text.contains("'here'")),
+            "{statement:?}, {cores} cores"
+        );
         next.send(&answer("master", None));
         assert_eq!(other.answer().len(), 4);
         harness.end();
     }
 }
 
-/// Guards the same between two attempts, with so many bytes behind the request that they are not read: the first
-/// attempt's connection is reset only once the client has left, and no second attempt follows.
+/// Guards the same between two attempts, where the client's FIN follows more bytes than the gateway reads during a
+/// request: the first attempt ends only because the client has disconnected, and no second attempt follows.
 #[test]
-fn a_client_that_leaves_behind_unread_bytes_is_not_tried_again() {
+fn a_request_whose_client_disconnects_after_unread_bytes_is_not_retried() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     client.ask(&read("gone"));
     let mut link = host.accept_ready();
     assert!(link.next_statement().expect("an attempt").contains("'gone'"));
-    // More than is held, so that the rest is not read; the end lies behind it in the gateway's socket.
+    // More than the gateway buffers: the rest stays unread in its socket, and the FIN behind it.
     let mut flood = Vec::new();
     codec::write_query(&mut flood, &"y".repeat(80_000));
     client.socket.write_all(&flood.repeat(3)).expect("written");
-    leave(client);
-    // The attempt is called off at the sight of the end: the host sees its connection end before it has said a word.
+    disconnect(client);
+    // The gateway cancels the attempt when it detects the FIN: it closes the host's connection before the host answers.
     assert_eq!(link.next_statement(), None);
     let mut other = harness.client();
     other.ask(&read("here"));
@@ -71,7 +74,7 @@
     assert!(next.next_statement().expect("an attempt").contains("'here'"));
     next.send(&answer("master", None));
     assert_eq!(other.answer().len(), 4);
-    // It was the client's end, not that of its time, that ended the request: nobody is told of it.
+    // The client's FIN ended the request, and not its deadline: no error is counted.
     assert_eq!(
         metric(harness.admin, "responses.look.errors") + metric(harness.admin, "responses.look.shed"),
         0
@@ -79,33 +82,34 @@
     harness.end();
 }
 
-/// Guards a cancel: the attempt ends, no other follows, the client hears 57014 once and its connection goes on. One
-/// with a key that fits nobody, and one after the answer, change nothing. Also where client and family have different
-/// workers.
+/// Guards a cancel request: the attempt ends, none follows, the client receives 57014 once and its connection stays
+/// usable. One with an unknown key, one with the key of a client without a request, and one after the answer have no
+/// effect. This also holds where the client and the group belong to different workers.
 #[test]
-fn a_cancel_ends_the_request_that_it_names_and_no_other() {
+fn a_cancel_ends_only_the_request_of_its_key() {
     for cores in [1, 2, 3] {
         let host = Host::new();
         let harness = start_gateway(&[&host], cores);
-        let ((mut client, key), (mut other, second)) = (client_with_key(&harness), client_with_key(&harness));
-        assert_ne!(key, second);
+        let ((mut client, key), (mut other, other_key)) =
+            (client_with_key(&harness), client_with_key(&harness));
+        assert_ne!(key, other_key);
         client.ask(&read("cancelled"));
         let mut link = host.accept_ready();
         assert!(link.next_statement().expect("an attempt").contains("'cancelled'"));
-        for wrong in [CancelKey { secret: !key.secret, ..key }, CancelKey::default(), second] {
+        for wrong in [CancelKey { secret: !key.secret, ..key }, CancelKey::default(), other_key] {
             cancel(harness.address, wrong);
         }
         cancel(harness.address, key);
         assert_eq!(client.code(), "57014", "{cores} cores");
-        assert_eq!(link.next_statement(), None, "the host sees the end of the attempt");
-        // After the answer it names nothing any more: the next request is served.
+        assert_eq!(link.next_statement(), None, "the attempt's connection is closed");
+        // After the answer the key matches no request: the next request is served.
         cancel(harness.address, key);
-        for talk in [&mut client, &mut other] {
-            talk.ask(&read("next"));
+        for connection in [&mut client, &mut other] {
+            connection.ask(&read("next"));
             let mut link = host.accept_ready();
             assert!(link.next_statement().expect("an attempt").contains("'next'"));
             link.send(&answer("master", None));
-            assert_eq!(talk.answer().len(), 4);
+            assert_eq!(connection.answer().len(), 4);
         }
         assert_eq!(metric(harness.admin, "responses.look.errors"), 1);
         assert_eq!(metric(harness.admin, "responses.look.ok"), 2);
@@ -113,10 +117,10 @@
     }
 }
 
-/// Guards a cancel that comes while the request waits for its connection: nothing is written, and a cancel that is cut
-/// off or too long closes its own connection only.
+/// Guards a cancel request that arrives while the request waits for its connection to the host: no statement is
+/// written. A cancel request that is cut off or too long closes only its own connection.
 #[test]
-fn a_cancel_while_the_connection_comes_up_leaves_nothing_to_write() {
+fn a_cancel_while_the_connection_is_established_leaves_nothing_to_write() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
     let (mut client, key) = client_with_key(&harness);
@@ -126,40 +130,43 @@
         &[0, 0, 0, 8, 4, 210, 22, 46][..],
         &[0, 0, 0, 20, 4, 210, 22, 46, 1, 1, 1, 1, 2, 2, 2, 2, 3, 3, 3, 3],
     ] {
-        let mut bad = TcpStream::connect(harness.address).expect("accepted");
-        bad.write_all(bytes).expect("written");
-        let _ = bad.read_to_end(&mut Vec::new());
+        let mut malformed = TcpStream::connect(harness.address).expect("accepted");
+        malformed.write_all(bytes).expect("written");
+        let _ = malformed.read_to_end(&mut Vec::new());
     }
     cancel(harness.address, key);
     assert_eq!(client.code(), "57014");
     link.greet();
     client.ask(&read("next"));
-    let asked = link.next_statement().or_else(|| host.accept_ready().next_statement()).expect("an attempt");
-    assert!(asked.contains("'next'"), "{asked}");
+    let statement =
+        link.next_statement().or_else(|| host.accept_ready().next_statement()).expect("an attempt");
+    assert!(statement.contains("'next'"), "{statement}");
     drop(link);
     drop(harness);
 }
 
-/// Guards the last answer before a close over unread bytes: the client hears all of it, though it has sent more than
-/// the gateway ever read. A system that resets the connection takes the answer along.
+/// Guards the last answer before the gateway closes a connection with unread bytes: the client receives all of it,
+/// though it has sent more than the gateway read. Closing a socket with unread bytes resets the connection, which
+/// discards the answer.
 #[test]
-fn the_last_answer_arrives_whole_though_the_client_sent_on() {
+fn the_last_answer_arrives_complete_though_the_client_keeps_sending() {
     let host = Host::new();
     let mut harness = start_gateway(&[&host], 1);
-    // A client that holds little and reads late: most of the answer is still with the gateway's system at the close.
+    // A client with a small receive buffer that reads late: at the close, most of the answer is still in the send
+    // buffer of the gateway's socket.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a socket");
     socket.connect(&harness.address.into()).expect("accepted");
     let mut client = ClientConnection { socket: socket.into(), inbox: ReceiveBuffer::default() };
-    let mut hello = Vec::new();
-    codec::write_startup_packet(&mut hello, "app", "shop");
-    client.socket.write_all(&hello).expect("written");
+    let mut startup = Vec::new();
+    codec::write_startup_packet(&mut startup, "app", "shop");
+    client.socket.write_all(&startup).expect("written");
     assert_eq!(client.answer().pop().map(|frame| frame.tag), Some(b'Z'));
     client.ask(&read("large"));
     let mut link = host.accept_ready();
     link.next_statement().expect("an attempt");
-    harness.stop.write_all(&[1]).expect("told");
-    // Once the listener is closed nothing more is read of clients.
+    harness.stop.write_all(&[1]).expect("signalled");
+    // Once the listener is closed, the gateway reads nothing more from clients.
     while listens(harness.address) {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
@@ -181,28 +188,28 @@
     let answer = client.answer();
     assert_eq!(answer.iter().map(|frame| frame.tag).collect::<Vec<_>>(), b"TDCZ");
     assert_eq!(codec::single_column_value(&answer[1].body), Some(&value[..]));
-    // What crossed the close was not taken: the end comes in order, and no attempt was made of it.
+    // The requests sent after the close were not read: the connection ends without a reset, and no attempt was made.
     assert_eq!(client.answer().len(), 0);
     assert!(link.next_statement().is_none_or(|text| !text.contains("too-late")));
 }
 
-/// Guards against a process that serves until it is killed: a client that has its next request always there is
-/// answered what was read before the listener closed, and then let go.
+/// Guards against a shutdown that never completes: a client that sends requests without a pause receives the answers to
+/// those read before the listener closed, and is then disconnected.
 #[test]
-fn a_client_that_keeps_sending_does_not_hold_the_end_up() {
+fn a_client_that_keeps_sending_does_not_delay_the_shutdown() {
     let host = Host::new();
     let mut harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     client.ask(&read("first"));
     let mut link = host.accept_ready();
     link.next_statement().expect("an attempt");
-    harness.stop.write_all(&[1]).expect("told");
-    harness.stop.write_all(&[1]).expect("twice");
+    harness.stop.write_all(&[1]).expect("signalled");
+    harness.stop.write_all(&[1]).expect("signalled again");
     while listens(harness.address) {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     let mut sender = client.socket.try_clone().expect("a socket");
-    let more = std::thread::spawn(move || {
+    let sending = std::thread::spawn(move || {
         let mut bytes = Vec::new();
         codec::write_query(
             &mut bytes,
@@ -213,20 +220,20 @@
     link.send(&answer("master", None));
     harness.gateway.join().expect("it ends by itself");
     assert_eq!(client.answer().len(), 4);
-    more.join().expect("its connection has ended");
+    sending.join().expect("its connection has ended");
 }
 
-/// Guards a clerk against a write that was answered into silence: the host has committed, its answer never arrives,
-/// and the session's next read goes to the primary, not to a replica that is behind.
+/// Guards a session's own writes where the answer to a write is lost: the host has committed, its answer never arrives,
+/// and the session's next read goes to the primary, not to a replica that may lag.
 #[test]
-fn a_session_whose_writes_answer_is_reset_reads_at_the_primary() {
+fn a_session_reads_at_the_primary_after_the_answer_to_its_write_is_lost() {
     let (primary, replica) = (Host::new(), Host::new());
     let harness = start_gateway(&[&primary, &replica], 1);
     let mut client = harness.client();
     client.ask(&write("clerk").replace("c=store", "c=once"));
     let mut link = primary.accept_ready();
     link.next_statement().expect("the write");
-    // It has committed; the answer is lost with the connection.
+    // The host has committed; the answer is lost with the connection.
     link.reset();
     assert_eq!(client.code(), "58000");
     client.ask(&read("clerk").replace("c=look", "c=own"));
@@ -237,14 +244,14 @@
     harness.end();
 }
 
-/// Guards answers that break off at each byte, by an end and by a reset: what is not whole is not served, the client
-/// gets one answer, from the second attempt.
+/// Guards against serving an incomplete answer, whose connection is closed or reset after any of its bytes: the client
+/// receives one answer, that of the second attempt.
 #[test]
 fn an_answer_that_breaks_off_at_any_byte_is_not_served() {
-    let whole = answer("master", None);
-    // The last word on the request is CommandComplete: what comes behind it says nothing of the answer.
-    let told = whole.len() - 6 - (5 + "part\0master\0".len());
-    let cuts: Vec<(usize, bool)> = (0..told).flat_map(|at| [(at, false), (at, true)]).collect();
+    let complete = answer("master", None);
+    // CommandComplete ends the answer: the ParameterStatus and ReadyForQuery after it do not matter.
+    let complete_at = complete.len() - 6 - (5 + "part\0master\0".len());
+    let cuts: Vec<(usize, bool)> = (0..complete_at).flat_map(|at| [(at, false), (at, true)]).collect();
     let break_off = |at: usize, reset: bool| {
         let (primary, replica) = (Host::new(), Host::new());
         let harness = start_gateway(&[&primary, &replica], 1);
@@ -252,48 +259,48 @@
         client.ask(&read("broken"));
         let mut link = replica.accept_ready();
         link.next_statement().expect("an attempt");
-        link.send(&whole[..at]);
+        link.send(&complete[..at]);
         match reset {
             true => link.reset(),
             false => drop(link),
         }
         let mut link = primary.accept_ready();
         link.next_statement().expect("a second attempt");
-        link.send(&whole);
+        link.send(&complete);
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at} {reset}");
         assert_eq!(metric(harness.admin, "responses.look.ok"), 1);
         harness.end();
     };
-    // A gateway each, and some side by side: each takes its time to hand over at its end.
+    // Each case has its own gateway. They run in parallel, since each shutdown takes a while.
     std::thread::scope(|scope| {
-        for few in cuts.chunks(cuts.len().div_ceil(24)) {
-            scope.spawn(|| few.iter().for_each(|(at, reset)| break_off(*at, *reset)));
+        for chunk in cuts.chunks(cuts.len().div_ceil(24)) {
+            scope.spawn(|| chunk.iter().for_each(|(at, reset)| break_off(*at, *reset)));
         }
     });
 }
 
-/// A list of these hosts in which the second one drains.
-fn draining(hosts: &[SocketAddr], rev: u64) -> Value {
+/// An endpoint list of these hosts in which the second one is draining.
+fn list_with_draining_host(hosts: &[SocketAddr], rev: u64) -> Value {
     let mut list = listing(hosts);
     list["rev"] = json!(rev);
     list["targets"][1]["state"] = json!("Terminating");
     list
 }
 
-/// Guards drains that come right behind a watch that fails, whichever way: silent until it is given up, reset, cut off
-/// within its answer, an answer without a length that is reset, turned away, or answered only once it was given up.
-/// The next call hears of the drain, and nothing is sent there after it.
+/// Guards drains that are published right after a watch fails in any way: it is silent until it times out, reset, cut
+/// off within its answer, reset within an answer without a length, rejected, or answered only after its timeout. The
+/// next call returns the drain, and nothing is sent to that host afterwards.
 #[test]
-fn a_drain_right_behind_a_watch_that_fails_is_heard() {
+fn a_drain_right_after_a_failed_watch_is_received() {
     let body = |list: &Value| format!("HTTP/1.1 200 OK\r\n\r\n{list}");
-    for way in ["silent", "late", "reset", "cut", "unsaid", "refused"] {
+    for failure in ["silent", "late", "reset", "cut off", "without a length", "rejected"] {
         let (primary, replica) = (Host::new(), Host::new());
         let harness = start_gateway(&[&primary, &replica], 1);
-        let list = draining(&[primary.address(), replica.address()], 9);
-        let (mut watch, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=4&wait="), "{asked}");
-        match way {
+        let list = list_with_draining_host(&[primary.address(), replica.address()], 9);
+        let (mut watch, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=4&wait="), "{request}");
+        match failure {
             "silent" | "late" => {}
             "reset" => {
                 HostConnection {
@@ -302,10 +309,10 @@
                 }
                 .reset();
             }
-            "cut" => watch
+            "cut off" => watch
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":9,")
                 .expect("written"),
-            "unsaid" => {
+            "without a length" => {
                 let text = body(&list);
                 watch.write_all(&text.as_bytes()[..text.len() - 1]).expect("written");
                 HostConnection {
@@ -316,117 +323,118 @@
             }
             _ => watch.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("written"),
         }
-        let kept = ["silent", "late"].contains(&way).then(|| watch.try_clone().expect("a socket"));
+        let open_watch = ["silent", "late"].contains(&failure).then(|| watch.try_clone().expect("a socket"));
         drop(watch);
-        let (mut next, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.starts_with("GET /catalog/members"), "{way}: {asked}");
-        if let Some(mut late) = kept.filter(|_| way == "late") {
-            // An answer to the call that was given up, with an older list, is nobody's.
+        let (mut next, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.starts_with("GET /catalog/members"), "{failure}: {request}");
+        if let Some(mut late) = open_watch.filter(|_| failure == "late") {
+            // An answer to the call that timed out, with an older list, is ignored.
             let _ = late.write_all(body(&listing(&[primary.address(), replica.address()])).as_bytes());
         }
         answer_discovery(&mut next, &list);
-        // The call after it goes on from there: the list has been taken in.
-        let (_watch, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=9&wait="), "{way}: {asked}");
+        // The next call continues from the new version: the list has been applied.
+        let (_watch, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=9&wait="), "{failure}: {request}");
         let mut client = harness.client();
         client.ask(&read("k"));
         let mut link = primary.accept_ready();
-        assert!(link.next_statement().expect("an attempt").contains("'k'"), "{way}");
+        assert!(link.next_statement().expect("an attempt").contains("'k'"), "{failure}");
         link.send(&answer("master", None));
-        assert_eq!(client.answer().len(), 4, "{way}");
+        assert_eq!(client.answer().len(), 4, "{failure}");
         replica.listener.set_nonblocking(true).expect("a socket");
-        assert!(replica.listener.accept().is_err(), "{way}: nothing goes to the host that drains");
+        assert!(replica.listener.accept().is_err(), "{failure}: nothing is sent to the draining host");
         harness.end();
     }
 }
 
-/// Guards the watch while calls are silent, as of a discovery that is down: the next call goes out beside the silent one,
-/// with the version kept, and two are out at most. News on either counts and ends the other; a late word without news
-/// is nobody's and leaves the call after it in place.
+/// Guards the watch while calls are silent, as when discovery is down: the next call is made from the same version
+/// while the silent one stays open, and at most two are open. A newer list on either is applied and closes the other.
+/// A late answer without a newer list is ignored, and the next call stays open.
 #[test]
-fn a_silent_watch_stays_out_beside_the_next_call() {
-    let ended = |socket: &mut TcpStream| matches!(socket.read(&mut [0; 8]), Ok(0) | Err(_));
-    let open = |socket: &TcpStream| {
+fn a_silent_watch_stays_open_beside_the_next_call() {
+    let is_closed = |socket: &mut TcpStream| matches!(socket.read(&mut [0; 8]), Ok(0) | Err(_));
+    let is_open = |socket: &TcpStream| {
         socket.set_nonblocking(true).expect("a socket");
-        let open = socket.peek(&mut [0; 8]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+        let would_block = socket.peek(&mut [0; 8]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
         socket.set_nonblocking(false).expect("a socket");
-        open
+        would_block
     };
-    for first in ["the silent one", "the next", "the silent one without news"] {
+    for answered in ["the silent call", "the next call", "the silent call, with an old list"] {
         let host = Host::new();
         let harness = start_gateway(&[&host], 1);
-        let (mut oldest, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=4&wait="), "{asked}");
-        let (mut silent, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=4&wait="), "{asked}");
-        assert!(open(&oldest), "the silent watch stays out");
-        let (mut next, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=4&wait="), "{asked}");
-        assert!(ended(&mut oldest), "two are out at most");
-        assert!(open(&silent));
+        let (mut oldest, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=4&wait="), "{request}");
+        let (mut silent, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=4&wait="), "{request}");
+        assert!(is_open(&oldest), "the silent watch stays open");
+        let (mut next, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=4&wait="), "{request}");
+        assert!(is_closed(&mut oldest), "at most two calls are open");
+        assert!(is_open(&silent));
         let mut list = listing(&[host.address()]);
         list["rev"] = json!(9);
-        let left = match first {
-            "the silent one" => {
+        let unneeded = match answered {
+            "the silent call" => {
                 answer_discovery(&mut silent, &list);
                 &mut next
             }
-            "the next" => {
+            "the next call" => {
                 answer_discovery(&mut next, &list);
                 &mut silent
             }
             _ => {
                 answer_discovery(&mut silent, &listing(&[host.address()]));
-                assert!(ended(&mut silent), "{first}: of no use any more");
-                assert!(open(&next));
+                assert!(is_closed(&mut silent), "{answered}: it is closed");
+                assert!(is_open(&next));
                 answer_discovery(&mut next, &list);
                 &mut silent
             }
         };
-        let (mut after, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=9&wait="), "{first}: {asked}");
-        assert!(ended(left), "{first}: the other is let go");
-        // What the one that was let go says now is nobody's.
-        let _ = left.write_all(
+        let (mut after, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=9&wait="), "{answered}: {request}");
+        assert!(is_closed(unneeded), "{answered}: the other call is closed");
+        // An answer to the closed call is ignored.
+        let _ = unneeded.write_all(
             b"HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"rev\":20,\"all\":true,\"targets\":[]}",
         );
         list["rev"] = json!(10);
         answer_discovery(&mut after, &list);
-        let (_watch, asked) = accept_discovery_call(&harness.discovery);
-        assert!(asked.contains("index=10&wait="), "{first}: {asked}");
+        let (_watch, request) = accept_discovery_call(&harness.discovery);
+        assert!(request.contains("index=10&wait="), "{answered}: {request}");
         harness.end();
     }
 }
 
-/// Guards requests against an answer that has begun and never ends, in the row or behind it, with its connection open:
-/// the next attempt is served. One whose last word has come is served as it is.
+/// Guards requests against an answer that stops within the row or after it while its connection stays open: the gateway
+/// abandons the attempt and serves the answer of the next one. An answer that stops after CommandComplete is served.
 #[test]
-fn an_answer_that_never_ends_is_broken_off() {
-    let whole = answer("master", None);
-    let told = whole.len() - 6 - (5 + "part\0master\0".len());
-    for (at, second) in [(1, true), (40, true), (told - 1, true), (told, false)] {
+fn an_answer_that_never_ends_is_abandoned() {
+    let complete = answer("master", None);
+    let complete_at = complete.len() - 6 - (5 + "part\0master\0".len());
+    for (at, is_retried) in [(1, true), (40, true), (complete_at - 1, true), (complete_at, false)] {
         let (primary, replica) = (Host::new(), Host::new());
         let harness = start_gateway(&[&primary, &replica], 1);
         let mut client = harness.client();
         client.ask(&read("endless"));
         let mut link = replica.accept_ready();
         link.next_statement().expect("an attempt");
-        link.send(&whole[..at]);
-        if second {
+        link.send(&complete[..at]);
+        if is_retried {
             let mut next = primary.accept_ready();
             next.next_statement().expect("a second attempt");
-            next.send(&whole);
+            next.send(&complete);
         }
         let answer: Vec<u8> = client.answer().iter().map(|frame| frame.tag).collect();
         assert_eq!(answer, b"TDCZ", "{at}");
-        assert_eq!(link.next_statement(), None, "its connection is of no use any more");
+        assert_eq!(link.next_statement(), None, "its connection is closed");
         harness.end();
     }
 }
 
-/// Guards a long answer whose first part is out against a cancel: it can be called off no more, and comes whole.
+/// Guards a long answer whose first bytes have been sent to the client against a cancel request: it can no longer be
+/// cancelled, and arrives complete.
 #[test]
-fn a_cancel_does_not_cut_an_answer_that_flows() {
+fn a_cancel_does_not_cut_off_an_answer_that_is_streamed() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
     let (mut client, key) = client_with_key(&harness);
@@ -446,7 +454,7 @@
     let (half, rest) = out.split_at(100_000);
     link.send(half);
     let mut first = [0; 1000];
-    client.socket.read_exact(&mut first).expect("its first part");
+    client.socket.read_exact(&mut first).expect("its first bytes");
     client.inbox.push(&first);
     cancel(harness.address, key);
     link.send(rest);
@@ -457,26 +465,27 @@
     harness.end();
 }
 
-/// Guards clients against others that flood, that send a byte at a time, and that read nothing: they are served beside
-/// them, the slow one too, and what the floods sent behind their request is held back by the system.
+/// Guards clients against others that flood the gateway without reading, and that send one byte at a time: both the
+/// slow client and a usual one are served meanwhile. The bytes that the flooding clients send after their request are
+/// limited by the flow control of TCP.
 #[test]
-fn floods_and_slow_clients_keep_nobody_from_being_served() {
+fn flooding_and_slow_clients_do_not_block_others() {
     let host = Host::new();
     let harness = start_gateway(&[&host], 1);
-    let mut floods: Vec<ClientConnection> = (0..4).map(|_| harness.client()).collect();
+    let mut flooding_clients: Vec<ClientConnection> = (0..4).map(|_| harness.client()).collect();
     let mut flood = Vec::new();
     codec::write_query(&mut flood, &"y".repeat(64 * 1024));
     let mut held = Vec::new();
-    for talk in &mut floods {
-        talk.ask(&read("flood"));
+    for client in &mut flooding_clients {
+        client.ask(&read("flood"));
         let mut link = host.accept_ready();
         assert!(link.next_statement().expect("an attempt").contains("'flood'"));
         held.push(link);
-        talk.socket.set_nonblocking(true).expect("a socket");
+        client.socket.set_nonblocking(true).expect("a socket");
         let mut sent = 0;
-        while let Ok(count) = talk.socket.write(&flood) {
+        while let Ok(count) = client.socket.write(&flood) {
             sent += count;
-            assert!(sent < 64 * 1024 * 1024, "it is read without end");
+            assert!(sent < 64 * 1024 * 1024, "the gateway reads without a limit");
         }
     }
     let mut slow = harness.client();
@@ -486,16 +495,16 @@
         slow.socket.write_all(&[byte]).expect("written");
     }
     let mut link = host.accept_ready();
-    for (talk, name) in [(&mut slow, "slow"), (&mut harness.client(), "quick")] {
+    for (client, name) in [(&mut slow, "slow"), (&mut harness.client(), "quick")] {
         if name == "quick" {
-            talk.ask(&read(name));
+            client.ask(&read(name));
         }
         assert!(link.next_statement().expect("an attempt").contains(name));
         link.send(&answer("master", None));
-        assert_eq!(talk.answer().len(), 4);
+        assert_eq!(client.answer().len(), 4);
     }
-    assert_eq!(metric(harness.admin, "active"), 4, "the floods' own requests are still out");
-    drop(floods);
+    assert_eq!(metric(harness.admin, "active"), 4, "the flooding clients' own requests are still open");
+    drop(flooding_clients);
     drop(held);
     harness.end();
 }
