--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,9 @@
-//! Runs of a gateway that is its own process, drawn from a seed: clients that use open connections until the process is
-//! killed, at the earliest moment that is allowed; signals in series; hosts that hang, reset, fail and turn away; some runs
-//! crowded. What clients and hosts have seen is judged by the protocol's words.
+//! Randomised runs of a gateway process, each generated from a seed: clients that use open connections until the
+//! process is killed, at the earliest time that is allowed; series of signals; hosts that hang, reset, fail and reject
+//! requests; some runs with many clients for few descriptors. The records of clients and hosts are checked against the
+//! rules of the protocol.
 //!
-//! `SOAK_SEEDS=1..51 cargo test --release --test soak -- --nocapture` plays others than the few that stand here.
+//! `SOAK_SEEDS=1..51 cargo test --release --test soak -- --nocapture` runs other seeds than the few default ones.
 
 mod harness;
 
@@ -24,89 +25,93 @@
 use serde_json::json;
 
 /// The longest deadline of a request.
-const LONGEST: Duration = Duration::from_millis(1_000);
-/// SIGKILL comes this long after the longest deadline from SIGTERM on.
+const MAX_DEADLINE: Duration = Duration::from_millis(1_000);
+/// Time from the longest deadline after SIGTERM to SIGKILL.
 const KILL_AFTER: Duration = Duration::from_millis(700);
-/// How long the clients ask before SIGTERM.
-const TRAFFIC: Range<u64> = 800..2_500;
-/// The protocol's allowances: for the final answer, for the deadline passed on, for an attempt after its client left.
+/// Time for which clients send requests before SIGTERM, in milliseconds.
+const TRAFFIC_MS: Range<u64> = 800..2_500;
+/// Tolerances of the protocol: for the final answer, for the forwarded deadline, and for an attempt after its client
+/// has disconnected.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// For how long a repeat of a keyed write is dropped, and what the gateway and the wire may add.
-const WINDOW: Duration = Duration::from_millis(250);
-const WINDOW_SLACK: Duration = Duration::from_millis(50);
-/// A connection that has been idle for less is not closed for that.
-const IDLE: Duration = Duration::from_millis(1_900);
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// Time in which a repeated write with an idempotency key is dropped, and what the gateway and the network may add.
+const REPEAT_WINDOW: Duration = Duration::from_millis(250);
+const REPEAT_WINDOW_SLACK: Duration = Duration::from_millis(50);
+/// A connection that has been idle for less than this is not closed for being idle.
+const MIN_IDLE: Duration = Duration::from_millis(1_900);
 
-/// Calls of the system that fail now and then in every third run: ports, buffers, memory, descriptors, aborted connections,
-/// hosts that cannot be reached, interruptions, and half of all reads and writes short.
+/// System calls that fail from time to time in every third run: shortages of ports, buffers, memory and descriptors,
+/// aborted connections, unreachable hosts, interruptions, and short transfers in half of all reads and writes.
 const SHORTAGES: &str = "connect 99 7\nconnect 4 5\nconnect 110 23\nconnect 113 29\nsocket 105 11\nepoll_add 12 13\n\
     accept4 103 5\naccept4 105 9\naccept4 23 17\nrecv 4 7\nrecv 105 31\nrecv short 2\nsend 4 7\nsend 105 31\nsend short 2\n";
 
-/// What became of a request, as its client saw it.
+/// Outcome of a request, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum Outcome {
     Answered(Instant),
-    /// Its client closed the connection.
-    Left(Instant),
+    /// The client closed the connection.
+    Disconnected(Instant),
     /// The gateway closed the connection.
     Closed,
-    /// Nothing came in time.
-    Nothing,
+    /// No answer was received in time.
+    TimedOut,
 }
 
+/// A client's record of a request.
 #[derive(Clone, Debug)]
-struct Asked {
+struct RequestRecord {
     class: &'static str,
-    sent: Instant,
-    wait: Duration,
-    end: End,
-    /// The connection had been idle for so long.
+    sent_at: Instant,
+    deadline: Duration,
+    outcome: Outcome,
+    /// How long the connection had been idle before the request.
     idle: Duration,
-    /// Requests of the same connection were still owed.
-    behind: bool,
+    /// An earlier request of the same connection was still open.
+    pipelined: bool,
 }
 
-/// What a host saw of an attempt.
+/// A host's record of an attempt.
 #[derive(Clone, Debug)]
-struct Attempt {
+struct AttemptRecord {
     id: u64,
-    at: Instant,
-    told: Duration,
-    ended: Instant,
+    received_at: Instant,
+    /// The deadline that the gateway has forwarded.
+    deadline: Duration,
+    ended_at: Instant,
     may_have_run: bool,
 }
 
-/// All that a run has seen, and what its threads share.
+/// The records of a run, and the state that its threads share.
 #[derive(Default)]
-struct Record {
-    asked: Mutex<BTreeMap<u64, Asked>>,
-    attempts: Mutex<Vec<Attempt>>,
-    ids: AtomicU64,
-    over: AtomicBool,
-    /// Longest time by which this machine held a thread of the test up, in microseconds.
-    stall: AtomicU64,
+struct RunRecord {
+    requests: Mutex<BTreeMap<u64, RequestRecord>>,
+    attempts: Mutex<Vec<AttemptRecord>>,
+    last_id: AtomicU64,
+    finished: AtomicBool,
+    /// Longest delay of a thread of the test by this machine, in microseconds.
+    stall_us: AtomicU64,
 }
 
-struct Dice(Pcg64Mcg);
+/// The random choices of a thread, which follow from its seed.
+struct RandomChoices(Pcg64Mcg);
 
-impl Dice {
-    fn of(seed: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(seed))
+impl RandomChoices {
+    fn from_seed(seed: u64) -> RandomChoices {
+        RandomChoices(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    fn within(&mut self, range: Range<u64>) -> u64 {
+    fn number_in(&mut self, range: Range<u64>) -> u64 {
         range.start + self.0.next_u64() % (range.end - range.start)
     }
 
-    fn millis(&mut self, range: Range<u64>) -> Duration {
-        Duration::from_millis(self.within(range))
+    fn millis_in(&mut self, range: Range<u64>) -> Duration {
+        Duration::from_millis(self.number_in(range))
     }
 
-    /// True in so many of a hundred.
-    fn in_hundred(&mut self, times: u64) -> bool {
-        self.within(0..100) < times
+    /// Returns true with this probability in percent.
+    fn with_percent(&mut self, percent: u64) -> bool {
+        self.number_in(0..100) < percent
     }
 }
 
@@ -116,8 +121,8 @@
     field.expect("the field")
 }
 
-/// A host that answers, waits, hangs, resets, fails or turns away, as its dice say.
-fn host(record: &Arc<Record>, primary: bool, seed: u64) -> SocketAddr {
+/// Starts a host that answers, delays, hangs, resets, fails or rejects at random.
+fn start_host(record: &Arc<RunRecord>, primary: bool, seed: u64) -> SocketAddr {
     let host = Host::new();
     let address = host.address();
     let record = record.clone();
@@ -138,7 +143,12 @@
                 codec::write_message(&mut greeting, b'R', &[0; 4]);
                 codec::write_ready_for_query(&mut greeting);
                 if link.socket.write_all(&greeting).is_ok() {
-                    serve(link, &record, primary, &mut Dice::of(seed << 32 | serial));
+                    serve_connection(
+                        link,
+                        &record,
+                        primary,
+                        &mut RandomChoices::from_seed(seed << 32 | serial),
+                    );
                 }
             });
         }
@@ -146,21 +156,21 @@
     address
 }
 
-fn serve(mut link: HostConnection, record: &Record, primary: bool, dice: &mut Dice) {
+fn serve_connection(mut link: HostConnection, record: &RunRecord, primary: bool, random: &mut RandomChoices) {
     while let Some(statement) = link.next_statement() {
-        let at = Instant::now();
+        let received_at = Instant::now();
         if !statement.contains("/*") {
-            let probe = harness::scripted::answer_with(b"x1=0", "replica", None);
-            if link.socket.write_all(&probe).is_err() {
+            let load_report = harness::scripted::answer_with(b"x1=0", "replica", None);
+            if link.socket.write_all(&load_report).is_err() {
                 return;
             }
             continue;
         }
         let id = field(&statement, "id").parse().expect("a number");
-        let told = Duration::from_millis(field(&statement, "d").parse().expect("a number"));
+        let deadline = Duration::from_millis(field(&statement, "d").parse().expect("a number"));
         let writes = statement.starts_with("INSERT");
         let role = if primary { "master" } else { "replica" };
-        let draw = dice.within(0..100);
+        let draw = random.number_in(0..100);
         let mut out = Vec::new();
         let mut may_have_run = true;
         let hangs = (80..86).contains(&draw);
@@ -171,12 +181,12 @@
                 codec::write_ready_for_query(&mut out);
                 may_have_run = false;
             }
-            0..70 => std::thread::sleep(dice.millis(0..25)),
-            70..80 => std::thread::sleep(dice.millis(80..500)),
+            0..70 => std::thread::sleep(random.millis_in(0..25)),
+            70..80 => std::thread::sleep(random.millis_in(80..500)),
             80..90 => {}
             90..95 => {
-                // Some fail once a repeat would not be dropped any more.
-                std::thread::sleep(dice.millis(0..700));
+                // Some fail only after the time in which a repeated write would be dropped.
+                std::thread::sleep(random.millis_in(0..700));
                 codec::write_error_response(&mut out, "ERROR", "XX000", "internal", None);
                 codec::write_ready_for_query(&mut out);
             }
@@ -191,12 +201,13 @@
         }
         let breaks = (primary || !writes) && (86..90).contains(&draw);
         if hangs && may_have_run {
-            // Until the gateway gives it up.
+            // Waits until the gateway abandons the attempt.
             let _ = link.socket.read(&mut [0; 64]);
         }
-        let ended = Instant::now();
-        record.attempts.lock().expect("whole").push(Attempt { id, at, told, ended, may_have_run });
-        if breaks && dice.in_hundred(50) {
+        let ended_at = Instant::now();
+        let attempt = AttemptRecord { id, received_at, deadline, ended_at, may_have_run };
+        record.attempts.lock().expect("not poisoned").push(attempt);
+        if breaks && random.with_percent(50) {
             let _ = link.socket.write_all(&out[..out.len() / 2]);
         }
         if hangs && may_have_run || breaks || link.socket.write_all(&out).is_err() {
@@ -205,40 +216,45 @@
     }
 }
 
-/// A client: one connection after the other, requests one after the other, some in twos, some left early.
-fn client(record: &Record, gateway: SocketAddr, dice: &mut Dice) {
-    while !record.over.load(Ordering::SeqCst) {
+/// Runs a client: one connection after the other, with requests one after the other, some pipelined in pairs, some
+/// abandoned by an early disconnect.
+fn run_client(record: &RunRecord, gateway: SocketAddr, random: &mut RandomChoices) {
+    while !record.finished.load(Ordering::SeqCst) {
         let Ok(mut socket) = TcpStream::connect(gateway) else {
             std::thread::sleep(Duration::from_millis(3));
             continue;
         };
-        let mut hello = Vec::new();
-        codec::write_startup_packet(&mut hello, "app", "shop");
+        let mut startup = Vec::new();
+        codec::write_startup_packet(&mut startup, "app", "shop");
         socket.set_nodelay(true).expect("a socket");
         socket.set_read_timeout(Some(Duration::from_secs(3))).expect("a socket");
         let mut inbox = ReceiveBuffer::default();
-        let mut used = Instant::now();
-        // Some write their first query straight after the startup.
-        if dice.in_hundred(40) {
-            if !ask(record, &mut socket, &mut inbox, dice, used, hello) {
+        let mut last_used = Instant::now();
+        // Some clients send their first query together with the startup packet.
+        if random.with_percent(40) {
+            if !ask(record, &mut socket, &mut inbox, random, last_used, startup) {
                 continue;
             }
-        } else if socket.write_all(&hello).is_err() || last_tag(&mut socket, &mut inbox) != Some(b'Z') {
+        } else if socket.write_all(&startup).is_err()
+            || read_until_ready(&mut socket, &mut inbox) != Some(b'Z')
+        {
             continue;
         }
-        while !record.over.load(Ordering::SeqCst) {
-            if !ask(record, &mut socket, &mut inbox, dice, used, Vec::new()) {
+        while !record.finished.load(Ordering::SeqCst) {
+            if !ask(record, &mut socket, &mut inbox, random, last_used, Vec::new()) {
                 break;
             }
-            used = Instant::now();
-            let rest = if dice.in_hundred(5) { dice.millis(100..400) } else { dice.millis(0..15) };
-            std::thread::sleep(rest);
+            last_used = Instant::now();
+            let pause =
+                if random.with_percent(5) { random.millis_in(100..400) } else { random.millis_in(0..15) };
+            std::thread::sleep(pause);
         }
     }
 }
 
-/// The tag of the last message before the next request may be sent; none at the connection's end.
-fn last_tag(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> Option<u8> {
+/// Reads up to the message after which the next request may be sent, and returns its tag; `None` at the end of the
+/// connection.
+fn read_until_ready(socket: &mut TcpStream, inbox: &mut ReceiveBuffer) -> Option<u8> {
     loop {
         let frame = next_frame(socket, inbox)?;
         if frame.tag == b'Z' {
@@ -247,110 +263,120 @@
     }
 }
 
-/// Asks one request or two at once, behind these bytes, and records what became of them. False if the connection is of no more use.
+/// Sends one request, or two pipelined ones, after these bytes and records their outcomes. Returns false if the
+/// connection cannot be used any more.
 fn ask(
-    record: &Record,
+    record: &RunRecord,
     socket: &mut TcpStream,
     inbox: &mut ReceiveBuffer,
-    dice: &mut Dice,
-    used: Instant,
+    random: &mut RandomChoices,
+    last_used: Instant,
     mut bytes: Vec<u8>,
 ) -> bool {
-    let count = if dice.in_hundred(10) { 2 } else { 1 };
+    let count = if random.with_percent(10) { 2 } else { 1 };
     let mut greeted = bytes.is_empty();
-    let mut ids = Vec::new();
+    let mut requests = Vec::new();
     for index in 0..count {
-        let id = record.ids.fetch_add(1, Ordering::SeqCst) + 1;
-        let wait = dice.within(120..LONGEST.as_millis() as u64 + 1);
-        let class = ["look", "look", "own", "store", "once"][dice.within(0..5) as usize];
-        let comment = format!("/* id={id},c={class},d={wait},cluster=1 */");
+        let id = record.last_id.fetch_add(1, Ordering::SeqCst) + 1;
+        let deadline_ms = random.number_in(120..MAX_DEADLINE.as_millis() as u64 + 1);
+        let class = ["look", "look", "own", "store", "once"][random.number_in(0..5) as usize];
+        let comment = format!("/* id={id},c={class},d={deadline_ms},cluster=1 */");
         let text = match class {
-            "store" => format!("INSERT INTO items (id, doc) VALUES ('s{id}', '\\x9f') RETURNING doc /* id={id},c=store,d={wait},k={id},cluster=1 */"),
+            "store" => format!("INSERT INTO items (id, doc) VALUES ('s{id}', '\\x9f') RETURNING doc /* id={id},c=store,d={deadline_ms},k={id},cluster=1 */"),
             "once" => format!("INSERT INTO items (id, doc) VALUES ('s{id}', '\\x9f') RETURNING doc {comment}"),
             _ => format!("SELECT doc FROM items WHERE id = 's{id}' {comment}"),
         };
         codec::write_query(&mut bytes, &text);
-        ids.push((id, class, Duration::from_millis(wait), index > 0));
+        requests.push((id, class, Duration::from_millis(deadline_ms), index > 0));
     }
-    let (sent, idle) = (Instant::now(), used.elapsed());
+    let (sent_at, idle) = (Instant::now(), last_used.elapsed());
     if socket.write_all(&bytes).is_err() {
         return false;
     }
-    let leaves = dice.in_hundred(6);
-    for (id, class, wait, behind) in ids {
-        let slack = Duration::from_micros(record.stall.load(Ordering::SeqCst)) + Duration::from_millis(250);
-        let until = sent + wait + ANSWER_SLACK + slack;
-        let end = if leaves {
-            std::thread::sleep(dice.millis(0..60));
+    let disconnects = random.with_percent(6);
+    for (id, class, deadline, pipelined) in requests {
+        let slack =
+            Duration::from_micros(record.stall_us.load(Ordering::SeqCst)) + Duration::from_millis(250);
+        let until = sent_at + deadline + ANSWER_SLACK + slack;
+        let outcome = if disconnects {
+            std::thread::sleep(random.millis_in(0..60));
             let _ = socket.shutdown(std::net::Shutdown::Both);
-            End::Left(Instant::now())
+            Outcome::Disconnected(Instant::now())
         } else {
-            let greeting = if greeted { End::Answered(sent) } else { await_answer(socket, inbox, until) };
+            let greeting =
+                if greeted { Outcome::Answered(sent_at) } else { await_answer(socket, inbox, until) };
             greeted = true;
             match greeting {
-                End::Answered(_) => await_answer(socket, inbox, until),
+                Outcome::Answered(_) => await_answer(socket, inbox, until),
                 other => other,
             }
         };
-        let asked = Asked { class, sent, wait, end, idle, behind };
-        record.asked.lock().expect("whole").insert(id, asked);
-        if !matches!(end, End::Answered(_)) && !leaves {
+        let request = RequestRecord { class, sent_at, deadline, outcome, idle, pipelined };
+        record.requests.lock().expect("not poisoned").insert(id, request);
+        if !matches!(outcome, Outcome::Answered(_)) && !disconnects {
             return false;
         }
     }
-    !leaves
+    !disconnects
 }
 
-fn await_answer(socket: &mut TcpStream, inbox: &mut ReceiveBuffer, until: Instant) -> End {
+fn await_answer(socket: &mut TcpStream, inbox: &mut ReceiveBuffer, until: Instant) -> Outcome {
     let mut bytes = [0; 4096];
     loop {
         while let Some(frame) = inbox.next_message_within(|_| usize::MAX).expect("well framed") {
             if frame.tag == b'Z' {
-                return End::Answered(Instant::now());
+                return Outcome::Answered(Instant::now());
             }
         }
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return End::Nothing;
+        let time_left = until.saturating_duration_since(Instant::now());
+        if time_left.is_zero() {
+            return Outcome::TimedOut;
         }
-        socket.set_read_timeout(Some(left)).expect("a socket");
+        socket.set_read_timeout(Some(time_left)).expect("a socket");
         match socket.read(&mut bytes) {
             Ok(count) if count > 0 => inbox.push(&bytes[..count]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            _ => return End::Closed,
+            _ => return Outcome::Closed,
         }
     }
 }
 
-/// Plays a run; what was wrong in it, by the protocol's words.
-fn play(seed: u64) -> (usize, Vec<String>) {
-    let mut dice = Dice::of(seed);
+/// Runs the gateway with this seed and returns the number of requests and the violations of the protocol.
+fn run_gateway(seed: u64) -> (usize, Vec<String>) {
+    let mut random = RandomChoices::from_seed(seed);
     let crowded = seed % 4 == 3;
-    let record = Arc::new(Record::default());
-    let hosts: Vec<SocketAddr> = (0..3).map(|index| host(&record, index == 0, seed * 8 + index)).collect();
+    let record = Arc::new(RunRecord::default());
+    let hosts: Vec<SocketAddr> =
+        (0..3).map(|index| start_host(&record, index == 0, seed * 8 + index)).collect();
     let discovery = bind_loopback();
-    let place = discovery.local_addr().expect("bound");
-    let mut start =
-        ProcessOptions::with_defaults(&format!("soak-{seed}"), if crowded { 90 } else { 300 }, place);
-    start.settings = settings();
-    for (index, class) in start.settings["Classes"].as_array_mut().expect("classes").iter_mut().enumerate() {
-        class["DeadlineMs"] = json!(LONGEST.as_millis() as u64);
+    let discovery_address = discovery.local_addr().expect("bound");
+    let mut options = ProcessOptions::with_defaults(
+        &format!("soak-{seed}"),
+        if crowded { 90 } else { 300 },
+        discovery_address,
+    );
+    options.settings = settings();
+    for (index, class) in options.settings["Classes"].as_array_mut().expect("classes").iter_mut().enumerate()
+    {
+        class["DeadlineMs"] = json!(MAX_DEADLINE.as_millis() as u64);
         class["AimMs"] = json!(600.0);
         if index == 1 {
-            class["RepeatWindowMs"] = json!(WINDOW.as_millis() as u64);
+            class["RepeatWindowMs"] = json!(REPEAT_WINDOW.as_millis() as u64);
         }
     }
-    let faults = Faults::none(&start.folder());
-    start.faults = Some(faults.clone());
-    let mut process = start.start(&listing(&hosts));
+    let faults = Faults::none(&options.folder());
+    options.faults = Some(faults.clone());
+    let mut process = options.start(&listing(&hosts));
     if seed % 3 == 1 {
         faults.set(SHORTAGES);
     }
     let clients: Vec<_> = (0..if crowded { 34 } else { 12 })
         .map(|index| {
             let (record, gateway) = (record.clone(), process.address);
-            std::thread::spawn(move || client(&record, gateway, &mut Dice::of(seed << 16 | index)))
+            std::thread::spawn(move || {
+                run_client(&record, gateway, &mut RandomChoices::from_seed(seed << 16 | index))
+            })
         })
         .collect();
     let idle: Vec<TcpStream> =
@@ -358,117 +384,138 @@
     let monitor = {
         let record = record.clone();
         std::thread::spawn(move || {
-            while !record.over.load(Ordering::SeqCst) {
-                let began = Instant::now();
+            while !record.finished.load(Ordering::SeqCst) {
+                let started_at = Instant::now();
                 std::thread::sleep(Duration::from_millis(5));
-                let late = began.elapsed().saturating_sub(Duration::from_millis(5));
-                record.stall.fetch_max(late.as_micros() as u64, Ordering::SeqCst);
+                let delay = started_at.elapsed().saturating_sub(Duration::from_millis(5));
+                record.stall_us.fetch_max(delay.as_micros() as u64, Ordering::SeqCst);
             }
         })
     };
-    let traffic = Instant::now() + dice.millis(TRAFFIC);
-    while Instant::now() < traffic {
-        std::thread::sleep(dice.millis(50..400));
-        if dice.in_hundred(40) {
+    let traffic_end = Instant::now() + random.millis_in(TRAFFIC_MS);
+    while Instant::now() < traffic_end {
+        std::thread::sleep(random.millis_in(50..400));
+        if random.with_percent(40) {
             process.signal(Signal::HUP);
         }
     }
-    let term = Instant::now();
-    for _ in 0..dice.within(1..4) {
+    let terminated_at = Instant::now();
+    for _ in 0..random.number_in(1..4) {
         process.signal(Signal::TERM);
-        if dice.in_hundred(30) {
+        if random.with_percent(30) {
             process.signal(Signal::HUP);
         }
-        std::thread::sleep(dice.millis(0..40));
+        std::thread::sleep(random.millis_in(0..40));
     }
-    let kill = term + LONGEST + KILL_AFTER;
-    while Instant::now() < kill && process.child.try_wait().expect("its own child").is_none() {
+    let kill_at = terminated_at + MAX_DEADLINE + KILL_AFTER;
+    while Instant::now() < kill_at && process.child.try_wait().expect("its own child").is_none() {
         std::thread::sleep(Duration::from_millis(2));
     }
-    let ended = process.child.try_wait().expect("its own child");
-    let after = term.elapsed();
+    let exit_status = process.child.try_wait().expect("its own child");
+    let after = terminated_at.elapsed();
     let _ = process.child.kill();
     let _ = process.child.wait();
-    record.over.store(true, Ordering::SeqCst);
+    record.finished.store(true, Ordering::SeqCst);
     for client in clients {
         client.join().expect("a client that ends");
     }
     monitor.join().expect("it ends");
     drop((idle, discovery));
-    let mut faults = judge(&record, term, crowded);
+    let mut violations = find_violations(&record, terminated_at, crowded);
     let log = process.log();
-    if log.contains("panic") || log.contains("request overdue") || !faults.is_empty() {
-        faults.push(format!("{ended:?} {after:?} after the word to end\n{log}"));
+    if log.contains("panic") || log.contains("request overdue") || !violations.is_empty() {
+        violations.push(format!("{exit_status:?} {after:?} after SIGTERM\n{log}"));
     }
-    let asked = record.asked.lock().expect("whole").len();
-    (asked, faults)
+    let request_count = record.requests.lock().expect("not poisoned").len();
+    (request_count, violations)
 }
 
-/// Holds what was seen against the rules.
-fn judge(record: &Record, term: Instant, crowded: bool) -> Vec<String> {
-    let stall = Duration::from_micros(record.stall.load(Ordering::SeqCst)) * 2;
-    let (asked, mut attempts) =
-        (record.asked.lock().expect("whole"), record.attempts.lock().expect("whole").clone());
-    attempts.sort_by_key(|attempt| attempt.at);
-    let mut faults = Vec::new();
-    let seen: BTreeSet<u64> = attempts.iter().map(|attempt| attempt.id).collect();
-    for (id, request) in asked.iter() {
-        let Asked { class, sent, wait, end, idle, behind } = request;
-        let told = |what: &str| format!("{id} ({class}, {} ms): {what}", wait.as_millis());
-        match end {
-            End::Answered(at) if *at > *sent + *wait + ANSWER_SLACK + stall && !behind => {
-                faults.push(told(&format!("answered {:?} after it was sent", *at - *sent)));
+/// Checks the records of a run against the rules of the protocol.
+fn find_violations(record: &RunRecord, terminated_at: Instant, crowded: bool) -> Vec<String> {
+    let stall = Duration::from_micros(record.stall_us.load(Ordering::SeqCst)) * 2;
+    let (requests, mut attempts) = (
+        record.requests.lock().expect("not poisoned"),
+        record.attempts.lock().expect("not poisoned").clone(),
+    );
+    attempts.sort_by_key(|attempt| attempt.received_at);
+    let mut violations = Vec::new();
+    let forwarded: BTreeSet<u64> = attempts.iter().map(|attempt| attempt.id).collect();
+    for (id, request) in requests.iter() {
+        let RequestRecord { class, sent_at, deadline, outcome, idle, pipelined } = request;
+        let violation =
+            |description: &str| format!("{id} ({class}, {} ms): {description}", deadline.as_millis());
+        match outcome {
+            Outcome::Answered(at) if *at > *sent_at + *deadline + ANSWER_SLACK + stall && !pipelined => {
+                violations.push(violation(&format!("answered {:?} after it was sent", *at - *sent_at)));
+            }
+            Outcome::TimedOut => violations.push(violation("never answered")),
+            Outcome::Closed if forwarded.contains(id) => {
+                violations.push(violation("forwarded, and closed without an answer"))
             }
-            End::Nothing => faults.push(told("never answered")),
-            End::Closed if seen.contains(id) => faults.push(told("forwarded, and closed without an answer")),
-            // A close may cross a request that is not read: at the end, of an idle connection, or to make room.
-            End::Closed if *sent + *wait + ANSWER_SLACK < term && *idle < IDLE && !crowded && !behind => {
-                faults.push(told("closed without an answer"));
+            // The gateway may close a connection before it reads a request that is on its way: at the shutdown,
+            // when the connection was idle, or to make room.
+            Outcome::Closed
+                if *sent_at + *deadline + ANSWER_SLACK < terminated_at
+                    && *idle < MIN_IDLE
+                    && !crowded
+                    && !pipelined =>
+            {
+                violations.push(violation("closed without an answer"));
             }
             _ => {}
         }
     }
-    let mut before: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
+    let mut attempts_by_request: BTreeMap<u64, Vec<&AttemptRecord>> = BTreeMap::new();
     for attempt in &attempts {
-        let Some(request) = asked.get(&attempt.id) else { continue };
-        let told = |what: String| format!("{} ({}): {what}", attempt.id, request.class);
-        let left = (request.sent + request.wait).saturating_duration_since(attempt.at);
-        if attempt.told > left + DEADLINE_SLACK + stall {
-            faults.push(told(format!("told {:?} where {left:?} were left", attempt.told)));
+        let Some(request) = requests.get(&attempt.id) else { continue };
+        let violation = |description: String| format!("{} ({}): {description}", attempt.id, request.class);
+        let time_left = (request.sent_at + request.deadline).saturating_duration_since(attempt.received_at);
+        if attempt.deadline > time_left + DEADLINE_SLACK + stall {
+            violations.push(violation(format!(
+                "forwarded with {:?} where {time_left:?} were left",
+                attempt.deadline
+            )));
         }
-        if let End::Left(at) = request.end {
-            if attempt.at > at + LEFT_SLACK + stall {
-                faults.push(told(format!("an attempt {:?} after its client left", attempt.at - at)));
+        if let Outcome::Disconnected(at) = request.outcome {
+            if attempt.received_at > at + DISCONNECT_SLACK + stall {
+                violations.push(violation(format!(
+                    "an attempt {:?} after its client disconnected",
+                    attempt.received_at - at
+                )));
             }
         }
-        let earlier = before.entry(attempt.id).or_default();
+        let earlier = attempts_by_request.entry(attempt.id).or_default();
         for other in earlier.iter() {
-            if other.ended > attempt.at + stall + Duration::from_millis(20) {
-                faults.push(told("two attempts out at once".to_string()));
+            if other.ended_at > attempt.received_at + stall + Duration::from_millis(20) {
+                violations.push(violation("two attempts in progress at once".to_string()));
             }
-            let late = attempt.at - other.at > WINDOW + WINDOW_SLACK + stall;
-            if other.may_have_run && (request.class == "once" || request.class == "store" && late) {
-                faults.push(told(format!("run again {:?} after the first", attempt.at - other.at)));
+            let beyond_window =
+                attempt.received_at - other.received_at > REPEAT_WINDOW + REPEAT_WINDOW_SLACK + stall;
+            if other.may_have_run && (request.class == "once" || request.class == "store" && beyond_window) {
+                violations.push(violation(format!(
+                    "run again {:?} after the first",
+                    attempt.received_at - other.received_at
+                )));
             }
         }
         earlier.push(attempt);
     }
-    faults
+    violations
 }
 
 fn seeds() -> Range<u64> {
-    let named = std::env::var("SOAK_SEEDS").ok();
-    let range = named.as_deref().map(|text| text.split_once("..").expect("FROM..TO"));
+    let variable = std::env::var("SOAK_SEEDS").ok();
+    let range = variable.as_deref().map(|text| text.split_once("..").expect("FROM..TO"));
     range.map_or(1..9, |(from, to)| from.parse().expect("a seed")..to.parse().expect("a seed"))
 }
 
-/// Guards all rules of a request's life at once, through the end of the process.
+/// Guards all rules for the handling of requests together, through the shutdown of the process.
 #[test]
-fn no_rule_breaks_while_clients_go_on_until_the_kill() {
-    let mut broken = Vec::new();
-    let all: Vec<u64> = seeds().collect();
-    // Few at a time: what is measured is the gateway, not the machine.
-    for seeds in all.chunks(2) {
+fn no_rule_is_violated_while_clients_continue_until_the_kill() {
+    let mut all_violations = Vec::new();
+    let all_seeds: Vec<u64> = seeds().collect();
+    // Two at a time, so that delays come from the gateway and not from an overloaded machine.
+    for seeds in all_seeds.chunks(2) {
         let runs: Vec<_> = seeds
             .iter()
             .map(|seed| {
@@ -476,17 +523,18 @@
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || play(seed)
+                        move || run_gateway(seed)
                     }),
                 )
             })
             .collect();
         for (seed, run) in runs {
-            let (asked, faults) = run.join().expect("a run that ends");
-            println!("seed {seed}: {asked} requests, {} faults", faults.len());
-            assert!(asked > 50, "seed {seed}: nobody asked");
-            broken.extend(faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+            let (request_count, violations) = run.join().expect("a run that ends");
+            println!("seed {seed}: {request_count} requests, {} violations", violations.len());
+            assert!(request_count > 50, "seed {seed}: too few requests");
+            all_violations
+                .extend(violations.into_iter().map(|violation| format!("seed {seed}: {violation}")));
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(all_violations.is_empty(), "{}", all_violations.join("\n"));
 }
