--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -375,7 +375,7 @@
         .map(|index| {
             let (record, gateway) = (record.clone(), process.address);
             std::thread::spawn(move || {
-                run_client(&record, gateway, &mut RandomChoices::from_seed(seed << 16 | index))
+                run_client(&record, gateway, &mut RandomChoices::from_seed(seed << 16 | index));
             })
         })
         .collect();
@@ -450,7 +450,7 @@
             }
             Outcome::TimedOut => violations.push(violation("never answered")),
             Outcome::Closed if forwarded.contains(id) => {
-                violations.push(violation("forwarded, and closed without an answer"))
+                violations.push(violation("forwarded, and closed without an answer"));
             }
             // The gateway may close a connection before it reads a request that is on its way: at the shutdown,
             // when the connection was idle, or to make room.
