--- a/tests/shortages.rs
+++ b/tests/shortages.rs
@@ -1,5 +1,5 @@
-//! Shortages of the machine that a process runs on: calls of the system fail for a while, and pass. They are no verdict on
-//! any host, lose no request, and end no process.
+//! Resource shortages of the machine that a process runs on, during which system calls fail. A shortage ejects no host,
+//! loses no request and ends no process.
 
 mod harness;
 
@@ -11,9 +11,9 @@
 use harness::{bind_loopback, listens, listing, metric, read, ClientConnection};
 use rustix::process::Signal;
 
-/// Time for which calls fail: a while in the life of a process.
-const WHILE: Duration = Duration::from_millis(300);
-/// Errors of the system, by their numbers.
+/// Time for which system calls fail.
+const SHORTAGE_DURATION: Duration = Duration::from_millis(300);
+/// Numbers of system errors.
 const EIO: i32 = 5;
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
@@ -23,18 +23,18 @@
 const ENETUNREACH: i32 = 101;
 const ENOBUFS: i32 = 105;
 
-/// A start whose processes meet faults that the test names, and the discovery that it is told.
-fn start(test: &str) -> (ProcessOptions, Faults, TcpListener) {
+/// Options for processes with injected faults, the faults, which are none at first, and the listener of discovery.
+fn options_with_faults(test: &str) -> (ProcessOptions, Faults, TcpListener) {
     let discovery = bind_loopback();
-    let place = discovery.local_addr().expect("bound");
-    let mut start = ProcessOptions::with_defaults(test, 200, place);
-    let faults = Faults::none(&start.folder());
-    start.faults = Some(faults.clone());
-    (start, faults, discovery)
+    let discovery_address = discovery.local_addr().expect("bound");
+    let mut options = ProcessOptions::with_defaults(test, 200, discovery_address);
+    let faults = Faults::none(&options.folder());
+    options.faults = Some(faults.clone());
+    (options, faults, discovery)
 }
 
-/// Serves one request of a client.
-fn serve(client: &mut ClientConnection, host: &Host) {
+/// Sends a request of a client, answers it at the host, and checks that the client receives the answer.
+fn serve_request(client: &mut ClientConnection, host: &Host) {
     client.ask(&read("k"));
     let mut link = host.accept_ready();
     link.next_statement().expect("an attempt");
@@ -42,10 +42,10 @@
     assert_eq!(client.answer().len(), 4, "served");
 }
 
-/// Guards starts: no descriptor, no memory, no port and a file that cannot be read at this moment are waited for, each on
-/// the way to the first client.
+/// Guards the start against a shortage of descriptors, memory, buffers or ports and against a file that cannot be read
+/// for a while: the process waits until the shortage has passed, then listens and serves its first client.
 #[test]
-fn a_start_that_meets_a_shortage_goes_on_once_it_has_passed() {
+fn a_start_during_a_shortage_continues_once_it_has_passed() {
     let failing = [
         ("socket", EMFILE, ""),
         ("socket", ENFILE, ""),
@@ -56,26 +56,30 @@
         ("open", EIO, "config.json"),
     ];
     for (call, error, path) in failing {
-        let (start, faults, _discovery) = start("short-start");
+        let (options, faults, _discovery) = options_with_faults("short-start");
         let host = Host::new();
         faults.set(&format!("{call} {error} 1 {path}\n"));
-        let mut process = start.spawn(&listing(&[host.address()]));
-        std::thread::sleep(WHILE);
-        assert!(process.child.try_wait().expect("its own child").is_none(), "{call} {error}: it has ended");
+        let mut process = options.spawn(&listing(&[host.address()]));
+        std::thread::sleep(SHORTAGE_DURATION);
+        assert!(
+            process.child.try_wait().expect("its own child").is_none(),
+            "{call} {error}: the process has ended"
+        );
         faults.set("");
         assert!(process.wait_until_listening(), "{call} {error}: {}", process.log());
-        serve(&mut process.client(), &host);
+        serve_request(&mut process.client(), &host);
     }
 }
 
-/// Guards clients that have been accepted: one that cannot be looked after at this moment is, a little later.
+/// Guards accepted clients against a shortage in which their sockets cannot be registered for polling or configured:
+/// they are served once it has passed.
 #[test]
-fn a_client_that_is_accepted_in_a_shortage_is_served_once_it_has_passed() {
+fn a_client_that_is_accepted_during_a_shortage_is_served_once_it_has_passed() {
     for (call, error) in [("epoll_add", ENOMEM), ("epoll_add", ENOSPC), ("setsockopt", ENOMEM)] {
-        let (start, faults, _discovery) = start("short-client");
+        let (options, faults, _discovery) = options_with_faults("short-client");
         let host = Host::new();
-        let process = start.start(&listing(&[host.address()]));
-        // The connection to the host is there already.
+        let process = options.start(&listing(&[host.address()]));
+        // Establishes the connection to the host before the shortage.
         let mut first = process.client();
         first.ask(&read("k"));
         let mut link = host.accept_ready();
@@ -95,7 +99,7 @@
                 })
             })
             .collect();
-        std::thread::sleep(WHILE);
+        std::thread::sleep(SHORTAGE_DURATION);
         faults.set("");
         for client in clients {
             assert_eq!(client.join().expect("greeted"), 2, "{call} {error}");
@@ -103,9 +107,10 @@
     }
 }
 
-/// Guards hosts: what this machine lacks to dial them is held against none, so that all are there once it has passed.
+/// Guards hosts against being ejected for a shortage of this machine when the gateway connects to them: all of them are
+/// available once it has passed.
 #[test]
-fn a_shortage_at_dialling_is_no_verdict_on_a_host() {
+fn a_shortage_while_connecting_ejects_no_host() {
     let failing = [
         ("connect", EADDRNOTAVAIL),
         ("connect", ENOBUFS),
@@ -115,9 +120,9 @@
         ("setsockopt", ENOBUFS),
     ];
     for (call, error) in failing {
-        let (start, faults, _discovery) = start("short-dial");
+        let (options, faults, _discovery) = options_with_faults("short-dial");
         let hosts = [Host::new(), Host::new()];
-        let process = start.start(&listing(&[hosts[0].address(), hosts[1].address()]));
+        let process = options.start(&listing(&[hosts[0].address(), hosts[1].address()]));
         let mut client = process.client();
         faults.set(&format!("{call} {error} 1\n"));
         for _ in 0..6 {
@@ -132,39 +137,41 @@
     }
 }
 
-/// Guards the end of a process against a shortage just then: whoever waits in the listener's queue is let in and answered.
+/// Guards the shutdown against a shortage in which connections cannot be accepted: all clients in the listener's queue
+/// are accepted and answered.
 #[test]
-fn an_end_that_meets_a_shortage_leaves_nobody_in_the_queue() {
-    let (start, faults, _discovery) = start("short-end");
+fn a_shutdown_during_a_shortage_accepts_all_clients_in_the_queue() {
+    let (options, faults, _discovery) = options_with_faults("short-end");
     let host = Host::new();
-    let mut process = start.start(&listing(&[host.address()]));
+    let mut process = options.start(&listing(&[host.address()]));
     let mut first = process.client();
     faults.set(&format!("accept4 {ENFILE} 1\n"));
     process.signal(Signal::TERM);
     let waiting: Vec<ClientConnection> = (0..5).map(|_| process.greeting_unread()).collect();
-    // The listener closes half a second after the word to end: the shortage lasts beyond that.
+    // The listener closes half a second after SIGTERM. The shortage lasts longer.
     std::thread::sleep(Duration::from_millis(520));
     faults.set("");
-    for mut talk in waiting {
-        let greeted = talk.answer();
-        assert_eq!(greeted.last().map(|frame| frame.tag), Some(b'Z'), "{}", process.log());
-        assert_eq!(talk.answer().len(), 2, "its empty query");
+    for mut client in waiting {
+        let greeting = client.answer();
+        assert_eq!(greeting.last().map(|frame| frame.tag), Some(b'Z'), "{}", process.log());
+        assert_eq!(client.answer().len(), 2, "the answer to its empty query");
     }
     assert_eq!(first.answer().len(), 0);
     assert!(process.child.wait().expect("it ends").success());
     assert!(!listens(process.address));
 }
 
-/// Guards the log and all that is logged about: a disk that takes no lines for a while holds nobody up, and lines come again.
+/// Guards the log, and everything that writes to it, against a disk that is full for a while: reloads and requests are
+/// not held up meanwhile, and lines are logged again afterwards.
 #[test]
-fn a_log_that_cannot_be_written_for_a_while_goes_on() {
-    let (start, faults, _discovery) = start("short-log");
+fn a_log_that_cannot_be_written_for_a_while_continues() {
+    let (options, faults, _discovery) = options_with_faults("short-log");
     let host = Host::new();
-    let process = start.start(&listing(&[host.address()]));
+    let process = options.start(&listing(&[host.address()]));
     let mut client = process.client();
-    serve(&mut client, &host);
+    serve_request(&mut client, &host);
     faults.set(&format!("write {ENOSPC} 1 /log\n"));
-    // Each reload logs a line.
+    // Reloads the configuration, which logs a line, and waits until it has been applied this many more times.
     let reload = |process: &Process, times: u64| {
         let before = metric(process.admin, "config_applied");
         process.signal(Signal::HUP);
@@ -180,54 +187,57 @@
     while process.log().lines().count() == lines {
         reload(&process, 1);
     }
-    serve(&mut client, &host);
+    serve_request(&mut client, &host);
 }
 
-/// Guards operators and the loop against a shortage just as a call of theirs comes: it is answered once that has passed.
+/// Guards the admin interface and the event loop against a shortage in which a call to the admin interface cannot be
+/// accepted: it is answered once the shortage has passed.
 #[test]
-fn an_operators_call_that_meets_a_shortage_is_answered_once_it_has_passed() {
-    let (start, faults, _discovery) = start("short-admin");
+fn an_admin_call_during_a_shortage_is_answered_once_it_has_passed() {
+    let (options, faults, _discovery) = options_with_faults("short-admin");
     let host = Host::new();
-    let process = start.start(&listing(&[host.address()]));
+    let process = options.start(&listing(&[host.address()]));
     faults.set(&format!("accept4 {EMFILE} 1\n"));
     let admin = process.admin;
     let call = std::thread::spawn(move || metric(admin, "pool_size"));
-    std::thread::sleep(WHILE);
+    std::thread::sleep(SHORTAGE_DURATION);
     faults.set("");
     assert_eq!(call.join().expect("answered"), 1);
 }
 
-/// Guards a word to end that comes while a start waits for a shortage to pass: it ends, and has taken nobody.
+/// Guards a SIGTERM that arrives while the start waits for a shortage to pass: the process ends without having accepted
+/// a client.
 #[test]
-fn a_word_to_end_while_a_start_waits_ends_it() {
-    let (start, faults, _discovery) = start("short-word");
+fn a_sigterm_while_the_start_waits_for_a_shortage_ends_the_process() {
+    let (options, faults, _discovery) = options_with_faults("short-word");
     let host = Host::new();
     faults.set(&format!("bind {EADDRNOTAVAIL} 1\n"));
-    let mut process = start.spawn(&listing(&[host.address()]));
-    std::thread::sleep(WHILE);
+    let mut process = options.spawn(&listing(&[host.address()]));
+    std::thread::sleep(SHORTAGE_DURATION);
     process.signal(Signal::TERM);
     assert!(!process.child.wait().expect("it ends").success());
     assert!(!process.log().contains("listening"), "{}", process.log());
 }
 
-/// Guards signals against a write that fails just as they come: the loop is not woken, and hears of them all the same.
+/// Guards signals against a shortage in which the signal handler cannot write the byte that wakes the event loop: they
+/// are handled all the same.
 #[test]
-fn a_signal_whose_wake_up_fails_is_heard() {
-    let (start, faults, _discovery) = start("short-signal");
+fn a_signal_whose_wake_up_fails_is_handled() {
+    let (options, faults, _discovery) = options_with_faults("short-signal");
     let host = Host::new();
-    let mut process = start.start(&listing(&[host.address()]));
+    let mut process = options.start(&listing(&[host.address()]));
     let mut client = process.client();
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::HUP);
-    std::thread::sleep(WHILE);
+    std::thread::sleep(SHORTAGE_DURATION);
     faults.set("");
     while metric(process.admin, "config_applied") == 0 {
         std::thread::sleep(POLL_INTERVAL);
     }
     faults.set(&format!("send {ENOBUFS} 1\n"));
     process.signal(Signal::TERM);
-    std::thread::sleep(WHILE);
+    std::thread::sleep(SHORTAGE_DURATION);
     faults.set("");
-    assert_eq!(client.answer().len(), 0, "let go");
+    assert_eq!(client.answer().len(), 0, "the client is disconnected");
     assert!(process.child.wait().expect("it ends").success());
 }
