--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Gateways whose wall clock is off or is stepped, as processes of their own. The hosts' clocks, which read one time, are
-//! right.
+//! Tests of gateway processes whose wall clock is wrong or is stepped. The clocks of the hosts are correct and agree
+//! with each other.
 
 mod harness;
 
@@ -13,69 +13,75 @@
 use harness::{bind_loopback, listing, next_request_id, settings};
 use serde_json::{json, Value};
 
-/// How old the data of a bounded read may be.
-const BOUND_MS: u64 = 800;
-/// Steps of the wall clock, in milliseconds: both ways, less than a bound, seconds, and an hour.
-const STEPS: [i64; 7] = [-1_000, -600, -3_000, -3_600_000, 600, 3_000, 3_600_000];
+/// Maximum age of the data of a bounded read.
+const MAX_AGE_MS: u64 = 800;
+/// Steps of the wall clock, in milliseconds: forwards and backwards, by less than the bound, by seconds and by an hour.
+const CLOCK_STEPS_MS: [i64; 7] = [-1_000, -600, -3_000, -3_600_000, 600, 3_000, 3_600_000];
 
-/// A primary and two replicas that are so far behind, and count the reads that they serve.
-struct Family {
+/// A primary and two replicas with an adjustable lag. The hosts count the reads that they serve.
+struct ReplicaGroup {
     endpoints: Vec<SocketAddr>,
     lag_ms: Arc<AtomicU64>,
-    served: Arc<[AtomicU64; 3]>,
+    reads_served: Arc<[AtomicU64; 3]>,
 }
 
-impl Family {
-    fn behind(lag_ms: u64) -> Family {
+impl ReplicaGroup {
+    fn with_lag(lag_ms: u64) -> ReplicaGroup {
         let lag_ms = Arc::new(AtomicU64::new(lag_ms));
-        let served = Arc::new([const { AtomicU64::new(0) }; 3]);
-        let endpoints = (0..3).map(|index| Family::host(index, &lag_ms, &served)).collect();
-        Family { endpoints, lag_ms, served }
+        let reads_served = Arc::new([const { AtomicU64::new(0) }; 3]);
+        let endpoints = (0..3).map(|index| ReplicaGroup::start_host(index, &lag_ms, &reads_served)).collect();
+        ReplicaGroup { endpoints, lag_ms, reads_served }
     }
 
-    fn host(index: usize, lag_ms: &Arc<AtomicU64>, served: &Arc<[AtomicU64; 3]>) -> SocketAddr {
+    fn start_host(index: usize, lag_ms: &Arc<AtomicU64>, reads_served: &Arc<[AtomicU64; 3]>) -> SocketAddr {
         let host = Host::new();
         let address = host.address();
-        let (lag_ms, served) = (lag_ms.clone(), served.clone());
+        let (lag_ms, reads_served) = (lag_ms.clone(), reads_served.clone());
         std::thread::spawn(move || loop {
             let link = host.accept_ready();
-            let (lag_ms, served) = (lag_ms.clone(), served.clone());
-            std::thread::spawn(move || Family::session(link, index, &lag_ms, &served));
+            let (lag_ms, reads_served) = (lag_ms.clone(), reads_served.clone());
+            std::thread::spawn(move || ReplicaGroup::serve_connection(link, index, &lag_ms, &reads_served));
         });
         address
     }
 
-    fn session(mut link: HostConnection, index: usize, lag_ms: &AtomicU64, served: &[AtomicU64; 3]) {
-        while let Some(asked) = link.next_statement() {
+    fn serve_connection(
+        mut link: HostConnection,
+        index: usize,
+        lag_ms: &AtomicU64,
+        reads_served: &[AtomicU64; 3],
+    ) {
+        while let Some(statement) = link.next_statement() {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
             let lag = if index == 0 { 0 } else { lag_ms.load(Ordering::SeqCst) };
             let role = if index == 0 { "master" } else { "replica" };
-            if asked.starts_with("SHOW") {
+            if statement.starts_with("SHOW") {
                 let report = format!("x0={:.3},x1={}", (now - lag) as f64 / 1000.0, u8::from(index == 0));
                 link.send(&harness::scripted::answer_with(report.as_bytes(), role, Some(now - lag)));
             } else {
-                served[index].fetch_add(1, Ordering::SeqCst);
+                reads_served[index].fetch_add(1, Ordering::SeqCst);
                 link.send(&harness::scripted::answer(role, Some(now - lag)));
             }
         }
     }
 
-    /// Reads that replicas have served.
-    fn at_replicas(&self) -> u64 {
-        self.served[1].load(Ordering::SeqCst) + self.served[2].load(Ordering::SeqCst)
+    /// Number of reads that the replicas have served.
+    fn reads_at_replicas(&self) -> u64 {
+        self.reads_served[1].load(Ordering::SeqCst) + self.reads_served[2].load(Ordering::SeqCst)
     }
 }
 
-fn bounded(probing: bool) -> Value {
+/// Settings with bounded reads for the first class, and with or without probes of hosts.
+fn settings_with_bounded_reads(probing: bool) -> Value {
     let mut settings = settings();
     settings["Specifics"]["NeedsByClass"][0] = json!("recent");
-    settings["Specifics"]["LagAllowedMs"] = json!([BOUND_MS, 0.0, 0.0, 0.0]);
+    settings["Specifics"]["LagAllowedMs"] = json!([MAX_AGE_MS, 0.0, 0.0, 0.0]);
     settings["Permissions"]["Probing"] = json!(probing);
     settings
 }
 
-/// One bounded read, served.
-fn ask(client: &mut harness::ClientConnection) {
+/// Sends a bounded read and checks that it is served.
+fn read_bounded(client: &mut harness::ClientConnection) {
     client.ask(&format!(
         "SELECT doc FROM items WHERE id = 'k' /* id={},c=look,d=30000,cluster=1 */",
         next_request_id()
@@ -83,105 +89,110 @@
     assert_eq!(client.answer().len(), 4, "served");
 }
 
-fn gateway(
+/// Starts a gateway whose wall clock is wrong by this number of milliseconds.
+fn start_gateway(
     test: &str,
-    step: i64,
-    family: &Family,
+    step_ms: i64,
+    group: &ReplicaGroup,
     probing: bool,
 ) -> (ProcessOptions, Faults, Process, std::net::TcpListener) {
     let discovery = bind_loopback();
-    let place = discovery.local_addr().expect("bound");
-    let mut start =
-        ProcessOptions { settings: bounded(probing), ..ProcessOptions::with_defaults(test, 200, place) };
-    let faults = Faults::none(&start.folder());
-    faults.set(&format!("clock {step}\n"));
-    start.faults = Some(faults.clone());
-    let process = start.start(&listing(&family.endpoints));
-    (start, faults, process, discovery)
+    let discovery_address = discovery.local_addr().expect("bound");
+    let mut options = ProcessOptions {
+        settings: settings_with_bounded_reads(probing),
+        ..ProcessOptions::with_defaults(test, 200, discovery_address)
+    };
+    let faults = Faults::none(&options.folder());
+    faults.set(&format!("clock {step_ms}\n"));
+    options.faults = Some(faults.clone());
+    let process = options.start(&listing(&group.endpoints));
+    (options, faults, process, discovery)
 }
 
-/// Asks until replicas serve.
-fn until_replicas_serve(process: &Process, family: &Family) {
-    let (mut client, before) = (process.client(), family.at_replicas());
+/// Sends bounded reads until a replica serves one.
+fn wait_until_replicas_serve(process: &Process, group: &ReplicaGroup) {
+    let (mut client, before) = (process.client(), group.reads_at_replicas());
     for _ in 0..3_000 {
-        ask(&mut client);
-        if family.at_replicas() > before {
+        read_bounded(&mut client);
+        if group.reads_at_replicas() > before {
             return;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    panic!("no replica has served, {}", process.log());
+    panic!("no replica has served a read, {}", process.log());
 }
 
-/// Guards bounded reads of a process that starts with its wall clock off, whichever way: replicas that are too far behind
-/// serve none of them, and serve again soon after they have caught up.
+/// Guards bounded reads of a process whose wall clock is wrong from the start, ahead or behind: replicas that lag too
+/// far serve none of them. Where hosts are probed, replicas serve them again soon after they have caught up.
 #[test]
-fn a_wall_clock_that_is_off_at_the_start_makes_no_read_stale_and_costs_no_replica() {
+fn a_wall_clock_that_is_wrong_at_the_start_causes_no_stale_read_and_excludes_no_replica() {
     for probing in [true, false] {
-        for step in STEPS {
-            let family = Family::behind(1_700);
-            let (_start, _faults, process, _discovery) = gateway("clock-start", step, &family, probing);
+        for step_ms in CLOCK_STEPS_MS {
+            let group = ReplicaGroup::with_lag(1_700);
+            let (_options, _faults, process, _discovery) =
+                start_gateway("clock-start", step_ms, &group, probing);
             let mut client = process.client();
             for _ in 0..40 {
-                ask(&mut client);
+                read_bounded(&mut client);
                 std::thread::sleep(5 * POLL_INTERVAL);
             }
-            assert_eq!(family.at_replicas(), 0, "off by {step} ms, probes {probing}");
+            assert_eq!(group.reads_at_replicas(), 0, "wrong by {step_ms} ms, probing {probing}");
             if probing {
-                family.lag_ms.store(5, Ordering::SeqCst);
-                until_replicas_serve(&process, &family);
+                group.lag_ms.store(5, Ordering::SeqCst);
+                wait_until_replicas_serve(&process, &group);
             }
         }
     }
 }
 
-/// Guards a process that runs while its wall clock is stepped.
+/// Guards bounded reads of a process whose wall clock is stepped while it runs: replicas within the bound continue to
+/// serve them, and replicas that lag too far serve none.
 #[test]
-fn a_wall_clock_that_is_stepped_makes_no_read_stale_and_costs_no_replica() {
-    for step in STEPS {
-        let family = Family::behind(5);
-        let (_start, faults, process, _discovery) = gateway("clock-run", 0, &family, true);
-        until_replicas_serve(&process, &family);
-        faults.set(&format!("clock {step}\n"));
-        until_replicas_serve(&process, &family);
-        family.lag_ms.store(1_700, Ordering::SeqCst);
-        // What was said before holds for as long as the bound allows.
-        std::thread::sleep(std::time::Duration::from_millis(BOUND_MS + 50));
-        let (mut client, before) = (process.client(), family.at_replicas());
+fn a_wall_clock_that_is_stepped_causes_no_stale_read_and_excludes_no_replica() {
+    for step_ms in CLOCK_STEPS_MS {
+        let group = ReplicaGroup::with_lag(5);
+        let (_options, faults, process, _discovery) = start_gateway("clock-run", 0, &group, true);
+        wait_until_replicas_serve(&process, &group);
+        faults.set(&format!("clock {step_ms}\n"));
+        wait_until_replicas_serve(&process, &group);
+        group.lag_ms.store(1_700, Ordering::SeqCst);
+        // Positions that the replicas reported before satisfy the bound for this long.
+        std::thread::sleep(std::time::Duration::from_millis(MAX_AGE_MS + 50));
+        let (mut client, before) = (process.client(), group.reads_at_replicas());
         for _ in 0..40 {
-            ask(&mut client);
+            read_bounded(&mut client);
             std::thread::sleep(5 * POLL_INTERVAL);
         }
-        assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
+        assert_eq!(group.reads_at_replicas(), before, "stepped by {step_ms} ms");
     }
 }
 
-/// Guards hot restarts: the next process takes over while its wall clock has been stepped, and replicas go on serving what
-/// they may.
+/// Guards hot restarts where the wall clock is stepped before the next process takes over: replicas within the bound
+/// continue to serve bounded reads, and replicas that lag too far serve none.
 #[test]
-fn a_next_process_whose_wall_clock_was_stepped_goes_on_in_the_same_time() {
-    for step in STEPS {
-        let family = Family::behind(5);
-        let (start, faults, mut old, discovery) = gateway("clock-next", 0, &family, true);
-        until_replicas_serve(&old, &family);
-        faults.set(&format!("clock {step}\n"));
-        let door = bind_loopback();
-        let admin = door.local_addr().expect("bound");
-        drop(door);
-        let mut next = start.spawn_at(old.address, admin, &listing(&family.endpoints));
+fn a_hot_restart_after_a_clock_step_causes_no_stale_read_and_excludes_no_replica() {
+    for step_ms in CLOCK_STEPS_MS {
+        let group = ReplicaGroup::with_lag(5);
+        let (options, faults, mut old, discovery) = start_gateway("clock-next", 0, &group, true);
+        wait_until_replicas_serve(&old, &group);
+        faults.set(&format!("clock {step_ms}\n"));
+        let admin_listener = bind_loopback();
+        let admin = admin_listener.local_addr().expect("bound");
+        drop(admin_listener);
+        let mut next = options.spawn_at(old.address, admin, &listing(&group.endpoints));
         assert!(next.wait_until_listening());
-        // Its folder is the next one's as well.
+        // The next process uses the same folder, which must not be removed with the old one.
         old.folder = std::path::PathBuf::new();
         drop(old);
-        until_replicas_serve(&next, &family);
-        family.lag_ms.store(1_700, Ordering::SeqCst);
-        std::thread::sleep(std::time::Duration::from_millis(BOUND_MS + 50));
-        let (mut client, before) = (next.client(), family.at_replicas());
+        wait_until_replicas_serve(&next, &group);
+        group.lag_ms.store(1_700, Ordering::SeqCst);
+        std::thread::sleep(std::time::Duration::from_millis(MAX_AGE_MS + 50));
+        let (mut client, before) = (next.client(), group.reads_at_replicas());
         for _ in 0..40 {
-            ask(&mut client);
+            read_bounded(&mut client);
             std::thread::sleep(5 * POLL_INTERVAL);
         }
-        assert_eq!(family.at_replicas(), before, "stepped by {step} ms");
+        assert_eq!(group.reads_at_replicas(), before, "stepped by {step_ms} ms");
         drop(discovery);
     }
 }
