--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -55,7 +55,7 @@
     /// The gateway closed the connection.
     Closed,
     /// No answer was received in time.
-    TimedOut,
+    Unanswered,
 }
 
 /// A client's record of a request.
@@ -76,8 +76,8 @@
 struct AttemptRecord {
     id: u64,
     received_at: Instant,
-    /// The deadline that the gateway has forwarded.
-    deadline: Duration,
+    /// The remaining time that the gateway has forwarded.
+    forwarded_deadline: Duration,
     ended_at: Instant,
     may_have_run: bool,
 }
@@ -167,7 +167,7 @@
             continue;
         }
         let id = field(&statement, "id").parse().expect("a number");
-        let deadline = Duration::from_millis(field(&statement, "d").parse().expect("a number"));
+        let forwarded_deadline = Duration::from_millis(field(&statement, "d").parse().expect("a number"));
         let writes = statement.starts_with("INSERT");
         let role = if primary { "master" } else { "replica" };
         let draw = random.number_in(0..100);
@@ -205,8 +205,13 @@
             let _ = link.socket.read(&mut [0; 64]);
         }
         let ended_at = Instant::now();
-        let attempt = AttemptRecord { id, received_at, deadline, ended_at, may_have_run };
-        record.attempts.lock().expect("not poisoned").push(attempt);
+        record.attempts.lock().expect("not poisoned").push(AttemptRecord {
+            id,
+            received_at,
+            forwarded_deadline,
+            ended_at,
+            may_have_run,
+        });
         if breaks && random.with_percent(50) {
             let _ = link.socket.write_all(&out[..out.len() / 2]);
         }
@@ -275,7 +280,7 @@
 ) -> bool {
     let count = if random.with_percent(10) { 2 } else { 1 };
     let mut greeted = bytes.is_empty();
-    let mut requests = Vec::new();
+    let mut sent_requests = Vec::new();
     for index in 0..count {
         let id = record.last_id.fetch_add(1, Ordering::SeqCst) + 1;
         let deadline_ms = random.number_in(120..MAX_DEADLINE.as_millis() as u64 + 1);
@@ -287,14 +292,14 @@
             _ => format!("SELECT doc FROM items WHERE id = 's{id}' {comment}"),
         };
         codec::write_query(&mut bytes, &text);
-        requests.push((id, class, Duration::from_millis(deadline_ms), index > 0));
+        sent_requests.push((id, class, Duration::from_millis(deadline_ms), index > 0));
     }
     let (sent_at, idle) = (Instant::now(), last_used.elapsed());
     if socket.write_all(&bytes).is_err() {
         return false;
     }
     let disconnects = random.with_percent(6);
-    for (id, class, deadline, pipelined) in requests {
+    for (id, class, deadline, pipelined) in sent_requests {
         let slack =
             Duration::from_micros(record.stall_us.load(Ordering::SeqCst)) + Duration::from_millis(250);
         let until = sent_at + deadline + ANSWER_SLACK + slack;
@@ -330,7 +335,7 @@
         }
         let time_left = until.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
-            return Outcome::TimedOut;
+            return Outcome::Unanswered;
         }
         socket.set_read_timeout(Some(time_left)).expect("a socket");
         match socket.read(&mut bytes) {
@@ -442,15 +447,15 @@
     let forwarded: BTreeSet<u64> = attempts.iter().map(|attempt| attempt.id).collect();
     for (id, request) in requests.iter() {
         let RequestRecord { class, sent_at, deadline, outcome, idle, pipelined } = request;
-        let violation =
+        let describe =
             |description: &str| format!("{id} ({class}, {} ms): {description}", deadline.as_millis());
         match outcome {
             Outcome::Answered(at) if *at > *sent_at + *deadline + ANSWER_SLACK + stall && !pipelined => {
-                violations.push(violation(&format!("answered {:?} after it was sent", *at - *sent_at)));
+                violations.push(describe(&format!("answered {:?} after it was sent", *at - *sent_at)));
             }
-            Outcome::TimedOut => violations.push(violation("never answered")),
+            Outcome::Unanswered => violations.push(describe("never answered")),
             Outcome::Closed if forwarded.contains(id) => {
-                violations.push(violation("forwarded, and closed without an answer"));
+                violations.push(describe("forwarded, and closed without an answer"));
             }
             // The gateway may close a connection before it reads a request that is on its way: at the shutdown,
             // when the connection was idle, or to make room.
@@ -460,7 +465,7 @@
                     && !crowded
                     && !pipelined =>
             {
-                violations.push(violation("closed without an answer"));
+                violations.push(describe("closed without an answer"));
             }
             _ => {}
         }
@@ -468,17 +473,17 @@
     let mut attempts_by_request: BTreeMap<u64, Vec<&AttemptRecord>> = BTreeMap::new();
     for attempt in &attempts {
         let Some(request) = requests.get(&attempt.id) else { continue };
-        let violation = |description: String| format!("{} ({}): {description}", attempt.id, request.class);
+        let describe = |description: String| format!("{} ({}): {description}", attempt.id, request.class);
         let time_left = (request.sent_at + request.deadline).saturating_duration_since(attempt.received_at);
-        if attempt.deadline > time_left + DEADLINE_SLACK + stall {
-            violations.push(violation(format!(
+        if attempt.forwarded_deadline > time_left + DEADLINE_SLACK + stall {
+            violations.push(describe(format!(
                 "forwarded with {:?} where {time_left:?} were left",
-                attempt.deadline
+                attempt.forwarded_deadline
             )));
         }
         if let Outcome::Disconnected(at) = request.outcome {
             if attempt.received_at > at + DISCONNECT_SLACK + stall {
-                violations.push(violation(format!(
+                violations.push(describe(format!(
                     "an attempt {:?} after its client disconnected",
                     attempt.received_at - at
                 )));
@@ -487,12 +492,12 @@
         let earlier = attempts_by_request.entry(attempt.id).or_default();
         for other in earlier.iter() {
             if other.ended_at > attempt.received_at + stall + Duration::from_millis(20) {
-                violations.push(violation("two attempts in progress at once".to_string()));
+                violations.push(describe("two attempts in progress at once".to_string()));
             }
             let beyond_window =
                 attempt.received_at - other.received_at > REPEAT_WINDOW + REPEAT_WINDOW_SLACK + stall;
             if other.may_have_run && (request.class == "once" || request.class == "store" && beyond_window) {
-                violations.push(violation(format!(
+                violations.push(describe(format!(
                     "run again {:?} after the first",
                     attempt.received_at - other.received_at
                 )));
