--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -9,7 +9,7 @@
 use dunemount::admin::connection::AdminConnection;
 use dunemount::admin::metrics::Metrics;
 use dunemount::admin::request::{AdminRequest, HttpStatus};
-use harness::{figure, get, order, read, write, Harness};
+use harness::{get, metric, read, set_host_state, write, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -82,7 +82,7 @@
         assert_eq!(client.answer().len(), messages);
     }
     client.ask(&read("held"));
-    while !harness.heard.recv().expect("a query").contains("'held'") {}
+    while !harness.host_events.recv().expect("a query").contains("'held'") {}
     for (name, value) in [
         ("responses.look.ok", 1),
         ("responses.look.tries", 2),
@@ -94,10 +94,10 @@
         ("pool_ejected", 0),
         ("config_applied", 0),
     ] {
-        assert_eq!(figure(harness.admin, name), value, "{name}");
+        assert_eq!(metric(harness.admin, name), value, "{name}");
     }
-    assert!(figure(harness.admin, "responses.store.tries") >= 2);
-    harness.mood.released.store(true, Ordering::SeqCst);
+    assert!(metric(harness.admin, "responses.store.tries") >= 2);
+    harness.host_controls.released.store(true, Ordering::SeqCst);
     assert_eq!(client.answer().len(), 4);
     harness.end();
 }
@@ -125,18 +125,18 @@
 fn hosts_are_set_down_and_up_by_name() {
     let harness = Harness::start(200);
     let mut client = harness.client();
-    assert!(!order(harness.admin, "down", "s-9") && !order(harness.admin, "up", ""));
+    assert!(!set_host_state(harness.admin, "down", "s-9") && !set_host_state(harness.admin, "up", ""));
     for _ in 0..2 {
-        assert!(order(harness.admin, "down", "s-0"));
-        assert_eq!(figure(harness.admin, "pool_ejected"), 1);
+        assert!(set_host_state(harness.admin, "down", "s-0"));
+        assert_eq!(metric(harness.admin, "pool_ejected"), 1);
     }
-    assert_eq!(figure(harness.admin, "pool_size"), 3);
+    assert_eq!(metric(harness.admin, "pool_size"), 3);
     for _ in 0..20 {
         client.ask(&read("k"));
         assert_eq!(client.answer().len(), 4);
     }
-    assert!(order(harness.admin, "up", "s-0"));
-    assert_eq!(figure(harness.admin, "pool_ejected"), 0);
+    assert!(set_host_state(harness.admin, "up", "s-0"));
+    assert_eq!(metric(harness.admin, "pool_ejected"), 0);
     client.ask(&write("k"));
     assert_eq!(client.answer().len(), 4);
     harness.end();
--- a/tests/pipelining.rs
+++ b/tests/pipelining.rs
@@ -11,8 +11,8 @@
 
 use dunemount::hot_restart::handover_socket;
 use dunemount::pg::codec;
-use harness::stage::{answer, gateway, Host};
-use harness::{figure, get, name, read, Harness, Talk};
+use harness::scripted::{answer, start_gateway, Host};
+use harness::{get, metric, next_request_id, read, ClientConnection, Harness};
 
 /// The comment field with the deadline of the late statements, in milliseconds.
 const SHORT_DEADLINE: &str = "d=100";
@@ -23,7 +23,7 @@
 
 /// A statement of this class with a short deadline.
 fn late(class: &str) -> String {
-    let id = name();
+    let id = next_request_id();
     match class {
         "look" | "own" => {
             format!(
@@ -50,7 +50,7 @@
 }
 
 /// Reads the rejections of the late statements and the answer to the last one.
-fn expect_late_rejected_and_last_served(client: &mut Talk) {
+fn expect_late_rejected_and_last_served(client: &mut ClientConnection) {
     for class in CLASSES {
         assert_eq!(client.code(), "53300", "{class}");
     }
@@ -64,20 +64,20 @@
 fn a_statement_whose_deadline_passes_behind_another_is_rejected_unsent() {
     for cores in [1, 2, 3] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         // Clients are distributed in turn: each worker has one, and one of the workers routes the group.
-        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         let mut connection = None;
         for client in &mut clients {
             client.socket.write_all(&pipeline("slow")).expect("written");
-            let mut host_connection = connection.take().unwrap_or_else(|| host.welcomed());
-            assert!(host_connection.asked().expect("an attempt").contains("'slow'"));
+            let mut host_connection = connection.take().unwrap_or_else(|| host.accept_ready());
+            assert!(host_connection.next_statement().expect("an attempt").contains("'slow'"));
             std::thread::sleep(RESPONSE_DELAY);
-            host_connection.say(&answer("master", None));
+            host_connection.send(&answer("master", None));
             assert_eq!(client.answer().len(), 4, "the slow statement");
-            let asked = host_connection.asked().expect("an attempt");
+            let asked = host_connection.next_statement().expect("an attempt");
             assert!(asked.contains("'last'"), "{asked}, {cores} cores");
-            host_connection.say(&answer("master", None));
+            host_connection.send(&answer("master", None));
             expect_late_rejected_and_last_served(client);
             connection = Some(host_connection);
         }
@@ -85,10 +85,10 @@
         for class in CLASSES {
             let served = if class == "look" { 2 * clients } else { 0 };
             let metrics = ["shed", "ok", "tries", "errors"]
-                .map(|kind| figure(harness.admin, &format!("responses.{class}.{kind}")));
+                .map(|kind| metric(harness.admin, &format!("responses.{class}.{kind}")));
             assert_eq!(metrics, [clients, served, served, 0], "{class}, {cores} cores");
         }
-        assert_eq!(figure(harness.admin, "active"), 0);
+        assert_eq!(metric(harness.admin, "active"), 0);
         harness.end();
     }
 }
@@ -98,7 +98,7 @@
 fn statements_behind_one_that_times_out_are_rejected_unsent() {
     for cores in [1, 2] {
         let harness = Harness::with_workers(200, cores);
-        let mut clients: Vec<Talk> = (0..cores).map(|_| harness.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| harness.client()).collect();
         for client in &mut clients {
             let first = read("silent").replace("d=30000", "d=700");
             let all = [first].into_iter().chain(CLASSES.map(late)).chain([read("last")]);
@@ -110,7 +110,10 @@
             assert!(["53300", "58000"].contains(&code.as_str()), "{code}");
             expect_late_rejected_and_last_served(client);
         }
-        assert!(harness.heard.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
+        assert!(
+            harness.host_events.try_iter().all(|text| !text.contains("'late'")),
+            "a late statement was sent"
+        );
         harness.end();
     }
 }
@@ -119,18 +122,18 @@
 #[test]
 fn a_statement_that_was_sent_byte_by_byte_is_rejected_unsent() {
     let host = Host::new();
-    let harness = gateway(&[&host], 1);
+    let harness = start_gateway(&[&host], 1);
     let mut client = harness.client();
     for byte in pipeline("slow") {
         client.socket.write_all(&[byte]).expect("written");
     }
-    let mut connection = host.welcomed();
-    assert!(connection.asked().expect("an attempt").contains("'slow'"));
+    let mut connection = host.accept_ready();
+    assert!(connection.next_statement().expect("an attempt").contains("'slow'"));
     std::thread::sleep(RESPONSE_DELAY);
-    connection.say(&answer("master", None));
+    connection.send(&answer("master", None));
     assert_eq!(client.answer().len(), 4, "the slow statement");
-    assert!(connection.asked().expect("an attempt").contains("'last'"));
-    connection.say(&answer("master", None));
+    assert!(connection.next_statement().expect("an attempt").contains("'last'"));
+    connection.send(&answer("master", None));
     expect_late_rejected_and_last_served(&mut client);
     harness.end();
 }
@@ -141,17 +144,17 @@
 fn a_client_beyond_the_input_limit_is_answered_in_order() {
     for cores in [1, 2] {
         let host = Host::new();
-        let harness = gateway(&[&host], cores);
+        let harness = start_gateway(&[&host], cores);
         let mut client = harness.client();
         let invalid_statements = 8;
         let all = [read("slow")].into_iter().chain(CLASSES.map(late));
         let all = all.chain((0..invalid_statements).map(|_| "x".repeat(100_000))).chain([read("last")]);
         let (bytes, mut socket) = (encode_queries(all), client.socket.try_clone().expect("a socket"));
         let writer = std::thread::spawn(move || socket.write_all(&bytes).expect("written"));
-        let mut connection = host.welcomed();
-        assert!(connection.asked().expect("an attempt").contains("'slow'"));
+        let mut connection = host.accept_ready();
+        assert!(connection.next_statement().expect("an attempt").contains("'slow'"));
         std::thread::sleep(RESPONSE_DELAY);
-        connection.say(&answer("master", None));
+        connection.send(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "the slow statement");
         for class in CLASSES {
             assert_eq!(client.code(), "53300", "{class}");
@@ -159,8 +162,8 @@
         for _ in 0..invalid_statements {
             assert_eq!(client.code(), "08P01");
         }
-        assert!(connection.asked().expect("an attempt").contains("'last'"));
-        connection.say(&answer("master", None));
+        assert!(connection.next_statement().expect("an attempt").contains("'last'"));
+        connection.send(&answer("master", None));
         assert_eq!(client.answer().len(), 4, "the last statement");
         writer.join().expect("all bytes are written");
         harness.end();
@@ -174,34 +177,34 @@
     for cores in [1, 2] {
         let path =
             std::env::temp_dir().join(format!("dunemount-pipelining-{cores}-{}.line", std::process::id()));
-        let old = Harness::with_cores(200, Some(path.clone()), None, cores);
+        let old = Harness::with_workers_and_handover(200, Some(path.clone()), None, cores);
         let mut idle = old.client();
-        let mut clients: Vec<Talk> = (0..cores).map(|_| old.client()).collect();
+        let mut clients: Vec<ClientConnection> = (0..cores).map(|_| old.client()).collect();
         for client in &mut clients {
             client.socket.write_all(&pipeline("held")).expect("written");
-            while !old.heard.recv().expect("a query").contains("'held'") {}
+            while !old.host_events.recv().expect("a query").contains("'held'") {}
         }
         let timeout = Duration::from_secs(60);
         let inherited = handover_socket::take_over(&path, timeout).expect("handed over");
-        let new = Harness::with_cores(200, Some(path), Some(inherited), cores);
+        let new = Harness::with_workers_and_handover(200, Some(path), Some(inherited), cores);
         assert!(get(new.admin, "/ops/readiness").starts_with("HTTP/1.1 200 "));
         // Once the new process serves the idle client, the old process hands its clients over.
-        while figure(new.admin, "responses.look.ok") < 1 {
+        while metric(new.admin, "responses.look.ok") < 1 {
             idle.ask(&read("k"));
             assert_eq!(idle.answer().len(), 4);
         }
         std::thread::sleep(RESPONSE_DELAY);
-        old.mood.released.store(true, Ordering::SeqCst);
+        old.host_controls.released.store(true, Ordering::SeqCst);
         for client in &mut clients {
             assert_eq!(client.answer().len(), 4, "the slow statement");
             expect_late_rejected_and_last_served(client);
         }
         for class in CLASSES {
-            assert_eq!(figure(old.admin, &format!("responses.{class}.shed")), 0, "{class}");
-            assert_eq!(figure(new.admin, &format!("responses.{class}.shed")), cores as u64, "{class}");
+            assert_eq!(metric(old.admin, &format!("responses.{class}.shed")), 0, "{class}");
+            assert_eq!(metric(new.admin, &format!("responses.{class}.shed")), cores as u64, "{class}");
         }
-        assert_eq!(figure(new.admin, "responses.look.ok"), 1 + cores as u64);
-        assert!(old.heard.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
+        assert_eq!(metric(new.admin, "responses.look.ok"), 1 + cores as u64);
+        assert!(old.host_events.try_iter().all(|text| !text.contains("'late'")), "a late statement was sent");
         old.end();
         new.end();
     }
