--- a/src/balance/progress.rs
+++ b/src/balance/progress.rs
@@ -7,7 +7,7 @@
 //! that has advanced does: a log that advances is up to date, so the later position was the log's time at
 //! some moment after the request for the earlier answer had been sent.
 
-use super::log_clock::{Offset, ROUNDING};
+use super::log_clock::{OffsetBounds, POSITION_ROUNDING_US};
 use crate::api::Micros;
 use crate::notice::{LogTimeEvidence, PositionKind};
 
@@ -16,7 +16,7 @@
 struct ObservedPosition {
     position: Micros,
     since: Micros,
-    /// When that answer was received.
+    /// When the answer that reported it was received.
     received: Micros,
 }
 
@@ -34,14 +34,14 @@
 
     /// Records a further answer of the member as the primary. Returns the bounds of the log's time that it
     /// proves, if it is a new commit or the position has advanced.
-    pub fn observe(&mut self, answer: &LogTimeEvidence) -> Option<Offset> {
+    pub fn observe(&mut self, answer: &LogTimeEvidence) -> Option<OffsetBounds> {
         let &LogTimeEvidence { position, sent, received, kind, .. } = answer;
         let observed = ObservedPosition { position, since: sent, received };
         if kind == PositionKind::NewCommit {
             // The log of a member that commits is up to date.
             let last = self.last.filter(|last| last.position > position);
             self.last = last.or(Some(observed));
-            return Some(Offset::between(sent, received, position));
+            return Some(OffsetBounds::between(sent, received, position));
         }
         // A reported position or an old commit may be long out of date: the log may be further on.
         let current = kind == PositionKind::Current;
@@ -49,9 +49,9 @@
             self.last = current.then_some(observed);
             return None;
         };
-        // One position may be rounded down in one answer and, as a commit, rounded up in another.
-        if position > last.position + Micros(ROUNDING as u64) {
-            let proof = Offset::between(last.since, received, position);
+        // The same position may be rounded down in one answer and, as a commit, rounded up in another.
+        if position > last.position + Micros(POSITION_ROUNDING_US as u64) {
+            let proof = OffsetBounds::between(last.since, received, position);
             let since = if current { last.since.max(sent) } else { last.since };
             *last = ObservedPosition { position, since, received };
             return Some(proof);
