--- a/crates/loadtest/src/capacity/measure/clients.rs
+++ b/crates/loadtest/src/capacity/measure/clients.rs
@@ -32,8 +32,8 @@
             let gateway = Gateway::start(setup, &known, SOCKETS, "127.0.0.1:1")?;
             let mut open = Vec::with_capacity(count);
             for client in 0..count as u64 {
-                let mut connection = Connection::open(gateway.address).map_err(said)?;
-                connection.ask(&statement(client, 5, client % 4)).map_err(said)?;
+                let mut connection = Connection::connect(gateway.address).map_err(said)?;
+                connection.query(&statement(client, 5, client % 4)).map_err(said)?;
                 open.push(connection);
             }
             std::thread::sleep(REST);
@@ -61,8 +61,8 @@
     let gate = Barrier::new(count + 1);
     let come = |client: u64| {
         gate.wait();
-        let mut connection = Connection::open(gateway.address)?;
-        let served = connection.ask(&statement(client, 5, client % 4))?;
+        let mut connection = Connection::connect(gateway.address)?;
+        let served = connection.query(&statement(client, 5, client % 4))?;
         Ok((Instant::now(), served, connection))
     };
     let come = &come;
--- a/crates/loadtest/src/capacity/measure/process.rs
+++ b/crates/loadtest/src/capacity/measure/process.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 
 use super::{configuration, target, Setup, FAMILY};
-use crate::hosts::{self, Family, Manner};
+use crate::hosts::{self, HostBehavior, HostGroup};
 
 static STARTED: AtomicU64 = AtomicU64::new(0);
 
@@ -105,10 +105,11 @@
 pub fn families(count: usize) -> Result<Vec<Value>, String> {
     let mut known = Vec::new();
     for family in 0..count {
-        let shared = Arc::new(Family::default());
+        let shared = Arc::new(HostGroup::default());
         for member in 0..FAMILY {
-            let manner = Manner { lag_ms: 20, value: 100 };
-            let address = hosts::start(shared.clone(), member == 0, manner).map_err(|e| e.to_string())?;
+            let behavior = HostBehavior { lag_ms: 20, value_bytes: 100 };
+            let address =
+                hosts::start_host(shared.clone(), member == 0, behavior).map_err(|e| e.to_string())?;
             known.push(target(family * FAMILY + member, &address.to_string(), "Ready", 0));
         }
     }
--- a/crates/loadtest/src/capacity/measure/statements.rs
+++ b/crates/loadtest/src/capacity/measure/statements.rs
@@ -109,15 +109,15 @@
         let mut reconnects = u64::from(was_open && known.is_none());
         let mut connection = match known {
             Some(connection) => connection,
-            None => Connection::open(play.gateway)?,
+            None => Connection::connect(play.gateway)?,
         };
-        let served = match connection.ask(&text) {
+        let served = match connection.query(&text) {
             Ok(served) => served,
             // It crossed the close of its connection.
             Err(_) => {
                 reconnects += 1;
-                connection = Connection::open(play.gateway)?;
-                connection.ask(&text)?
+                connection = Connection::connect(play.gateway)?;
+                connection.query(&text)?
             }
         };
         open[client] = Some(connection);
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,4 @@
-//! `loadtest`: a small model of what dunemount balances, on loopback, with a load generator.
+//! `loadtest`: a load generator with stand-in database hosts on loopback, scale runs and capacity figures.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use dunemount_loadtest::capacity::commands::{self, Capacity, Slope};
-use dunemount_loadtest::clients::{self, Plan};
-use dunemount_loadtest::hosts::{self, Family, Manner};
+use dunemount_loadtest::clients::{self, ClientPlan};
+use dunemount_loadtest::hosts::{self, HostBehavior, HostGroup};
 use serde::Serialize;
 use serde_json::json;
 
@@ -86,7 +86,7 @@
     json: bool,
 }
 
-/// What a load came to. Times in microseconds.
+/// Results of one load run. Times are in microseconds.
 #[derive(Clone, Debug, Serialize)]
 struct Outcome {
     cores: usize,
@@ -103,14 +103,14 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Task::Load(load) => play(&load).map(|outcome| print(&load, &[outcome])),
-        Task::Cores { load, rounds } => compare(&load, rounds),
+    let result = match Cli::parse().command {
+        Task::Load(load) => run_load(&load).map(|outcome| print_outcomes(&load, &[outcome])),
+        Task::Cores { load, rounds } => compare_core_counts(&load, rounds),
         Task::Scale { file, out } => dunemount_loadtest::scale::scale(&file, &out),
         Task::Capacity(given) => commands::capacity(&given),
         Task::Slope(given) => commands::slope(&given),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("loadtest: {e}");
@@ -119,18 +119,18 @@
     }
 }
 
-fn compare(load: &Load, rounds: u64) -> Result<(), String> {
+fn compare_core_counts(load: &Load, rounds: u64) -> Result<(), String> {
     let mut outcomes = Vec::new();
     for round in 0..rounds {
         for cores in [1, 2, 4] {
-            outcomes.push(play(&Load { cores, seed: load.seed + round, ..load.clone() })?);
+            outcomes.push(run_load(&Load { cores, seed: load.seed + round, ..load.clone() })?);
         }
     }
-    print(load, &outcomes);
+    print_outcomes(load, &outcomes);
     Ok(())
 }
 
-fn print(load: &Load, outcomes: &[Outcome]) {
+fn print_outcomes(load: &Load, outcomes: &[Outcome]) {
     if load.json {
         println!(
             "{}",
@@ -157,51 +157,56 @@
     }
 }
 
-/// A gateway that ends with the loadtest.
-struct Running(Child);
+/// A gateway process that is killed when this value is dropped.
+struct GatewayProcess(Child);
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn play(load: &Load) -> Result<Outcome, String> {
-    let folder = std::env::temp_dir().join(format!("dunemount-loadtest-{}", std::process::id()));
-    let said = |e: std::io::Error| e.to_string();
-    std::fs::create_dir_all(&folder).map_err(said)?;
-    let manner = Manner { lag_ms: load.lag_ms, value: load.value };
+fn run_load(load: &Load) -> Result<Outcome, String> {
+    let directory = std::env::temp_dir().join(format!("dunemount-loadtest-{}", std::process::id()));
+    let error_text = |e: std::io::Error| e.to_string();
+    std::fs::create_dir_all(&directory).map_err(error_text)?;
+    let behavior = HostBehavior { lag_ms: load.lag_ms, value_bytes: load.value };
     let mut targets = Vec::new();
-    for family in 0..load.families {
-        let shared = Arc::new(Family::default());
+    for group in 0..load.families {
+        let group_state = Arc::new(HostGroup::default());
         for member in 0..3 {
-            let address = hosts::start(shared.clone(), member == 0, manner).map_err(said)?;
-            targets.push(json!({"uid": format!("h-{family}-{member}"), "endpoint": address.to_string(),
-                "az": "here", "pod_group": family, "state": "Ready", "capacity_hint": 1.0, "boot_ms": 0,
+            let address =
+                hosts::start_host(group_state.clone(), member == 0, behavior).map_err(error_text)?;
+            targets.push(json!({"uid": format!("h-{group}-{member}"), "endpoint": address.to_string(),
+                "az": "here", "pod_group": group, "state": "Ready", "capacity_hint": 1.0, "boot_ms": 0,
                 "part": if member == 0 { "master" } else { "replica" }}));
         }
     }
-    let (mut gateway, address) = start(load, &folder, &targets)?;
-    let result = drive(load, address, &mut gateway);
+    let (mut gateway, address) = start_gateway(load, &directory, &targets)?;
+    let result = measure_load(load, address, &mut gateway);
     drop(gateway);
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory);
     result
 }
 
-/// Starts the gateway and waits until it listens.
-fn start(load: &Load, folder: &Path, targets: &[serde_json::Value]) -> Result<(Running, SocketAddr), String> {
+/// Starts the gateway and waits until it logs that it is listening.
+fn start_gateway(
+    load: &Load,
+    directory: &Path,
+    targets: &[serde_json::Value],
+) -> Result<(GatewayProcess, SocketAddr), String> {
     let example: serde_json::Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).map_err(|e| e.to_string())?;
-    let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-    let address = free.map_err(|e| e.to_string())?;
+    let free_address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
+    let address = free_address.map_err(|e| e.to_string())?;
     let mut config = example;
     config["listen"] = json!(address.to_string());
     config["admin_addr"] = json!("127.0.0.1:0");
     config["discovery"] = json!("127.0.0.1:1");
     config["limits"] = json!({"cores": load.cores, "memory_mb": 512, "sockets": 4096});
     config["known"] = json!({"rev": 1, "all": true, "targets": targets});
-    let (file, settings) = (folder.join("config.json"), folder.join("settings.ini"));
+    let (file, settings) = (directory.join("config.json"), directory.join("settings.ini"));
     let written = std::fs::write(&file, config.to_string())
         .and_then(|()| std::fs::write(&settings, format!("[cores]\ncount = {}\n", load.cores)));
     written.map_err(|e| e.to_string())?;
@@ -216,71 +221,73 @@
     command.arg("serve").arg("--config").arg(&file).arg("--settings").arg(&settings);
     let child = command.env_remove("TMPDIR").stdout(Stdio::piped()).spawn();
     let mut child = child.map_err(|e| format!("{}: {e}", load.gateway.display()))?;
-    let lines = child.stdout.take().map(BufReader::new).ok_or("no output")?;
+    let lines =
+        child.stdout.take().map(BufReader::new).ok_or("the gateway's standard output is not captured")?;
     let mut lines = lines.lines();
-    let running = Running(child);
+    let gateway = GatewayProcess(child);
     if !lines.by_ref().map_while(Result::ok).any(|line| line.contains("listening")) {
-        return Err("the gateway did not start".into());
+        return Err("the gateway closed its output before it logged that it is listening".into());
     }
-    // What it says later is read away, or it would stop saying it.
+    // Keep draining the pipe: once it is full, the gateway can write no more log lines.
     std::thread::spawn(move || lines.for_each(drop));
-    Ok((running, address))
+    Ok((gateway, address))
 }
 
-fn drive(load: &Load, gateway: SocketAddr, running: &mut Running) -> Result<Outcome, String> {
-    let plan = |client: u64, seconds: f64, seed: u64| Plan {
+fn measure_load(load: &Load, gateway: SocketAddr, process: &mut GatewayProcess) -> Result<Outcome, String> {
+    let plan = |client: u64, seconds: f64, seed: u64| ClientPlan {
         gateway,
         rate: load.rate / load.clients as f64,
-        time: Duration::from_secs_f64(seconds),
-        families: load.families,
+        duration: Duration::from_secs_f64(seconds),
+        groups: load.families,
         seed: seed * 100_000 + client,
     };
-    let all = |seconds: f64, seed: u64| -> Result<Vec<clients::Seen>, String> {
+    let run_clients = |seconds: f64, seed: u64| -> Result<Vec<clients::ClientResult>, String> {
         let threads: Vec<_> = (0..load.clients)
             .map(|client| plan(client, seconds, seed))
-            .map(|plan| std::thread::spawn(move || clients::play(plan)))
+            .map(|plan| std::thread::spawn(move || clients::run(plan)))
             .collect();
-        let ended = threads.into_iter().map(|thread| {
-            thread.join().map_err(|_| "a client panicked".to_string())?.map_err(|e| e.to_string())
+        let client_results = threads.into_iter().map(|thread| {
+            thread.join().map_err(|_| "a client thread panicked".to_string())?.map_err(|e| e.to_string())
         });
-        ended.collect()
+        client_results.collect()
     };
-    // Connections come up and positions are learned before anything counts.
-    all(1.0, load.seed + 1_000)?;
-    let (cpu, from) = (cpu_us(running.0.id()), Instant::now());
-    let seen = all(load.seconds, load.seed)?;
-    let (cpu, took) = (cpu_us(running.0.id()) - cpu, from.elapsed().as_secs_f64());
-    let mut latency = seen[0].latency.clone();
-    for other in &seen[1..] {
+    // Warm up without counting, so that connections are open and log positions are known.
+    run_clients(1.0, load.seed + 1_000)?;
+    let (cpu_before, start) = (cpu_us(process.0.id()), Instant::now());
+    let results = run_clients(load.seconds, load.seed)?;
+    let (cpu, elapsed) = (cpu_us(process.0.id()) - cpu_before, start.elapsed().as_secs_f64());
+    let mut latency = results[0].latency.clone();
+    for other in &results[1..] {
         latency.add(&other.latency).map_err(|e| e.to_string())?;
     }
-    let sum = |of: fn(&clients::Seen) -> u64| seen.iter().map(of).sum::<u64>();
+    let sum = |field: fn(&clients::ClientResult) -> u64| results.iter().map(field).sum::<u64>();
     let (served, refused, lost) = (sum(|s| s.served), sum(|s| s.refused), sum(|s| s.lost));
-    let at = |quantile: f64| latency.value_at_quantile(quantile);
+    let percentile = |quantile: f64| latency.value_at_quantile(quantile);
     let _ = std::io::stdout().flush();
     Ok(Outcome {
         cores: load.cores,
         seed: load.seed,
-        per_second: served as f64 / took,
+        per_second: served as f64 / elapsed,
         served,
         refused,
         lost,
-        p50: at(0.5),
-        p99: at(0.99),
-        p999: at(0.999),
+        p50: percentile(0.5),
+        p99: percentile(0.99),
+        p999: percentile(0.999),
         cpu_us_a_request: cpu / (served + refused).max(1) as f64,
-        memory_kib: memory_kib(running.0.id()),
+        memory_kib: memory_kib(process.0.id()),
     })
 }
 
-/// CPU time of a process so far, in microseconds, at the resolution of the kernel's clock ticks (10 ms).
+/// CPU time that a process has used, in microseconds, at the resolution of the kernel's clock ticks (10 ms).
 fn cpu_us(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
     (ticks(11) + ticks(12)) * 10_000.0
 }
 
+/// Peak resident memory of a process, in KiB.
 fn memory_kib(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
