--- a/crates/loadtest/src/capacity/commands.rs
+++ b/crates/loadtest/src/capacity/commands.rs
@@ -1,4 +1,4 @@
-//! `loadtest capacity` and `loadtest slope`.
+//! The commands `loadtest capacity` and `loadtest slope`.
 
 use std::path::{Path, PathBuf};
 
@@ -6,12 +6,12 @@
 use dunemount::text_file::{self, LineError};
 
 use super::measure::{self, Setup};
-use super::page::{self, Inputs, Texts};
-use super::slopes::{Point, Slopes, KINDS};
+use super::page::{self, InputTexts, Inputs};
+use super::slopes::{Point, Slopes, SLOPE_KINDS};
 
 /// What a size is worked out from.
 #[derive(Args, Clone, Debug)]
-pub struct Capacity {
+pub struct CapacityArgs {
     /// The size.
     #[arg(default_value = "docs/capacity/size.ini")]
     size: PathBuf,
@@ -31,7 +31,7 @@
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum What {
+pub enum Measurement {
     /// A whole list and changes of it, positions, an idle router's survey.
     Lists,
     /// A gateway's idle clients, and clients that connect at once.
@@ -54,10 +54,10 @@
 
 /// What to measure, and where to.
 #[derive(Args, Clone, Debug)]
-pub struct Slope {
+pub struct SlopeArgs {
     /// The measurement.
     #[arg(value_enum)]
-    what: What,
+    what: Measurement,
     /// The file whose slopes of the same names are replaced.
     #[arg(long, default_value = "docs/capacity/slopes.csv")]
     slopes: PathBuf,
@@ -75,22 +75,22 @@
     disk: PathBuf,
 }
 
-/// Prints the tables, or renews a page.
+/// Prints the tables, or updates them in a page.
 ///
 /// # Errors
-/// File, place and cause of what is wrong.
-pub fn capacity(given: &Capacity) -> Result<(), String> {
+/// The file, the line and the cause of an invalid input, or a file that cannot be read or written.
+pub fn run_capacity(args: &CapacityArgs) -> Result<(), String> {
     let names =
-        [&given.size, &given.slopes, &given.formulas, &given.budgets].map(|path| path.display().to_string());
-    let texts = [read(&given.size)?, read(&given.slopes)?, read(&given.formulas)?, read(&given.budgets)?];
-    let text = |at: usize| (names[at].as_str(), texts[at].as_str());
+        [&args.size, &args.slopes, &args.formulas, &args.budgets].map(|path| path.display().to_string());
+    let texts = [read(&args.size)?, read(&args.slopes)?, read(&args.formulas)?, read(&args.budgets)?];
+    let file = |index: usize| (names[index].as_str(), texts[index].as_str());
     let inputs =
-        Inputs::read(&Texts { size: text(0), slopes: text(1), formulas: text(2), budgets: text(3) })?;
+        Inputs::read(&InputTexts { size: file(0), slopes: file(1), formulas: file(2), budgets: file(3) })?;
     let tables = inputs.tables()?;
-    match &given.page {
+    match &args.page {
         Some(path) => {
-            let renewed = page::renew(&read(path)?, &tables);
-            write(path, &renewed.map_err(|fault| fault.in_file(path).to_string())?)
+            let updated = page::update(&read(path)?, &tables);
+            write(path, &updated.map_err(|error| error.in_file(path).to_string())?)
         }
         None => {
             for (name, table) in tables {
@@ -101,36 +101,39 @@
     }
 }
 
-/// Measures and writes the slopes file anew after each measurement.
+/// Runs measurements and rewrites the slopes file after each of them.
 ///
 /// # Errors
-/// Place and cause of what went wrong; what was measured before is written.
-pub fn slope(given: &Slope) -> Result<(), String> {
+/// The measurement or the file that failed, and the cause; the results of earlier measurements are already in the file.
+pub fn run_slope(args: &SlopeArgs) -> Result<(), String> {
     let setup = Setup {
-        rounds: given.rounds,
-        largest: given.largest,
-        gateway: given.gateway.clone(),
-        disk: given.disk.clone(),
+        rounds: args.rounds,
+        largest: args.largest,
+        gateway: args.gateway.clone(),
+        disk: args.disk.clone(),
     };
-    let each = What::value_variants().iter().filter(|what| **what != What::All);
-    for what in each.filter(|what| given.what == What::All || **what == given.what) {
-        let points = match what {
-            What::Lists => measure::lists::measure(&setup),
-            What::Clients => measure::clients::measure(&setup),
-            What::Statements => measure::statements::measure(&setup),
-            What::Reconnects => measure::reconnects::measure(&setup),
-            What::Voter => measure::voter::measure(&setup),
-            What::Members => measure::members::measure(&setup),
-            What::Pools => measure::pools::measure(&setup),
-            What::Reload => measure::reload::measure(&setup),
-            What::All => Ok(Vec::new()),
+    let measurements =
+        Measurement::value_variants().iter().filter(|measurement| **measurement != Measurement::All);
+    for measurement in
+        measurements.filter(|measurement| args.what == Measurement::All || **measurement == args.what)
+    {
+        let points = match measurement {
+            Measurement::Lists => measure::lists::measure(&setup),
+            Measurement::Clients => measure::clients::measure(&setup),
+            Measurement::Statements => measure::statements::measure(&setup),
+            Measurement::Reconnects => measure::reconnects::measure(&setup),
+            Measurement::Voter => measure::voter::measure(&setup),
+            Measurement::Members => measure::members::measure(&setup),
+            Measurement::Pools => measure::pools::measure(&setup),
+            Measurement::Reload => measure::reload::measure(&setup),
+            Measurement::All => Ok(Vec::new()),
         }?;
-        print(&points);
-        let known = if given.slopes.exists() { read(&given.slopes)? } else { String::new() };
-        let fault = |fault: LineError<String>| fault.in_file(&given.slopes).to_string();
-        let mut slopes = Slopes::read(&known).map_err(fault)?;
-        slopes.renew(points);
-        write(&given.slopes, &slopes.write()?)?;
+        print_points(&points);
+        let existing = if args.slopes.exists() { read(&args.slopes)? } else { String::new() };
+        let file_error = |error: LineError<String>| error.in_file(&args.slopes).to_string();
+        let mut slopes = Slopes::read(&existing).map_err(file_error)?;
+        slopes.replace(points);
+        write(&args.slopes, &slopes.write()?)?;
     }
     Ok(())
 }
@@ -139,11 +142,11 @@
     text_file::read(path).map_err(|error| error.to_string())
 }
 
-fn print(points: &[Point]) {
+fn print_points(points: &[Point]) {
     for point in points {
-        let unit = KINDS.iter().find(|kind| kind.name == point.slope).map_or("", |kind| kind.unit);
+        let unit = SLOPE_KINDS.iter().find(|kind| kind.name == point.slope).map_or("", |kind| kind.unit);
         let [size, least, median, most] =
-            [point.size, point.least, point.median, point.most].map(page::number);
+            [point.size, point.least, point.median, point.most].map(page::format_number);
         println!("{:24} {size:>8}  {least:>12} {median:>12} {most:>12} {unit}", point.slope);
     }
 }
--- a/crates/loadtest/src/capacity/measure/clients.rs
+++ b/crates/loadtest/src/capacity/measure/clients.rs
@@ -1,86 +1,95 @@
-//! A gateway's process with idle clients, and with clients that connect at once.
+//! CPU time and memory of a gateway process with idle clients, and with clients that all connect at once.
 
 use std::sync::Barrier;
 use std::time::{Duration, Instant};
 
-use super::process::{families, Gateway};
-use super::{Figures, Setup};
+use super::process::{start_host_groups, GatewayProcess};
+use super::{Measurements, Setup};
 use crate::capacity::slopes::Point;
 use crate::clients::{statement, Connection};
 
-/// Idle clients: up to the operators' 3,239 a gateway.
-const IDLE: [usize; 5] = [200, 400, 800, 1_600, 3_239];
-/// Clients that come at once: up to a lost zone's 647.
-const AT_ONCE: [usize; 5] = [40, 80, 160, 324, 647];
-/// Descriptors of the gateway: the largest is not crowded.
+/// Numbers of idle clients: up to 3,239, as many as the operators have for each gateway.
+const IDLE_CLIENTS: [usize; 5] = [200, 400, 800, 1_600, 3_239];
+/// Numbers of clients that connect at once: up to 647, those of a lost zone.
+const SIMULTANEOUS_CLIENTS: [usize; 5] = [40, 80, 160, 324, 647];
+/// File descriptors of the gateway: enough that it is not crowded with the most clients.
 const SOCKETS: usize = 16_384;
-/// Time over which idle clients are watched: less than they may be idle.
-const WATCHED: Duration = Duration::from_secs(3);
-/// Until what ended before has left nothing behind.
-const REST: Duration = Duration::from_millis(500);
+/// Time over which idle clients are measured: less than the idle time after which the gateway closes them.
+const MEASURED_TIME: Duration = Duration::from_secs(3);
+/// Pause before measuring, so that earlier work has completed.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Measures both.
+/// Measures idle clients and clients that connect at once.
 ///
 /// # Errors
-/// What the gateway or the system says; an idle client that went while it was watched.
+/// A failure of the gateway or of the system, or an idle client that was disconnected during the measurement.
 pub fn measure(setup: &Setup) -> Result<Vec<Point>, String> {
-    let mut figures = Figures::default();
-    let known = families(4)?;
-    let said = |e: std::io::Error| e.to_string();
+    let mut measurements = Measurements::default();
+    let targets = start_host_groups(4)?;
+    let error_text = |e: std::io::Error| e.to_string();
     for _ in 0..setup.rounds {
-        for count in IDLE {
-            let gateway = Gateway::start(setup, &known, SOCKETS, "127.0.0.1:1")?;
-            let mut open = Vec::with_capacity(count);
+        for count in IDLE_CLIENTS {
+            let gateway = GatewayProcess::start(setup, &targets, SOCKETS, "127.0.0.1:1")?;
+            let mut connections = Vec::with_capacity(count);
             for client in 0..count as u64 {
-                let mut connection = Connection::connect(gateway.address).map_err(said)?;
-                connection.query(&statement(client, 5, client % 4)).map_err(said)?;
-                open.push(connection);
+                let mut connection = Connection::connect(gateway.address).map_err(error_text)?;
+                connection.query(&statement(client, 5, client % 4)).map_err(error_text)?;
+                connections.push(connection);
             }
-            std::thread::sleep(REST);
-            let (cpu, from) = (gateway.cpu_us(), Instant::now());
-            std::thread::sleep(WATCHED);
-            figures.add("client_cpu_us_s", count, (gateway.cpu_us() - cpu) / from.elapsed().as_secs_f64());
-            figures.add("client_kib", count, gateway.memory_kib());
-            let gone = open.iter().filter(|connection| connection.is_closed()).count();
-            if gone > 0 {
-                return Err(format!("{gone} of {count} idle clients were closed while they were watched"));
+            std::thread::sleep(SETTLE_TIME);
+            let (cpu_before, start) = (gateway.cpu_us(), Instant::now());
+            std::thread::sleep(MEASURED_TIME);
+            measurements.add(
+                "client_cpu_us_s",
+                count,
+                (gateway.cpu_us() - cpu_before) / start.elapsed().as_secs_f64(),
+            );
+            measurements.add("client_kib", count, gateway.memory_kib());
+            let closed = connections.iter().filter(|connection| connection.is_closed()).count();
+            if closed > 0 {
+                return Err(format!(
+                    "the gateway closed {closed} of {count} idle clients during the measurement"
+                ));
             }
         }
-        for count in AT_ONCE {
-            let gateway = Gateway::start(setup, &known, SOCKETS, "127.0.0.1:1")?;
-            let (cpu, last) = (gateway.cpu_us(), come_at_once(&gateway, count)?);
-            figures.add("connect_last_ms", count, last.as_secs_f64() * 1e3);
-            figures.add("connect_cpu_us", count, gateway.cpu_us() - cpu);
+        for count in SIMULTANEOUS_CLIENTS {
+            let gateway = GatewayProcess::start(setup, &targets, SOCKETS, "127.0.0.1:1")?;
+            let (cpu_before, last) = (gateway.cpu_us(), connect_at_once(&gateway, count)?);
+            measurements.add("connect_last_ms", count, last.as_secs_f64() * 1e3);
+            measurements.add("connect_cpu_us", count, gateway.cpu_us() - cpu_before);
         }
     }
-    Ok(figures.points())
+    Ok(measurements.points())
 }
 
-/// Clients that connect at once and ask once: when the last was served.
-fn come_at_once(gateway: &Gateway, count: usize) -> Result<Duration, String> {
-    let gate = Barrier::new(count + 1);
-    let come = |client: u64| {
-        gate.wait();
+/// Connects `count` clients at once, sends one statement from each and returns the time until the last was served.
+fn connect_at_once(gateway: &GatewayProcess, count: usize) -> Result<Duration, String> {
+    let barrier = Barrier::new(count + 1);
+    let connect_and_query = |client: u64| {
+        barrier.wait();
         let mut connection = Connection::connect(gateway.address)?;
         let served = connection.query(&statement(client, 5, client % 4))?;
         Ok((Instant::now(), served, connection))
     };
-    let come = &come;
+    let connect_and_query = &connect_and_query;
     std::thread::scope(|scope| {
-        let all: Vec<_> = (0..count as u64).map(|client| scope.spawn(move || come(client))).collect();
-        gate.wait();
-        let from = Instant::now();
-        // Connections stay open until the last is served.
-        let ended: Vec<std::io::Result<_>> = all
+        let threads: Vec<_> =
+            (0..count as u64).map(|client| scope.spawn(move || connect_and_query(client))).collect();
+        barrier.wait();
+        let start = Instant::now();
+        // All connections stay open until the last statement is served.
+        let results: Vec<std::io::Result<_>> = threads
             .into_iter()
-            .map(|thread| thread.join().unwrap_or_else(|_| Err(std::io::Error::other("a client panicked"))))
+            .map(|thread| {
+                thread.join().unwrap_or_else(|_| Err(std::io::Error::other("a client thread panicked")))
+            })
             .collect();
-        let ended: Result<Vec<_>, _> = ended.into_iter().collect();
-        let ended = ended.map_err(|e| e.to_string())?;
-        if ended.iter().any(|(_, served, _)| !served) {
-            return Err("a client that came at once was not served".into());
+        let results: Result<Vec<_>, _> = results.into_iter().collect();
+        let results = results.map_err(|e| e.to_string())?;
+        if results.iter().any(|(_, served, _)| !served) {
+            return Err("a statement of a client that connected at once was not served".into());
         }
-        let last = ended.iter().map(|(at, ..)| *at).max();
-        Ok(last.map_or(Duration::ZERO, |last| last - from))
+        let last = results.iter().map(|(at, ..)| *at).max();
+        Ok(last.map_or(Duration::ZERO, |last| last - start))
     })
 }
--- a/crates/loadtest/src/capacity/measure/mod.rs
+++ b/crates/loadtest/src/capacity/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements behind the slopes, each at five sizes or more and over several rounds. What is timed uses the gateway's own
-//! code or its built program; nothing here is a shorter copy of it.
+//! The measurements of the slopes, each at five sizes or more and over several rounds. They time the gateway's own
+//! code or its built program, never a simplified copy of it.
 
 pub mod clients;
 pub mod lists;
@@ -20,71 +20,73 @@
 
 use super::slopes::Point;
 
-/// How it is measured.
+/// Parameters of the measurements.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Rounds at each size.
     pub rounds: u32,
-    /// Sizes of membership above this are left out.
+    /// Membership is not measured at sizes above this.
     pub largest: usize,
-    /// The gateway's program.
+    /// Path of the gateway's program.
     pub gateway: PathBuf,
-    /// A folder on the disk that a voter's file would have.
+    /// A directory on the disk that would hold a voter's file.
     pub disk: PathBuf,
 }
 
-/// Gateways that settings name as their number: the operators' size.
+/// Number of gateways in the settings: the size of the operators' deployment.
 const GATEWAYS: u32 = 710;
-/// Hosts of a family.
-const FAMILY: usize = 5;
-/// Hosts in lists.
-const HOSTS: [usize; 5] = [63, 125, 250, 500, 1_000];
+/// Number of hosts in each group.
+const HOSTS_PER_GROUP: usize = 5;
+/// Numbers of hosts at which endpoint lists are measured.
+const HOST_COUNTS: [usize; 5] = [63, 125, 250, 500, 1_000];
 
-/// Figures by slope and size, as they come in.
+/// Measured values by slope and size, one for each round.
 #[derive(Default)]
-struct Figures(BTreeMap<(&'static str, u64), Vec<f64>>);
+struct Measurements(BTreeMap<(&'static str, u64), Vec<f64>>);
 
-impl Figures {
-    fn add(&mut self, slope: &'static str, size: usize, figure: f64) {
-        self.0.entry((slope, size as u64)).or_default().push(figure);
+impl Measurements {
+    fn add(&mut self, slope: &'static str, size: usize, value: f64) {
+        self.0.entry((slope, size as u64)).or_default().push(value);
     }
 
     fn points(self) -> Vec<Point> {
-        let point = |((slope, size), rounds): ((&str, u64), Vec<f64>)| Point::of(slope, size as f64, rounds);
+        let point =
+            |((slope, size), rounds): ((&str, u64), Vec<f64>)| Point::from_rounds(slope, size as f64, rounds);
         self.0.into_iter().filter_map(point).collect()
     }
 }
 
-/// A line of discovery's list.
+/// A target of discovery's endpoint list.
 fn target(index: usize, endpoint: &str, state: &str, boot_ms: u64) -> Value {
-    let (family, member) = (index / FAMILY, index % FAMILY);
-    json!({"uid": format!("db-{family:04}-{member}.zone-{}", index % 6), "endpoint": endpoint,
-        "az": format!("zone-{}", index % 6), "model": "standard", "pod_group": family, "state": state,
+    let (group, member) = (index / HOSTS_PER_GROUP, index % HOSTS_PER_GROUP);
+    json!({"uid": format!("db-{group:04}-{member}.zone-{}", index % 6), "endpoint": endpoint,
+        "az": format!("zone-{}", index % 6), "model": "standard", "pod_group": group, "state": state,
         "capacity_hint": 1.0, "boot_ms": boot_ms, "part": if member == 0 { "master" } else { "replica" }})
 }
 
-/// Lines of hosts that nobody reaches.
-fn targets(count: usize) -> Vec<Value> {
+/// Targets with unreachable addresses.
+fn unreachable_targets(count: usize) -> Vec<Value> {
     let endpoint = |index: usize| format!("10.{}.{}.{}:5432", index % 6, index / 250, index % 250 + 1);
     (0..count).map(|index| target(index, &endpoint(index), "Ready", 0)).collect()
 }
 
-/// A gateway's configuration, as the example has it but for the number of gateways and what is given.
-fn configuration(known: &[Value], sockets: usize, discovery: &str) -> Result<Value, String> {
+/// The example configuration of a gateway, with `GATEWAYS` gateways and the given targets, sockets and discovery
+/// address.
+fn gateway_config(known_targets: &[Value], sockets: usize, discovery: &str) -> Result<Value, String> {
     let example = include_str!("../../../../../examples/config.json");
     let mut config: Value =
         serde_json::from_str(example).map_err(|e| format!("examples/config.json: {e}"))?;
     config["admin_addr"] = json!("127.0.0.1:0");
     config["discovery"] = json!(discovery);
     config["limits"] = json!({"cores": 1, "memory_mb": 1024, "sockets": sockets});
-    config["known"] = json!({"rev": 1, "all": true, "targets": known});
+    config["known"] = json!({"rev": 1, "all": true, "targets": known_targets});
     config["settings"]["Balancers"] = json!(GATEWAYS);
     Ok(config)
 }
 
-/// The settings of such a configuration, in the module's terms.
-fn site() -> Result<SiteSettings, String> {
-    let text = configuration(&[], 1024, "127.0.0.1:1")?.to_string();
-    let taken = ActiveConfig::default().replace(text, &mut Zones::default());
-    taken.map(|taken| taken.settings).map_err(|fault| fault.in_file("examples/config.json").to_string())
+/// The parsed settings of that configuration.
+fn site_settings() -> Result<SiteSettings, String> {
+    let text = gateway_config(&[], 1024, "127.0.0.1:1")?.to_string();
+    let active = ActiveConfig::default().replace(text, &mut Zones::default());
+    active.map(|active| active.settings).map_err(|error| error.in_file("examples/config.json").to_string())
 }
--- a/crates/loadtest/src/capacity/measure/reconnects.rs
+++ b/crates/loadtest/src/capacity/measure/reconnects.rs
@@ -1,57 +1,64 @@
-//! How often clients find their connection closed, at the operators' pace of one statement a client each 2.556 s: with room,
-//! where a gateway counts itself crowded, and where it keeps fewer that have asked than there are. Counts, not times.
+//! How often clients find their connection closed at the operators' rate of one statement per client each 2.556 s: with
+//! spare descriptors, with so few that the gateway is crowded, and with too few to keep all clients that have sent a
+//! statement. Counts, not times.
 
 use std::time::Duration;
 
-use super::process::{families, Gateway};
-use super::statements::{play, Play};
-use super::{Figures, Setup};
+use super::process::{start_host_groups, GatewayProcess};
+use super::statements::{run_load, StatementLoad};
+use super::{Measurements, Setup};
 use crate::capacity::slopes::Point;
 
-const CLIENTS: [usize; 5] = [200, 400, 800, 1_600, 3_239];
-/// Seconds between two statements of a client in the mean.
-const PACE: f64 = 2.3 / 0.9;
-/// Before anything counts: longer than a client may be idle with room.
-const WARM: Duration = Duration::from_secs(14);
-const COUNTED: Duration = Duration::from_secs(10);
-/// Slopes with the descriptors that a gateway has for each client: it is crowded below 4.5, keeps all below 4.
-const ROOMS: [(&str, f64); 3] =
+const CLIENT_COUNTS: [usize; 5] = [200, 400, 800, 1_600, 3_239];
+/// Mean seconds between two statements of a client.
+const STATEMENT_INTERVAL_S: f64 = 2.3 / 0.9;
+/// Time before counting starts: longer than the idle time that a gateway with spare descriptors allows.
+const WARM_UP: Duration = Duration::from_secs(14);
+const COUNTED_TIME: Duration = Duration::from_secs(10);
+/// Slopes with the gateway's number of descriptors for each client: below 4.5 the gateway is crowded, and below 4 it
+/// cannot keep the connections of all clients that have sent a statement.
+const DESCRIPTORS_PER_CLIENT: [(&str, f64); 3] =
     [("reconnects_roomy_s", 5.0), ("reconnects_crowded_s", 4.2), ("reconnects_short_s", 2.5)];
 
-/// Measures all three, the sizes side by side.
+/// Measures all three slopes, the sizes of each in parallel.
 ///
 /// # Errors
-/// What a gateway or the system says.
+/// A failure of a gateway or of the system.
 pub fn measure(setup: &Setup) -> Result<Vec<Point>, String> {
-    let mut figures = Figures::default();
-    let known = families(4)?;
+    let mut measurements = Measurements::default();
+    let targets = start_host_groups(4)?;
     for round in 0..setup.rounds {
-        for (slope, room) in ROOMS {
-            let one = |clients: usize| {
-                let sockets = (clients as f64 * room) as usize + 48;
-                let gateway = Gateway::start(setup, &known, sockets, "127.0.0.1:1")?;
-                let plan = Play {
+        for (slope, descriptors) in DESCRIPTORS_PER_CLIENT {
+            let measure_clients = |clients: usize| {
+                let sockets = (clients as f64 * descriptors) as usize + 48;
+                let gateway = GatewayProcess::start(setup, &targets, sockets, "127.0.0.1:1")?;
+                let load = StatementLoad {
                     gateway: gateway.address,
-                    families: 4,
+                    groups: 4,
                     clients,
-                    rate: clients as f64 / PACE,
-                    warm: WARM,
-                    counted: COUNTED,
+                    rate: clients as f64 / STATEMENT_INTERVAL_S,
+                    warm_up: WARM_UP,
+                    counted: COUNTED_TIME,
                     seed: u64::from(round) + 1,
                 };
-                play(plan, || ()).map(|counted| (clients, counted.reconnects))
+                run_load(load, || ()).map(|counted| (clients, counted.reconnects))
             };
-            let one = &one;
-            let ended: Vec<Result<(usize, u64), String>> = std::thread::scope(|scope| {
-                let all: Vec<_> = CLIENTS.iter().map(|clients| scope.spawn(move || one(*clients))).collect();
-                let joined = all.into_iter().map(std::thread::ScopedJoinHandle::join);
-                joined.map(|ended| ended.unwrap_or_else(|_| Err("a play panicked".into()))).collect()
+            let measure_clients = &measure_clients;
+            let results: Vec<Result<(usize, u64), String>> = std::thread::scope(|scope| {
+                let threads: Vec<_> = CLIENT_COUNTS
+                    .iter()
+                    .map(|clients| scope.spawn(move || measure_clients(*clients)))
+                    .collect();
+                let joined = threads.into_iter().map(std::thread::ScopedJoinHandle::join);
+                joined
+                    .map(|joined| joined.unwrap_or_else(|_| Err("a measurement thread panicked".into())))
+                    .collect()
             });
-            for one in ended {
-                let (clients, reconnects) = one?;
-                figures.add(slope, clients, reconnects as f64 / COUNTED.as_secs_f64());
+            for counted in results {
+                let (clients, reconnects) = counted?;
+                measurements.add(slope, clients, reconnects as f64 / COUNTED_TIME.as_secs_f64());
             }
         }
     }
-    Ok(figures.points())
+    Ok(measurements.points())
 }
--- a/crates/loadtest/src/capacity/measure/voter.rs
+++ b/crates/loadtest/src/capacity/measure/voter.rs
@@ -1,5 +1,5 @@
-//! A voter's store: the bytes and the time of one promise or acceptance, put in place by the gateway's own `AcceptorFile` on
-//! the disk that is named.
+//! A voter's storage: the bytes and the time of storing one promise or acceptance with the gateway's own
+//! `AcceptorFile` on the given disk.
 
 use std::time::Instant;
 
@@ -13,88 +13,107 @@
 use dunemount_fleet::register::{AcceptorSet, AcceptorSlot, Ballot};
 use serde::Serialize;
 
-use super::{Figures, Setup};
+use super::{Measurements, Setup};
 use crate::capacity::slopes::Point;
 
-/// Registers, one for each family.
-const REGISTERS: [usize; 6] = [50, 100, 200, 400, 700, 1_000];
-/// Renewals timed in a round, of two stores each.
+/// Numbers of registers, one for each group.
+const REGISTER_COUNTS: [usize; 6] = [50, 100, 200, 400, 700, 1_000];
+/// Lease renewals timed in a round; each stores twice.
 const RENEWALS: usize = 20;
 
-/// Asks the voter; what has to be stored goes to the disk, if there is one. Gives the reply and the file's bytes.
-fn ask(
+/// Sends a request to the voter, stores the new state on the disk if one is given, and returns the reply and the size
+/// of the file in bytes, 0 if nothing had to be stored.
+fn send_request(
     voter: &mut Acceptor,
-    call: AcceptorRequest,
-    disk: Option<&mut AcceptorFile>,
+    request: AcceptorRequest,
+    file: Option<&mut AcceptorFile>,
 ) -> Result<(AcceptorReply, usize), String> {
-    match voter.handle_request(call) {
+    match voter.handle_request(request) {
         RequestOutcome::Reply(reply) => Ok((reply, 0)),
         RequestOutcome::Store(pending) => {
             let bytes = pending.file_bytes();
-            if disk.is_some_and(|disk| !disk.store(&bytes)) {
-                return Err("the voter's file cannot be stored".into());
+            if file.is_some_and(|file| !file.store(&bytes)) {
+                return Err("the voter's file cannot be written".into());
             }
             Ok((pending.stored(), bytes.len()))
         }
     }
 }
 
-/// The two calls of a renewal.
-fn renewal(register: usize, beat: u64) -> [AcceptorRequest; 2] {
+/// The two requests of a lease renewal.
+fn renewal(register: usize, renewal_count: u64) -> [AcceptorRequest; 2] {
     let owner = NodeId::from_start(&format!("gw-{register}"), 0);
-    let (key, ballot) = (format!("survey/{register}"), Ballot { counter: 1_000 + beat, proposer: owner });
-    let value = LeaseRecord { epoch: 7, holder: Some(owner), renewal: beat, requested_by: None }.encode();
-    let call =
-        |operation| AcceptorRequest { acceptors: AcceptorSet::default(), nonce: owner.0 ^ beat, operation };
-    [call(Operation::Prepare { key: key.clone(), ballot }), call(Operation::Accept { key, ballot, value })]
+    let (key, ballot) =
+        (format!("survey/{register}"), Ballot { counter: 1_000 + renewal_count, proposer: owner });
+    let value =
+        LeaseRecord { epoch: 7, holder: Some(owner), renewal: renewal_count, requested_by: None }.encode();
+    let request_for = |operation| AcceptorRequest {
+        acceptors: AcceptorSet::default(),
+        nonce: owner.0 ^ renewal_count,
+        operation,
+    };
+    [
+        request_for(Operation::Prepare { key: key.clone(), ballot }),
+        request_for(Operation::Accept { key, ballot, value }),
+    ]
 }
 
-fn datagram(kind: MessageKind, message: &impl Serialize) -> Result<usize, String> {
+fn datagram_bytes(kind: MessageKind, message: &impl Serialize) -> Result<usize, String> {
     let bytes = postcard::to_stdvec(message).map_err(|e| e.to_string())?;
-    frame::encode(0, kind, &bytes).map(|bytes| bytes.len()).ok_or("a call that is too long".into())
+    frame::encode(0, kind, &bytes)
+        .map(|bytes| bytes.len())
+        .ok_or("a message exceeds the datagram size".into())
 }
 
-/// Measures the file, the store and the datagrams.
+/// Measures the size of the file, the time of a store, and the datagrams.
 ///
 /// # Errors
-/// What the disk says.
+/// The directory or the voter's file cannot be written, or a message cannot be encoded.
 pub fn measure(setup: &Setup) -> Result<Vec<Point>, String> {
-    let mut figures = Figures::default();
-    let folder = setup.disk.join(format!("dunemount-slope-voter-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let done = rounds(setup, &folder.join("voter"), &mut figures);
-    let _ = std::fs::remove_dir_all(&folder);
-    done.map(|()| figures.points())
+    let mut measurements = Measurements::default();
+    let directory = setup.disk.join(format!("dunemount-slope-voter-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).map_err(|e| format!("{}: {e}", directory.display()))?;
+    let result = measure_rounds(setup, &directory.join("voter"), &mut measurements);
+    let _ = std::fs::remove_dir_all(&directory);
+    result.map(|()| measurements.points())
 }
 
-fn rounds(setup: &Setup, path: &std::path::Path, figures: &mut Figures) -> Result<(), String> {
+fn measure_rounds(
+    setup: &Setup,
+    path: &std::path::Path,
+    measurements: &mut Measurements,
+) -> Result<(), String> {
     for _ in 0..setup.rounds {
-        for registers in REGISTERS {
+        for registers in REGISTER_COUNTS {
             let mut voter = Acceptor::founding(AcceptorSlot(0));
             for register in 0..registers {
-                for call in renewal(register, 1) {
-                    ask(&mut voter, call, None)?;
+                for request in renewal(register, 1) {
+                    send_request(&mut voter, request, None)?;
                 }
             }
             if voter.register_count() != registers {
-                return Err(format!("{} of {registers} registers", voter.register_count()));
+                return Err(format!(
+                    "the voter holds {} registers, expected {registers}",
+                    voter.register_count()
+                ));
             }
-            let mut disk = AcceptorFile::new(path);
-            let (mut took, mut file, mut datagrams) = (0.0, 0, 0);
-            for beat in 0..RENEWALS {
-                for call in renewal(beat * registers / RENEWALS, 1_000_000 + beat as u64) {
-                    datagrams += datagram(MessageKind::AcceptorRequest, &call)?;
-                    let from = Instant::now();
-                    let (reply, bytes) = ask(&mut voter, call, Some(&mut disk))?;
-                    took += from.elapsed().as_secs_f64() * 1e6;
-                    file = bytes;
-                    datagrams += datagram(MessageKind::AcceptorReply, &reply)?;
+            let mut file = AcceptorFile::new(path);
+            let (mut elapsed_us, mut file_bytes, mut total_datagram_bytes) = (0.0, 0, 0);
+            for renewal_count in 0..RENEWALS {
+                for request in renewal(renewal_count * registers / RENEWALS, 1_000_000 + renewal_count as u64)
+                {
+                    total_datagram_bytes += datagram_bytes(MessageKind::AcceptorRequest, &request)?;
+                    let start = Instant::now();
+                    let (reply, bytes) = send_request(&mut voter, request, Some(&mut file))?;
+                    elapsed_us += start.elapsed().as_secs_f64() * 1e6;
+                    file_bytes = bytes;
+                    total_datagram_bytes += datagram_bytes(MessageKind::AcceptorReply, &reply)?;
                 }
             }
             let stores = (2 * RENEWALS) as f64;
-            figures.add("voter_store_us", registers, took / stores);
-            figures.add("voter_file_bytes", registers, file as f64);
-            figures.add("voter_datagram_bytes", registers, datagrams as f64 / stores / 2.0);
+            measurements.add("voter_store_us", registers, elapsed_us / stores);
+            measurements.add("voter_file_bytes", registers, file_bytes as f64);
+            measurements.add("voter_datagram_bytes", registers, total_datagram_bytes as f64 / stores / 2.0);
         }
     }
     Ok(())
--- a/crates/loadtest/src/capacity/mod.rs
+++ b/crates/loadtest/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! What a size asks of each role: inputs and formulas from files, slopes as they were measured, and the tables of
-//! `docs/CAPACITY.md` that come of them.
+//! Capacity planning: computes from a deployment's size, formulas and measured slopes what each role needs, and
+//! writes the tables of `docs/CAPACITY.md`.
 
 pub mod commands;
 pub mod formulas;
--- a/crates/loadtest/src/capacity/page.rs
+++ b/crates/loadtest/src/capacity/page.rs
@@ -1,23 +1,23 @@
-//! The tables in Markdown, and the page that holds them between marks.
+//! The capacity tables in Markdown, and the page that contains them between markers.
 
 use std::collections::BTreeMap;
 
 use dunemount::text_file::LineError;
 
-use super::formulas::{Budget, Formulas, Worked};
-use super::size::Size;
-use super::slopes::{Slopes, KINDS};
+use super::formulas::{Budget, ComputedValue, Formulas};
+use super::size::DeploymentSize;
+use super::slopes::{Slopes, SLOPE_KINDS};
 
-/// What the tables are made from.
+/// The parsed inputs from which the tables are computed.
 pub struct Inputs {
-    size: Size,
+    size: DeploymentSize,
     slopes: Slopes,
     formulas: Formulas,
     budgets: Vec<(Budget, f64)>,
 }
 
-/// The texts of the four files, each with the name that faults are told under.
-pub struct Texts<'a> {
+/// The texts of the four input files: pairs of the file's name for error messages and its text.
+pub struct InputTexts<'a> {
     /// The size, INI.
     pub size: (&'a str, &'a str),
     /// The slopes, CSV.
@@ -28,46 +28,46 @@
     pub budgets: (&'a str, &'a str),
 }
 
-/// Number of limits that are named.
-const FIRST_LIMITS: usize = 3;
+/// Number of budgets in the table of limits.
+const LISTED_LIMITS: usize = 3;
 
 impl Inputs {
-    /// Reads all four.
+    /// Parses all four files.
     ///
     /// # Errors
-    /// File, line and cause of the first fault.
-    pub fn read(texts: &Texts) -> Result<Inputs, String> {
-        let of = |(name, _): (&str, &str)| {
+    /// File, line and cause of the first invalid line.
+    pub fn read(texts: &InputTexts) -> Result<Inputs, String> {
+        let to_error = |(name, _): (&str, &str)| {
             let name = name.to_string();
-            move |fault: LineError<String>| fault.in_file(&name).to_string()
+            move |error: LineError<String>| error.in_file(&name).to_string()
         };
-        let size = Size::read(texts.size.1).map_err(of(texts.size))?;
-        let slopes = Slopes::read(texts.slopes.1).map_err(of(texts.slopes))?;
-        let formulas = Formulas::read(texts.formulas.1, &size).map_err(of(texts.formulas))?;
-        let budgets = formulas.budgets(texts.budgets.1, &size).map_err(of(texts.budgets))?;
+        let size = DeploymentSize::read(texts.size.1).map_err(to_error(texts.size))?;
+        let slopes = Slopes::read(texts.slopes.1).map_err(to_error(texts.slopes))?;
+        let formulas = Formulas::read(texts.formulas.1, &size).map_err(to_error(texts.formulas))?;
+        let budgets = formulas.read_budgets(texts.budgets.1, &size).map_err(to_error(texts.budgets))?;
         Ok(Inputs { size, slopes, formulas, budgets })
     }
 
-    /// All tables by name, in the order of the page.
+    /// All tables with their names: the size, the slopes, one for each table of the formulas, the budgets, the limits.
     ///
     /// # Errors
-    /// A row that cannot be worked out, and why.
+    /// A row that cannot be evaluated, and the cause.
     pub fn tables(&self) -> Result<Vec<(String, String)>, String> {
-        let worked = self.formulas.work(&self.size, &self.slopes)?;
+        let computed = self.formulas.evaluate(&self.size, &self.slopes)?;
         let mut tables =
             vec![("size".to_string(), self.size_table()), ("slopes".to_string(), self.slopes_table())];
         for row in &self.formulas.rows {
             if !tables.iter().any(|(name, _)| *name == row.table) {
-                tables.push((row.table.clone(), self.role_table(&row.table, &worked)));
+                tables.push((row.table.clone(), self.role_table(&row.table, &computed)));
             }
         }
-        let (budgets, limits) = self.budget_tables(&worked)?;
+        let (budgets, limits) = self.budget_tables(&computed)?;
         tables.extend([("budgets".to_string(), budgets), ("limits".to_string(), limits)]);
         Ok(tables)
     }
 
     fn size_table(&self) -> String {
-        let rows = self.size.iter().map(|(name, value)| format!("| `{name}` | {} |\n", number(value)));
+        let rows = self.size.iter().map(|(name, value)| format!("| `{name}` | {} |\n", format_number(value)));
         format!("| input | value |\n| --- | --- |\n{}", rows.collect::<String>())
     }
 
@@ -75,31 +75,31 @@
         let mut text = "| slope | sizes | least, median, most at the largest | base + each | leaves over | bend | measured by |\n\
                         | --- | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
-        for kind in KINDS {
+        for kind in SLOPE_KINDS {
             let points = self.slopes.points(kind.name);
-            let by = format!("`loadtest slope {}`", kind.by);
+            let by = format!("`loadtest slope {}`", kind.measured_by);
             let (Some(last), Some(fit)) = (points.last(), self.slopes.fit(kind.name)) else {
                 text += &format!(
                     "| `{}`, {} against {} | | not measured | | | | {by} |\n",
-                    kind.name, kind.unit, kind.of
+                    kind.name, kind.unit, kind.size_unit
                 );
                 continue;
             };
-            let sizes: Vec<String> = points.iter().map(|point| number(point.size)).collect();
-            let straight = (0.8..=1.25).contains(&fit.bend) || fit.residual < 0.03;
-            let bent = if straight { "" } else { ", **no line**" };
+            let sizes: Vec<String> = points.iter().map(|point| format_number(point.size)).collect();
+            let is_straight = (0.8..=1.25).contains(&fit.bend) || fit.residual < 0.03;
+            let bend_note = if is_straight { "" } else { ", **no line**" };
             text += &format!(
-                "| `{}`, {} against {} | {} | {}, {}, {} of {} rounds | {} + {} | {:.1}% | {:.2}{bent} | {by} |\n",
+                "| `{}`, {} against {} | {} | {}, {}, {} of {} rounds | {} + {} | {:.1}% | {:.2}{bend_note} | {by} |\n",
                 kind.name,
                 kind.unit,
-                kind.of,
+                kind.size_unit,
                 sizes.join(" "),
-                number(last.least),
-                number(last.median),
-                number(last.most),
+                format_number(last.least),
+                format_number(last.median),
+                format_number(last.most),
                 last.rounds,
-                number(fit.base),
-                number(fit.per),
+                format_number(fit.intercept),
+                format_number(fit.gradient),
                 fit.residual * 100.0,
                 fit.bend,
             );
@@ -107,20 +107,22 @@
         text
     }
 
-    fn role_table(&self, table: &str, worked: &BTreeMap<String, Worked>) -> String {
+    fn role_table(&self, table: &str, computed: &BTreeMap<String, ComputedValue>) -> String {
         let mut text =
             "| what | name | formula | value | carried by |\n| --- | --- | --- | --- | --- |\n".to_string();
         for row in self.formulas.rows.iter().filter(|row| row.table == table) {
-            let value = match worked.get(&row.id) {
-                Some(Worked { value: Some(value), beyond }) if *beyond > 1.005 => {
+            let value = match computed.get(&row.id) {
+                Some(ComputedValue { value: Some(value), extrapolation }) if *extrapolation > 1.005 => {
                     format!(
                         "{} {}, {} times beyond what was measured",
-                        number(*value),
+                        format_number(*value),
                         row.unit,
-                        number(*beyond)
+                        format_number(*extrapolation)
                     )
                 }
-                Some(Worked { value: Some(value), .. }) => format!("{} {}", number(*value), row.unit),
+                Some(ComputedValue { value: Some(value), .. }) => {
+                    format!("{} {}", format_number(*value), row.unit)
+                }
                 _ => "not measured".to_string(),
             };
             let by = if row.by == "missing" { "**missing**" } else { &row.by };
@@ -130,53 +132,53 @@
         text
     }
 
-    /// The budgets, and of those that were worked out the ones with the largest share.
-    fn budget_tables(&self, worked: &BTreeMap<String, Worked>) -> Result<(String, String), String> {
+    /// The table of all budgets, and the list of those whose value is the largest share of its limit.
+    fn budget_tables(&self, computed: &BTreeMap<String, ComputedValue>) -> Result<(String, String), String> {
         let mut text = "| budget | set | worked out | share | reached at | what breaks first |\n\
                         | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
         let mut shares = Vec::new();
         for (budget, limit) in &self.budgets {
             let (what, unit, breaks) = (&budget.what, &budget.unit, &budget.breaks);
-            let of = |value: f64| format!("{} {unit}", number(value)).trim_end().to_string();
-            let set = of(*limit);
-            let Some(value) = worked.get(&budget.worked).and_then(|worked| worked.value) else {
+            let with_unit = |value: f64| format!("{} {unit}", format_number(value)).trim_end().to_string();
+            let set = with_unit(*limit);
+            let Some(value) = computed.get(&budget.worked).and_then(|computed| computed.value) else {
                 text += &format!("| {what} | {set} | not measured (`{}`) | | | {breaks} |\n", budget.worked);
                 continue;
             };
             let share = value / limit;
-            let at = self.formulas.reaches(&self.size, &self.slopes, budget, *limit)?;
-            let at = match at {
-                Some(at) => format!("{} = {}", budget.grows, number(at)),
+            let reached_at = self.formulas.size_at_limit(&self.size, &self.slopes, budget, *limit)?;
+            let reached = match reached_at {
+                Some(at) => format!("{} = {}", budget.grows, format_number(at)),
                 None if share > 1.0 => format!("broken at any `{}`", budget.grows),
                 None => format!("not within a thousand times `{}`", budget.grows),
             };
             text += &format!(
-                "| {what} | {set} | {} (`{}`) | {}% | {at} | {breaks} |\n",
-                of(value),
+                "| {what} | {set} | {} (`{}`) | {}% | {reached} | {breaks} |\n",
+                with_unit(value),
                 budget.worked,
-                number(share * 100.0),
+                format_number(share * 100.0),
             );
-            shares.push((share, what, at, breaks));
+            shares.push((share, what, reached, breaks));
         }
         shares.sort_by(|a, b| b.0.total_cmp(&a.0));
         let mut limits = String::new();
-        for (place, (share, what, at, breaks)) in shares.iter().take(FIRST_LIMITS).enumerate() {
+        for (rank, (share, what, reached, breaks)) in shares.iter().take(LISTED_LIMITS).enumerate() {
             limits += &format!(
-                "{}. {what}: {} times the budget; reached at {at}. {breaks}\n",
-                place + 1,
-                number(*share)
+                "{}. {what}: {} times the budget; reached at {reached}. {breaks}\n",
+                rank + 1,
+                format_number(*share)
             );
         }
         Ok((text, limits))
     }
 }
 
-/// A number for the page: three digits that count, thousands apart.
-pub fn number(value: f64) -> String {
-    let size = value.abs();
-    if size >= 1000.0 {
-        let digits = format!("{size:.0}");
+/// Formats a number for the page: three significant digits, or a whole number with separated thousands from 1,000 on.
+pub fn format_number(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 1000.0 {
+        let digits = format!("{magnitude:.0}");
         let groups: Vec<&str> =
             digits.as_bytes().rchunks(3).rev().filter_map(|group| std::str::from_utf8(group).ok()).collect();
         return format!("{}{}", if value < 0.0 { "-" } else { "" }, groups.join(","));
@@ -184,32 +186,37 @@
     if value.fract() == 0.0 {
         return format!("{value:.0}");
     }
-    let places =
-        if size >= 100.0 { 0 } else { (2 - size.max(1e-6).log10().floor() as i32).clamp(0, 6) as usize };
-    format!("{value:.places$}")
+    let decimals = if magnitude >= 100.0 {
+        0
+    } else {
+        (2 - magnitude.max(1e-6).log10().floor() as i32).clamp(0, 6) as usize
+    };
+    format!("{value:.decimals$}")
 }
 
-/// The page with each table put between its marks, `<!-- table: NAME -->` and `<!-- end -->`.
+/// Returns the page with each table replaced between its markers, `<!-- table: NAME -->` and `<!-- end -->`.
 ///
 /// # Errors
-/// A mark without an end, one that names no table, or a table that has no mark.
-pub fn renew(page: &str, tables: &[(String, String)]) -> Result<String, LineError<String>> {
-    let (mut text, mut inside, mut seen) = (String::new(), None, Vec::new());
-    for (at, line) in page.lines().enumerate() {
-        let mark = line.strip_prefix("<!-- table: ").and_then(|rest| rest.strip_suffix(" -->"));
-        if let (Some(name), None) = (mark, inside) {
+/// A marker without an end, a marker of an unknown table, or a table without a marker.
+pub fn update(page: &str, tables: &[(String, String)]) -> Result<String, LineError<String>> {
+    let (mut text, mut open_marker, mut replaced) = (String::new(), None, Vec::new());
+    for (index, line) in page.lines().enumerate() {
+        let marker = line.strip_prefix("<!-- table: ").and_then(|rest| rest.strip_suffix(" -->"));
+        if let (Some(name), None) = (marker, open_marker) {
             let table = tables.iter().find(|(known, _)| known == name);
-            let (_, table) = table.ok_or(LineError::new(at + 1, format!("{name}: no such table")))?;
-            seen.push(name);
-            inside = Some(at + 1);
+            let (_, table) = table.ok_or(LineError::new(index + 1, format!("{name}: unknown table")))?;
+            replaced.push(name);
+            open_marker = Some(index + 1);
             text += &format!("{line}\n{table}");
-        } else if line == "<!-- end -->" && inside.take().is_some() || inside.is_none() {
+        } else if line == "<!-- end -->" && open_marker.take().is_some() || open_marker.is_none() {
             text += &format!("{line}\n");
         }
     }
-    match (inside, tables.iter().find(|(name, _)| !seen.contains(&name.as_str()))) {
-        (Some(line), _) => Err(LineError::new(line, "a table's mark without its end")),
-        (None, Some((name, _))) => Err(LineError::new(0, format!("{name}: no mark for this table"))),
+    match (open_marker, tables.iter().find(|(name, _)| !replaced.contains(&name.as_str()))) {
+        (Some(line), _) => Err(LineError::new(line, "table marker without its `<!-- end -->`")),
+        (None, Some((name, _))) => {
+            Err(LineError::new(0, format!("{name}: the page has no marker for this table")))
+        }
         (None, None) => Ok(text),
     }
 }
--- a/crates/loadtest/src/capacity/size.rs
+++ b/crates/loadtest/src/capacity/size.rs
@@ -1,68 +1,67 @@
-//! The size that is worked out: named numbers from an INI file.
+//! The size of the deployment for which capacity is computed: named numbers from an INI file.
 
 use std::collections::BTreeMap;
 
 use dunemount::text_file::LineError;
 use ini::Ini;
 
-/// A size: numbers by name. Sections are for the reader; a name stands once in the whole file.
+/// The size of a deployment: numbers by name. Sections only group the names for readers; a name is unique in the file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Size(BTreeMap<String, f64>);
+pub struct DeploymentSize(BTreeMap<String, f64>);
 
-impl Size {
-    /// Reads a file's text.
+impl DeploymentSize {
+    /// Parses the text of a size file.
     ///
     /// # Errors
-    /// The first line that is no key with a finite number of zero or more, or that sets a name again.
-    pub fn read(text: &str) -> Result<Size, LineError<String>> {
+    /// The first line that is neither a section nor a key with a finite, non-negative number, or that sets a name
+    /// again.
+    pub fn read(text: &str) -> Result<DeploymentSize, LineError<String>> {
         let file = Ini::load_from_str_noescape(text)
-            .map_err(|e| LineError::new(e.line + 1, "neither a [section] nor a key with its value"))?;
-        let mut size = Size::default();
+            .map_err(|e| LineError::new(e.line + 1, "expected a [section] or a key with its value"))?;
+        let mut size = DeploymentSize::default();
         for (section, values) in &file {
             for (name, value) in values {
-                let place = format!("[{}] {name}", section.unwrap_or_default());
-                let again = size.0.contains_key(name);
-                let line = line_of(text, name, usize::from(again));
+                let key = format!("[{}] {name}", section.unwrap_or_default());
+                let already_set = size.0.contains_key(name);
+                let line = assignment_line(text, name, usize::from(already_set));
                 let number: f64 = value
                     .trim()
                     .parse()
-                    .map_err(|_| LineError::new(line, format!("{place}: {value:?} is no number")))?;
+                    .map_err(|_| LineError::new(line, format!("{key}: {value:?} is not a number")))?;
                 if !number.is_finite() || number < 0.0 {
-                    return Err(LineError::new(
-                        line,
-                        format!("{place}: {value:?} is not finite, or below zero"),
-                    ));
+                    return Err(LineError::new(line, format!("{key}: {value:?} is negative or not finite")));
                 }
                 if size.0.insert(name.to_string(), number).is_some() {
-                    return Err(LineError::new(line, format!("{place}: set twice")));
+                    return Err(LineError::new(line, format!("{key}: this name is already set")));
                 }
             }
         }
         Ok(size)
     }
 
-    /// Names with their numbers, in order.
+    /// Names and numbers, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, f64)> {
         self.0.iter().map(|(name, number)| (name.as_str(), *number))
     }
 
-    /// The number of this name.
+    /// The number of a name, if the file sets it.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.0.get(name).copied()
     }
 
-    /// The same with one number so many times as large.
+    /// A copy with one number multiplied by `factor`.
     #[must_use]
-    pub fn scaled(&self, name: &str, times: f64) -> Size {
+    pub fn scaled(&self, name: &str, factor: f64) -> DeploymentSize {
         let mut size = self.clone();
-        size.0.entry(name.to_string()).and_modify(|number| *number *= times);
+        size.0.entry(name.to_string()).and_modify(|number| *number *= factor);
         size
     }
 }
 
-/// The line, counted from 1, that sets this name after so many others that do.
-fn line_of(text: &str, name: &str, after: usize) -> usize {
-    let sets = |line: &str| line.split_once('=').is_some_and(|(key, _)| key.trim() == name);
-    let lines = text.lines().enumerate().filter(|(_, line)| sets(line));
-    lines.map(|(at, _)| at + 1).nth(after).unwrap_or(0)
+/// The line number, counted from 1, of the assignment to `name` that follows `skipped` earlier ones; 0 if there is
+/// none.
+fn assignment_line(text: &str, name: &str, skipped: usize) -> usize {
+    let is_assignment = |line: &str| line.split_once('=').is_some_and(|(key, _)| key.trim() == name);
+    let lines = text.lines().enumerate().filter(|(_, line)| is_assignment(line));
+    lines.map(|(index, _)| index + 1).nth(skipped).unwrap_or(0)
 }
--- a/crates/loadtest/src/capacity/slopes.rs
+++ b/crates/loadtest/src/capacity/slopes.rs
@@ -1,30 +1,35 @@
-//! Slopes as they were measured: at each size the least, the median and the most of several rounds, and the straight line
-//! through the medians with what it leaves over.
+//! Measured slopes: for each size the minimum, the median and the maximum of several rounds, and the straight line
+//! that is fitted through the medians, with its residual.
 
 use std::collections::BTreeMap;
 
 use dunemount::text_file::LineError;
 use serde::{Deserialize, Serialize};
 
-/// What may be measured: its name in formulas, its unit, what its size counts, and the measurement that gives it.
+/// A quantity that can be measured as a function of a size, and the measurement that provides it.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
-    /// Its name.
+pub struct SlopeKind {
+    /// Its name, which formulas call as a function of the size.
     pub name: &'static str,
-    /// The unit of its figures.
+    /// The unit of its values.
     pub unit: &'static str,
-    /// What its size counts.
-    pub of: &'static str,
-    /// The measurement that gives it: `loadtest slope` takes this name.
-    pub by: &'static str,
+    /// What the size counts.
+    pub size_unit: &'static str,
+    /// The measurement that provides it, as an argument of `loadtest slope`.
+    pub measured_by: &'static str,
 }
 
-const fn kind(name: &'static str, unit: &'static str, of: &'static str, by: &'static str) -> Kind {
-    Kind { name, unit, of, by }
+const fn kind(
+    name: &'static str,
+    unit: &'static str,
+    size_unit: &'static str,
+    measured_by: &'static str,
+) -> SlopeKind {
+    SlopeKind { name, unit, size_unit, measured_by }
 }
 
-/// All slopes that formulas may name. One that has not been measured leaves what needs it "not measured".
-pub const KINDS: &[Kind] = &[
+/// All slopes that formulas may use. A row that depends on a slope with fewer than two sizes is "not measured".
+pub const SLOPE_KINDS: &[SlopeKind] = &[
     kind("list_bytes", "bytes", "hosts in a whole list", "lists"),
     kind("list_us", "us", "hosts in a whole list", "lists"),
     kind("list_read_us", "us", "hosts in a whole list", "lists"),
@@ -67,92 +72,98 @@
     kind("subset_connections", "connections", "replicas of a family that a gateway knows", "pools"),
 ];
 
-/// One size of a slope: a line of the file.
+/// The results at one size of a slope: a line of the slopes file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The slope.
+    /// Name of the slope.
     pub slope: String,
-    /// The size.
+    /// The size at which it was measured.
     pub size: f64,
-    /// The least of the rounds.
+    /// Minimum of the rounds.
     pub least: f64,
-    /// Their median.
+    /// Median of the rounds.
     pub median: f64,
-    /// The most of them.
+    /// Maximum of the rounds.
     pub most: f64,
     /// Number of rounds.
     pub rounds: u32,
 }
 
 impl Point {
-    /// The point of some rounds; none without any.
-    pub fn of(slope: &str, size: f64, mut rounds: Vec<f64>) -> Option<Point> {
+    /// The point of the values of all rounds; `None` if there are none.
+    pub fn from_rounds(slope: &str, size: f64, mut rounds: Vec<f64>) -> Option<Point> {
         rounds.sort_unstable_by(f64::total_cmp);
         let (least, most) = (*rounds.first()?, *rounds.last()?);
-        let (below, above) = (rounds[(rounds.len() - 1) / 2], rounds[rounds.len() / 2]);
-        let median = (below + above) / 2.0;
+        let (lower, upper) = (rounds[(rounds.len() - 1) / 2], rounds[rounds.len() / 2]);
+        let median = (lower + upper) / 2.0;
         Some(Point { slope: slope.to_string(), size, least, median, most, rounds: rounds.len() as u32 })
     }
 }
 
-/// A straight line through a slope's medians.
+/// A straight line fitted through a slope's medians.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// At size zero.
-    pub base: f64,
-    /// For each one more.
-    pub per: f64,
-    /// What the line leaves over at most, as a part of the largest median.
+    /// Value at size zero.
+    pub intercept: f64,
+    /// Increase for each unit of the size.
+    pub gradient: f64,
+    /// Largest deviation of a median from the line, as a fraction of the largest median.
     pub residual: f64,
-    /// Steepness above the middle size against that below it: far from one, the line is none.
+    /// Ratio of the gradient above the middle size to that below it: far from one, the points are not on a line.
     pub bend: f64,
 }
 
-/// All slopes by name, their points by size.
+/// Points of all slopes by name, in ascending order of size.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Slopes(BTreeMap<String, Vec<Point>>);
 
 impl Slopes {
-    /// Reads a file's text.
+    /// Parses the text of a slopes file.
     ///
     /// # Errors
-    /// The first line that does not hold a point, names no slope, or whose figures are out of order.
+    /// The first line that is not a point, names an unknown slope, has invalid values, or whose size does not ascend.
     pub fn read(text: &str) -> Result<Slopes, LineError<String>> {
         let mut slopes = Slopes::default();
         let mut reader = csv::Reader::from_reader(text.as_bytes());
         let mut row = csv::StringRecord::new();
-        let fault = |e: csv::Error| {
-            let line = e.position().map_or(0, |at| at.line() as usize);
+        let csv_error = |e: csv::Error| {
+            let line = e.position().map_or(0, |position| position.line() as usize);
             LineError::new(line, e.to_string())
         };
-        let head = reader.headers().map_err(fault)?.clone();
-        while reader.read_record(&mut row).map_err(fault)? {
-            let line = row.position().map_or(0, |at| at.line() as usize);
-            let point: Point = row.deserialize(Some(&head)).map_err(fault)?;
-            if !KINDS.iter().any(|kind| kind.name == point.slope) {
-                return Err(LineError::new(line, format!("{:?}: no such slope", point.slope)));
+        let headers = reader.headers().map_err(csv_error)?.clone();
+        while reader.read_record(&mut row).map_err(csv_error)? {
+            let line = row.position().map_or(0, |position| position.line() as usize);
+            let point: Point = row.deserialize(Some(&headers)).map_err(csv_error)?;
+            if !SLOPE_KINDS.iter().any(|kind| kind.name == point.slope) {
+                return Err(LineError::new(line, format!("{:?}: unknown slope", point.slope)));
             }
-            let figures = [0.0, point.least, point.median, point.most];
-            if !figures.is_sorted() || !point.most.is_finite() || !point.size.is_finite() || point.size < 0.0
+            let ordered = [0.0, point.least, point.median, point.most];
+            if !ordered.is_sorted() || !point.most.is_finite() || !point.size.is_finite() || point.size < 0.0
             {
-                return Err(LineError::new(line, format!("{}: figures out of order", point.slope)));
+                return Err(LineError::new(
+                    line,
+                    format!(
+                        "{}: least, median and most must ascend, and all numbers be finite and not negative",
+                        point.slope
+                    ),
+                ));
             }
             let points = slopes.0.entry(point.slope.clone()).or_default();
-            if points.last().is_some_and(|before| before.size >= point.size) {
-                return Err(LineError::new(line, format!("{}: sizes do not rise", point.slope)));
+            if points.last().is_some_and(|previous| previous.size >= point.size) {
+                return Err(LineError::new(line, format!("{}: sizes must ascend", point.slope)));
             }
             points.push(point);
         }
         Ok(slopes)
     }
 
-    /// The file's text.
+    /// The text of a slopes file.
     ///
     /// # Errors
-    /// What the writer says.
+    /// The CSV writer failed, or its output is not UTF-8.
     pub fn write(&self) -> Result<String, String> {
         let mut writer = csv::Writer::from_writer(Vec::new());
-        for kind in KINDS {
+        for kind in SLOPE_KINDS {
             for point in self.points(kind.name) {
                 writer.serialize(point).map_err(|e| e.to_string())?;
             }
@@ -161,59 +172,60 @@
         String::from_utf8(bytes).map_err(|e| e.to_string())
     }
 
-    /// Puts points in the place of those of the same slopes.
-    pub fn renew(&mut self, points: Vec<Point>) {
+    /// Replaces all points of the slopes that `points` contains.
+    pub fn replace(&mut self, points: Vec<Point>) {
         for point in &points {
             self.0.remove(&point.slope);
         }
         for point in points {
-            let known = self.0.entry(point.slope.clone()).or_default();
-            known.push(point);
-            known.sort_unstable_by(|a, b| a.size.total_cmp(&b.size));
+            let slope_points = self.0.entry(point.slope.clone()).or_default();
+            slope_points.push(point);
+            slope_points.sort_unstable_by(|a, b| a.size.total_cmp(&b.size));
         }
     }
 
-    /// The points of a slope, by size.
+    /// The points of a slope, in ascending order of size.
     pub fn points(&self, slope: &str) -> &[Point] {
         self.0.get(slope).map_or(&[], Vec::as_slice)
     }
 
-    /// The line through a slope's medians; none with fewer than two sizes.
+    /// The line through a slope's medians; `None` with fewer than two sizes.
     pub fn fit(&self, slope: &str) -> Option<Fit> {
         let points = self.points(slope);
-        let (base, per) = line(points)?;
-        let most = points.iter().map(|point| point.median).fold(f64::MIN_POSITIVE, f64::max);
-        let off = |point: &Point| (point.median - base - per * point.size).abs() / most;
+        let (intercept, gradient) = fit_line(points)?;
+        let largest_median = points.iter().map(|point| point.median).fold(f64::MIN_POSITIVE, f64::max);
+        let deviation =
+            |point: &Point| (point.median - intercept - gradient * point.size).abs() / largest_median;
         let middle = points.len() / 2;
-        let (below, above) = (line(&points[..=middle]), line(&points[middle..]));
+        let (below, above) = (fit_line(&points[..=middle]), fit_line(&points[middle..]));
         let bend = below.zip(above).map_or(1.0, |((_, below), (_, above))| above / below);
-        Some(Fit { base, per, residual: points.iter().map(off).fold(0.0, f64::max), bend })
+        Some(Fit { intercept, gradient, residual: points.iter().map(deviation).fold(0.0, f64::max), bend })
     }
 
-    /// A slope at a size: between two that were measured on the line from one median to the other; beyond the
-    /// largest, or below the least, on the line through all.
-    pub fn at(&self, slope: &str, size: f64) -> Option<f64> {
+    /// The value of a slope at a size: interpolated linearly between two measured medians, or extrapolated with the
+    /// line through all medians above the largest and below the smallest measured size.
+    pub fn value_at(&self, slope: &str, size: f64) -> Option<f64> {
         let points = self.points(slope);
-        let between = points.windows(2).find(|pair| (pair[0].size..=pair[1].size).contains(&size));
-        match between.map(line) {
-            Some(Some((base, per))) => Some(base + per * size),
-            _ => self.fit(slope).map(|fit| (fit.base + fit.per * size).max(0.0)),
+        let surrounding = points.windows(2).find(|pair| (pair[0].size..=pair[1].size).contains(&size));
+        match surrounding.map(fit_line) {
+            Some(Some((intercept, gradient))) => Some(intercept + gradient * size),
+            _ => self.fit(slope).map(|fit| (fit.intercept + fit.gradient * size).max(0.0)),
         }
     }
 
-    /// The largest size that a slope was measured at.
-    pub fn largest(&self, slope: &str) -> Option<f64> {
+    /// The largest size at which a slope was measured.
+    pub fn largest_size(&self, slope: &str) -> Option<f64> {
         self.points(slope).last().map(|point| point.size)
     }
 }
 
-/// Base and steepness of the line of least squares through the medians.
-fn line(points: &[Point]) -> Option<(f64, f64)> {
+/// Intercept and gradient of the least squares line through the medians.
+fn fit_line(points: &[Point]) -> Option<(f64, f64)> {
     let count = points.len() as f64;
-    let mean = |of: fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
-    let (size, median) = (mean(|p| p.size), mean(|p| p.median));
-    let spread: f64 = points.iter().map(|p| (p.size - size).powi(2)).sum();
-    let both: f64 = points.iter().map(|p| (p.size - size) * (p.median - median)).sum();
-    let per = both / spread;
-    per.is_finite().then_some((median - per * size, per))
+    let mean = |field: fn(&Point) -> f64| points.iter().map(field).sum::<f64>() / count;
+    let (mean_size, mean_median) = (mean(|p| p.size), mean(|p| p.median));
+    let squared_deviation_sum: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
+    let covariance_sum: f64 = points.iter().map(|p| (p.size - mean_size) * (p.median - mean_median)).sum();
+    let gradient = covariance_sum / squared_deviation_sum;
+    gradient.is_finite().then_some((mean_median - gradient * mean_size, gradient))
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Parser, Subcommand};
-use dunemount_loadtest::capacity::commands::{self, Capacity, Slope};
+use dunemount_loadtest::capacity::commands::{self, CapacityArgs, SlopeArgs};
 use dunemount_loadtest::clients::{self, ClientPlan};
 use dunemount_loadtest::hosts::{self, HostBehavior, HostGroup};
 use serde::Serialize;
@@ -44,9 +44,9 @@
         out: PathBuf,
     },
     /// What a size asks of each role, as the tables of the capacity page.
-    Capacity(Capacity),
+    Capacity(CapacityArgs),
     /// Measures slopes for that.
-    Slope(Slope),
+    Slope(SlopeArgs),
 }
 
 #[derive(Args, Clone, Debug)]
@@ -107,8 +107,8 @@
         Task::Load(load) => run_load(&load).map(|outcome| print_outcomes(&load, &[outcome])),
         Task::Cores { load, rounds } => compare_core_counts(&load, rounds),
         Task::Scale { file, out } => dunemount_loadtest::scale::scale(&file, &out),
-        Task::Capacity(given) => commands::capacity(&given),
-        Task::Slope(given) => commands::slope(&given),
+        Task::Capacity(args) => commands::run_capacity(&args),
+        Task::Slope(args) => commands::run_slope(&args),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
