--- a/crates/loadtest/src/capacity/measure/members.rs
+++ b/crates/loadtest/src/capacity/measure/members.rs
@@ -15,7 +15,7 @@
 use crate::capacity::slopes::Point;
 
 const MEMBER_COUNTS: [usize; 5] = [45, 90, 180, 355, 710];
-/// Interval of probes; the other timeouts follow from it as in `src/fleet/node_settings.rs`.
+/// Members probe each 500 ms; the other timeouts follow from that as in `src/fleet/node_settings.rs`.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time without events: from the start until all members know each other, and until their updates are no longer
 /// gossiped.
--- a/crates/loadtest/src/capacity/measure/pools.rs
+++ b/crates/loadtest/src/capacity/measure/pools.rs
@@ -279,10 +279,11 @@
     }
 
     /// Lists the first zone's hosts as removed, or as ready again and cold.
-    fn list_zone(&mut self, state: EndpointState) {
-        let started = if state == EndpointState::Ready { self.now } else { Micros(0) };
+    fn list_zone(&mut self, new_state: EndpointState) {
+        let started = if new_state == EndpointState::Ready { self.now } else { Micros(0) };
         let zone_hosts = self.hosts.iter().filter(|host| host.zone == ZoneId(0));
-        let entries: Vec<Endpoint> = zone_hosts.map(|host| Endpoint { state, started, ..*host }).collect();
+        let entries: Vec<Endpoint> =
+            zone_hosts.map(|host| Endpoint { state: new_state, started, ..*host }).collect();
         self.balancer.update_endpoints(self.now, false, entries);
     }
 }
--- a/crates/loadtest/src/capacity/measure/process.rs
+++ b/crates/loadtest/src/capacity/measure/process.rs
@@ -122,7 +122,8 @@
     Ok(group_targets)
 }
 
-/// A discovery server that sends the full list to calls without a version and holds all others open without an answer.
+/// A discovery server that sends the full list to calls without a version. It never answers other calls; it holds the
+/// latest 64 of them open.
 pub struct DiscoveryServer {
     /// Address that it listens on.
     pub address: SocketAddr,
