--- a/crates/loadtest/tests/cold_hosts.rs
+++ b/crates/loadtest/tests/cold_hosts.rs
@@ -22,7 +22,8 @@
     routers: u32,
     /// Ratio of the offered load to the capacity of all hosts.
     load: f64,
-    /// Whether each router is replaced by a new one when it receives the list with the restart and knows only that list.
+    /// Whether each router is replaced by a new one when it receives the list with the restart and knows only that
+    /// list.
     fresh: bool,
     /// Longest delay until a router receives the list with the restart.
     max_delay: Micros,
