--- a/src/fleet/rollout/config_command.rs
+++ b/src/fleet/rollout/config_command.rs
@@ -56,7 +56,7 @@
     NotAccepted {
         /// The control server's name.
         server: String,
-        /// Why.
+        /// The reason that the control server gives.
         reason: String,
         /// The proposal may still become a version.
         uncertain: bool,
@@ -164,9 +164,10 @@
         }
     }
 
-    /// Chooses the first control server that is fresh, else the first that answers. A server must answer before it gets
-    /// a proposal: a stopped process would read the proposal once it continues, and it could become a version long
-    /// after the operator has retried at another server.
+    /// Chooses the first control server that is fresh, which means that it has recently read the newest version from a
+    /// majority of the voters, else the first that answers. A server must answer before it gets a proposal: a stopped
+    /// process would read the proposal once it continues, and it could become a version long after the operator has
+    /// retried at another server.
     fn choose_server(&self) -> Result<(Client, &str), CommandError> {
         let mut answering = None;
         let mut silent = Vec::new();
--- a/src/fleet/rollout/gateway/installer.rs
+++ b/src/fleet/rollout/gateway/installer.rs
@@ -1,5 +1,5 @@
-//! Installs a version at a gateway: stages it beside the file, has the event loop apply it, and then replaces the file.
-//! Transient errors of the disk are retried.
+//! Installs a version of the configuration at a gateway: stages it beside the file, has the event loop apply it, and
+//! then replaces the file. Transient errors of the disk are retried.
 
 use std::io;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
     pub(super) result: Result<(), InstallError>,
 }
 
-/// The next step for the version that is being installed.
+/// The next step for the version that is being installed. Times count from [`Installer::started_at`].
 enum Stage {
     /// It is to be staged, at this time.
     Store(Document, Duration),
--- a/src/fleet/transport.rs
+++ b/src/fleet/transport.rs
@@ -1,4 +1,4 @@
-//! Connects a node of the fleet with its acceptor's file and a datagram socket. Only writes to the acceptor's disk
+//! Connects a node of the fleet with its acceptor's file and a datagram socket. Only reading and writing the file can
 //! block. The caller decides when a call is due: the event loop of one node, or a program that drives many nodes.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 use super::acceptor_file::AcceptorFile;
 
-/// Most datagrams received in one call.
+/// Largest number of datagrams received in one call.
 const MAX_DATAGRAMS_PER_POLL: usize = 256;
 /// Time between two attempts to read an acceptor's file.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -13,9 +13,11 @@
 pub const MAX_SILENT_CALLS: u64 = 16;
 /// A call for the full list is abandoned if it has no complete answer after this time.
 pub const CALL_TIMEOUT: Micros = Micros::millis(1_500);
-/// Shortest backoff before the next call after a failure. It keeps within the 200 ms in which a watch has to continue.
+/// Shortest backoff before the next call after a failure, and the only one of a fleet of at most five gateways. It is
+/// shorter than the 200 ms within which a watch has to continue.
 pub const MIN_BACKOFF: Micros = Micros::millis(100);
-/// Time after which a change counts as known, received or not, from when discovery had it and was reachable.
+/// Time after which a change counts as known, whether it was received or not. It is counted from when discovery has the
+/// change and is reachable.
 pub const KNOWN_WITHIN: Micros = Micros::millis(6_000);
 /// Time in which the answer of a reachable discovery service is received and applied.
 pub const ANSWER_TIME: Micros = Micros::millis(200);
@@ -23,19 +25,21 @@
 /// happens right after such a call began (one gap), the next call fails as well (a second gap), and the third call is
 /// answered.
 pub const CALL_GAP: Micros = Micros::millis(2_900);
-/// Longest time from the end of a rejected call, up to which discovery counts as unreachable, to the start of the next
-/// call. It is longer than [`CALL_GAP`], since a fleet that calls an overloaded discovery service too often keeps it
-/// overloaded. The call that follows does not wait for changes, and is abandoned as soon as an answer that takes as
-/// long as a rejection does is due.
+/// Longest backoff after a rejected call or one that could not be made. It is counted from the end of that call, since
+/// discovery counts as unreachable until then. It is longer than [`CALL_GAP`], since a fleet that calls an overloaded
+/// discovery service too often keeps it overloaded.
 pub const REJECTED_GAP: Micros = Micros::millis(3_600);
-/// Longest duration of the call after a rejected one.
+/// Timeout of the call after a rejected one: the time in which an answer that takes as long as a rejection is due. The
+/// call does not wait for changes.
 pub const REJECTED_TIMEOUT: Micros = Micros::millis(2_100);
 const _: () = assert!(2 * CALL_GAP.0 + ANSWER_TIME.0 <= KNOWN_WITHIN.0);
 const _: () = assert!(CALL_TIMEOUT.0 + MIN_BACKOFF.0 <= CALL_GAP.0);
 const _: () = assert!(WATCH_WAIT.0 + SILENCE_TIMEOUT.0 + MIN_BACKOFF.0 <= CALL_GAP.0);
 const _: () = assert!(REJECTED_GAP.0 + REJECTED_TIMEOUT.0 + MIN_BACKOFF.0 + ANSWER_TIME.0 <= KNOWN_WITHIN.0);
-/// Longest backoff after a first failure, per gateway of the fleet: 100 gateways together retry 100 times a second,
-/// then 50 times. From about 150 gateways on, the limit of the backoff applies and they retry more often.
+/// Backoff range after a first failure, per gateway of the fleet. The backoff is at least half of the range, so 100
+/// gateways together retry at most 100 times a second after a first failure, and about 50 times after the next ones.
+/// From about 150 gateways on, the longest backoff limits the range after a first failure too, and the fleet retries
+/// more often.
 const BACKOFF_PER_GATEWAY: Micros = Micros::millis(20);
 /// Largest number of times that the backoff range doubles.
 const MAX_DOUBLINGS: u64 = 2;
@@ -43,9 +47,9 @@
 const MAX_LOST_CALLS: u64 = 2;
 
 /// Backoff before the next call after `failures` consecutive failures, in a fleet of `gateways`; `draw` is a uniform
-/// random number between 0 and 1. A few gateways retry after [`MIN_BACKOFF`]. Many that did so would keep discovery
-/// overloaded for as long as they retried: each draws from the upper half of a range that grows with the number of
-/// gateways and doubles with each failure, up to the longest backoff `max`.
+/// random number between 0 and 1. A few gateways retry after [`MIN_BACKOFF`]. Many gateways would keep discovery
+/// overloaded if they did so: each adds a draw from the upper half of a range that grows with the number of gateways
+/// and doubles with each failure, up to the longest backoff `max`.
 pub fn backoff(failures: u64, gateways: u32, draw: f64, max: Micros) -> Micros {
     let range = BACKOFF_PER_GATEWAY.scale(f64::from(gateways));
     if range <= MIN_BACKOFF {
@@ -168,6 +172,8 @@
         backoff
     }
 
+    /// Longest backoff after this failure. The next call must begin early enough for a change to be received within
+    /// [`KNOWN_WITHIN`]. If a failed call may have announced a drain, the limit is half of the drain's grace period.
     fn max_backoff(&self, failure: CallFailure, drain_grace: Micros, duration: Micros) -> Micros {
         let used_before = self.last_failure.map_or(Micros(0), |(_, time_used)| time_used);
         let max_backoff = match failure {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -67,7 +67,7 @@
 
 /// The loop counts as having slept if the wait for events took at least this long.
 const MIN_SLEEP: Micros = Micros::millis(1);
-/// Largest number of balancer outputs and clients that are processed in one pass over what is pending.
+/// Largest number of balancer outputs and ready clients that one call of `process_pending` handles.
 const MAX_STEPS: usize = 100_000;
 
 /// The phase of the process between its start and its end.
@@ -189,7 +189,7 @@
         let is_listener_reported = events.iter().any(|event| event.key == poll_keys::LISTENER);
         self.admission.observe_queue(self.now, self.now - asleep_since >= MIN_SLEEP, is_listener_reported);
         self.handle_events(std::mem::take(events));
-        // Messages of the other process are applied before any of the bytes that were just read are acted upon.
+        // Messages of the other process are applied before the queries that were just read are processed.
         self.guard(poll_keys::SHUTDOWN, Gateway::receive_from_peers);
         self.handle_mailbox();
         // The balancer's own timers come first: a request whose deadline has come gets the balancer's decision. The
@@ -246,8 +246,11 @@
         }
     }
 
-    /// Runs a step and catches a panic, which closes the connection with this poll key and nothing else. False if the
-    /// step panicked.
+    /// Runs a step and catches a panic. After a panic, the connection with this poll key, if there is one, is closed,
+    /// and the worker continues. False if the step panicked.
+    ///
+    /// The poll key is always logged under `connection`. For a step that concerns no connection, it is the key of a
+    /// listener, a signal or a peer, or any other key that no connection has.
     fn guard(&mut self, poll_key: usize, step: impl FnOnce(&mut Self)) -> bool {
         if catch_unwind(AssertUnwindSafe(|| step(self))).is_ok() {
             return true;
@@ -259,7 +262,7 @@
         false
     }
 
-    /// Processes clients and outputs of the balancer until none is pending, or the limit for one pass is reached.
+    /// Processes ready clients and outputs of the balancer until none is pending, or [`MAX_STEPS`] is reached.
     fn process_pending(&mut self) {
         for _ in 0..MAX_STEPS {
             if let Some(client) = self.ready_clients.pop_front() {
--- a/src/net/event_loop/admin.rs
+++ b/src/net/event_loop/admin.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Resumes or pauses accepting operators' connections. While a shortage prevents accepting, a waiting connection
-    /// would otherwise wake the loop again and again.
+    /// Resumes accepting operators' connections, or pauses it for [`SHORTAGE_PAUSE`]. Without the pause, a connection
+    /// that cannot be accepted because of a shortage would wake the loop again and again.
     pub(super) fn set_admin_accepting(&mut self, accepting: bool) {
         let Some(listener) = &self.admin.listener else { return };
         let interest = Event { key: ADMIN_LISTENER, readable: accepting, writable: false };
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Closes one connection if the limit is reached: first one that has its answer, then the one whose call has been
-    /// incomplete for longest.
+    /// Closes one connection if the limit is reached: the one that was answered first or, if none has been answered,
+    /// the one that connected first.
     fn evict_surplus_admin(&mut self) {
         if self.connections.admins().count() < MAX_CONNECTIONS {
             return;
--- a/src/net/event_loop/client_admission.rs
+++ b/src/net/event_loop/client_admission.rs
@@ -78,7 +78,7 @@
         self.is_accepting
     }
 
-    /// Has the poller watch the listener, or not while there is no capacity for clients.
+    /// Sets whether the poller watches the listener, which it does not while there is no capacity for clients.
     pub(super) fn set_accepting(&mut self, poller: &Poller, accepting: bool) {
         let Some(listener) = &self.listener else { return };
         let interest = Event { key: LISTENER, readable: accepting, writable: false };
--- a/src/net/event_loop/clients.rs
+++ b/src/net/event_loop/clients.rs
@@ -20,15 +20,17 @@
 pub(super) const MAX_ACCEPTS: usize = 16;
 
 impl Gateway {
-    /// Accepts connections while there is capacity for clients, up to [`MAX_ACCEPTS`].
+    /// Accepts connections while there is capacity for clients, up to [`MAX_ACCEPTS`], and returns the state of the
+    /// listener's queue after that. If there is no capacity for the first one, an idle client is closed for it.
     pub(super) fn accept_clients(&mut self) -> AcceptQueue {
         self.admission.on_queue_unknown();
         for accepted in 0..MAX_ACCEPTS {
             let (least_loaded, most_loaded) = (self.workers.least_loaded(), self.workers.most_loaded());
             let open = self.workers.client_count() + self.descriptors_lent();
             let is_full = open >= self.admission.limits.clients;
-            // Only before the first accept is it known that a client waits. After that no idle client is closed, since
-            // nobody may need its place.
+            // The poller has reported one waiting client, so no idle client is closed after the first accept: its place
+            // might not be needed. At shutdown the queue is emptied without such a report, and an idle client may be
+            // closed although none waits.
             if is_full && accepted > 0 {
                 return AcceptQueue::MaybeMore;
             }
@@ -66,6 +68,9 @@
         }
     }
 
+    /// Stops accepting because this worker has no idle client to close. Accepting resumes after a connection of this
+    /// worker closes, after one of its clients gets an answer, and at its next sweep; if there are other workers, also
+    /// after [`SHORTAGE_PAUSE`].
     fn pause_accepting_when_full(&mut self, most_loaded: usize) {
         if self.workers.count() > 1 {
             // Another worker may have an idle client that can be closed.
@@ -151,8 +156,9 @@
         ranked.into_iter().any(|(_, id)| self.close_if_idle(id))
     }
 
-    /// Closes the client that has been idle longest if too many clients that have queried before are open. Otherwise
-    /// clients that never use their connections again could hold all the capacity, and new clients would get none.
+    /// Closes the client that has been idle longest if too many clients that have queried before are open, on all
+    /// workers and on this one. Without this limit, clients that never use their connections again could hold all the
+    /// capacity, and new clients would get none.
     pub(super) fn evict_surplus_client(&mut self) {
         let max_known = self.admission.limits.known_clients;
         let max_here = max_known.div_ceil(self.workers.count());
--- a/src/net/event_loop/connection_io.rs
+++ b/src/net/event_loop/connection_io.rs
@@ -22,7 +22,7 @@
 const HALF_CLOSED_BYTES: usize = 256 * 1024;
 /// Largest number of half-closed connections while clients are accepted: their descriptors come from the reserve.
 const MAX_HALF_CLOSED: usize = 6;
-/// Time between checks whether a client has disconnected whose input is not read.
+/// Time between checks whether a client whose input is not read has disconnected.
 const UNREAD_CHECK_INTERVAL: Micros = Micros::millis(50);
 /// Time until a system call is retried that failed because this machine lacks a resource.
 pub(super) const SHORTAGE_PAUSE: Micros = Micros::millis(20);
@@ -94,8 +94,8 @@
         true
     }
 
-    /// Checks whether a client has disconnected that waits for an answer and whose input is not read: no read would
-    /// report the end of its connection.
+    /// Checks whether a client that waits for an answer and whose input is not read has disconnected, since no read
+    /// reports the end of its connection.
     pub(super) fn check_unread_client(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Connection { interest, socket, kind: ConnectionKind::Client(client), .. } = connection else {
@@ -121,8 +121,8 @@
 
     /// Sets the events that the poller watches for on a connection to those that the connection needs now.
     pub(super) fn update_interest(&mut self, id: ConnectionId) {
-        // What a client sends once the listener is closed is not read: it is not accepted, and the client retries
-        // elsewhere.
+        // Input that a client sends after the listener is closed is not read: it is not accepted, and the client
+        // retries elsewhere.
         let is_reading_clients = self.phase != Phase::Closing;
         let Some(connection) = self.connections.get(id) else { return };
         let (readable, writable) = match &connection.kind {
--- a/src/net/event_loop/discovery_watch.rs
+++ b/src/net/event_loop/discovery_watch.rs
@@ -29,8 +29,11 @@
     Connect(io::Error),
     /// Discovery answered with this HTTP status.
     Rejected(u16),
+    /// Discovery closed the connection before its answer was complete.
     ConnectionEnded,
+    /// The connection failed before the answer was complete.
     ConnectionBroke,
+    /// The answer cannot be used.
     BadAnswer(AnswerError),
     /// The call timed out without an answer.
     NoAnswer,
@@ -219,8 +222,8 @@
     }
 
     fn end_calls(&mut self) {
-        let out = [self.discovery.latest_call.take(), self.discovery.silent_call.take()];
-        out.into_iter().flatten().for_each(|id| self.close(id));
+        let calls = [self.discovery.latest_call.take(), self.discovery.silent_call.take()];
+        calls.into_iter().flatten().for_each(|id| self.close(id));
     }
 
     /// Moves the watch to this address and calls at once. It asks for the full list, since versions of one discovery
--- a/src/net/event_loop/hot_restart.rs
+++ b/src/net/event_loop/hot_restart.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Number of descriptors for clients that this process leaves to other processes.
+    /// Number of descriptors for clients that this process leaves to other processes, at most half of them.
     pub(super) fn descriptors_lent(&self) -> usize {
         self.hot_restart.descriptors_of_peers().min(self.admission.limits.clients / 2)
     }
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -284,8 +284,9 @@
         }
     }
 
-    /// Puts a ready connection without a query in flight back into the pool. If the host gets no new requests, the
-    /// connection is closed instead, so that the host need not wait for it.
+    /// Ends the task of a connection. An idle connection returns to the pool; if the host gets no new requests, it is
+    /// closed instead, so that the host need not wait for it. A connection whose query is in flight is closed. One that
+    /// is still being opened is kept, and returns to the pool once it is ready.
     pub(super) fn release_connection(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(host) = self.connections.host(id) else { return };
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -21,8 +21,8 @@
 const HANDOVER_DURATION: Micros = Micros::millis(500);
 /// How much longer the listener stays open while a shortage prevents accepting all clients in its queue.
 const MAX_QUEUE_DELAY: Micros = Micros::millis(1_000);
-/// After SIGTERM the process may be killed after the longest deadline, of which at most `MAX_COUNTED_DEADLINE` counts,
-/// plus 0.7 s. All requests are answered a little before that.
+/// The process may be killed when the longest deadline, of which at most `MAX_COUNTED_DEADLINE` counts, plus 0.7 s have
+/// passed since SIGTERM. All requests are answered a little before that, `FINAL_ANSWERS_AFTER` after that deadline.
 const MAX_COUNTED_DEADLINE: Micros = Micros::millis(3_000);
 const FINAL_ANSWERS_AFTER: Micros = Micros::millis(600);
 
@@ -92,6 +92,8 @@
         }
     }
 
+    /// Starts the last phase on this worker and, if it is the first, on all others. The input of each client is read
+    /// for the last time: queries that are complete then are still answered.
     fn start_closing(&mut self) {
         self.phase = Phase::Closing;
         if self.this_worker == 0 {
--- a/src/net/event_loop/start.rs
+++ b/src/net/event_loop/start.rs
@@ -45,9 +45,10 @@
 const MIN_WORKER_DESCRIPTORS: usize = 8;
 /// Connections to hosts may use the unreserved descriptors divided by this number.
 const HOST_DIVISOR: usize = 3;
-/// Clients that have queried before may hold as many descriptors as all descriptors divided by this number. Clients
-/// with requests hold a third of the descriptors; while clients keep idle connections, there must be capacity for new
-/// ones.
+/// Clients that have queried before may hold as many descriptors as all descriptors divided by this number; above that,
+/// idle ones are closed. All clients together may hold two thirds of the unreserved descriptors, so that there is
+/// capacity for new clients while others keep idle connections. Since hosts hold the other third, the clients with an
+/// attempt in flight hold a third at most.
 const KNOWN_CLIENT_DIVISOR: usize = 4;
 /// A message of a client may be as long as the memory divided by this number, since many clients may send messages of
 /// the greatest length at once; and at most `MAX_MESSAGE_BYTES` long, however much memory there is.
--- a/src/pg/host.rs
+++ b/src/pg/host.rs
@@ -347,7 +347,7 @@
         }
     }
 
-    /// How far the query has got if the connection ends now.
+    /// How much of the query in flight has been written; `NotConnected` if there is none.
     pub fn attempt_progress(&self) -> AttemptProgress {
         match (self.has_query, self.out.is_empty()) {
             (false, _) => AttemptProgress::NotConnected,
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -53,7 +53,7 @@
     /// The settings cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The settings lack what this gateway needs.
+    /// The settings lack an entry that this gateway needs.
     #[error(transparent)]
     Settings(#[from] TextFileError<SettingsFileError>),
     /// The fleet's node does not start.
@@ -251,7 +251,7 @@
     std::env::var(name).ok()
 }
 
-/// The log level: `GW_LOG=debug` adds a line for each failed attempt.
+/// The log level: `GW_LOG=debug` adds lines about single requests, their attempts, and connections to hosts.
 fn log_level() -> Level {
     match variable("GW_LOG").as_deref() {
         Some("debug") => Level::Debug,
--- a/src/startup/initial_config.rs
+++ b/src/startup/initial_config.rs
@@ -21,7 +21,7 @@
     pub active: ActiveConfig,
     /// The zones that the settings name.
     pub zones: Zones,
-    /// The text of the gateway's own file.
+    /// The text of the gateway's own file or, if that cannot be used, of the previous process's configuration.
     pub file_text: String,
     /// The version with which the file is overlaid.
     pub version: Option<Document>,
@@ -61,7 +61,7 @@
         let version = version_file.and_then(|file| loader.read_version(file));
         match (loader.load_file(path, text, version), fallback) {
             (Ok((loaded, file_text, version)), _) => Ok(loader.into_initial(loaded, file_text, version)),
-            // The previous process has rejected the file as well.
+            // The file cannot be used: the configuration of the previous process stays in force.
             (Err(_), Some(loaded)) => {
                 let file_text = loader.active.text().to_string();
                 Ok(loader.into_initial(loaded, file_text, None))
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -23,6 +23,7 @@
 /// # Errors
 /// The system cannot create a pipe or register a handler.
 pub fn watch(versions: Option<VersionReceiver>, read_config: ReadConfig) -> io::Result<Signals> {
+    // The flags are registered before the pipes, so that each flag is set before its pipe becomes readable.
     let (shutdown_requested, reload_requested) = (flag(&TERMINATION)?, flag(&RELOAD)?);
     Ok(Signals {
         shutdown: termination()?,
--- a/src/startup/takeover.rs
+++ b/src/startup/takeover.rs
@@ -13,7 +13,7 @@
 /// The result of an attempt to take over.
 #[derive(Default)]
 pub struct Takeover {
-    /// The path of the handover socket; none unless the processes of this gateway share a folder.
+    /// The path of the handover socket; `None` if the gateway's name is unknown or `TMPDIR` names no folder.
     pub socket_path: Option<PathBuf>,
     /// The state that the previous process has handed over.
     pub state: Option<HandoverState>,
