--- a/crates/fleet/src/acceptor/stored_state.rs
+++ b/crates/fleet/src/acceptor/stored_state.rs
@@ -26,16 +26,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AcceptorFileError {
     /// The file is shorter than its header, or than the length in it.
-    #[error("cut off")]
+    #[error("the file is truncated")]
     Truncated,
     /// The file is not an acceptor's file, or has a format version that this program does not support.
-    #[error("not a voter's file of this form")]
+    #[error("not a voter's file of a supported format version")]
     UnknownFormat,
     /// The checksum does not match the contents, or there are bytes after them.
-    #[error("the checksum does not fit")]
+    #[error("the checksum does not match")]
     ChecksumMismatch,
     /// The checksum matches, but the contents cannot be decoded.
-    #[error("what is inside cannot be read")]
+    #[error("the contents cannot be decoded")]
     Malformed,
 }
 
--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -53,22 +53,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum FrameError {
     /// It is shorter than an empty frame, or longer than [`MAX_DATAGRAM_BYTES`].
-    #[error("the length is not one of a datagram of a fleet")]
+    #[error("the datagram is too short or too long")]
     Length,
     /// It does not start with the magic bytes.
-    #[error("not a datagram of a fleet")]
+    #[error("the datagram does not start with the magic bytes")]
     Magic,
     /// It has a format version that this program does not read.
-    #[error("unknown format version")]
+    #[error("the format version is not supported")]
     Version,
     /// It belongs to another fleet.
-    #[error("of another fleet")]
+    #[error("the datagram belongs to another fleet")]
     Fleet,
     /// It was damaged in transit.
     #[error("the checksum does not match")]
     Checksum,
     /// It has a message kind that this format version does not define.
-    #[error("unknown kind of message")]
+    #[error("the message kind is unknown")]
     Kind,
 }
 
