--- a/src/balance/housekeeping.rs
+++ b/src/balance/housekeeping.rs
@@ -66,17 +66,18 @@
 impl MemberRefresh<'_> {
     /// Updates a member's failure penalty, slow-start tokens, failure rate, lag and weight. During slow start
     /// each gateway sends a member its even share of the cost that the group serves for this gateway, scaled
-    /// by the member's warmth, so that the sum over all gateways stays within the overload multiple.
+    /// by the fraction of its capacity that the member has, so that the sum over all gateways stays within
+    /// the overload multiple.
     fn apply(&self, member: &mut Member) {
-        let warmth = member.slow_start.capacity_fraction(self.now, self.settings);
+        let capacity_fraction = member.slow_start.capacity_fraction(self.now, self.settings);
         let failure_rate = member.failure_rate();
         let decay = || (-self.elapsed * (1.0 - failure_rate) / self.usual_latency).exp();
         member.load.decay_failure_penalty(decay);
         let multiple = self.settings.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
         let burst = self.settings.overload_window.as_f64() * SLOW_START_BURST_FRACTION;
-        member.slow_start.refill(self.served_rate * warmth * multiple, self.elapsed, burst);
+        member.slow_start.refill(self.served_rate * capacity_fraction * multiple, self.elapsed, burst);
         member.decay_failures_and_lag(self.decay);
-        member.refresh_weight(warmth);
+        member.refresh_weight(capacity_fraction);
     }
 }
 
--- a/src/balance/member/log_position.rs
+++ b/src/balance/member/log_position.rs
@@ -48,23 +48,26 @@
         self.progress.since()
     }
 
-    /// Records a position unless it is older than the last; `latest` is the upper bound of the log time, if
-    /// known.
+    /// Records a position unless it is older than the last. `latest_log_time` is the upper bound of the
+    /// present log time, if it is known.
     pub fn observe(
         &mut self,
         now: Micros,
         position: Option<Micros>,
-        latest: Option<Micros>,
+        latest_log_time: Option<Micros>,
         source: PositionSource,
     ) {
-        let position = position.map(|position| latest.map_or(position, |latest| position.min(latest)));
+        let position = position.map(|position| {
+            latest_log_time.map_or(position, |latest_log_time| position.min(latest_log_time))
+        });
         if position.is_none() || position < self.position {
             return;
         }
         self.position = position;
         self.updated_at = now;
         self.source = source;
-        self.lag = latest.map_or(self.lag, |latest| latest - position.unwrap_or_default());
+        self.lag = latest_log_time
+            .map_or(self.lag, |latest_log_time| latest_log_time - position.unwrap_or_default());
     }
 
     /// Records an answer of the member as the primary. Returns the proof of the log time that follows, if
@@ -74,14 +77,14 @@
     }
 
     /// Records that a replica which checks reads has served one that needed this position.
-    pub fn served_read(&mut self, needed: Micros, latest: Micros) {
+    pub fn served_read(&mut self, needed: Micros, latest_log_time: Micros) {
         self.position = self.position.max(Some(needed));
-        self.lag = self.lag.min(latest - needed);
+        self.lag = self.lag.min(latest_log_time - needed);
     }
 
     /// Records that a replica which checks reads has rejected one that needed this position.
-    pub fn rejected_read(&mut self, needed: Micros, latest: Micros) {
-        self.lag = self.lag.max(latest - needed);
+    pub fn rejected_read(&mut self, needed: Micros, latest_log_time: Micros) {
+        self.lag = self.lag.max(latest_log_time - needed);
     }
 
     /// Multiplies the lag by this factor.
@@ -90,9 +93,9 @@
     }
 
     /// Recomputes the lag from the position, after the log time was learned or replaced.
-    pub fn recompute_lag(&mut self, latest: Micros) {
+    pub fn recompute_lag(&mut self, latest_log_time: Micros) {
         if let Some(position) = self.position {
-            self.lag = latest - position;
+            self.lag = latest_log_time - position;
         }
     }
 
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -83,14 +83,17 @@
         self.sessions.end(attempt.group, key);
     }
 
-    /// If members check reads, a read that a member serves or rejects bounds the member's position.
+    /// Updates a member's position and lag from a read that it checked and then served or rejected.
     fn record_checked_read(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt) {
-        let (needed, latest) = (attempt.needed, self.log_now(now, attempt.group));
-        let (Some(latest), Some(member)) = (latest, self.members.get_mut(&outcome.member)) else { return };
+        let (needed, latest_log_time) = (attempt.needed, self.log_now(now, attempt.group));
+        let (Some(latest_log_time), Some(member)) = (latest_log_time, self.members.get_mut(&outcome.member))
+        else {
+            return;
+        };
         match outcome.status {
             _ if needed == Micros(0) => {}
-            AttemptStatus::Unsuitable => member.log.rejected_read(needed, latest),
-            AttemptStatus::Ok => member.log.served_read(needed, latest),
+            AttemptStatus::Unsuitable => member.log.rejected_read(needed, latest_log_time),
+            AttemptStatus::Ok => member.log.served_read(needed, latest_log_time),
             _ => {}
         }
     }
--- a/src/balance/positions.rs
+++ b/src/balance/positions.rs
@@ -23,10 +23,10 @@
         if position.is_some_and(|position| !self.is_position_possible(now, group, position)) {
             return;
         }
-        let latest = self.log_now(now, group);
+        let latest_log_time = self.log_now(now, group);
         let Some(member) = self.members.get_mut(&id) else { return };
         let claimed = role.filter(|role| member.role.observe(*role, at, position));
-        member.log.observe(now, position, latest, source);
+        member.log.observe(now, position, latest_log_time, source);
         let is_primary = self.groups.get(&group).and_then(|group| group.primary) == Some(id);
         if claimed.is_some_and(|role| is_primary != (role == Role::Primary)) {
             self.recompute_group(group);
