--- a/src/balance/member/load.rs
+++ b/src/balance/member/load.rs
@@ -17,7 +17,8 @@
     /// Maximum cost in flight. A limit below the cost of one request is enforced by pauses between requests.
     pub(super) limit: f64,
     pub(super) paused_until: Micros,
-    /// Time of the last send or answer: the member's connections have been idle since then.
+    /// When an attempt was last sent or ended: while none is in flight, the member's connections have been
+    /// idle since then. Zero if the last attempt could not connect.
     pub(super) last_used_at: Micros,
 }
 
@@ -47,7 +48,7 @@
         self.limit
     }
 
-    /// Time of the last send or answer; zero if no connection can be open.
+    /// When an attempt was last sent or ended; zero if no connection can be open.
     pub fn last_used_at(&self) -> Micros {
         self.last_used_at
     }
@@ -79,7 +80,7 @@
         self.cost_in_flight = left.max(0.0);
     }
 
-    /// Records that an attempt over a connection has ended.
+    /// Records the end of an attempt, unless it could not connect: then see [`Load::mark_disconnected`].
     pub fn mark_used(&mut self, now: Micros) {
         self.last_used_at = now;
     }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -65,13 +65,14 @@
 /// Why a request was given up before it was served. The log shows these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// It arrived with less time left than an attempt takes.
+    /// It arrived a sweep period (two ticks) or less before the time after which an answer has no value.
     NoTime,
     /// Its time in the queue reached the limit, or an answer could no longer be in time.
     Waited,
-    /// Its deadline passed while an attempt was in flight.
+    /// An attempt was in flight when the time for a useful answer ended, or when the deadline was a sweep period or
+    /// less away.
     Overdue,
-    /// An attempt failed and no retry is allowed.
+    /// An attempt failed, and a retry is not allowed or the deadline is a tick or less away.
     NoRetry,
 }
 
