--- a/src/balance/snapshot_conversion.rs
+++ b/src/balance/snapshot_conversion.rs
@@ -72,7 +72,7 @@
         GroupRecord {
             members: group.members.clone(),
             served_cost: group.served_cost,
-            live_members: group.members_in_service,
+            members_in_service: group.members_in_service,
             log_time: group.log_clock.into(),
             forgotten_commit: group.forgotten_commit,
         }
@@ -84,7 +84,7 @@
         Group {
             members: record.members,
             served_cost: record.served_cost,
-            members_in_service: record.live_members,
+            members_in_service: record.members_in_service,
             log_clock: record.log_time.into(),
             forgotten_commit: record.forgotten_commit,
             ..Group::default()
--- a/src/balance/snapshot_format.rs
+++ b/src/balance/snapshot_format.rs
@@ -146,7 +146,7 @@
     #[serde(rename = "served")]
     pub served_cost: f64,
     #[serde(rename = "live")]
-    pub live_members: f64,
+    pub members_in_service: f64,
     #[serde(default)]
     pub log_time: LogClockRecord,
     #[serde(rename = "floor")]
