--- a/crates/rollout/src/control/proposal.rs
+++ b/crates/rollout/src/control/proposal.rs
@@ -323,7 +323,7 @@
         let limit = self.settings.proposal_timeout;
         if let Some(cause) = self.timeout_cause(now) {
             self.reject_proposal(ProposalError::Timeout { limit, cause });
-            // The read makes sure that an event follows soon, with which the waiting proposals continue.
+            // The next waiting proposal is handled on the next event: the read makes sure that one follows soon.
             self.register.schedule_read(now);
         }
         while let Some(id) = self.proposals.pop_expired(now, limit) {
--- a/src/api.rs
+++ b/src/api.rs
@@ -10,7 +10,7 @@
 
 use crate::notice::Notice;
 
-/// A point on the caller's clock, or a length of time, in microseconds.
+/// A point on the caller's clock, a log position, or a length of time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
@@ -155,7 +155,7 @@
 /// Where the position of a session's last commit is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokens {
-    /// By the client: each request says how long ago the session's last commit was.
+    /// By the client: each request carries it in [`Request::committed`].
     Carried,
     /// By the router, which learns it from the answers to the session's writes.
     Remembered,
@@ -278,7 +278,7 @@
     pub state: EndpointState,
     /// Its capacity relative to that of other members.
     pub weight: f64,
-    /// When it was last started; zero if long ago.
+    /// When it was last started, in log time; zero if long ago.
     pub started: Micros,
     /// Whether the list names it as its group's primary.
     pub primary: bool,
@@ -337,7 +337,7 @@
     Rejected,
     /// No answer in time; it may have been executed.
     Timeout,
-    /// No connection; it was never executed.
+    /// No connection, or it broke before the request was completely sent; it was never executed.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     Reset,
@@ -347,7 +347,7 @@
     Cancelled,
     /// Withdrawn by the caller for a reason that does not concern the member; it may have been executed.
     Withdrawn,
-    /// Never sent.
+    /// Not sent, or not completely; it was never executed.
     NotSent,
     /// Rejected without being executed: the member has the wrong role or lags too far behind.
     Unsuitable,
@@ -464,7 +464,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client may retry, if the rejection is to say so.
+        /// How long the client should wait before it retries, if the rejection is to say so.
         retry_after: Option<Micros>,
     },
     /// Final answer: failed, and the request may or may not have taken effect.
--- a/src/balance/choice.rs
+++ b/src/balance/choice.rs
@@ -49,7 +49,7 @@
     latest_log_time: Option<Micros>,
     /// A write of the read's session is in flight: only the primary is sure to have it.
     awaits_commit: bool,
-    /// The health of an unresponsive replica is checked before a read is sent to it.
+    /// Reads check the health of replicas: an unresponsive one covers no read until it has responded.
     checks_replicas: bool,
 }
 
@@ -246,8 +246,8 @@
     }
 
     /// The member for a write: the primary or, while no primary is known, the member with the latest log
-    /// position among those that were not used recently and have not recently claimed a role. Answers to
-    /// reads report a new primary as well.
+    /// position among those that were not used recently and have not recently claimed a role, if another
+    /// attempt remains after this one. A new primary also becomes known from the answers to reads.
     fn choose_for_write(&self, now: Micros, open: &OpenRequest, window: CandidateWindow) -> Option<MemberId> {
         let cost = self.latencies.cost(open.request.class);
         let limit_factor = self.write_limit_factor(window);
--- a/src/balance/log_clock.rs
+++ b/src/balance/log_clock.rs
@@ -21,7 +21,7 @@
 /// Number of consecutive proofs that agree with each other and contradict the known offset before they
 /// replace it: the log's clock was stepped back, or the known offset came from a corrupt answer.
 const MIN_AGREEING_PROOFS: u32 = 3;
-/// Time over which these proofs must agree if they are earlier than the known offset.
+/// Time over which these proofs must agree if they put the log time earlier than the known offset does.
 const MIN_AGREEMENT_TIME: Micros = Micros::millis(3_000);
 
 /// Lower and upper bound of an offset, in microseconds: the log time minus the router's time.
@@ -129,7 +129,7 @@
 /// How a proof has changed the known offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Not replaced: the proof agrees with it, or does not suffice to replace it.
+    /// Neither learned nor replaced: the proof agrees with the known offset, or does not suffice yet.
     None,
     /// Known for the first time.
     Learned,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,7 +38,7 @@
         /// How long to wait for the response.
         timeout: Micros,
     },
-    /// The request waits; a later [`Output::Decision`] follows. For a finished request: there is no decision.
+    /// No decision yet: an [`Output::Decision`] follows, unless the request is finished.
     Queued,
     /// Final answer: rejected; the client may safely retry.
     Reject {
@@ -287,7 +287,7 @@
     }
 
     /// Records that the response of the attempt in flight has begun to stream to the client; no further decision on the
-    /// request follows. Returns false if no attempt is in flight, because the request has been decided already.
+    /// request follows. Returns false if no attempt is in flight, as after the final answer.
     #[must_use]
     pub fn start_streaming(&mut self, now: Micros, request: RequestId) -> bool {
         let tracked = self.requests.get_mut(&request);
