--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -278,6 +278,12 @@
     let deployment = Deployment::new("rollout-few", 3);
     assert_eq!(deployment.propose_until_accepted(&document(1)), 1);
     deployment.wait_until_in_force(0..3, 1);
+    // c-1 and c-2 can accept a version and distribute it to all gateways before c-0 knows of it.
+    deployment.wait_until("c-0 is fresh and knows the version", |deployment| {
+        let status = deployment.status();
+        let own = &status["machines"][0];
+        own["fresh"] == true && own["newest"]["version"] == 1
+    });
     deployment.signal(1, Signal::STOP);
     deployment.signal(2, Signal::STOP);
     deployment.wait_until("it is no longer fresh", |deployment| {
